--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
 # Every chore of the project.
-.PHONY: demo test race ci lint format generate bench
+.PHONY: demo test race ci lint format generate bench tools
 
 demo: ## run the main job on the embedded example
 	go run ./cmd/willowctl demo
@@ -24,3 +24,8 @@
 
 bench: ## run the benchmarks
 	go test -run '^$$' -bench . -benchmem ./...
+
+tools: ## install the formatter, the linter and the language server, whose renames follow every use
+	go install mvdan.cc/gofumpt@v0.12.0
+	go install github.com/mgechev/revive@v1.17.0
+	go install golang.org/x/tools/gopls@v0.22.0
