--- a/exchange/admission.go
+++ b/exchange/admission.go
@@ -49,6 +49,6 @@
 }
 
 // hear takes the set that another box knows.
-func (a *admissions) hear(news AdmittedRequests, source string) {
+func (a *admissions) receive(news AdmittedRequests, source string) {
 	a.standingKeeper.hear(standing[willowwick.Fingerprint]{news.AsOf, news.Requests, news.TakenBack, news.HeldOver}, source)
 }
--- a/exchange/born_test.go
+++ b/exchange/born_test.go
@@ -121,7 +121,7 @@
 		}, patience, 5*time.Millisecond)
 	}
 	identity := willowwick.FingerprintOf(testAccount, http.MethodPost, testHost, "/once/", []byte("harmful"))
-	assert.True(t, b.daemon.router.harm.Refuses(identity))
+	assert.True(t, b.daemon.router.poison.Refuses(identity))
 }
 
 // Boxes that hear of endpoints from each other know the same lives of them.
--- a/exchange/callers.go
+++ b/exchange/callers.go
@@ -12,11 +12,11 @@
 
 const (
 	// atRest: no request is on the connection.
-	atRest connUse = iota
+	connIdle connUse = iota
 	// inUse: a request is on it, from its first byte on.
-	inUse
+	connBusy
 	// retired: this box has closed it, and takes nothing from it any more.
-	retired
+	connRetired
 )
 
 // retirePoll is how often a stopping box looks whether callers' connections are at rest.
@@ -33,7 +33,7 @@
 	// net/http takes a connection for idle until it has read a whole head, and would close it then.
 	callerListener struct {
 		net.Listener
-		busy atomic.Int64
+		busyConns atomic.Int64
 
 		mu      sync.Mutex
 		conns   map[*callerConn]bool
@@ -60,7 +60,7 @@
 		return nil, err
 	}
 	c := &callerConn{Conn: conn, listener: l}
-	if !l.enter(c) {
+	if !l.register(c) {
 		c.closeUnread()
 		return nil, net.ErrClosed
 	}
@@ -68,7 +68,7 @@
 }
 
 // enter reports whether requests may be taken from a new connection; if so, the connection is waited for.
-func (l *callerListener) enter(c *callerConn) bool {
+func (l *callerListener) register(c *callerConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.retired {
@@ -79,16 +79,16 @@
 }
 
 // noteConn is the server's hook for the context of a connection's requests.
-func (l *callerListener) noteConn(ctx context.Context, conn net.Conn) context.Context {
+func (l *callerListener) connContext(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, callerConnKey{}, conn)
 }
 
 // takeOnly passes on requests of connections that are waited for. The server may have read a request together with the
 // one before it: its connection then looks at rest until the request is here, and may have been retired.
-func (l *callerListener) takeOnly(next http.Handler) http.Handler {
+func (l *callerListener) rejectRetired(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c, ok := r.Context().Value(callerConnKey{}).(*callerConn)
-		if ok && !c.take() {
+		if ok && !c.acquire() {
 			slog.Info("request was not taken, its connection is closed already", "target", r.RequestURI)
 			panic(http.ErrAbortHandler)
 		}
@@ -99,18 +99,18 @@
 // Read implements net.Conn; bytes that come as the connection is retired belong to a request that was never taken.
 func (c *callerConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if n > 0 && !c.take() {
+	if n > 0 && !c.acquire() {
 		return 0, net.ErrClosed
 	}
 	return n, err
 }
 
 // take marks the connection as in use by a request, and reports whether the request may go on.
-func (c *callerConn) take() bool {
-	if c.use.CompareAndSwap(atRest, inUse) {
-		c.listener.busy.Add(1)
+func (c *callerConn) acquire() bool {
+	if c.use.CompareAndSwap(connIdle, connBusy) {
+		c.listener.busyConns.Add(1)
 	}
-	return c.use.Load() != retired
+	return c.use.Load() != connRetired
 }
 
 func (c *callerConn) closeUnread() {
@@ -128,13 +128,13 @@
 }
 
 // noteState is the server's hook; a connection is at rest again once its answer is out.
-func (l *callerListener) noteState(conn net.Conn, state http.ConnState) {
+func (l *callerListener) trackState(conn net.Conn, state http.ConnState) {
 	c, ok := conn.(*callerConn)
 	if !ok || state != http.StateIdle && state != http.StateClosed && state != http.StateHijacked {
 		return
 	}
-	if c.use.CompareAndSwap(inUse, atRest) {
-		l.busy.Add(-1)
+	if c.use.CompareAndSwap(connBusy, connIdle) {
+		l.busyConns.Add(-1)
 	}
 }
 
@@ -142,7 +142,7 @@
 // others to come to rest; it returns how many are left when the context ends. The listener is closed before.
 func (l *callerListener) retire(ctx context.Context) int {
 	for {
-		left := l.retireResting()
+		left := l.retireIdle()
 		if left == 0 || ctx.Err() != nil {
 			return left
 		}
@@ -151,12 +151,12 @@
 }
 
 // retireResting closes the connections that are at rest and returns how many are not.
-func (l *callerListener) retireResting() int {
+func (l *callerListener) retireIdle() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.retired = true
 	for c := range l.conns {
-		if !c.use.CompareAndSwap(atRest, retired) {
+		if !c.use.CompareAndSwap(connIdle, connRetired) {
 			continue
 		}
 		delete(l.conns, c)
--- a/exchange/callers_test.go
+++ b/exchange/callers_test.go
@@ -54,7 +54,7 @@
 	assert.Zero(t, l.retire(t.Context()))
 	close(release)
 	assert.ErrorIs(t, <-read, net.ErrClosed)
-	assert.Zero(t, l.busy.Load())
+	assert.Zero(t, l.busyConns.Load())
 }
 
 func TestConnectionWithARequestIsNotRetired(t *testing.T) {
@@ -66,7 +66,7 @@
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
 	assert.Equal(t, 1, l.retire(ended), "it is waited for until the end of the time")
-	l.noteState(conn, http.StateIdle)
+	l.trackState(conn, http.StateIdle)
 	assert.Zero(t, l.retire(t.Context()))
 }
 
@@ -76,7 +76,7 @@
 	require.NoError(t, err)
 	l := newCallerListener(inner)
 	taken := make(chan struct{}, 1)
-	server := &http.Server{ReadHeaderTimeout: time.Second, ConnState: l.noteState, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	server := &http.Server{ReadHeaderTimeout: time.Second, ConnState: l.trackState, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		taken <- struct{}{}
 		time.Sleep(50 * time.Millisecond)
 		_, _ = io.WriteString(w, "whole")
--- a/exchange/daemon.go
+++ b/exchange/daemon.go
@@ -100,7 +100,7 @@
 	}
 	for _, work := range []func(context.Context){
 		x.gate.Run, x.sync.followDeclarations, x.sync.followOrdered, x.sync.followEndpoints, x.sync.keepMembership,
-		x.sync.judgeReleases, x.sync.lead, x.sync.keepHarmful, x.peers.run,
+		x.sync.judgeReleases, x.sync.lead, x.sync.runPoisonSync, x.peers.run,
 	} {
 		d.workers.Go(func() { work(ctx) })
 	}
@@ -131,9 +131,9 @@
 		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}
 	if listener == d.callers {
-		server.Handler = d.callers.takeOnly(handler)
-		server.ConnContext = d.callers.noteConn
-		server.ConnState = d.callers.noteState
+		server.Handler = d.callers.rejectRetired(handler)
+		server.ConnContext = d.callers.connContext
+		server.ConnState = d.callers.trackState
 	}
 	d.servers = append(d.servers, server)
 	d.workers.Go(func() {
@@ -171,10 +171,10 @@
 	limit := began.Add(x.settings.Grace - leaveEarly)
 	x.stopAt.Store(limit.Add(-lastAnswer).UnixNano())
 	time.Sleep(clock.Until(earliest(began.Add(x.settings.TurnAway), limit)))
-	x.refusing.Store(true)
+	x.refusesLate.Store(true)
 	// The listener stays: the entry uses boxes that are not ready where it has too few others. Connections at rest
 	// stay too: a request may be on its way on them.
-	awaitQuiet(&d.callers.busy, limit)
+	awaitQuiet(&d.callers.busyConns, limit)
 	if err := d.callers.Close(); err != nil {
 		slog.Debug("listener for callers did not close", "error", err)
 	}
--- a/exchange/digest.go
+++ b/exchange/digest.go
@@ -98,18 +98,18 @@
 		LinkMbps: x.settings.LinkMbps, StartedMs: p.startedMs, TableVersion: x.configVersion(), TakesPacked: true, ConfigAgeMs: configAge,
 		StoreAgeMs: x.sync.endpointsAge(now).Milliseconds(), ReadAgeMs: min(x.sync.readAge(now), longestAge).Milliseconds(),
 		Evacuated: x.evacuations.set(), Admitted: x.admissions.set(), Leaving: x.pool.LeavingUnlisted(),
-		Own: p.ownReport(), Verdicts: x.releases.ended(now), Speeds: x.pool.Speeds(),
+		Own: p.ownReport(), Verdicts: x.releases.verdictRows(now), Speeds: x.pool.Speeds(),
 	}
 	digest.RestoringMs = x.sync.restoringFor(now).Milliseconds()
 	digest.EndpointsFrom, digest.EndpointsRead, digest.EndpointsSum = x.sync.listedFrom()
-	for _, own := range x.releases.progresses(now) {
+	for _, own := range x.releases.progressList(now) {
 		digest.Progress = append(digest.Progress, ProgressRow{Status: own.Status, Order: own.Order, AgeMs: own.AgeMs})
 	}
 	if _, hasHub := p.hub(now); !hasHub {
 		digest.Halls = p.hallReports(now)
 		digest.Granter = p.granterOfHubs(now)
 	}
-	p.noteGranting(now, digest.Granter == digest.Address)
+	p.setGranting(now, digest.Granter == digest.Address)
 	return digest
 }
 
--- a/exchange/ends_test.go
+++ b/exchange/ends_test.go
@@ -84,7 +84,7 @@
 	brokeAt := clock.Now()
 	left, leave := context.WithCancel(t.Context())
 	leave()
-	ends := s.daemon.router.ends
-	ends.hasEnded(left, endpoint, brokeAt)
-	assert.True(t, ends.hasEnded(t.Context(), endpoint, brokeAt))
+	crashes := s.daemon.router.crashes
+	crashes.hasCrashed(left, endpoint, brokeAt)
+	assert.True(t, crashes.hasCrashed(t.Context(), endpoint, brokeAt))
 }
--- a/exchange/era.go
+++ b/exchange/era.go
@@ -20,7 +20,7 @@
 	}
 	x := s.router
 	x.metrics.eraBegan()
-	rewritten := x.releases.beginEra(at.Era(), now) + x.harm.WriteAgain()
+	rewritten := x.releases.beginEra(at.Era(), now) + x.poison.WriteAgain()
 	slog.Warn("store has come back from a copy of itself", "era", at.Era(), "former", former, "source", source,
 		"endpoints_read_to", s.endpointsAt(), "declarations_read_to", x.evacuations.newest().asOf, "to_write_again", rewritten)
 }
@@ -79,7 +79,7 @@
 // how far it has come, or one of the copy whose place a later one had taken, which is put off until that one has had the time to be
 // written again. The caller holds the lock.
 func (r *releases) isWrittenAgain(order willowwick.ReleaseOrder, now time.Time) bool {
-	m := r.moves[order.Service]
+	m := r.rollouts[order.Service]
 	if m == nil || order.At.Era() <= m.order.At.Era() || !now.Before(r.restoredAt) {
 		return false
 	}
@@ -89,7 +89,7 @@
 	}
 	_, isFormer := r.verdicts[releaseKey{order.Service, order.Target}]
 	if isFormer {
-		r.putOff[order.Service] = order
+		r.deferredOrders[order.Service] = order
 	}
 	return isFormer
 }
@@ -99,9 +99,9 @@
 	if now.Before(r.restoredAt) {
 		return
 	}
-	for service, order := range r.putOff {
-		delete(r.putOff, service)
-		r.beginNew(order, 0, now)
+	for service, order := range r.deferredOrders {
+		delete(r.deferredOrders, service)
+		r.applyNewOrder(order, 0, now)
 	}
 }
 
@@ -118,8 +118,8 @@
 		return 0
 	}
 	r.era, r.restoredAt = era, now.Add(writtenAgainWithin)
-	for _, m := range r.moves {
-		m.written = false
+	for _, m := range r.rollouts {
+		m.persisted = false
 	}
-	return len(r.moves)
+	return len(r.rollouts)
 }
--- a/exchange/era_test.go
+++ b/exchange/era_test.go
@@ -82,14 +82,14 @@
 				e, other := newEvacuatedHalls(), newEvacuatedHalls()
 				e.read(true, in(1, 2))
 				e.read(false, in(1, 20), test.before...)
-				other.hear(e.set(), "box-1")
+				other.receive(e.set(), "box-1")
 				e.read(true, in(2, 8), test.copied...)
-				other.hear(e.set(), "box-1")
+				other.receive(e.set(), "box-1")
 				assert.Equal(t, test.first, e.count(), "after the first read")
 				assert.Equal(t, test.first, other.count(), "at a box that is told of it")
 				time.Sleep(writtenAgainWithin / 2)
 				e.read(false, in(2, 40), test.after...)
-				other.hear(e.set(), "box-1")
+				other.receive(e.set(), "box-1")
 				assert.Equal(t, test.then, e.count(), "after what came then")
 				assert.Equal(t, test.then, other.count(), "at a box that is told of it")
 				time.Sleep(writtenAgainWithin)
@@ -160,18 +160,18 @@
 func TestAnOrderThatIsWrittenAgainBeginsNothingAnew(t *testing.T) {
 	for _, state := range []willowwick.ReleaseState{willowwick.ReleaseRunning, willowwick.ReleaseCompleted, willowwick.ReleaseRolledBack} {
 		r := newTestReleases()
-		r.begin(orderOf("v2", in(1, 30)), 0, testStart)
-		r.settle(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: state}, true, "test")
-		r.begin(orderOf("v2", in(2, 12)), 0, at(0.35))
-		progress := r.progresses(at(0.4))
+		r.applyOrder(orderOf("v2", in(1, 30)), 0, testStart)
+		r.applyStatus(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: state}, true, "test")
+		r.applyOrder(orderOf("v2", in(2, 12)), 0, at(0.35))
+		progress := r.progressList(at(0.4))
 		require.Len(t, progress, 1)
 		assert.Equal(t, state, progress[0].Status.State)
 		assert.Equal(t, at(0.4).Sub(testStart).Milliseconds(), progress[0].AgeMs)
 		due := r.due(at(0.4))
 		require.Len(t, due, 1, "the store may have lost the state too")
 		assert.Equal(t, state, due[0].State)
-		r.begin(orderOf("v3", in(2, 13)), 0, at(0.41))
-		assert.Equal(t, willowwick.ReleaseID("v3"), r.progresses(at(0.42))[0].Status.Target, "a new order counts at once")
+		r.applyOrder(orderOf("v3", in(2, 13)), 0, at(0.41))
+		assert.Equal(t, willowwick.ReleaseID("v3"), r.progressList(at(0.42))[0].Status.Target, "a new order counts at once")
 	}
 }
 
@@ -179,21 +179,21 @@
 func TestAnOrderOfTheCopyDoesNotTakeThePlaceOfALaterOneThatItLacks(t *testing.T) {
 	newMoved := func() *releases {
 		r := newTestReleases()
-		r.begin(orderOf("v2", in(1, 10)), 0, testStart)
-		r.settle(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseCompleted}, true, "test")
-		r.begin(orderOf("v3", in(1, 30)), 0, at(0.1))
-		r.begin(orderOf("v2", in(2, 10)), 0, at(0.2))
-		require.Equal(t, willowwick.ReleaseID("v3"), r.progresses(at(0.2))[0].Status.Target)
+		r.applyOrder(orderOf("v2", in(1, 10)), 0, testStart)
+		r.applyStatus(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseCompleted}, true, "test")
+		r.applyOrder(orderOf("v3", in(1, 30)), 0, at(0.1))
+		r.applyOrder(orderOf("v2", in(2, 10)), 0, at(0.2))
+		require.Equal(t, willowwick.ReleaseID("v3"), r.progressList(at(0.2))[0].Status.Target)
 		return r
 	}
 	later := at(0.2).Add(writtenAgainWithin + time.Second)
 	r := newMoved()
-	r.begin(orderOf("v3", in(2, 14)), 0, at(0.25))
+	r.applyOrder(orderOf("v3", in(2, 14)), 0, at(0.25))
 	r.judge(nil, later)
-	assert.Equal(t, willowwick.ReleaseID("v3"), r.progresses(later)[0].Status.Target, "it was written again")
+	assert.Equal(t, willowwick.ReleaseID("v3"), r.progressList(later)[0].Status.Target, "it was written again")
 	r = newMoved()
 	r.judge(nil, later)
-	assert.Equal(t, willowwick.ReleaseID("v2"), r.progresses(later)[0].Status.Target, "the operator ordered it anew")
+	assert.Equal(t, willowwick.ReleaseID("v2"), r.progressList(later)[0].Status.Target, "the operator ordered it anew")
 }
 
 // What boxes had written to the store is gone, and only they know it.
@@ -202,11 +202,11 @@
 	x := s.daemon.router
 	request := willowwick.HarmfulRequest{Request: willowwick.Fingerprint{7}, Service: "work"}
 	for i := range quarantine.RefuseAfter {
-		x.harm.NoteEnd(request, willowwick.EndpointEnd{Endpoint: "gone", Incarnation: willowwick.Incarnation(i), At: time.Now()})
+		x.poison.NoteEnd(request, willowwick.EndpointEnd{Endpoint: "gone", Incarnation: willowwick.Incarnation(i), At: time.Now()})
 	}
 	s.control.change(func() { s.control.orders = []willowwick.ReleaseOrder{orderOf("v2", 1)} })
-	require.Eventually(t, func() bool { return len(x.releases.progresses(time.Now())) == 1 }, patience, 5*time.Millisecond)
-	x.releases.settle(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseRolledBack}, false, "test")
+	require.Eventually(t, func() bool { return len(x.releases.progressList(time.Now())) == 1 }, patience, 5*time.Millisecond)
+	x.releases.applyStatus(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseRolledBack}, false, "test")
 	isWritten := func() bool {
 		s.control.mu.Lock()
 		defer s.control.mu.Unlock()
--- a/exchange/escalation_test.go
+++ b/exchange/escalation_test.go
@@ -31,7 +31,7 @@
 	settings.LateConfidence = 15
 	s := startSite(t, control, settings)
 	for range 20 {
-		s.daemon.router.budget("work").Request(time.Now())
+		s.daemon.router.retryBudget("work").Request(time.Now())
 	}
 	for _, id := range []string{"a", "b", "c"} {
 		reply := s.do(t, http.MethodPost, "/stream/", id, "x", "T-Model", "*", "X-Small-Waits", "1ms")
@@ -70,7 +70,7 @@
 	control := newTestControl(testTable(1, route), ending.endpoint("v1"))
 	s := startSite(t, control, testSettings())
 	for range 20 {
-		s.daemon.router.budget("work").Request(time.Now())
+		s.daemon.router.retryBudget("work").Request(time.Now())
 	}
 	other := make(chan siteReply, 1)
 	go func() { other <- s.do(t, http.MethodPost, "/stream/", "other", "x", "T-Model", "small") }()
@@ -82,7 +82,7 @@
 	chosen <- struct{}{}
 	<-other
 	assert.Eventually(t, func() bool {
-		suspected, _ := s.daemon.router.harm.Counts()
+		suspected, _ := s.daemon.router.poison.Counts()
 		return suspected == 2
 	}, time.Second, 10*time.Millisecond, "both requests were at work there, or had just been")
 }
--- a/exchange/evacuation.go
+++ b/exchange/evacuation.go
@@ -54,7 +54,7 @@
 }
 
 // hear takes the set that another box knows.
-func (e *evacuations) hear(news EvacuatedHalls, source string) {
+func (e *evacuations) receive(news EvacuatedHalls, source string) {
 	e.standingKeeper.hear(standing[willowwick.HallID]{news.AsOf, news.Halls, news.TakenBack, news.HeldOver}, source)
 }
 
--- a/exchange/evidence.go
+++ b/exchange/evidence.go
@@ -49,17 +49,17 @@
 func (r *releases) observe(o observation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	m := r.moves[o.service]
+	m := r.rollouts[o.service]
 	isTarget := m != nil && m.order.Target == o.release
 	key := evidenceKey{Service: o.service, Release: o.release, Route: o.route}
-	counts := r.own[key]
+	counts := r.ownEvidence[key]
 	counts.Requests++
 	if o.isError {
 		counts.Errors++
 	} else if r.isSlow(o, isTarget) {
 		counts.Slow++
 	}
-	r.own[key] = counts
+	r.ownEvidence[key] = counts
 }
 
 // isSlow compares an answer with the usual ones of its route and model; those of a new release set no measure.
@@ -94,36 +94,36 @@
 func (r *releases) evidence() map[evidenceKey]rollout.Evidence {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return maps.Clone(r.own)
+	return maps.Clone(r.ownEvidence)
 }
 
 // judge looks at the evidence of all boxes and returns the services whose roll-out turned out bad.
 func (r *releases) judge(fleet map[evidenceKey]rollout.Evidence, now time.Time) []willowwick.ReleaseStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.forget(now)
+	r.forgetSessions(now)
 	r.beginPutOff(now)
 	var bad []willowwick.ReleaseStatus
-	for service, m := range r.moves {
+	for service, m := range r.rollouts {
 		if m.state != willowwick.ReleaseRunning {
 			continue
 		}
 		if cause, isBad := m.judge(service, fleet); isBad {
-			m.state, m.written = willowwick.ReleaseRolledBack, false
-			r.noteEnd(m)
+			m.state, m.persisted = willowwick.ReleaseRolledBack, false
+			r.recordVerdict(m)
 			bad = append(bad, willowwick.ReleaseStatus{Service: service, Target: m.order.Target, State: m.state})
 			slog.Info("release is bad", "service", service, "release", m.order.Target, "cause", cause,
-				"answers", m.requests, "age_ms", now.Sub(m.began).Milliseconds())
+				"answers", m.targetAnswers, "age_ms", now.Sub(m.startedAt).Milliseconds())
 		}
 	}
 	return bad
 }
 
 // judge adds what is new in the evidence to the panel of the routes.
-func (m *move) judge(service willowwick.ServiceID, fleet map[evidenceKey]rollout.Evidence) (cause string, isBad bool) {
+func (m *rolloutState) judge(service willowwick.ServiceID, fleet map[evidenceKey]rollout.Evidence) (cause string, isBad bool) {
 	routes, others := m.news(service, fleet)
 	target := m.targetEvidence(service, fleet)
-	m.requests = target.Requests
+	m.targetAnswers = target.Requests
 	if finding, route := m.panel.Observe(routes, others); finding.Bad {
 		if route == "" {
 			route = "all routes"
@@ -137,7 +137,7 @@
 }
 
 // news sorts what is new in the evidence by route, and sums that on other releases over all routes.
-func (m *move) news(
+func (m *rolloutState) news(
 	service willowwick.ServiceID, fleet map[evidenceKey]rollout.Evidence,
 ) (routes map[rollout.Kind]rollout.News, others rollout.Evidence) {
 	routes = map[rollout.Kind]rollout.News{}
@@ -145,8 +145,8 @@
 		if key.Service != service {
 			continue
 		}
-		news := total.Since(m.seen[key])
-		m.seen[key] = total
+		news := total.Since(m.evidence[key])
+		m.evidence[key] = total
 		kind := rollout.Kind(key.Route)
 		counts := routes[kind]
 		if key.Release == m.order.Target {
@@ -161,7 +161,7 @@
 }
 
 // targetEvidence sums all that is known of the target, over all routes.
-func (m *move) targetEvidence(service willowwick.ServiceID, fleet map[evidenceKey]rollout.Evidence) rollout.Evidence {
+func (m *rolloutState) targetEvidence(service willowwick.ServiceID, fleet map[evidenceKey]rollout.Evidence) rollout.Evidence {
 	var sum rollout.Evidence
 	for key, total := range fleet {
 		if key.Service == service && key.Release == m.order.Target {
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -376,7 +376,7 @@
 		})
 		x := s.daemon.router
 		for until := time.Now().Add(patience); time.Now().Before(until); time.Sleep(time.Millisecond) {
-			if len(x.releases.progresses(time.Now())) > 0 && x.hasRelease("work", "v2") {
+			if len(x.releases.progressList(time.Now())) > 0 && x.hasRelease("work", "v2") {
 				break
 			}
 		}
@@ -385,7 +385,7 @@
 	got := s.do(t, http.MethodPost, "/again/", "id-1", "x")
 	assert.Equal(t, "ok", got.body)
 	assert.Empty(t, fresh.requests())
-	require.NotEmpty(t, s.daemon.router.releases.progresses(time.Now()), "the order was known before the second send")
+	require.NotEmpty(t, s.daemon.router.releases.progressList(time.Now()), "the order was known before the second send")
 	require.True(t, s.daemon.router.hasRelease("work", "v2"), "and so was the new release's endpoint")
 }
 
@@ -400,18 +400,18 @@
 			route.MaxRuns = 3
 			require.NotNil(t, place)
 			for range 20 {
-				x.budget("work").Request(time.Now())
+				x.retryBudget("work").Request(time.Now())
 			}
 			sending := &send{ticket: &gate.Ticket{Place: place}, call: &call{
-				router: x, route: &route, service: "work", runs: 2, out: &reply{begun: true},
+				router: x, route: &route, service: "work", runs: 2, out: &reply{headSent: true},
 			}}
 			now := time.Now()
 			if quiet {
 				now = now.Add(2 * quietAfter)
 			}
-			assert.Equal(t, quiet, sending.mayLeaveStream(now))
+			assert.Equal(t, quiet, sending.mayResumeElsewhere(now))
 			sending.runs = 1
-			assert.True(t, sending.mayLeaveStream(now), "another run stays in reserve")
+			assert.True(t, sending.mayResumeElsewhere(now), "another run stays in reserve")
 		})
 	}
 }
@@ -423,7 +423,7 @@
 	control.change(func() {})
 	s := startSite(t, control, testSettings())
 	require.Eventually(t, s.daemon.router.sync.hasEndpoints, patience, time.Millisecond)
-	time.AfterFunc(warmLimit/3, func() { s.daemon.router.setTable(testTable(1, onceRoute()), "test") })
+	time.AfterFunc(minWarmWait/3, func() { s.daemon.router.setTable(testTable(1, onceRoute()), "test") })
 	assert.Equal(t, http.StatusOK, s.do(t, http.MethodPost, "/once/", "id", "x").status)
 }
 
@@ -433,7 +433,7 @@
 	r := newRunner(t, "r1", answerText("ok"))
 	control := &testControl{endpoints: map[willowwick.EndpointID]willowwick.Endpoint{"r1": r.endpoint("v1")}}
 	s := startSite(t, control, testSettings())
-	time.AfterFunc(4*warmLimit, func() {
+	time.AfterFunc(4*minWarmWait, func() {
 		control.change(func() { control.table = testTable(1, onceRoute()) })
 	})
 	got := s.do(t, http.MethodPost, "/once/", "id-1", "x", "T-Left", "20000")
--- a/exchange/harm_fleet_test.go
+++ b/exchange/harm_fleet_test.go
@@ -65,7 +65,7 @@
 
 // send sends the request from a box, unless it refuses that.
 func (h *harmMesh) send(box *meshBox, now time.Time, left int) {
-	if left == 0 || box.harm.Refuses(h.request.Request) {
+	if left == 0 || box.poison.Refuses(h.request.Request) {
 		return
 	}
 	h.sent = append(h.sent, now)
@@ -83,7 +83,7 @@
 			continue
 		}
 		h.ends = append(h.ends, now)
-		s.box.harm.NoteEnd(h.request, willowwick.EndpointEnd{
+		s.box.poison.NoteEnd(h.request, willowwick.EndpointEnd{
 			Endpoint: willowwick.EndpointID(fmt.Sprint(h.name, "-", len(h.ends))), Release: "v1", At: now,
 		})
 		h.send(s.box, now, s.left)
@@ -104,7 +104,7 @@
 
 func (h *harmMesh) requireRefused(t *testing.T) {
 	for _, box := range h.boxes {
-		require.True(t, box.down || box.harm.Refuses(h.request.Request), "%s refuses the request", box.settings.Box)
+		require.True(t, box.down || box.poison.Refuses(h.request.Request), "%s refuses the request", box.settings.Box)
 	}
 }
 
@@ -178,7 +178,7 @@
 
 // refusesHarmful reports whether a box refuses the harmful body.
 func (s *site) refusesHarmful() bool {
-	return s.daemon.router.harm.Refuses(willowwick.FingerprintOf(testAccount, http.MethodPost, testHost, "/stream/", []byte(harmfulBody)))
+	return s.daemon.router.poison.Refuses(willowwick.FingerprintOf(testAccount, http.MethodPost, testHost, "/stream/", []byte(harmfulBody)))
 }
 
 // Halls that are cut from each other find a harmful request out by themselves; after the cut each takes over what the other
--- a/exchange/harm_test.go
+++ b/exchange/harm_test.go
@@ -157,7 +157,7 @@
 			})
 			s = newSite(t, self.endpoint("v1"))
 			assert.Equal(t, http.StatusBadGateway, s.do(t, http.MethodPost, "/once/", "id", "body").status)
-			assert.True(t, s.daemon.router.harm.IsEmpty())
+			assert.True(t, s.daemon.router.poison.IsEmpty())
 		})
 	}
 }
@@ -232,7 +232,7 @@
 		s.replaceEndpoints(t, self.endpoint("v1"))
 		s.do(t, http.MethodPost, "/once/", fmt.Sprint("id-", i), harmfulBody)
 	}
-	assert.True(t, s.daemon.router.harm.Refuses(willowwick.FingerprintOf(testAccount, http.MethodPost, testHost, "/once/", []byte(harmfulBody))))
+	assert.True(t, s.daemon.router.poison.Refuses(willowwick.FingerprintOf(testAccount, http.MethodPost, testHost, "/once/", []byte(harmfulBody))))
 }
 
 // A store in memory gives all boxes the records that it holds itself. Each box takes their times to its own clock; where it did so in
@@ -251,7 +251,7 @@
 	control := newTestControl(testTable(1, onceRoute()))
 	control.harmful[held.Request] = held
 	s := startSite(t, control, testSettings())
-	require.Eventually(t, func() bool { return s.daemon.router.harm.Refuses(held.Request) }, patience, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return s.daemon.router.poison.Refuses(held.Request) }, patience, 5*time.Millisecond)
 	control.mu.Lock()
 	defer control.mu.Unlock()
 	assert.Equal(t, want, control.harmful[held.Request].Ends)
--- a/exchange/hints.go
+++ b/exchange/hints.go
@@ -22,32 +22,32 @@
 const (
 	// hintPause is how long a box collects readings before it tells its hall, for each box that it tells: the boxes of a
 	// hall of 65 then get at most a thousand datagrams a second together from each of them.
-	hintPause = time.Millisecond
+	hintPausePerBox = time.Millisecond
 	// hintPauseLeast is the least of it: the time of a datagram on its way is a fraction of it, a prompt takes many.
-	hintPauseLeast = 5 * time.Millisecond
+	minHintPause = 5 * time.Millisecond
 	// hintRows bounds the readings of one datagram, so that it fits into a packet with room to spare.
-	hintRows = 48
+	maxHintRows = 48
 	// hintQueue bounds the readings that wait to be told; what is more is not told.
-	hintQueue = 256
+	hintQueueSize = 256
 	// hintBytes is above the size of the largest datagram.
-	hintBytes = 2048
+	hintReadBytes = 2048
 	// hintSealBytes is the length of the seal before the rows: enough that none is guessed in a box's life.
 	hintSealBytes = 12
 	// hintParts bounds the parts of a prompt that are told of: shared ones are few, and those named last matter most.
-	hintParts = 2
+	maxHintParts = 2
 	// directMost is the size up to which all boxes of another hall are told directly; of a larger one, one is told, and
 	// tells the others: bytes between halls cost more than those within.
-	directMost = 3
+	maxDirectBoxes = 3
 	// rowsHeard is how many readings a second a box hears of all others together: at 17 bytes each, two thirds of the 30 KB
 	// a second that a box may spend on control. Each box tells its part of them, the long ones first.
-	rowsHeard = 1200
+	maxRowsPerSecond = 1200
 	// rowsAtOnce is how many seconds' part of them a box may tell at once, and rowsAtOnceLeast the least of it.
-	rowsAtOnce      = 2
-	rowsAtOnceLeast = 16
+	rowBurstSeconds = 2
+	minRowBurst     = 16
 	// shortReading is what is told only while half of a box's part is left.
 	shortReading = 100 * time.Millisecond
 	// tellerFresh is how long a box that told of readings counts as alive: boxes that serve tell some each second.
-	tellerFresh = 2 * time.Second
+	hintSenderTTL = 2 * time.Second
 )
 
 type (
@@ -61,16 +61,16 @@
 		conn   net.PacketConn
 		queue  chan hint
 
-		mu       sync.Mutex
-		tellers  map[netip.AddrPort]time.Time // when each box last told of readings
-		rowsLeft float64                      // readings that may be told at rowsAt
-		rowsAt   time.Time
+		mu          sync.Mutex
+		lastHeard   map[netip.AddrPort]time.Time // when each box last told of readings
+		rowTokens   float64                      // readings that may be told at rowsAt
+		rowTokensAt time.Time
 	}
 
 	// hint is a reading that waits to be told.
 	hint struct {
-		row     hintRow
-		isHeard bool // another hall told of it: it goes to the own hall alone
+		row         hintRow
+		isForwarded bool // another hall told of it: it goes to the own hall alone
 	}
 
 	// hintRow is one reading on the wire; names are cut to half of their hashes.
@@ -78,7 +78,7 @@
 		Endpoint uint32
 		Micros   int32 // how long it reads, or by how much later than forecast all of it is read
 		IsShift  bool  // it is the latter
-		Parts    [hintParts]route.PartName
+		Parts    [maxHintParts]route.PartName
 	}
 
 	// hintKind is the first byte of a datagram.
@@ -87,21 +87,21 @@
 
 const (
 	// hintKeep is for the box alone that gets it.
-	hintKeep hintKind = iota
+	hintFinal hintKind = iota
 	// hintPass is to be told to the other boxes of the hall, too.
-	hintPass
+	hintForward
 )
 
 func newHints(x *Router, conn net.PacketConn) *hints {
-	return &hints{router: x, conn: conn, queue: make(chan hint, hintQueue), tellers: map[netip.AddrPort]time.Time{}}
+	return &hints{router: x, conn: conn, queue: make(chan hint, hintQueueSize), lastHeard: map[netip.AddrPort]time.Time{}}
 }
 
 // tell passes a reading on to the other boxes, if there is one; it never waits.
-func (h *hints) tell(reading route.Reading, isReading bool) {
+func (h *hints) publish(reading route.Reading, isReading bool) {
 	if h.conn == nil || !isReading {
 		return
 	}
-	if !h.mayTell(reading.Length, h.router.peers.boxes(), clock.Now()) {
+	if !h.takeRowToken(reading.Length, h.router.peers.boxes(), clock.Now()) {
 		h.router.metrics.hintDropped()
 		return
 	}
@@ -109,25 +109,25 @@
 		Endpoint: reading.Endpoint, IsShift: reading.IsShift,
 		Micros: int32(min(max(reading.Length.Microseconds(), math.MinInt32), math.MaxInt32)),
 	}
-	copy(row.Parts[:], reading.Parts[max(len(reading.Parts)-hintParts, 0):])
+	copy(row.Parts[:], reading.Parts[max(len(reading.Parts)-maxHintParts, 0):])
 	h.enqueue(hint{row: row})
 }
 
 // mayTell takes from this box's part of the readings that all boxes tell.
-func (h *hints) mayTell(length time.Duration, boxes int, now time.Time) bool {
+func (h *hints) takeRowToken(length time.Duration, boxes int, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	rate := rowsHeard / float64(max(boxes, 1))
-	most := max(rowsAtOnce*rate, rowsAtOnceLeast)
-	if h.rowsAt.IsZero() {
-		h.rowsLeft = most
+	rate := maxRowsPerSecond / float64(max(boxes, 1))
+	most := max(rowBurstSeconds*rate, minRowBurst)
+	if h.rowTokensAt.IsZero() {
+		h.rowTokens = most
 	}
-	h.rowsLeft = min(h.rowsLeft+rate*now.Sub(h.rowsAt).Seconds(), most)
-	h.rowsAt = now
-	if h.rowsLeft < 1 || length.Abs() < shortReading && h.rowsLeft < most/2 {
+	h.rowTokens = min(h.rowTokens+rate*now.Sub(h.rowTokensAt).Seconds(), most)
+	h.rowTokensAt = now
+	if h.rowTokens < 1 || length.Abs() < shortReading && h.rowTokens < most/2 {
 		return false
 	}
-	h.rowsLeft--
+	h.rowTokens--
 	return true
 }
 
@@ -147,11 +147,11 @@
 			return
 		case first := <-h.queue:
 			near, far := h.router.peers.audience(clock.Now())
-			sleep(ctx, max(time.Duration(len(near))*hintPause, hintPauseLeast))
+			sleep(ctx, max(time.Duration(len(near))*hintPausePerBox, minHintPause))
 			own, heard := h.collect(first)
-			h.sendTo(near, hintKeep, append(heard, own...))
+			h.sendTo(near, hintFinal, append(heard, own...))
 			for _, hall := range far {
-				h.sendAcross(hall, own)
+				h.sendToHall(hall, own)
 			}
 		}
 	}
@@ -160,8 +160,8 @@
 // collect adds what waits to the first reading.
 func (h *hints) collect(first hint) (own, heard []hintRow) {
 	next, found := first, true
-	for found && len(own)+len(heard) < hintRows {
-		if next.isHeard {
+	for found && len(own)+len(heard) < maxHintRows {
+		if next.isForwarded {
 			heard = append(heard, next.row)
 		} else {
 			own = append(own, next.row)
@@ -176,22 +176,22 @@
 }
 
 // sendAcross tells the boxes of another hall: all of a small one, and of a larger one a box that tells the others.
-func (h *hints) sendAcross(hall []netip.AddrPort, rows []hintRow) {
-	if len(hall) <= directMost {
-		h.sendTo(hall, hintKeep, rows)
+func (h *hints) sendToHall(hall []netip.AddrPort, rows []hintRow) {
+	if len(hall) <= maxDirectBoxes {
+		h.sendTo(hall, hintFinal, rows)
 		return
 	}
-	h.sendTo([]netip.AddrPort{h.relayOf(hall)}, hintPass, rows)
+	h.sendTo([]netip.AddrPort{h.chooseRelay(hall)}, hintForward, rows)
 }
 
 // relayOf chooses one of the boxes that are known to live, or any where none is.
-func (h *hints) relayOf(hall []netip.AddrPort) netip.AddrPort {
+func (h *hints) chooseRelay(hall []netip.AddrPort) netip.AddrPort {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := clock.Now()
 	start := rand.IntN(len(hall))
 	for i := range hall {
-		if box := hall[(start+i)%len(hall)]; now.Sub(h.tellers[box]) < tellerFresh {
+		if box := hall[(start+i)%len(hall)]; now.Sub(h.lastHeard[box]) < hintSenderTTL {
 			return box
 		}
 	}
@@ -218,7 +218,7 @@
 
 // receive takes what other boxes tell until the connection is closed.
 func (h *hints) receive() {
-	data := make([]byte, hintBytes)
+	data := make([]byte, hintReadBytes)
 	for {
 		n, from, err := h.conn.ReadFrom(data)
 		if errors.Is(err, net.ErrClosed) {
@@ -233,20 +233,20 @@
 			slog.Debug("datagram is not a box's", "from", from, "error", err)
 			continue
 		}
-		h.take(kind, rows, clock.Now())
-		h.heardFrom(from)
+		h.apply(kind, rows, clock.Now())
+		h.recordSender(from)
 	}
 }
 
-func (h *hints) heardFrom(from net.Addr) {
+func (h *hints) recordSender(from net.Addr) {
 	if udp, ok := from.(*net.UDPAddr); ok {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.tellers[udp.AddrPort()] = clock.Now()
+		h.lastHeard[udp.AddrPort()] = clock.Now()
 	}
 }
 
-func (h *hints) take(kind hintKind, rows []hintRow, now time.Time) {
+func (h *hints) apply(kind hintKind, rows []hintRow, now time.Time) {
 	for _, row := range rows {
 		reading := route.Reading{Endpoint: row.Endpoint, Length: time.Duration(row.Micros) * time.Microsecond, IsShift: row.IsShift}
 		for _, part := range row.Parts {
@@ -255,8 +255,8 @@
 			}
 		}
 		h.router.pool.NoteReading(now, reading)
-		if kind == hintPass {
-			h.enqueue(hint{row: row, isHeard: true})
+		if kind == hintForward {
+			h.enqueue(hint{row: row, isForwarded: true})
 		}
 	}
 }
--- a/exchange/hints_test.go
+++ b/exchange/hints_test.go
@@ -47,7 +47,7 @@
 
 // Boxes that could not know what the others had sent once chose endpoints that were reading for a second and more.
 func TestAllBoxesHearWhatOneSendsToAnEndpoint(t *testing.T) {
-	for _, boxes := range []int{2, directMost + 2} {
+	for _, boxes := range []int{2, maxDirectBoxes + 2} {
 		t.Run(fmt.Sprint(boxes, " boxes a hall"), func(t *testing.T) {
 			r := newRunner(t, "r1", answerText("ok"))
 			sites := newHalls(t, 2, boxes, r.endpoint("v1"))
@@ -59,7 +59,7 @@
 			reading, isReading := place.Sent(time.Now())
 			require.True(t, isReading)
 			reading.Length = time.Minute // its speed is not known yet
-			x.hints.tell(reading, true)
+			x.hints.publish(reading, true)
 			for _, s := range sites[1:] {
 				require.Eventually(t, func() bool { return aheadAt(s, "r1") > time.Second }, patience, 5*time.Millisecond, s.daemon.router.settings.Box)
 			}
@@ -73,12 +73,12 @@
 
 func TestHintsOfStrangersAreNotTaken(t *testing.T) {
 	own, stranger := newTestHints("0123456789abcdef"), newTestHints("fedcba9876543210")
-	rows := []hintRow{{Endpoint: 7, Micros: 100}, {Endpoint: 8, Micros: -5, IsShift: true, Parts: [hintParts]route.PartName{1, 2}}}
-	data, err := own.encode(hintPass, rows)
+	rows := []hintRow{{Endpoint: 7, Micros: 100}, {Endpoint: 8, Micros: -5, IsShift: true, Parts: [maxHintParts]route.PartName{1, 2}}}
+	data, err := own.encode(hintForward, rows)
 	require.NoError(t, err)
 	kind, got, err := own.decode(data)
 	require.NoError(t, err)
-	assert.Equal(t, hintPass, kind)
+	assert.Equal(t, hintForward, kind)
 	assert.Equal(t, rows, got)
 	_, _, err = stranger.decode(data)
 	assert.Error(t, err)
@@ -89,7 +89,7 @@
 }
 
 func TestDatagramOfHintsFitsAPacket(t *testing.T) {
-	data, err := newTestHints("k").encode(hintKeep, make([]hintRow, hintRows))
+	data, err := newTestHints("k").encode(hintFinal, make([]hintRow, maxHintRows))
 	require.NoError(t, err)
 	assert.Less(t, len(data), 1200)
 }
@@ -100,10 +100,10 @@
 	t.Cleanup(func() { _ = conn.Close() })
 	s := newSite(t)
 	h := newHints(s.daemon.router, conn) // nobody sends what waits
-	for range 2 * hintQueue {
-		h.tell(route.Reading{Endpoint: 1}, true)
+	for range 2 * hintQueueSize {
+		h.publish(route.Reading{Endpoint: 1}, true)
 	}
-	assert.Len(t, h.queue, hintQueue)
+	assert.Len(t, h.queue, hintQueueSize)
 }
 
 // A box that is gone is listed for half a minute, and would lose what it is to pass on.
@@ -113,10 +113,10 @@
 	for i := range 5 {
 		hall = append(hall, netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i + 1)}), 1))
 	}
-	h.tellers[hall[3]] = time.Now()
-	h.tellers[hall[1]] = time.Now().Add(-2 * tellerFresh)
+	h.lastHeard[hall[3]] = time.Now()
+	h.lastHeard[hall[1]] = time.Now().Add(-2 * hintSenderTTL)
 	for range 20 {
-		assert.Equal(t, hall[3], h.relayOf(hall))
+		assert.Equal(t, hall[3], h.chooseRelay(hall))
 	}
 }
 
@@ -134,15 +134,15 @@
 			length = time.Second
 		}
 		offered[isLong]++
-		if h.mayTell(length, boxes, now) {
+		if h.takeRowToken(length, boxes, now) {
 			told[isLong]++
 		}
 	}
 	heard := float64(told[true]+told[false]) / seconds * boxes
-	assert.LessOrEqual(t, heard, 1.5*rowsHeard)
+	assert.LessOrEqual(t, heard, 1.5*maxRowsPerSecond)
 	assert.Greater(t, float64(told[true])/float64(offered[true]), 0.9, "long ones are told")
 	few := newTestHints("k")
 	for n := range 100 {
-		assert.True(t, few.mayTell(time.Millisecond, 6, now.Add(time.Duration(n)*10*time.Millisecond)))
+		assert.True(t, few.takeRowToken(time.Millisecond, 6, now.Add(time.Duration(n)*10*time.Millisecond)))
 	}
 }
--- a/exchange/known.go
+++ b/exchange/known.go
@@ -130,14 +130,14 @@
 	p.mu.Unlock()
 	p.router.sync.noteEra(max(digest.EndpointsRead, digest.Evacuated.AsOf), now, "peer "+string(digest.Box))
 	p.router.sync.hearRestoring(time.Duration(digest.RestoringMs)*time.Millisecond, now)
-	p.router.evacuations.hear(digest.Evacuated, "peer "+string(digest.Box))
-	p.router.admissions.hear(digest.Admitted, "peer "+string(digest.Box))
-	p.router.hearLeaving(digest.Leaving, "peer "+string(digest.Box))
-	p.router.releases.hearEnded(digest.Verdicts)
+	p.router.evacuations.receive(digest.Evacuated, "peer "+string(digest.Box))
+	p.router.admissions.receive(digest.Admitted, "peer "+string(digest.Box))
+	p.router.receiveLeaving(digest.Leaving, "peer "+string(digest.Box))
+	p.router.releases.receiveVerdicts(digest.Verdicts)
 	p.router.pool.HearSpeeds(digest.Speeds)
 	for _, row := range digest.Progress {
-		p.router.releases.begin(row.Order, time.Duration(row.AgeMs)*time.Millisecond, now)
-		p.router.releases.settle(row.Status, false, "peer "+string(digest.Box))
+		p.router.releases.applyOrder(row.Order, time.Duration(row.AgeMs)*time.Millisecond, now)
+		p.router.releases.applyStatus(row.Status, false, "peer "+string(digest.Box))
 	}
 }
 
--- a/exchange/lead.go
+++ b/exchange/lead.go
@@ -123,10 +123,10 @@
 func (s *syncer) judgeReleases(ctx context.Context) {
 	for ctx.Err() == nil {
 		now := clock.Now()
-		s.router.releases.setBoxes(s.router.peers.boxes())
-		s.router.paceCold(now)
+		s.router.releases.setFleetSize(s.router.peers.boxes())
+		s.router.setColdPauses(now)
 		report := s.router.peers.fleetReport(now)
-		s.router.releases.setKeptElsewhere(report.Kept)
+		s.router.releases.setPinnedElsewhere(report.Kept)
 		s.router.releases.judge(report.evidence(), now)
 		s.router.conns.Sweep(now)
 		sleep(ctx, leadEvery)
@@ -151,14 +151,14 @@
 		return statuses, err
 	}
 	for _, status := range statuses.Statuses {
-		s.router.releases.settle(status, s.isCurrent(statuses.End), "store")
+		s.router.releases.applyStatus(status, s.isCurrent(statuses.End), "store")
 	}
 	return statuses, nil
 }
 
 // writeDue writes a state unless the store already holds a final one; a box that led before finds that here.
 func (s *syncer) writeDue(ctx context.Context, due dueStatus, now time.Time) {
-	if !due.lastCall && !s.hasMoved(due.ReleaseStatus, now) {
+	if !due.isForced && !s.hasMoved(due.ReleaseStatus, now) {
 		return
 	}
 	statuses, err := s.readStatuses(ctx)
@@ -180,7 +180,7 @@
 		return
 	}
 	slog.Info("state of a roll-out written", "service", due.Service, "release", due.Target, "state", due.State, "after", statuses.End)
-	s.router.releases.settle(due.ReleaseStatus, s.isCurrent(statuses.End), "written here")
+	s.router.releases.applyStatus(due.ReleaseStatus, s.isCurrent(statuses.End), "written here")
 }
 
 // hasMoved reports whether no box in touch sends to the old release or has requests under way there.
--- a/exchange/leave_test.go
+++ b/exchange/leave_test.go
@@ -16,7 +16,7 @@
 
 // A caller that leaves while its request waits for a place costs no endpoint anything.
 func TestRequestOfACallerThatLeftIsNotSentWhenItsTurnComes(t *testing.T) {
-	const places = startLimit
+	const places = initialEndpointLimit
 	goOn := make(chan struct{})
 	r := newRunner(t, "r1", func(w http.ResponseWriter, _ *http.Request) {
 		<-goOn
--- a/exchange/leaving_test.go
+++ b/exchange/leaving_test.go
@@ -130,8 +130,8 @@
 	endpoint := b.daemon.router.pool.Endpoints()[0]
 	require.Equal(t, willowwick.EndpointID("r1"), endpoint.ID)
 	endpoint.Address = "127.0.0.1:1" // nothing listens there
-	assert.False(t, b.daemon.router.ends.hasEnded(t.Context(), endpoint, time.Now()))
-	assert.True(t, b.daemon.router.ends.hasEnded(t.Context(), willowwick.Endpoint{ID: "r2", Address: endpoint.Address}, time.Now()),
+	assert.False(t, b.daemon.router.crashes.hasCrashed(t.Context(), endpoint, time.Now()))
+	assert.True(t, b.daemon.router.crashes.hasCrashed(t.Context(), willowwick.Endpoint{ID: "r2", Address: endpoint.Address}, time.Now()),
 		"the other one does not leave")
 }
 
@@ -141,7 +141,7 @@
 	out := &reply{writer: recorder, controller: http.NewResponseController(recorder), codec: testCodec{}}
 	request := s.request(t, http.MethodPost, path, id, "x")
 	request.RequestURI = path
-	c, refusal := s.daemon.router.begin(out, request, time.Now())
+	c, refusal := s.daemon.router.acceptCall(out, request, time.Now())
 	require.Nil(t, refusal)
 	c.ctx = t.Context()
 	return c, recorder
@@ -152,7 +152,7 @@
 	b, leaving, other := newLeavingSite(t, answerText("ok"))
 	for len(other.requests()) == 0 {
 		c, recorder := b.newCall(t, "/once/", fmt.Sprint("meanwhile-", time.Now().UnixNano()))
-		ticket, refusal := c.enter()
+		ticket, refusal := c.awaitTicket()
 		require.Nil(t, refusal)
 		if ticket.Endpoint.ID != "r1" {
 			ticket.Done(route.OutcomeCancelled)
--- a/exchange/listing.go
+++ b/exchange/listing.go
@@ -64,7 +64,7 @@
 	}
 	s.publish()
 	s.mu.Unlock()
-	s.router.noteWarm()
+	s.router.signalWarm()
 }
 
 // settle says up to where the list's changes so far stand; the caller holds the lock.
--- a/exchange/listing_swap.go
+++ b/exchange/listing_swap.go
@@ -149,7 +149,7 @@
 		s.publish()
 	}
 	s.mu.Unlock()
-	s.router.noteWarm()
+	s.router.signalWarm()
 }
 
 // isNews reports whether a list of another box holds changes beyond what this one has read, or is to take the place of its
--- a/exchange/lives.go
+++ b/exchange/lives.go
@@ -49,7 +49,7 @@
 	delete(s.listed, entry.ID)
 	s.router.conns.Drop(old.Address)
 	if !s.lives[entry.ID].formerLeft {
-		s.router.ends.endedBefore(entry.ID, former)
+		s.router.crashes.recordRestart(entry.ID, former)
 	}
 }
 
--- a/exchange/mesh_test.go
+++ b/exchange/mesh_test.go
@@ -253,7 +253,7 @@
 		m.readConfig(box, now)
 	}
 	if m.store.harmful != nil {
-		box.sync.lookAfterHarmful(t.Context())
+		box.sync.syncPoison(t.Context())
 	}
 	if now.Before(box.swapAt) {
 		return
--- a/exchange/metrics.go
+++ b/exchange/metrics.go
@@ -53,11 +53,11 @@
 		return 0
 	})
 	set.NewGauge("willowwick_requests_suspected", func() float64 {
-		suspected, _ := x.harm.Counts()
+		suspected, _ := x.poison.Counts()
 		return float64(suspected)
 	})
 	set.NewGauge("willowwick_requests_quarantined", func() float64 {
-		_, refused := x.harm.Counts()
+		_, refused := x.poison.Counts()
 		return float64(refused)
 	})
 	return m
@@ -68,7 +68,7 @@
 }
 
 func (m *routerMetrics) send(kind sendKind) {
-	m.set.GetOrCreateCounter(fmt.Sprintf("willowwick_sends_total{outcome=%q}", kindNames[kind])).Inc()
+	m.set.GetOrCreateCounter(fmt.Sprintf("willowwick_sends_total{outcome=%q}", sendKindNames[kind])).Inc()
 }
 
 func (m *routerMetrics) delivered(route *willowwick.Route, took time.Duration) {
--- a/exchange/notices.go
+++ b/exchange/notices.go
@@ -12,18 +12,18 @@
 )
 
 // belongs reports whether an answer is to this request. One that is late tells of its endpoint all the same.
-func (s *send) belongs(answer *wire.Answer) bool {
+func (s *send) answersRequest(answer *wire.Answer) bool {
 	head := s.router.codec.DecodeAnswer(answer.Status, answer.Header, clock.Now())
 	if head.Request == "" || head.Request == s.call.head.ID {
 		return true
 	}
-	s.hear(answer.Status, head.Notice, time.Time{}) // when its request was sent is not known
+	s.applyNotice(answer.Status, head.Notice, time.Time{}) // when its request was sent is not known
 	return false
 }
 
 // hear takes what an answer, to a request that was sent at the given time, says of its endpoint, whatever becomes of the answer: errors, refusals and answers that are dropped
 // tell as much as those that are passed on. Another endpoint at the address says nothing of this one.
-func (s *send) hear(status int, notice willowwick.Notice, sentAt time.Time) {
+func (s *send) applyNotice(status int, notice willowwick.Notice, sentAt time.Time) {
 	if status == http.StatusMisdirectedRequest {
 		return
 	}
@@ -43,7 +43,7 @@
 
 // hearLeaving takes from another box which endpoints leave: an endpoint ends some time after its answers have begun to say so, and what
 // is sent there late may be cut.
-func (x *Router) hearLeaving(rows []route.LeavingRow, source string) {
+func (x *Router) receiveLeaving(rows []route.LeavingRow, source string) {
 	for _, endpoint := range x.pool.HearLeaving(rows) {
 		slog.Info("endpoint says that it leaves", "endpoint", endpoint, "source", source)
 	}
--- a/exchange/peers.go
+++ b/exchange/peers.go
@@ -58,10 +58,10 @@
 	}, nil)
 	p := &peers{
 		router: x, transport: transport, began: clock.Now(), startedMs: clock.TimeOfDay().UnixMilli(), limits: ratelimit.NewPeers(x.limits), granter: ratelimit.NewGranter(x.limits), urgent: make(chan struct{}, 1),
-		harm:  quarantine.NewPeers(x.harm, x.settings.Boot),
+		harm:  quarantine.NewPeers(x.poison, x.settings.Boot),
 		known: map[string]*peer{}, halls: map[willowwick.HallID]heardReport{},
 	}
-	p.askBox = p.callForPermit
+	p.askBox = p.callPermit
 	if len(x.settings.Seeds) > 0 {
 		x.limits.AwaitNews(p.began.Add(lookFor))
 	}
--- a/exchange/permits.go
+++ b/exchange/permits.go
@@ -17,12 +17,12 @@
 	// rpcPermit names the method on the wire that asks for permits.
 	rpcPermit = rpcName + ".Permit"
 	// askLimit is how long a request waits for its permit: a question takes two ways there and back between halls.
-	askLimit = 100 * time.Millisecond
+	permitTimeout = 100 * time.Millisecond
 	// mostAsks bounds how many permits one request is denied before it goes only to endpoints that need none.
-	mostAsks = 3
+	maxPermitDenials = 3
 	// tryAgainAfter is how long after a send a request may go to the same endpoint again where the limits of all others take
 	// no more: places come free meanwhile.
-	tryAgainAfter = 50 * time.Millisecond
+	sameEndpointRetryDelay = 50 * time.Millisecond
 )
 
 // Permits to send to endpoints that name limits are handed out by one box, so that a limit holds for all boxes together. A box
@@ -39,7 +39,7 @@
 	}
 	x, id := c.router, ticket.Endpoint.ID
 	now := clock.Now()
-	reply, err := x.peers.askPermit(c.ctx, x.limits.Ask(now, id, x.settings.Box), now)
+	reply, err := x.peers.requestPermit(c.ctx, x.limits.Ask(now, id, x.settings.Box), now)
 	if err != nil {
 		slog.Debug("no permit was had", "endpoint", id, "error", err)
 		x.metrics.asked("unanswered")
@@ -55,18 +55,18 @@
 }
 
 // askPermit asks for permits; a box that is slow to answer keeps no request waiting.
-func (p *peers) askPermit(ctx context.Context, call ratelimit.Call, now time.Time) (ratelimit.Reply, error) {
+func (p *peers) requestPermit(ctx context.Context, call ratelimit.Call, now time.Time) (ratelimit.Reply, error) {
 	address := p.granterFor(now)
 	if address == p.self().Address {
 		return p.grant(call, now), nil
 	}
-	return ratelimit.AskWithin(ctx, askLimit, swapLimit, func(ctx context.Context) (ratelimit.Reply, error) {
+	return ratelimit.AskWithin(ctx, permitTimeout, swapLimit, func(ctx context.Context) (ratelimit.Reply, error) {
 		return p.askBox(ctx, address, &call)
 	})
 }
 
 // callForPermit asks the box at an address over its connection.
-func (p *peers) callForPermit(ctx context.Context, address string, call *ratelimit.Call) (reply ratelimit.Reply, err error) {
+func (p *peers) callPermit(ctx context.Context, address string, call *ratelimit.Call) (reply ratelimit.Reply, err error) {
 	err = p.transport.Call(ctx, address, rpcPermit, call, &reply)
 	return reply, err
 }
@@ -80,20 +80,20 @@
 	passed := *call
 	passed.IsPassedOn = true
 	var err error
-	*reply, err = p.askPermit(context.Background(), passed, now)
+	*reply, err = p.requestPermit(context.Background(), passed, now)
 	return err
 }
 
 // grant answers a question as the box that grants.
 func (p *peers) grant(call ratelimit.Call, now time.Time) ratelimit.Reply {
-	p.noteGranting(now, true)
-	reply := p.granter.Answer(call, p.grantedPart(now), now)
+	p.setGranting(now, true)
+	reply := p.granter.Answer(call, p.grantedShare(now), now)
 	p.router.metrics.permitsGranted(reply.Permits)
 	return reply
 }
 
 // noteGranting notes whether this box is the one that grants.
-func (p *peers) noteGranting(now time.Time, isGranting bool) {
+func (p *peers) setGranting(now time.Time, isGranting bool) {
 	if p.granter.SetGranting(now, isGranting) {
 		slog.Info("grants of permits changed", "granting", isGranting)
 	}
@@ -131,7 +131,7 @@
 
 // grantedPart is the part of a limit that this box hands out: that of the boxes which take it for the one that grants, among all
 // that are known. A box that has just started and is in touch with none does not know them yet.
-func (p *peers) grantedPart(now time.Time) float64 {
+func (p *peers) grantedShare(now time.Time) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	follows := map[willowwick.HallID]bool{}
@@ -163,17 +163,17 @@
 }
 
 // allowed says which endpoints the request may go to, whatever they have to do: those of the chosen release where there are any.
-func (c *call) allowed() func(willowwick.Endpoint) bool {
+func (c *call) allowedEndpoints() func(willowwick.Endpoint) bool {
 	if c.router.pool.HasStaying(c.service, c.choice.allows) {
 		return c.choice.allows
 	}
-	return c.choice.otherwise
+	return c.choice.allowsFallback
 }
 
 // isHopeless reports whether no endpoint that the request might go to takes one before a time, since all name limits or rest.
-func (c *call) isHopeless(now time.Time) (shortage route.Shortage, isHopeless bool) {
-	allow := c.allowed()
-	if !c.avoidsLimits() {
+func (c *call) areAllUnavailable(now time.Time) (shortage route.Shortage, areAllUnavailable bool) {
+	allow := c.allowedEndpoints()
+	if !c.avoidsLimitedEndpoints() {
 		return c.router.pool.AllUnavailable(now, c.service, allow)
 	}
 	isFree := func(endpoint willowwick.Endpoint) bool { return allow(endpoint) && !c.router.isLimited(now, endpoint) }
@@ -184,33 +184,33 @@
 }
 
 // isShort reports whether none of them takes one now.
-func (c *call) isShort(now time.Time) bool {
-	_, isShort := c.isHopeless(now)
-	return isShort
+func (c *call) areNoneAvailable(now time.Time) bool {
+	_, areNoneAvailable := c.areAllUnavailable(now)
+	return areNoneAvailable
 }
 
 // hasOnlyUnavailableLeft reports whether the request was sent to all endpoints but those that take none now.
 func (c *call) hasOnlyUnavailableLeft(now time.Time) bool {
-	return len(c.exclude) > 0 && c.router.pool.OnlyUnavailableLeft(now, c.service, c.exclude, c.allowed())
+	return len(c.triedEndpoints) > 0 && c.router.pool.OnlyUnavailableLeft(now, c.service, c.triedEndpoints, c.allowedEndpoints())
 }
 
 // excluded are the endpoints to which the request does not go now, since it was there before: none where all others take none
 // now, after a moment, since a second try beats a refusal.
-func (c *call) excluded(now time.Time) map[willowwick.EndpointID]bool {
-	if c.hasOnlyUnavailableLeft(now) && now.Sub(c.endedAt) >= tryAgainAfter {
+func (c *call) excludedEndpoints(now time.Time) map[willowwick.EndpointID]bool {
+	if c.hasOnlyUnavailableLeft(now) && now.Sub(c.lastSendEndedAt) >= sameEndpointRetryDelay {
 		return nil
 	}
-	return c.exclude
+	return c.triedEndpoints
 }
 
 // avoidsLimits reports whether the request goes only to endpoints that name no limit.
-func (c *call) avoidsLimits() bool {
-	return c.yields || c.denials >= mostAsks
+func (c *call) avoidsLimitedEndpoints() bool {
+	return c.yieldsToUrgent || c.permitDenials >= maxPermitDenials
 }
 
 // noteShortage notes a request that was refused since all endpoints name limits.
-func (c *call) noteShortage(refusal *willowwick.Refusal) {
+func (c *call) recordShortage(refusal *willowwick.Refusal) {
 	if refusal.Code == willowwick.CodeRateLimited {
-		c.router.shortages.note(c.service, urgency(c.route, c.account), clock.Now())
+		c.router.shortages.record(c.service, urgency(c.route, c.account), clock.Now())
 	}
 }
--- a/exchange/ratelimit_fleet_test.go
+++ b/exchange/ratelimit_fleet_test.go
@@ -76,7 +76,7 @@
 }
 
 func (l *limitMesh) ask(t *testing.T, box *meshBox, now time.Time) bool {
-	reply, err := box.peers.askPermit(t.Context(), box.limits.Ask(now, l.endpoint.ID, box.settings.Box), now)
+	reply, err := box.peers.requestPermit(t.Context(), box.limits.Ask(now, l.endpoint.ID, box.settings.Box), now)
 	if err != nil {
 		box.limits.Unanswered(clock.Now(), l.endpoint.ID)
 		return false
--- a/exchange/relay.go
+++ b/exchange/relay.go
@@ -17,9 +17,9 @@
 
 const (
 	// streamBuffer holds what one read of a stream brings.
-	streamBuffer = 8 << 10
+	streamReadBytes = 8 << 10
 	// maxEvent bounds an event that is not yet whole.
-	maxEvent = 1 << 20
+	maxEventBytes = 1 << 20
 )
 
 var (
@@ -33,11 +33,11 @@
 	controller *http.ResponseController
 	codec      willowwick.HeaderCodec
 	id         willowwick.RequestID
-	begun      bool // the head is out
+	headSent   bool // the head is out
 }
 
 // head sends the status and the endpoint's headers.
-func (r *reply) head(status int, header http.Header, length int64) {
+func (r *reply) writeHead(status int, header http.Header, length int64) {
 	wire.StripHop(header)
 	own := r.writer.Header()
 	for name, values := range header {
@@ -51,19 +51,19 @@
 	if length >= 0 {
 		own["Content-Length"] = []string{strconv.FormatInt(length, 10)}
 	}
-	r.begun = true
+	r.headSent = true
 	r.writer.WriteHeader(status)
 }
 
 // passFailure sends an endpoint's failure; one whose status would promise that nothing ran is changed.
-func (r *reply) passFailure(f *failedAnswer) {
+func (r *reply) writeFailure(f *failedAnswer) {
 	status := f.status
 	if status == http.StatusServiceUnavailable {
 		status = http.StatusBadGateway
 		r.codec.TakeSeal(f.header)
 		delete(f.header, "Retry-After")
 	}
-	r.head(status, f.header, int64(len(f.body)))
+	r.writeHead(status, f.header, int64(len(f.body)))
 	r.write(f.body)
 }
 
@@ -88,30 +88,30 @@
 }
 
 // passWhole reads the answer to its end before its head goes out, so that a break can still be made good.
-func (s *send) passWhole() sendResult {
-	body, err := io.ReadAll(io.LimitReader(s.answer, maxWhole))
+func (s *send) relayWhole() sendResult {
+	body, err := io.ReadAll(io.LimitReader(s.answer, maxBufferedBody))
 	if err != nil {
 		s.outcome = route.OutcomeFailed
 		return sendResult{broken, errors.Wrap(err, "body of the answer")}
 	}
 	s.observe(false)
 	s.outcome = route.OutcomeGood
-	if len(body) == maxWhole {
-		return s.passLarge(body)
+	if len(body) == maxBufferedBody {
+		return s.relayLarge(body)
 	}
 	length := int64(len(body))
 	if s.message.Method == http.MethodHead {
 		length = s.answer.Length
 	}
-	s.out.head(s.answer.Status, s.answer.Header, length)
+	s.out.writeHead(s.answer.Status, s.answer.Header, length)
 	s.out.write(body)
 	s.delivered()
 	return sendResult{kind: answered}
 }
 
 // passLarge passes an answer on that is too large to be held.
-func (s *send) passLarge(begin []byte) sendResult {
-	s.out.head(s.answer.Status, s.answer.Header, s.answer.Length)
+func (s *send) relayLarge(begin []byte) sendResult {
+	s.out.writeHead(s.answer.Status, s.answer.Header, s.answer.Length)
 	s.out.write(begin)
 	if _, err := io.Copy(s.out.writer, s.answer); err != nil {
 		s.outcome = route.OutcomeFailed
@@ -122,11 +122,11 @@
 }
 
 // passStream passes whole events on as they come.
-func (s *send) passStream() sendResult {
-	buffer := make([]byte, 0, streamBuffer)
+func (s *send) relayStream() sendResult {
+	buffer := make([]byte, 0, streamReadBytes)
 	for {
 		if err := s.awaitEvents(); err != nil {
-			return s.streamBroke(err)
+			return s.streamBroken(err)
 		}
 		buffer = grow(buffer)
 		n, err := s.answer.Read(buffer[len(buffer):cap(buffer)])
@@ -134,8 +134,8 @@
 		s.ticket.Heard(clock.Now())
 		whole := bytes.LastIndex(buffer, eventEnd) + len(eventEnd)
 		if whole >= len(eventEnd) {
-			if !s.passEvents(buffer[:whole]) {
-				return s.callerGone()
+			if !s.relayEvents(buffer[:whole]) {
+				return s.endForLostCaller()
 			}
 			buffer = buffer[:copy(buffer, buffer[whole:])]
 		}
@@ -143,16 +143,16 @@
 		case err == io.EOF:
 			return s.endStream(buffer)
 		case err != nil:
-			return s.streamBroke(err)
-		case len(buffer) > maxEvent:
-			return s.streamBroke(errors.New("an event is too large"))
+			return s.streamBroken(err)
+		case len(buffer) > maxEventBytes:
+			return s.streamBroken(errors.New("an event is too large"))
 		}
 	}
 }
 
 // grow makes room for a read.
 func grow(buffer []byte) []byte {
-	if cap(buffer)-len(buffer) >= streamBuffer/2 {
+	if cap(buffer)-len(buffer) >= streamReadBytes/2 {
 		return buffer
 	}
 	return append(make([]byte, 0, 2*cap(buffer)), buffer...)
@@ -162,14 +162,14 @@
 func (s *send) awaitEvents() error {
 	stallAt := s.deadline
 	if s.route.Resumable && s.route.GapGoal > 0 {
-		stallAt = earliest(stallAt, clock.Now().Add(scale(s.route.GapGoal, stallShare)))
+		stallAt = earliest(stallAt, clock.Now().Add(scale(s.route.GapGoal, stallGapFactor)))
 	}
 	for {
 		err := s.answer.Await(stallAt)
 		if !errors.Is(err, wire.ErrSilent) || !stallAt.Before(s.deadline) {
 			return err
 		}
-		if s.mayLeaveStream(clock.Now()) {
+		if s.mayResumeElsewhere(clock.Now()) {
 			return err
 		}
 		stallAt = s.deadline
@@ -178,22 +178,22 @@
 
 // mayLeaveStream decides whether a stream that pauses for long is taken up elsewhere. An endpoint that goes on with
 // others may still finish it, so there it takes one more run in reserve: the next endpoint may fail.
-func (s *send) mayLeaveStream(now time.Time) bool {
-	if !s.mayRunAgain() || !s.router.hasRepeat(s.call, now) || !s.router.hasOther(s.call, s.ticket.Endpoint.ID) {
+func (s *send) mayResumeElsewhere(now time.Time) bool {
+	if !s.allowsAnotherRun() || !s.router.hasRetryBudget(s.call, now) || !s.router.hasOtherEndpoint(s.call, s.ticket.Endpoint.ID) {
 		return false
 	}
 	return s.runs+1 < s.route.MaxRuns || s.ticket.IsQuiet(now)
 }
 
 // passEvents sends whole events, the head before the first of them.
-func (s *send) passEvents(events []byte) bool {
-	if !s.out.begun {
+func (s *send) relayEvents(events []byte) bool {
+	if !s.out.headSent {
 		s.observe(false)
-		s.out.head(s.answer.Status, s.answer.Header, -1)
+		s.out.writeHead(s.answer.Status, s.answer.Header, -1)
 	}
-	s.pace.note(clock.Now())
-	if id := lastID(events); id != "" {
-		s.resumed = id
+	s.streamTiming.recordEvent(clock.Now())
+	if id := newestEventID(events); id != "" {
+		s.lastEventID = id
 	}
 	if !s.out.write(events) {
 		return false
@@ -203,7 +203,7 @@
 }
 
 // lastID returns the id of the last event that has one.
-func lastID(events []byte) string {
+func newestEventID(events []byte) string {
 	at := bytes.LastIndex(events, idField)
 	for at > 0 && events[at-1] != '\n' {
 		at = bytes.LastIndex(events[:at], idField)
@@ -221,24 +221,24 @@
 // endStream ends a stream whose last byte has come; a part of an event at its end means that it broke off.
 func (s *send) endStream(rest []byte) sendResult {
 	if len(bytes.TrimSpace(rest)) > 0 {
-		return s.streamBroke(errors.New("the stream ended within an event"))
+		return s.streamBroken(errors.New("the stream ended within an event"))
 	}
-	if !s.out.begun {
+	if !s.out.headSent {
 		s.observe(false)
-		s.out.head(s.answer.Status, s.answer.Header, -1)
+		s.out.writeHead(s.answer.Status, s.answer.Header, -1)
 	}
 	s.outcome = route.OutcomeGood
 	s.delivered()
 	return sendResult{kind: answered}
 }
 
-func (s *send) streamBroke(err error) sendResult {
+func (s *send) streamBroken(err error) sendResult {
 	return s.unanswered(errors.Wrap(err, "stream"))
 }
 
-func (s *send) callerGone() sendResult {
+func (s *send) endForLostCaller() sendResult {
 	s.router.metrics.outcome("caller_left")
-	s.logEnd("caller left", 0, "event", s.resumed)
+	s.logCompletion("caller left", 0, "event", s.lastEventID)
 	return sendResult{kind: callerLeft}
 }
 
@@ -246,10 +246,10 @@
 func (s *send) delivered() {
 	took := clock.Since(s.arrived)
 	s.router.metrics.delivered(s.route, took)
-	s.noteHarmless(clock.Now())
+	s.recordHarmless(clock.Now())
 	ahead, reading := s.ticket.Forecast()
-	s.logEnd("answered", s.answer.Status, "endpoint", s.ticket.Endpoint.ID, "release", s.ticket.Endpoint.Release,
-		"model", s.model, "confidence", s.head.Confidence, "account", s.accountName(),
-		"running", s.head.Load.Running, "waiting", s.head.Load.Waiting, "send_ms", s.sentAt.Sub(s.arrived).Milliseconds(),
+	s.logCompletion("answered", s.answer.Status, "endpoint", s.ticket.Endpoint.ID, "release", s.ticket.Endpoint.Release,
+		"model", s.model, "confidence", s.answerHead.Confidence, "account", s.accountName(),
+		"running", s.answerHead.Load.Running, "waiting", s.answerHead.Load.Waiting, "send_ms", s.sentAt.Sub(s.arrived).Milliseconds(),
 		"ahead_ms", ahead.Milliseconds(), "reading_ms", reading.Milliseconds())
 }
--- a/exchange/release.go
+++ b/exchange/release.go
@@ -28,33 +28,33 @@
 	releases struct {
 		settings ReleaseSettings
 		// isThere reports whether a service has an endpoint of a release that stays.
-		isThere func(willowwick.ServiceID, willowwick.ReleaseID) bool
+		hasRelease func(willowwick.ServiceID, willowwick.ReleaseID) bool
 
-		mu    sync.Mutex
-		moves map[willowwick.ServiceID]*move
+		mu       sync.Mutex
+		rollouts map[willowwick.ServiceID]*rolloutState
 		// keptElsewhere are sessions that other boxes know on other releases than a roll-out's target.
-		keptElsewhere map[sessionHash]bool
-		canary        float64 // share of the sessions that try a new release first
-		verdicts      verdicts
-		own           map[evidenceKey]rollout.Evidence
-		typical       map[typicalKey]float64 // seconds
-		lateness      map[typicalKey]*route.Lateness
-		sessions      map[string]sessionSeen
+		pinnedElsewhere map[sessionHash]bool
+		canary          float64 // share of the sessions that try a new release first
+		verdicts        verdicts
+		ownEvidence     map[evidenceKey]rollout.Evidence
+		typical         map[typicalKey]float64 // seconds
+		lateness        map[typicalKey]*route.Lateness
+		sessions        map[string]sessionRecord
 
-		era        willowwick.Era                                   // the newest that an order is of
-		restoredAt time.Time                                        // until then orders may be ones that are written again
-		putOff     map[willowwick.ServiceID]willowwick.ReleaseOrder // until then
+		era            willowwick.Era                                   // the newest that an order is of
+		restoredAt     time.Time                                        // until then orders may be ones that are written again
+		deferredOrders map[willowwick.ServiceID]willowwick.ReleaseOrder // until then
 	}
 
 	// move is a roll-out as this box sees it.
-	move struct {
-		order    willowwick.ReleaseOrder
-		began    time.Time
-		state    willowwick.ReleaseState
-		written  bool // the state is in the store
-		panel    *rollout.Panel
-		seen     map[evidenceKey]rollout.Evidence
-		requests uint64 // answers known of the target
+	rolloutState struct {
+		order         willowwick.ReleaseOrder
+		startedAt     time.Time
+		state         willowwick.ReleaseState
+		persisted     bool // the state is in the store
+		panel         *rollout.Panel
+		evidence      map[evidenceKey]rollout.Evidence
+		targetAnswers uint64 // answers known of the target
 	}
 
 	// progress is how far a box has come with a roll-out.
@@ -68,41 +68,41 @@
 	// dueStatus is a state that is to be written to the store.
 	dueStatus struct {
 		willowwick.ReleaseStatus
-		lastCall bool // the period ends: it is written even while requests are under way on the old release
+		isForced bool // the period ends: it is written even while requests are under way on the old release
 	}
 )
 
-func newReleases(settings ReleaseSettings, isThere func(willowwick.ServiceID, willowwick.ReleaseID) bool) *releases {
+func newReleases(settings ReleaseSettings, hasRelease func(willowwick.ServiceID, willowwick.ReleaseID) bool) *releases {
 	return &releases{
-		settings: settings,
-		isThere:  isThere,
-		canary:   settings.firstShare(),
-		moves:    map[willowwick.ServiceID]*move{},
-		verdicts: verdicts{},
-		own:      map[evidenceKey]rollout.Evidence{},
-		typical:  map[typicalKey]float64{},
-		lateness: map[typicalKey]*route.Lateness{},
-		sessions: map[string]sessionSeen{},
-		putOff:   map[willowwick.ServiceID]willowwick.ReleaseOrder{},
+		settings:       settings,
+		hasRelease:     hasRelease,
+		canary:         settings.initialCanaryShare(),
+		rollouts:       map[willowwick.ServiceID]*rolloutState{},
+		verdicts:       verdicts{},
+		ownEvidence:    map[evidenceKey]rollout.Evidence{},
+		typical:        map[typicalKey]float64{},
+		lateness:       map[typicalKey]*route.Lateness{},
+		sessions:       map[string]sessionRecord{},
+		deferredOrders: map[willowwick.ServiceID]willowwick.ReleaseOrder{},
 	}
 }
 
 // begin takes an order; age is how long ago it was given, as far as is known.
-func (r *releases) begin(order willowwick.ReleaseOrder, age time.Duration, now time.Time) {
+func (r *releases) applyOrder(order willowwick.ReleaseOrder, age time.Duration, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.enterEra(order.At.Era(), now)
 	if !r.isWrittenAgain(order, now) {
-		r.beginNew(order, age, now)
+		r.applyNewOrder(order, age, now)
 	}
 }
 
 // beginNew takes an order unless a later one is known; the caller holds the lock.
-func (r *releases) beginNew(order willowwick.ReleaseOrder, age time.Duration, now time.Time) {
-	m := r.moves[order.Service]
+func (r *releases) applyNewOrder(order willowwick.ReleaseOrder, age time.Duration, now time.Time) {
+	m := r.rollouts[order.Service]
 	if m != nil && m.order.At >= order.At {
-		if began := now.Add(-age); m.order.At == order.At && began.Before(m.began) {
-			m.began = began
+		if startedAt := now.Add(-age); m.order.At == order.At && startedAt.Before(m.startedAt) {
+			m.startedAt = startedAt
 		}
 		return
 	}
@@ -111,31 +111,31 @@
 		r.verdicts.giveUp(releaseKey{order.Service, m.order.Target}, now)
 	}
 	delete(r.verdicts, releaseKey{order.Service, order.Target})
-	r.moves[order.Service] = &move{
-		order: order, began: now.Add(-age), state: willowwick.ReleaseRunning,
-		panel: rollout.NewPanel(willowwick.VersionID(order.Target)), seen: map[evidenceKey]rollout.Evidence{},
+	r.rollouts[order.Service] = &rolloutState{
+		order: order, startedAt: now.Add(-age), state: willowwick.ReleaseRunning,
+		panel: rollout.NewPanel(willowwick.VersionID(order.Target)), evidence: map[evidenceKey]rollout.Evidence{},
 	}
 	slog.Info("roll-out ordered", "service", order.Service, "release", order.Target,
 		"period_ms", order.Period.Milliseconds(), "age_ms", age.Milliseconds())
 }
 
 // settle takes the state of a roll-out as the store holds it, or as another box believes it to be.
-func (r *releases) settle(status willowwick.ReleaseStatus, written bool, source string) {
+func (r *releases) applyStatus(status willowwick.ReleaseStatus, persisted bool, source string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	m := r.moves[status.Service]
+	m := r.rollouts[status.Service]
 	if m == nil || m.order.Target != status.Target {
 		return
 	}
 	if status.State == willowwick.ReleaseRunning {
-		m.written = m.written || written && m.state == willowwick.ReleaseRunning
+		m.persisted = m.persisted || persisted && m.state == willowwick.ReleaseRunning
 		return
 	}
 	news := m.state != status.State
 	// What the store holds goes before what this box believes.
-	if written || m.state == willowwick.ReleaseRunning {
-		m.state, m.written = status.State, written
-		r.noteEnd(m)
+	if persisted || m.state == willowwick.ReleaseRunning {
+		m.state, m.persisted = status.State, persisted
+		r.recordVerdict(m)
 	}
 	if news {
 		slog.Info("roll-out ended", "service", status.Service, "release", status.Target, "state", m.state, "source", source)
@@ -143,7 +143,7 @@
 }
 
 // noteEnd keeps how a roll-out ended, whatever is ordered after it.
-func (r *releases) noteEnd(m *move) {
+func (r *releases) recordVerdict(m *rolloutState) {
 	key := releaseKey{m.order.Service, m.order.Target}
 	switch m.state {
 	case willowwick.ReleaseRolledBack:
@@ -154,24 +154,24 @@
 }
 
 // ended lists what became of releases.
-func (r *releases) ended(now time.Time) []verdictRow {
+func (r *releases) verdictRows(now time.Time) []verdictRow {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.verdicts.rows(now)
 }
 
 // hearEnded takes what another box knows of releases, but for those that this box has a roll-out to.
-func (r *releases) hearEnded(rows []verdictRow) {
+func (r *releases) receiveVerdicts(rows []verdictRow) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, row := range rows {
-		if m := r.moves[row.Key.Service]; m == nil || m.order.Target != row.Key.Release {
+		if m := r.rollouts[row.Key.Service]; m == nil || m.order.Target != row.Key.Release {
 			r.verdicts.hear(row)
 		}
 	}
 }
 
-func (r *releases) forget(now time.Time) {
+func (r *releases) forgetSessions(now time.Time) {
 	for key, seen := range r.sessions {
 		if now.After(seen.until) {
 			delete(r.sessions, key)
@@ -180,14 +180,14 @@
 }
 
 // progresses returns this box's roll-outs.
-func (r *releases) progresses(now time.Time) []progress {
+func (r *releases) progressList(now time.Time) []progress {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	list := make([]progress, 0, len(r.moves))
-	for service, m := range r.moves {
+	list := make([]progress, 0, len(r.rollouts))
+	for service, m := range r.rollouts {
 		list = append(list, progress{
 			Status: willowwick.ReleaseStatus{Service: service, Target: m.order.Target, State: m.state},
-			Order:  m.order, AgeMs: now.Sub(m.began).Milliseconds(), Moved: m.share(now, r.canary) >= 1,
+			Order:  m.order, AgeMs: now.Sub(m.startedAt).Milliseconds(), Moved: m.targetShare(now, r.canary) >= 1,
 		})
 	}
 	return list
@@ -198,13 +198,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var list []dueStatus
-	for service, m := range r.moves {
+	for service, m := range r.rollouts {
 		status := willowwick.ReleaseStatus{Service: service, Target: m.order.Target, State: m.state}
 		switch {
-		case m.state == willowwick.ReleaseRunning && m.share(now, r.canary) >= 1:
+		case m.state == willowwick.ReleaseRunning && m.targetShare(now, r.canary) >= 1:
 			status.State = willowwick.ReleaseCompleted
-			list = append(list, dueStatus{status, m.part(now) >= lastCall})
-		case !m.written:
+			list = append(list, dueStatus{status, m.elapsedShare(now) >= forcedCompletionShare})
+		case !m.persisted:
 			list = append(list, dueStatus{status, true})
 		}
 	}
--- a/exchange/release_test.go
+++ b/exchange/release_test.go
@@ -58,7 +58,7 @@
 
 func TestNewReleaseGetsFewSessionsFirstAndAllAtTheEnd(t *testing.T) {
 	r := newTestReleases()
-	r.begin(orderOf("v2", 1), 0, testStart)
+	r.applyOrder(orderOf("v2", 1), 0, testStart)
 	assert.InDelta(t, canaryShare, shareOf(r, at(0.1), "a"), 0.02)
 	r.judge(fleetEvidence(rollout.Evidence{Requests: 100}, rollout.Evidence{Requests: 1000}), at(0.2))
 	assert.InDelta(t, canaryShare, shareOf(r, at(0.45), "b"), 0.02)
@@ -68,10 +68,10 @@
 
 func TestReleaseWithLittleEvidenceIsTriedByMoreSessionsButNeverByAll(t *testing.T) {
 	r := newTestReleases()
-	r.begin(orderOf("v2", 1), 0, testStart)
-	r.judge(fleetEvidence(rollout.Evidence{Requests: enoughEvidence - 1}, rollout.Evidence{Requests: 1000}), at(0.2))
+	r.applyOrder(orderOf("v2", 1), 0, testStart)
+	r.judge(fleetEvidence(rollout.Evidence{Requests: minRampAnswers - 1}, rollout.Evidence{Requests: 1000}), at(0.2))
 	assert.InDelta(t, canaryShare, shareOf(r, at(0.45), "a"), 0.02)
-	for _, part := range []float64{0.6, 0.8, lastCall, 1, 2} {
+	for _, part := range []float64{0.6, 0.8, forcedCompletionShare, 1, 2} {
 		name := fmt.Sprint("at ", part, " ")
 		assert.InDelta(t, 0.18, shareOf(r, at(part), name), 0.03, name)
 		assert.Empty(t, r.due(at(part))[1:], name)
@@ -82,7 +82,7 @@
 // A release of which a third of the answers were errors was once completed: each of three routes had seen two or three.
 func TestReleaseThatIsBadOnAllRoutesIsFoundByTheirSum(t *testing.T) {
 	r := newTestReleases()
-	r.begin(orderOf("v2", 1), 0, testStart)
+	r.applyOrder(orderOf("v2", 1), 0, testStart)
 	evidence := map[evidenceKey]rollout.Evidence{}
 	routes := []willowwick.RouteID{"r", "s", "t"}
 	for _, route := range routes {
@@ -98,7 +98,7 @@
 // What was seen of a release before there was anything to compare it with was once forgotten.
 func TestEvidenceOnAReleaseCountsAlsoWhenTheOthersAreNotKnownYet(t *testing.T) {
 	r := newTestReleases()
-	r.begin(orderOf("v2", 1), 0, testStart)
+	r.applyOrder(orderOf("v2", 1), 0, testStart)
 	bad := rollout.Evidence{Requests: 11, Errors: 9}
 	require.Empty(t, r.judge(fleetEvidence(bad, rollout.Evidence{Requests: 10}), at(0.1)))
 	require.Len(t, r.judge(fleetEvidence(bad, rollout.Evidence{Requests: 300}), at(0.2)), 1)
@@ -110,7 +110,7 @@
 	for i := range 500 {
 		require.False(t, chooseNow(r, fmt.Sprint(i), early).useTarget)
 	}
-	r.begin(orderOf("v2", 1), 0, testStart)
+	r.applyOrder(orderOf("v2", 1), 0, testStart)
 	r.judge(fleetEvidence(rollout.Evidence{Requests: 100}, rollout.Evidence{Requests: 1000}), at(0.1))
 	for step := 0.02; step < canaryEnd; step += 0.02 {
 		for i := range 500 {
@@ -133,7 +133,7 @@
 		"slow":   {Requests: 40, Slow: 30},
 	} {
 		r := newTestReleases()
-		r.begin(orderOf("v2", 1), 0, testStart)
+		r.applyOrder(orderOf("v2", 1), 0, testStart)
 		good := rollout.Evidence{Requests: 400, Errors: 4, Slow: 8}
 		r.judge(fleetEvidence(rollout.Evidence{}, good), at(0.01))
 		found := r.judge(fleetEvidence(bad, good.Add(good)), at(0.1))
@@ -141,13 +141,13 @@
 		assert.Equal(t, willowwick.ReleaseRolledBack, found[0].State)
 		assert.InDelta(t, 0, shareOf(r, at(0.2), "a"), 0)
 		assert.False(t, chooseNow(r, "s", at(0.2)).allows(on("v2")))
-		assert.False(t, chooseNow(r, "s", at(0.2)).otherwise(on("v2")), "not even where there is no other")
+		assert.False(t, chooseNow(r, "s", at(0.2)).allowsFallback(on("v2")), "not even where there is no other")
 	}
 }
 
 func TestGoodReleaseIsNotTakenForBad(t *testing.T) {
 	r := newTestReleases()
-	r.begin(orderOf("v2", 1), 0, testStart)
+	r.applyOrder(orderOf("v2", 1), 0, testStart)
 	var target, others rollout.Evidence
 	for step := range 100 {
 		target = target.Add(rollout.Evidence{Requests: 8, Errors: uint64(step % 2), Slow: uint64(step % 3 / 2)})
@@ -159,29 +159,29 @@
 // The runners of a release that was rolled back once got work again when the next roll-out began.
 func TestReleaseThatWasRolledBackStaysOutOfUseInTheNextRollOut(t *testing.T) {
 	r := newTestReleases()
-	r.begin(orderOf("v2", 1), 0, testStart)
-	r.settle(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseRolledBack}, true, "test")
-	r.begin(orderOf("v3", 2), 0, at(0.2))
+	r.applyOrder(orderOf("v2", 1), 0, testStart)
+	r.applyStatus(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseRolledBack}, true, "test")
+	r.applyOrder(orderOf("v3", 2), 0, at(0.2))
 	for i := range 200 {
 		choice := chooseNow(r, fmt.Sprint(i), at(0.3))
 		require.False(t, choice.allows(on("v2")))
-		require.False(t, choice.otherwise(on("v2")))
+		require.False(t, choice.allowsFallback(on("v2")))
 	}
 	fresh := newTestReleases()
-	fresh.begin(orderOf("v3", 2), 0, at(0.3))
-	fresh.hearEnded(r.ended(time.Now()))
+	fresh.applyOrder(orderOf("v3", 2), 0, at(0.3))
+	fresh.receiveVerdicts(r.verdictRows(time.Now()))
 	assert.False(t, chooseNow(fresh, "s", at(0.3)).allows(on("v2")), "a box that starts later hears of it")
 }
 
 func TestReleaseOfAnOrderThatWasReplacedIsGivenUp(t *testing.T) {
 	r := newTestReleases()
-	r.begin(orderOf("v2", 1), 0, testStart)
-	r.begin(orderOf("v3", 2), 0, at(0.2))
+	r.applyOrder(orderOf("v2", 1), 0, testStart)
+	r.applyOrder(orderOf("v3", 2), 0, at(0.2))
 	now := at(0.2).Add(givenUpAfter)
 	assert.False(t, chooseNow(r, "s", now).allows(on("v2")))
 	fresh := newTestReleases()
-	fresh.begin(orderOf("v3", 2), 0, now)
-	fresh.hearEnded(r.ended(now))
+	fresh.applyOrder(orderOf("v3", 2), 0, now)
+	fresh.receiveVerdicts(r.verdictRows(now))
 	assert.False(t, chooseNow(fresh, "s", now).allows(on("v2")), "a box that starts later hears of it")
 }
 
@@ -190,50 +190,50 @@
 func TestReleaseThatWasCompletedIsNotGivenUpByABoxThatHearsOfItLater(t *testing.T) {
 	leads, follows := newTestReleases(), newTestReleases()
 	for _, r := range []*releases{leads, follows} {
-		r.begin(orderOf("v2", 1), 0, testStart)
+		r.applyOrder(orderOf("v2", 1), 0, testStart)
 	}
-	leads.settle(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseCompleted}, true, "test")
+	leads.applyStatus(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseCompleted}, true, "test")
 	now := time.Now()
 	for _, r := range []*releases{leads, follows} {
-		r.begin(orderOf("v3", 2), 0, now)
+		r.applyOrder(orderOf("v3", 2), 0, now)
 		assert.True(t, chooseNow(r, "s", now).allows(on("v2")))
 	}
-	leads.hearEnded(follows.ended(now))
-	follows.hearEnded(leads.ended(now))
+	leads.receiveVerdicts(follows.verdictRows(now))
+	follows.receiveVerdicts(leads.verdictRows(now))
 	later := now.Add(2 * givenUpAfter)
 	for _, r := range []*releases{leads, follows} {
 		assert.True(t, chooseNow(r, "s", later).allows(on("v2")))
 	}
 	wrong := newTestReleases()
-	wrong.begin(orderOf("v2", 1), 0, testStart)
-	wrong.begin(orderOf("v3", 2), 0, testStart)
-	leads.hearEnded(wrong.ended(later))
+	wrong.applyOrder(orderOf("v2", 1), 0, testStart)
+	wrong.applyOrder(orderOf("v3", 2), 0, testStart)
+	leads.receiveVerdicts(wrong.verdictRows(later))
 	assert.True(t, chooseNow(leads, "s", later).allows(on("v2")), "what is known goes before what was given up")
-	wrong.hearEnded(leads.ended(later))
+	wrong.receiveVerdicts(leads.verdictRows(later))
 	assert.True(t, chooseNow(wrong, "s", later).allows(on("v2")))
 }
 
 // A box that lags behind once brought an older order back.
 func TestOlderOrderDoesNotComeBack(t *testing.T) {
 	r := newTestReleases()
-	r.begin(orderOf("v3", 2), 0, testStart)
-	r.begin(orderOf("v2", 1), time.Second, at(0.1))
+	r.applyOrder(orderOf("v3", 2), 0, testStart)
+	r.applyOrder(orderOf("v2", 1), time.Second, at(0.1))
 	assert.Equal(t, willowwick.ReleaseID("v3"), chooseNow(r, "s", at(0.1)).release)
 }
 
 func TestAgeOfAnOrderIsThatOfTheBoxThatHeardItFirst(t *testing.T) {
 	r := newTestReleases()
-	r.begin(orderOf("v2", 1), 0, at(0.6))
-	r.begin(orderOf("v2", 1), time.Duration(0.6*float64(testPeriod)), at(0.6))
+	r.applyOrder(orderOf("v2", 1), 0, at(0.6))
+	r.applyOrder(orderOf("v2", 1), time.Duration(0.6*float64(testPeriod)), at(0.6))
 	r.judge(fleetEvidence(rollout.Evidence{Requests: 100}, rollout.Evidence{Requests: 100}), at(0.6))
 	assert.Greater(t, shareOf(r, at(0.75), "a"), 0.99)
 }
 
 func TestStateInTheStoreGoesBeforeOwnBelief(t *testing.T) {
 	r := newTestReleases()
-	r.begin(orderOf("v2", 1), 0, testStart)
-	r.settle(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseRolledBack}, false, "peer")
-	r.settle(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseCompleted}, true, "store")
+	r.applyOrder(orderOf("v2", 1), 0, testStart)
+	r.applyStatus(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseRolledBack}, false, "peer")
+	r.applyStatus(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseCompleted}, true, "store")
 	choice := chooseNow(r, "s", at(0.5))
 	assert.True(t, choice.useTarget)
 	assert.True(t, choice.allows(on("v2")))
@@ -242,8 +242,8 @@
 // The box that leads once took the state that it had written before for the one that it found itself.
 func TestBoxThatFindsAReleaseBadWritesIt(t *testing.T) {
 	r := newTestReleases()
-	r.begin(orderOf("v2", 1), 0, testStart)
-	r.settle(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseRunning}, true, "written here")
+	r.applyOrder(orderOf("v2", 1), 0, testStart)
+	r.applyStatus(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseRunning}, true, "written here")
 	require.Empty(t, r.due(at(0.1)))
 	good := rollout.Evidence{Requests: 400}
 	r.judge(fleetEvidence(rollout.Evidence{}, good), at(0.1))
@@ -255,12 +255,12 @@
 
 func TestLargeFleetTriesANewReleaseWithASmallerShare(t *testing.T) {
 	r := newTestReleases()
-	r.begin(orderOf("v2", 1), 0, testStart)
+	r.applyOrder(orderOf("v2", 1), 0, testStart)
 	for boxes, share := range map[int]float64{6: canaryShare, 15: canaryShare, 61: canaryShare / 4, 91: canaryShare / 8, 390: canaryShare / 32} {
-		r.setBoxes(boxes)
+		r.setFleetSize(boxes)
 		assert.InDelta(t, share, r.canary, 1e-9, "%d boxes", boxes)
 	}
-	r.setBoxes(61)
+	r.setFleetSize(61)
 	assert.InDelta(t, canaryShare/4, shareOf(r, at(0.1), "a"), 0.01)
 }
 
@@ -271,7 +271,7 @@
 	for i := range 500 {
 		require.False(t, r.choose("work", fmt.Sprint(i), began, began.Add(20*time.Second)).useTarget)
 	}
-	r.begin(orderOf("v2", 1), 0, testStart)
+	r.applyOrder(orderOf("v2", 1), 0, testStart)
 	soon := began.Add(10 * time.Second)
 	require.True(t, soon.Before(at(canaryEnd)))
 	r.judge(fleetEvidence(rollout.Evidence{}, rollout.Evidence{}), soon)
@@ -284,7 +284,7 @@
 func TestSessionOfAReleaseThatIsNotThereYetStaysWhereItRan(t *testing.T) {
 	isThere := false
 	r := newReleases(ReleaseSettings{Session: 5 * time.Second}, func(willowwick.ServiceID, willowwick.ReleaseID) bool { return isThere })
-	r.begin(orderOf("v2", 1), 0, testStart)
+	r.applyOrder(orderOf("v2", 1), 0, testStart)
 	require.Zero(t, shareOf(r, at(0.01), "a"))
 	isThere = true
 	require.Zero(t, shareOf(r, at(0.1), "a"), "the same sessions")
@@ -299,34 +299,34 @@
 		require.False(t, one.choose("work", fmt.Sprint("a", i), early, at(0.3)).useTarget)
 	}
 	for _, r := range []*releases{one, other} {
-		r.begin(orderOf("v2", 1), 0, testStart)
+		r.applyOrder(orderOf("v2", 1), 0, testStart)
 	}
 	require.Zero(t, shareOf(other, at(0.05), "b"), "no session moves before boxes have told each other")
-	kept := one.kept(at(0.1))
+	kept := one.pinnedSessions(at(0.1))
 	assert.InDelta(t, 2000*canaryShare, len(kept), 40, "only those that would move are named")
 	assert.NotZero(t, shareOf(other, at(0.15), "c"))
-	other.setKeptElsewhere(kept)
+	other.setPinnedElsewhere(kept)
 	assert.Zero(t, shareOf(other, at(0.2), "a"))
-	assert.Empty(t, one.kept(at(canaryEnd)), "sessions may move from the half on")
+	assert.Empty(t, one.pinnedSessions(at(canaryEnd)), "sessions may move from the half on")
 }
 
 func TestFirstShareStaysWellUnderTheBoundOnExposure(t *testing.T) {
-	assert.InDelta(t, canaryShare, ReleaseSettings{}.firstShare(), 1e-9)
-	assert.InDelta(t, canaryShare, ReleaseSettings{Exposure: 0.15}.firstShare(), 1e-9)
-	assert.InDelta(t, 0.015, ReleaseSettings{Exposure: 0.05}.firstShare(), 1e-9)
+	assert.InDelta(t, canaryShare, ReleaseSettings{}.initialCanaryShare(), 1e-9)
+	assert.InDelta(t, canaryShare, ReleaseSettings{Exposure: 0.15}.initialCanaryShare(), 1e-9)
+	assert.InDelta(t, 0.015, ReleaseSettings{Exposure: 0.05}.initialCanaryShare(), 1e-9)
 }
 
 // Sessions on the target of a roll-out that had just ended were once taken for those of the next one's, and moved to it at once.
 func TestSessionsOfACompletedReleaseStayThereInTheFirstHalfOfTheNextRollOut(t *testing.T) {
 	r := newTestReleases()
-	r.begin(orderOf("v2", 1), 0, testStart)
-	r.settle(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseCompleted}, true, "test")
+	r.applyOrder(orderOf("v2", 1), 0, testStart)
+	r.applyStatus(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseCompleted}, true, "test")
 	for i := range 500 {
 		require.True(t, chooseNow(r, fmt.Sprint(i), at(0.9)).useTarget)
 	}
-	r.begin(orderOf("v3", 2), 0, at(0.92))
+	r.applyOrder(orderOf("v3", 2), 0, at(0.92))
 	for i := range 500 {
 		require.False(t, chooseNow(r, fmt.Sprint(i), at(0.95)).useTarget, "session %d", i)
 	}
-	assert.InDelta(t, 500*canaryShare, len(r.kept(at(0.95))), 10, "other boxes are told of those that would try it first")
+	assert.InDelta(t, 500*canaryShare, len(r.pinnedSessions(at(0.95))), 10, "other boxes are told of those that would try it first")
 }
--- a/exchange/report.go
+++ b/exchange/report.go
@@ -83,11 +83,11 @@
 // ownReport is what this box has seen.
 func (p *peers) ownReport() Report {
 	x := p.router
-	report := Report{Boxes: 1, Kept: x.releases.kept(clock.Now())}
+	report := Report{Boxes: 1, Kept: x.releases.pinnedSessions(clock.Now())}
 	for key, counts := range x.releases.evidence() {
 		report.Evidence = append(report.Evidence, EvidenceRow{key.Service, key.Release, key.Route, counts})
 	}
-	for _, own := range x.releases.progresses(clock.Now()) {
+	for _, own := range x.releases.progressList(clock.Now()) {
 		report.Moves = append(report.Moves, MoveRow{
 			Service: own.Status.Service, Target: own.Status.Target, Moved: own.Moved, OldInFlight: x.oldInFlight(own.Status),
 		})
--- a/exchange/rest_test.go
+++ b/exchange/rest_test.go
@@ -85,7 +85,7 @@
 	now := time.Now()
 	s.daemon.router.pool.Hear(now, now, resting.endpoint("v1"), willowwick.Notice{RestUntil: now.Add(time.Minute)})
 	for range 20 {
-		s.daemon.router.budget("work").Request(now)
+		s.daemon.router.retryBudget("work").Request(now)
 	}
 	began = time.Now()
 	assert.Equal(t, http.StatusOK, s.do(t, http.MethodPost, "/once/", "first", "x").status)
@@ -98,13 +98,13 @@
 	r := newRunner(t, "r1", answerText("ok"))
 	s := newSite(t, r.endpoint("v1"))
 	c, _ := s.newCall(t, "/once/", "meanwhile")
-	ticket, refusal := c.enter()
+	ticket, refusal := c.awaitTicket()
 	require.Nil(t, refusal)
 	now := time.Now()
 	s.daemon.router.pool.Hear(now, now, ticket.Endpoint, willowwick.Notice{RestUntil: now.Add(time.Minute)})
 	assert.Equal(t, withheld, c.sendOnce(ticket).kind)
 	assert.Empty(t, r.requests())
-	_, refusal = c.enter()
+	_, refusal = c.awaitTicket()
 	require.NotNil(t, refusal)
 	assert.Equal(t, willowwick.CodeOverloaded, refusal.Code)
 }
@@ -126,9 +126,9 @@
 	patient.Goal = 2 * time.Second
 	s := startSite(t, newTestControl(testTable(1, patient), r.endpoint("v1")), testSettings())
 	for range 40 {
-		s.daemon.router.budget("work").Request(time.Now())
+		s.daemon.router.retryBudget("work").Request(time.Now())
 	}
 	began = time.Now()
 	assert.Equal(t, http.StatusOK, s.do(t, http.MethodPost, "/once/", "first", "x").status)
-	assert.LessOrEqual(t, len(r.requests()), int(full/tryAgainAfter)+2)
+	assert.LessOrEqual(t, len(r.requests()), int(full/sameEndpointRetryDelay)+2)
 }
--- a/exchange/router.go
+++ b/exchange/router.go
@@ -18,23 +18,23 @@
 
 const (
 	// startLimit is how many own requests an endpoint gets before it is known: the slots of a large runner.
-	startLimit = 64
+	initialEndpointLimit = 64
 	// loadFresh is how long a load report counts: a runner's requests last about a second.
-	loadFresh = 1500 * time.Millisecond
+	loadReportMaxAge = 1500 * time.Millisecond
 	// warmLimit is the least time that a request waits for a box that has just started, and warmShare the part of its
 	// deadline: both are a quarter of what callers of such deadlines set as their goal.
-	warmLimit = 75 * time.Millisecond
-	warmShare = 1.0 / 40
+	minWarmWait   = 75 * time.Millisecond
+	warmWaitShare = 1.0 / 40
 	// queueAtEndpoint is how many requests an endpoint may hold beyond its slots, as a share of them: enough that no
 	// slot rests, few enough that client accounts take turns here and not behind each other there.
-	queueAtEndpoint = 1.0
+	endpointQueueShare = 1.0
 	// quietAfter is how long an endpoint with requests may say nothing before others are preferred: several times
 	// a plain service's usual work, and what a runner takes to read a long prompt.
 	quietAfter = 350 * time.Millisecond
 	// lowestPriority is the last rank that endpoints know.
 	lowestPriority = 9
 	// defaultBodyBytes bounds bodies where the configuration does not.
-	defaultBodyBytes = 4 << 20
+	defaultMaxBodyBytes = 4 << 20
 )
 
 type (
@@ -71,24 +71,24 @@
 		sync      *syncer
 		peers     *peers
 		hints     *hints
-		ends      *endChecks
-		harm      *quarantine.Ledger
+		crashes   *crashDetector
+		poison    *quarantine.Ledger
 		limits    *ratelimit.Ledger
 		shortages *shortages
 
 		evacuations *evacuations
 		admissions  *admissions
 
-		metrics  *routerMetrics
-		inFlight atomic.Int64
-		warm     chan struct{} // closed once configuration and endpoints are known
-		warmOnce sync.Once
-		stopping atomic.Bool
-		refusing atomic.Bool  // only requests that are sure to end before stopAt are taken
-		stopAt   atomic.Int64 // nanoseconds since 1970
+		metrics     *routerMetrics
+		inFlight    atomic.Int64
+		warm        chan struct{} // closed once configuration and endpoints are known
+		warmOnce    sync.Once
+		stopping    atomic.Bool
+		refusesLate atomic.Bool  // only requests that are sure to end before stopAt are taken
+		stopAt      atomic.Int64 // nanoseconds since 1970
 
-		mu      sync.Mutex
-		budgets map[willowwick.ServiceID]*route.RepeatBudget
+		mu           sync.Mutex
+		retryBudgets map[willowwick.ServiceID]*route.RepeatBudget
 	}
 )
 
@@ -98,16 +98,16 @@
 	limits := ratelimit.NewLedger()
 	x := &Router{
 		settings: settings, codec: codec, conns: conns, gate: gate.New(), warm: make(chan struct{}),
-		harm: quarantine.New(), limits: limits, shortages: newShortages(),
+		poison: quarantine.New(), limits: limits, shortages: newShortages(),
 		pool: route.NewPoolWith(route.NewHallFirst(settings.Hall, settings.Seed), route.PoolOptions{
-			StartLimit: startLimit, LoadFresh: loadFresh, TrustLast: true, QuietAfter: quietAfter, QueueShare: queueAtEndpoint,
+			StartLimit: initialEndpointLimit, LoadFresh: loadReportMaxAge, TrustLast: true, QuietAfter: quietAfter, QueueShare: endpointQueueShare,
 			Limits: limits,
 		}),
-		budgets: map[willowwick.ServiceID]*route.RepeatBudget{},
+		retryBudgets: map[willowwick.ServiceID]*route.RepeatBudget{},
 	}
 	x.evacuations = newEvacuations(x.pool)
-	x.admissions = newAdmissions(x.harm)
-	x.ends = newEndChecks(x)
+	x.admissions = newAdmissions(x.poison)
+	x.crashes = newCrashDetector(x)
 	x.releases = newReleases(settings.Releases, x.hasRelease)
 	x.metrics = newRouterMetrics(x)
 	return x, closeConns
@@ -123,15 +123,15 @@
 	}
 	out := &reply{writer: w, controller: http.NewResponseController(w), codec: x.codec}
 	x.awaitWarm(r)
-	c, refusal := x.begin(out, r, arrived)
+	c, refusal := x.acceptCall(out, r, arrived)
 	if refusal != nil {
 		x.refuse(out, refusal)
 		x.logRefused(out, r, refusal, arrived)
 		return
 	}
-	if x.refusing.Load() && c.deadline.UnixNano() > x.stopAt.Load() {
-		x.refuse(out, willowwick.NotRun(willowwick.CodeStopping, arrived.Add(comeBackElsewhere), "this box is stopping"))
-		c.logEnd("refused", http.StatusServiceUnavailable, "cause", "this box is stopping")
+	if x.refusesLate.Load() && c.deadline.UnixNano() > x.stopAt.Load() {
+		x.refuse(out, willowwick.NotRun(willowwick.CodeStopping, arrived.Add(stoppingRetryAfter), "this box is stopping"))
+		c.logCompletion("refused", http.StatusServiceUnavailable, "cause", "this box is stopping")
 		return
 	}
 	ctx, cancel := clock.WithDeadline(r.Context(), c.deadline)
@@ -163,11 +163,11 @@
 	if refusal.Kind == willowwick.KindNotRun {
 		at := refusal.RetryAt
 		if at.IsZero() {
-			at = clock.Now().Add(comeBack)
+			at = clock.Now().Add(defaultRetryAfter)
 		}
 		header.Set("Retry-After", retryAfter(at, clock.Now()))
 	}
-	out.begun = true
+	out.headSent = true
 	out.writer.WriteHeader(statusOf(refusal))
 	out.write([]byte(refusal.Message + "\n"))
 }
@@ -200,20 +200,20 @@
 	}
 }
 
-func (x *Router) budget(service willowwick.ServiceID) *route.RepeatBudget {
+func (x *Router) retryBudget(service willowwick.ServiceID) *route.RepeatBudget {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	b := x.budgets[service]
+	b := x.retryBudgets[service]
 	if b == nil {
 		b = route.NewRepeatBudget(x.settings.Repeats)
-		x.budgets[service] = b
+		x.retryBudgets[service] = b
 	}
 	return b
 }
 
 // takeRepeat draws on the budget of repeats.
-func (x *Router) takeRepeat(c *call, kind route.RepeatKind, now time.Time) bool {
-	taken := x.budget(c.service).Take(now, kind, x.peers.sharers(kind, now))
+func (x *Router) takeRetryBudget(c *call, kind route.RepeatKind, now time.Time) bool {
+	taken := x.retryBudget(c.service).Take(now, kind, x.peers.sharers(kind, now))
 	if !taken {
 		x.metrics.repeatDenied()
 		slog.Info("repeat not allowed by the budget", "request", c.head.ID, "service", c.service, "kind", int(kind))
@@ -222,14 +222,14 @@
 }
 
 // hasRepeat reports whether the budget would allow a failover.
-func (x *Router) hasRepeat(c *call, now time.Time) bool {
-	return x.budget(c.service).Allows(now, route.RepeatFailover, x.peers.sharers(route.RepeatFailover, now))
+func (x *Router) hasRetryBudget(c *call, now time.Time) bool {
+	return x.retryBudget(c.service).Allows(now, route.RepeatFailover, x.peers.sharers(route.RepeatFailover, now))
 }
 
 // hasOther reports whether another endpoint of the service than the given one may be tried.
-func (x *Router) hasOther(c *call, not willowwick.EndpointID) bool {
+func (x *Router) hasOtherEndpoint(c *call, not willowwick.EndpointID) bool {
 	return x.pool.HasOpen(clock.Now(), c.service, func(endpoint willowwick.Endpoint) bool {
-		return endpoint.ID != not && !c.exclude[endpoint.ID] && c.choice.allows(endpoint)
+		return endpoint.ID != not && !c.triedEndpoints[endpoint.ID] && c.choice.allows(endpoint)
 	})
 }
 
@@ -246,14 +246,14 @@
 		return
 	}
 	x.table.Store(newTable(declared))
-	x.paceCold(clock.Now())
-	x.noteWarm()
+	x.setColdPauses(clock.Now())
+	x.signalWarm()
 	slog.Info("configuration in force", "version", declared.Version, "routes", len(declared.Routes),
 		"accounts", len(declared.Accounts), "source", source)
 }
 
 // paceCold shares out what cold endpoints bear among the boxes. One that has just started has not counted them yet.
-func (x *Router) paceCold(now time.Time) {
+func (x *Router) setColdPauses(now time.Time) {
 	t := x.table.Load()
 	if t == nil {
 		return
@@ -270,7 +270,7 @@
 }
 
 // noteWarm lets requests in that came before the first configuration and list of endpoints.
-func (x *Router) noteWarm() {
+func (x *Router) signalWarm() {
 	if x.table.Load() != nil && x.sync.hasEndpoints() {
 		x.warmOnce.Do(func() { close(x.warm) })
 	}
@@ -283,11 +283,11 @@
 		return
 	default:
 	}
-	limit := warmLimit
+	limit := minWarmWait
 	now := clock.Now()
 	// A header that is wrong is told to the caller once the request is begun.
 	if head, err := x.codec.DecodeRequest(r.Header, now); err == nil && !head.Deadline.IsZero() {
-		limit = max(limit, scale(head.Deadline.Sub(now), warmShare))
+		limit = max(limit, scale(head.Deadline.Sub(now), warmWaitShare))
 	}
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
--- a/exchange/send.go
+++ b/exchange/send.go
@@ -45,21 +45,21 @@
 	// muteFactor is by how many times later than an answer may well be a request is sent elsewhere even though its
 	// endpoint goes on with others: the endpoint has lost it. Before that, one that works is only busy, and others would
 	// be too.
-	muteFactor = 3
+	lostRequestFactor = 3
 	// crowdedRunner is the number of requests at a runner from which on large models are asked less, not at all
 	// at twice as many: runs wait for each other's tokens there.
-	crowdedRunner = 10.0
+	crowdedRunnerRequests = 10.0
 	// backlogLimit is how long endpoints will be reading, in the mean, from which on large models are asked less, not at
 	// all at twice as long: each of their readings then makes some other answer late.
-	backlogLimit = time.Second
+	crowdedBacklog = time.Second
 	// easyShare is the part of the goal that must be left after the expected answer for the full threshold: answers
 	// vary about twofold around what is usual.
-	easyShare = 0.5
+	fullThresholdSlack = 0.5
 	// stallShare is the multiple of the longest pause after which a stream is taken up elsewhere: a shorter
 	// silence is a runner that reads somebody's long prompt, and reading this one anew takes as long.
-	stallShare = 1.5
+	stallGapFactor = 1.5
 	// maxWhole is the largest answer that is read whole before its head goes out.
-	maxWhole = 256 << 10
+	maxBufferedBody = 256 << 10
 )
 
 type (
@@ -74,18 +74,18 @@
 	// send is one send of a request to one endpoint.
 	send struct {
 		*call
-		ticket  *gate.Ticket
-		conn    *wire.Conn   // nil until the endpoint is reached
-		answer  *wire.Answer // nil until its head has come
-		head    willowwick.AnswerHead
-		sentAt  time.Time
-		model   willowwick.ModelID // asked of the endpoint; empty to leave the caller's
-		outcome route.Outcome
-		ended   bool // its connection broke because the endpoint ended
+		ticket     *gate.Ticket
+		conn       *wire.Conn   // nil until the endpoint is reached
+		answer     *wire.Answer // nil until its head has come
+		answerHead willowwick.AnswerHead
+		sentAt     time.Time
+		model      willowwick.ModelID // asked of the endpoint; empty to leave the caller's
+		outcome    route.Outcome
+		crashed    bool // its connection broke because the endpoint ended
 	}
 )
 
-var kindNames = map[sendKind]string{
+var sendKindNames = map[sendKind]string{
 	answered: "answered", callerLeft: "caller left", notSent: "not sent", unreached: "unreached", notRun: "not run",
 	silent: "silent", broken: "broken", failed: "failed", abandoned: "abandoned", escalated: "escalated", withheld: "withheld",
 }
@@ -93,14 +93,14 @@
 // refusal is what the caller is told if the request is given up after this send.
 func (r sendResult) refusal(c *call) *willowwick.Refusal {
 	now := clock.Now()
-	cause := kindNames[r.kind]
+	cause := sendKindNames[r.kind]
 	if r.err != nil {
 		cause += ": " + r.err.Error()
 	}
 	switch {
 	case c.runs == 0:
-		return willowwick.NotRun(willowwick.CodeOverloaded, now.Add(comeBack), "no endpoint took the request (%s)", cause)
-	case c.timeIsUp():
+		return willowwick.NotRun(willowwick.CodeOverloaded, now.Add(defaultRetryAfter), "no endpoint took the request (%s)", cause)
+	case c.isPastDeadline():
 		return willowwick.Failed(willowwick.CodeDeadline, "the time was up (%s)", cause)
 	default:
 		return willowwick.Failed(willowwick.CodeEndpoint, "no endpoint answered (%s)", cause)
@@ -110,35 +110,35 @@
 // sendOnce sends the request to the place's endpoint and passes the answer on.
 func (c *call) sendOnce(ticket *gate.Ticket) sendResult {
 	s := &send{call: c, ticket: ticket, outcome: route.OutcomeCancelled}
-	if c.model != noModel {
-		s.model = c.route.Models[c.model]
+	if c.cascadeStage != noCascade {
+		s.model = c.route.Models[c.cascadeStage]
 	}
 	result := s.do()
 	if c.ctx.Err() != nil && result.kind != answered {
 		// What broke was the end of the request's time, not the endpoint.
 		result = sendResult{abandoned, c.ctx.Err()}
 		s.outcome = route.OutcomeCancelled
-		if s.answer == nil && c.timeIsUp() && s.conn != nil && !c.route.Stream {
+		if s.answer == nil && c.isPastDeadline() && s.conn != nil && !c.route.Stream {
 			s.outcome = route.OutcomeFailed
 		}
 	}
 	if result.kind == broken {
-		s.noteBroken()
+		s.checkForCrash()
 	}
-	if s.isWithoutAnswer(result) {
+	if s.receivedNothing(result) {
 		c.router.conns.Suspect(ticket.Endpoint.Address, s.sentAt)
 	}
 	if result.kind == silent {
-		c.router.hints.tell(ticket.HeldUp(clock.Now()))
+		c.router.hints.publish(ticket.HeldUp(clock.Now()))
 	} else {
-		c.router.hints.tell(ticket.Withdrawn(clock.Now()))
+		c.router.hints.publish(ticket.Withdrawn(clock.Now()))
 	}
 	ticket.Done(s.outcome)
-	if s.hasMissed(result) {
-		c.noteMiss(ticket.Endpoint)
+	if s.missedEndpoint(result) {
+		c.recordMiss(ticket.Endpoint)
 	}
 	if result.kind != answered {
-		c.exclude[ticket.Endpoint.ID] = true
+		c.triedEndpoints[ticket.Endpoint.ID] = true
 		c.logSend(s, result)
 	}
 	c.router.metrics.send(result.kind)
@@ -146,28 +146,28 @@
 }
 
 // hasMissed reports whether the endpoint was not reached at its address, or another one was.
-func (s *send) hasMissed(result sendResult) bool {
+func (s *send) missedEndpoint(result sendResult) bool {
 	isOther := s.answer != nil && s.answer.Status == http.StatusMisdirectedRequest
 	return isOther || result.kind == notSent || result.kind == unreached
 }
 
 // isWithoutAnswer reports whether the endpoint's connection brought nothing, for a reason other than the caller's leaving.
-func (s *send) isWithoutAnswer(result sendResult) bool {
+func (s *send) receivedNothing(result sendResult) bool {
 	if s.conn == nil || s.answer != nil {
 		return false
 	}
-	return result.kind == silent || result.kind == broken || s.timeIsUp()
+	return result.kind == silent || result.kind == broken || s.isPastDeadline()
 }
 
 // noteBroken finds out whether the endpoint ended under the request.
-func (s *send) noteBroken() {
-	broken := brokenSend{about: s.identify(), endpoint: s.ticket.Endpoint, at: clock.Now()}
-	s.ended = s.router.ends.hasEnded(s.ctx, broken.endpoint, broken.at)
-	if s.ended {
-		s.router.noteHarm(broken)
-		s.router.ends.countDropped()
+func (s *send) checkForCrash() {
+	broken := brokenSend{request: s.describePoison(), endpoint: s.ticket.Endpoint, at: clock.Now()}
+	s.crashed = s.router.crashes.hasCrashed(s.ctx, broken.endpoint, broken.at)
+	if s.crashed {
+		s.router.recordCrash(broken)
+		s.router.crashes.countDroppedAtCrash()
 	} else {
-		s.router.ends.await(broken)
+		s.router.crashes.awaitRestart(broken)
 	}
 }
 
@@ -180,11 +180,11 @@
 	var more []any
 	if result.kind == broken {
 		// What the same request did before, under other ids, is found by its fingerprint.
-		more = []any{"fingerprint", c.fingerprint().String(), "endpoint_ended", s.ended}
+		more = []any{"fingerprint", c.fingerprint().String(), "endpoint_ended", s.crashed}
 	}
-	slog.Info("send ended", append(more, "request", c.head.ID, "outcome", kindNames[result.kind], "cause", cause,
+	slog.Info("send ended", append(more, "request", c.head.ID, "outcome", sendKindNames[result.kind], "cause", cause,
 		"endpoint", s.ticket.Endpoint.ID, "release", s.ticket.Endpoint.Release, "model", s.model,
-		"confidence", s.head.Confidence, "running", s.head.Load.Running, "waiting", s.head.Load.Waiting,
+		"confidence", s.answerHead.Confidence, "running", s.answerHead.Load.Running, "waiting", s.answerHead.Load.Waiting,
 		"ms", clock.Since(s.sentAt).Milliseconds(), "age_ms", clock.Since(c.arrived).Milliseconds(),
 		"ahead_ms", ahead.Milliseconds(), "reading_ms", reading.Milliseconds())...)
 }
@@ -209,7 +209,7 @@
 	// The end of the request, by time or by its caller, ends the endpoint's work too.
 	stop := context.AfterFunc(s.ctx, conn.Close)
 	defer stop()
-	defer s.finish()
+	defer s.releaseConn()
 	message := s.message
 	message.Header = s.encodeHeader()
 	if err := conn.Send(&message); err != nil {
@@ -217,15 +217,15 @@
 		slog.Debug("send broke off", "request", s.call.head.ID, "error", err)
 	}
 	s.runs++
-	s.countSent()
+	s.countUnwantedSend()
 	if s.route.Stream {
-		s.router.hints.tell(s.ticket.Sent(clock.Now()))
+		s.router.hints.publish(s.ticket.Sent(clock.Now()))
 	}
 	if err := s.receive(); err != nil {
 		return s.unanswered(err)
 	}
-	s.router.hints.tell(s.ticket.Begun(clock.Now()))
-	return s.judge()
+	s.router.hints.publish(s.ticket.Begun(clock.Now()))
+	return s.handleAnswer()
 }
 
 func (s *send) encodeHeader() http.Header {
@@ -234,8 +234,8 @@
 		Account: s.accountName(), Expect: s.ticket.Endpoint.ID, Model: s.model, Deadline: s.deadline,
 		Priority: willowwick.NoPriority,
 	}
-	if s.out.begun {
-		head.ResumeAfter = s.resumed
+	if s.out.headSent {
+		head.ResumeAfter = s.lastEventID
 	}
 	if s.route.Stream {
 		head.Priority = min(urgency(s.route, s.account), lowestPriority)
@@ -245,7 +245,7 @@
 }
 
 // countSent counts sends to endpoints that want fewer, or none.
-func (s *send) countSent() {
+func (s *send) countUnwantedSend() {
 	now := clock.Now()
 	if s.router.isLimited(now, s.ticket.Endpoint) {
 		s.router.metrics.sentToLimited()
@@ -261,27 +261,27 @@
 
 // receive reads the head of the answer; a silent endpoint is left if another may be tried.
 func (s *send) receive() error {
-	silentAt := s.lateAt()
+	silentAt := s.overdueAt()
 	for {
-		answer, err := s.conn.Receive(s.message.Method, silentAt, s.deadline, s.belongs)
+		answer, err := s.conn.Receive(s.message.Method, silentAt, s.deadline, s.answersRequest)
 		if errors.Is(err, wire.ErrSilent) && silentAt.Before(s.deadline) {
 			now := clock.Now()
-			if s.isLost(now) {
+			if s.shouldTryAnother(now) {
 				return err
 			}
 			// The forecast may have moved meanwhile.
-			silentAt = earliest(s.deadline, latest(s.lateAt(), now.Add(quietAfter)))
+			silentAt = earliest(s.deadline, latest(s.overdueAt(), now.Add(quietAfter)))
 			continue
 		}
 		if err != nil {
 			return err
 		}
 		s.answer = answer
-		s.head = s.router.codec.DecodeAnswer(answer.Status, answer.Header, clock.Now())
-		s.hear(answer.Status, s.head.Notice, s.sentAt)
-		if s.head.HasLoad {
-			s.head.Load.Endpoint = s.ticket.Endpoint.ID
-			s.router.pool.Report(s.head.Load)
+		s.answerHead = s.router.codec.DecodeAnswer(answer.Status, answer.Header, clock.Now())
+		s.applyNotice(answer.Status, s.answerHead.Notice, s.sentAt)
+		if s.answerHead.HasLoad {
+			s.answerHead.Load.Endpoint = s.ticket.Endpoint.ID
+			s.router.pool.Report(s.answerHead.Load)
 		}
 		return nil
 	}
@@ -289,7 +289,7 @@
 
 // lateAt is when an answer that has not begun is later than all but a few, by the forecast of reading its prompt, or by
 // what is usual on its route where no forecast is.
-func (s *send) lateAt() time.Time {
+func (s *send) overdueAt() time.Time {
 	if !s.route.Repeatable {
 		return s.deadline
 	}
@@ -306,15 +306,15 @@
 }
 
 // isLost decides whether a silent endpoint is left for another.
-func (s *send) isLost(now time.Time) bool {
-	if !s.mayRunAgain() || !s.router.hasRepeat(s.call, now) || !s.router.hasOther(s.call, s.ticket.Endpoint.ID) {
+func (s *send) shouldTryAnother(now time.Time) bool {
+	if !s.allowsAnotherRun() || !s.router.hasRetryBudget(s.call, now) || !s.router.hasOtherEndpoint(s.call, s.ticket.Endpoint.ID) {
 		return false
 	}
-	lateAt := s.lateAt()
-	if now.Before(lateAt) {
+	overdueAt := s.overdueAt()
+	if now.Before(overdueAt) {
 		return false
 	}
-	return !s.route.Stream || s.ticket.IsQuiet(now) || now.Sub(s.sentAt) > muteFactor*(lateAt.Sub(s.sentAt)+quietAfter)
+	return !s.route.Stream || s.ticket.IsQuiet(now) || now.Sub(s.sentAt) > lostRequestFactor*(overdueAt.Sub(s.sentAt)+quietAfter)
 }
 
 func (s *send) unanswered(err error) sendResult {
@@ -326,45 +326,45 @@
 }
 
 // judge decides by the head of the answer what becomes of it.
-func (s *send) judge() sendResult {
+func (s *send) handleAnswer() sendResult {
 	status := s.answer.Status
 	switch {
-	case s.head.NotRun || status == http.StatusMisdirectedRequest:
-		return s.wasNotRun()
+	case s.answerHead.NotRun || status == http.StatusMisdirectedRequest:
+		return s.handleNotRun()
 	case status >= http.StatusInternalServerError:
-		return s.hasFailed()
+		return s.handleFailure()
 	case s.shouldEscalate():
 		s.outcome = route.OutcomeGood
 		s.observe(false)
-		s.call.model = len(s.route.Models) - 1
-		s.router.ends.noteDropped(s.dropped())
+		s.call.cascadeStage = len(s.route.Models) - 1
+		s.router.crashes.recordDropped(s.dropped())
 		return sendResult{kind: escalated}
-	case s.out.begun && status != http.StatusOK:
+	case s.out.headSent && status != http.StatusOK:
 		s.outcome = route.OutcomeFailed
 		return sendResult{broken, errors.Errorf("status %d in place of the rest of the stream", status)}
 	case s.route.Stream && status == http.StatusOK:
-		return s.passStream()
+		return s.relayStream()
 	default:
-		return s.passWhole()
+		return s.relayWhole()
 	}
 }
 
-func (s *send) wasNotRun() sendResult {
+func (s *send) handleNotRun() sendResult {
 	s.runs--
 	s.outcome = route.OutcomeBusy
 	if s.answer.Status == http.StatusMisdirectedRequest {
 		s.router.pool.MarkMisplaced(s.ticket.Endpoint)
 	}
-	if _, err := io.Copy(io.Discard, io.LimitReader(s.answer, maxWhole)); err != nil {
+	if _, err := io.Copy(io.Discard, io.LimitReader(s.answer, maxBufferedBody)); err != nil {
 		slog.Debug("rest of a refusal could not be read", "request", s.call.head.ID, "error", err)
 	}
 	return sendResult{notRun, errors.Errorf("status %d", s.answer.Status)}
 }
 
 // hasFailed keeps the endpoint's failure, to be passed on if nothing better comes.
-func (s *send) hasFailed() sendResult {
+func (s *send) handleFailure() sendResult {
 	s.outcome = route.OutcomeError
-	body, err := io.ReadAll(io.LimitReader(s.answer, maxWhole))
+	body, err := io.ReadAll(io.LimitReader(s.answer, maxBufferedBody))
 	s.observe(true)
 	if err != nil {
 		return sendResult{broken, errors.Wrap(err, "failure of the endpoint")}
@@ -376,20 +376,20 @@
 // shouldEscalate decides whether the next larger model is asked instead.
 func (s *send) shouldEscalate() bool {
 	c := s.call
-	if c.model == noModel || c.model == len(c.route.Models)-1 || s.answer.Status != http.StatusOK || c.out.begun {
+	if c.cascadeStage == noCascade || c.cascadeStage == len(c.route.Models)-1 || s.answer.Status != http.StatusOK || c.out.headSent {
 		return false
 	}
-	if s.head.Confidence == willowwick.NoConfidence {
+	if s.answerHead.Confidence == willowwick.NoConfidence {
 		return false
 	}
 	now := clock.Now()
-	if s.head.Confidence >= s.confidenceNeeded(now) {
+	if s.answerHead.Confidence >= s.requiredConfidence(now) {
 		return false
 	}
-	if !c.router.pool.HasAvailable(now, c.service, c.allowed()) {
+	if !c.router.pool.HasAvailable(now, c.service, c.allowedEndpoints()) {
 		return false // the answer that is there is worth more than a refusal
 	}
-	return c.runs < c.route.MaxRuns && s.hasTimeFor(c.route.Models[len(c.route.Models)-1], now) && s.router.takeRepeat(c, route.RepeatEscalation, now)
+	return c.runs < c.route.MaxRuns && s.hasTimeFor(c.route.Models[len(c.route.Models)-1], now) && s.router.takeRetryBudget(c, route.RepeatEscalation, now)
 }
 
 // hasTimeFor reports whether a model's answer, begun now, usually begins before the request's time is up; where it does not,
@@ -402,15 +402,15 @@
 // confidenceNeeded falls from one setting to the other as the large model's answer is expected later, and as the
 // runners get crowded: an answer that comes after the goal is worth less than a doubtful one in time, and a run of
 // the large model makes many others late.
-func (s *send) confidenceNeeded(now time.Time) int {
+func (s *send) requiredConfidence(now time.Time) int {
 	settings := s.router.settings
 	largest := s.route.Models[len(s.route.Models)-1]
 	usual, _ := s.router.releases.usual(s.route.Name, largest)
 	expected := now.Sub(s.arrived) + usual
 	left := 1 - float64(expected)/float64(max(s.route.Goal, 1))
 	pressure := s.router.pool.Pressure(now, s.service, s.choice.allows)
-	crowd, backlog := pressure.Requests/crowdedRunner, float64(pressure.Backlog)/float64(backlogLimit)
-	ease := min(max(min(left/easyShare, 2-crowd, 2-backlog), 0), 1)
+	crowd, backlog := pressure.Requests/crowdedRunnerRequests, float64(pressure.Backlog)/float64(crowdedBacklog)
+	ease := min(max(min(left/fullThresholdSlack, 2-crowd, 2-backlog), 0), 1)
 	return settings.LateConfidence + int(ease*float64(settings.Confidence-settings.LateConfidence))
 }
 
@@ -423,7 +423,7 @@
 }
 
 // finish gives the connection back, or closes it where the answer was not read to its end.
-func (s *send) finish() {
+func (s *send) releaseConn() {
 	if s.answer == nil {
 		s.conn.Close()
 		return
--- a/exchange/shortage.go
+++ b/exchange/shortage.go
@@ -9,9 +9,9 @@
 
 const (
 	// yieldFor is how long less urgent requests yield after one was refused for the limits of endpoints.
-	yieldFor = time.Second
+	yieldDuration = time.Second
 	// yieldShare: of the less urgent requests one in so many does not yield, so that no kind of request is left without.
-	yieldShare = 3
+	noYieldEvery = 3
 )
 
 type (
@@ -24,9 +24,9 @@
 
 	// shortage is that of one service.
 	shortage struct {
-		rank  int       // of the most urgent request that was refused
-		until time.Time // less urgent ones yield
-		asked int       // how often it was asked whether one must
+		rank   int       // of the most urgent request that was refused
+		until  time.Time // less urgent ones yield
+		checks int       // how often it was asked whether one must
 	}
 )
 
@@ -35,7 +35,7 @@
 }
 
 // note notes that a request was refused for the limits of all endpoints.
-func (s *shortages) note(service willowwick.ServiceID, rank int, now time.Time) {
+func (s *shortages) record(service willowwick.ServiceID, rank int, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	known := s.services[service]
@@ -44,7 +44,7 @@
 		s.services[service] = known
 	}
 	if !now.Before(known.until) || rank <= known.rank {
-		known.rank, known.until = rank, now.Add(yieldFor)
+		known.rank, known.until = rank, now.Add(yieldDuration)
 	}
 }
 
@@ -56,6 +56,6 @@
 	if known == nil || !now.Before(known.until) || rank <= known.rank {
 		return false
 	}
-	known.asked++
-	return known.asked%yieldShare != 0
+	known.checks++
+	return known.checks%noYieldEvery != 0
 }
--- a/exchange/silence_test.go
+++ b/exchange/silence_test.go
@@ -40,7 +40,7 @@
 	s := newSite(t, newRunner(t, "r1", answerText("a")).endpoint("v1"), newRunner(t, "r2", answerText("b")).endpoint("v1"))
 	x := s.daemon.router
 	for range 20 {
-		x.budget("work").Request(time.Now())
+		x.retryBudget("work").Request(time.Now())
 	}
 	stream := streamRoute()
 	now := learnReading(t, x.pool, time.Now())
@@ -51,11 +51,11 @@
 			call: &call{router: x, route: &stream, service: "work", out: &reply{}, deadline: now.Add(time.Minute)},
 		}
 		forecast := time.Duration(tokens) * 100 * time.Microsecond
-		assert.False(t, sending.isLost(now.Add(forecast)), "%d tokens are being read", tokens)
-		assert.True(t, sending.isLost(now.Add(forecast+quietAfter+100*time.Millisecond)), "%d tokens should have been read", tokens)
+		assert.False(t, sending.shouldTryAnother(now.Add(forecast)), "%d tokens are being read", tokens)
+		assert.True(t, sending.shouldTryAnother(now.Add(forecast+quietAfter+100*time.Millisecond)), "%d tokens should have been read", tokens)
 		place.Heard(now.Add(forecast + quietAfter))
-		assert.False(t, sending.isLost(now.Add(forecast+quietAfter+100*time.Millisecond)), "the endpoint goes on with others")
-		assert.True(t, sending.isLost(now.Add(muteFactor*(forecast+quietAfter+100*time.Millisecond))), "the endpoint has lost it")
+		assert.False(t, sending.shouldTryAnother(now.Add(forecast+quietAfter+100*time.Millisecond)), "the endpoint goes on with others")
+		assert.True(t, sending.shouldTryAnother(now.Add(lostRequestFactor*(forecast+quietAfter+100*time.Millisecond))), "the endpoint has lost it")
 		place.Release(now, route.OutcomeCancelled)
 	}
 }
@@ -91,12 +91,12 @@
 	s := newSite(t, newRunner(t, "r1", answerText("a")).endpoint("v1"), newRunner(t, "r2", answerText("b")).endpoint("v1"))
 	x := s.daemon.router
 	for range 20 {
-		x.budget("work").Request(time.Now())
+		x.retryBudget("work").Request(time.Now())
 	}
 	stream, now := streamRoute(), time.Now()
 	sending := sendingOn(x, sendWork(t, x.pool, now, readingWork(20000)), &stream, now)
-	assert.False(t, sending.isLost(now.Add(2*time.Second)))
-	assert.True(t, sending.isLost(now.Add(route.UnknownPatience+2*quietAfter)))
+	assert.False(t, sending.shouldTryAnother(now.Add(2*time.Second)))
+	assert.True(t, sending.shouldTryAnother(now.Add(route.UnknownPatience+2*quietAfter)))
 }
 
 func TestLargeModelIsAskedLessTheLongerEndpointsWillBeReading(t *testing.T) {
@@ -106,7 +106,7 @@
 	needed := func() int {
 		place := sendWork(t, x.pool, now, readingWork(0))
 		defer place.Release(now, route.OutcomeGood)
-		return sendingOn(x, place, &stream, now).confidenceNeeded(now)
+		return sendingOn(x, place, &stream, now).requiredConfidence(now)
 	}
 	assert.Equal(t, 50, needed())
 	sendWork(t, x.pool, now, readingWork(10000))
--- a/exchange/statuses_test.go
+++ b/exchange/statuses_test.go
@@ -58,7 +58,7 @@
 		x.releases.observe(observation{service: "work", release: "v2", route: "once", isError: true})
 	}
 	require.Eventually(t, func() bool {
-		for _, roll := range x.releases.progresses(time.Now()) {
+		for _, roll := range x.releases.progressList(time.Now()) {
 			if roll.Status.State == willowwick.ReleaseRolledBack {
 				return true
 			}
--- a/exchange/swap.go
+++ b/exchange/swap.go
@@ -136,7 +136,7 @@
 	p.router.sync.takeFromPeer(reply, now)
 	isNews := p.harm.Took(call.Harm, reply.Harm, reply.Digest.Address, reply.Digest.Boot, now)
 	if isNews {
-		p.router.ends.countDropped()
+		p.router.crashes.countDroppedAtCrash()
 	}
 	if p.limits.Took(reply.Limits, reply.Digest.Address, sent) || isNews {
 		p.hurry()
@@ -155,7 +155,7 @@
 	p.router.metrics.listTold(reply.Endpoints)
 	isNews := false
 	if reply.Harm, isNews = p.harm.Answer(call.Harm, call.Digest.Address, now); isNews {
-		p.router.ends.countDropped()
+		p.router.crashes.countDroppedAtCrash()
 	}
 	var isLimitNews bool
 	if reply.Limits, isLimitNews = p.limits.Answer(call.Limits, call.Digest.Address, now); isNews || isLimitNews {
--- a/exchange/sync.go
+++ b/exchange/sync.go
@@ -53,7 +53,7 @@
 		control willowwick.Control
 		ordered chan struct{} // a roll-out was ordered, and what became of it is to be read
 
-		harmDue time.Time // what is refused is not read again before; zero until it was read. Only keepHarmful uses it
+		harmDue time.Time // what is refused is not read again before; zero until it was read. Only runPoisonSync uses it
 
 		mu sync.Mutex
 
@@ -274,7 +274,7 @@
 		return
 	}
 	for _, order := range declared.Orders {
-		s.router.releases.begin(order, 0, clock.Now())
+		s.router.releases.applyOrder(order, 0, clock.Now())
 	}
 	select {
 	case s.ordered <- struct{}{}:
