--- a/exchange/daemon.go
+++ b/exchange/daemon.go
@@ -170,7 +170,7 @@
 	d.leaveGroup()
 	limit := began.Add(x.settings.Grace - leaveEarly)
 	x.stopAt.Store(limit.Add(-lastAnswer).UnixNano())
-	time.Sleep(clock.Until(earliest(began.Add(x.settings.TurnAway), limit)))
+	time.Sleep(clock.Until(earliest(began.Add(x.settings.UnreadyDelay), limit)))
 	x.refusesLate.Store(true)
 	// The listener stays: the entry uses boxes that are not ready where it has too few others. Connections at rest
 	// stay too: a request may be on its way on them.
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -309,7 +309,7 @@
 	soon := make(chan siteReply)
 	go func() { soon <- s.do(t, http.MethodPost, "/stream/", "late", "x") }()
 	// What comes later and may not end in time is sent elsewhere, with nothing run.
-	time.Sleep(testSettings().TurnAway)
+	time.Sleep(testSettings().UnreadyDelay)
 	blocking := make(chan siteReply)
 	go func() { blocking <- s.do(t, http.MethodPost, "/once/", "short", "x", "T-Left", "1000") }()
 	time.Sleep(50 * time.Millisecond)
@@ -342,7 +342,7 @@
 	for offset := -6; offset <= 6; offset++ {
 		s := newSite(t, r.endpoint("v1"))
 		go s.daemon.Drain()
-		time.Sleep(testSettings().TurnAway + time.Duration(offset)*time.Millisecond)
+		time.Sleep(testSettings().UnreadyDelay + time.Duration(offset)*time.Millisecond)
 		response, err := s.client.Do(s.request(t, http.MethodPost, "/once/", "id", "x", "T-Left", "1000"))
 		if err != nil {
 			continue // the connection was refused or closed with nothing read
--- a/exchange/freshness.go
+++ b/exchange/freshness.go
@@ -11,7 +11,7 @@
 // enough ago, and after this box's was the newest for certain. Where nothing fails, a box's is at most twice heldLimit and one
 // swap old, since the store may answer with news at the end of one held read and without at the end of the next.
 func (s *syncer) isStale(now time.Time) bool {
-	return s.configAge(now) > s.router.settings.InForce
+	return s.configAge(now) > s.router.settings.ConfigApplyLimit
 }
 
 // noteConfig notes that this box has the configuration that was in the store at a moment, or a newer one: all that was
--- a/exchange/lost_read_test.go
+++ b/exchange/lost_read_test.go
@@ -59,7 +59,7 @@
 	const rest = 100 * time.Millisecond
 	for _, inForce := range []time.Duration{2 * time.Second, 3 * time.Second, 4 * time.Second, time.Minute} {
 		settings := testSettings()
-		settings.InForce, settings.Drain = inForce, feedDrain
+		settings.ConfigApplyLimit, settings.Drain = inForce, feedDrain
 		x, closeRouter := newRouter(settings, testCodec{})
 		x.sync = newSyncer(x, nil)
 		lost := x.sync.heldLimit() + headLimit + retryFirst
--- a/exchange/router.go
+++ b/exchange/router.go
@@ -50,13 +50,13 @@
 		Seed       uint64
 		Confidence int // a small model's answer below this is given up for the largest model's
 		// LateConfidence takes the place of Confidence where the largest model's answer would come after the goal.
-		LateConfidence int
-		Repeats        route.RepeatLimits
-		Releases       ReleaseSettings
-		Grace          time.Duration // setting: from the signal to stop until the process is killed
-		TurnAway       time.Duration // setting: how long a stopping box waits for the entry to send callers elsewhere
-		Drain          time.Duration // setting: an endpoint that leaves gets nothing later than this
-		InForce        time.Duration // setting: a configuration is in force within this after it was accepted
+		LateConfidence   int
+		RetryBudget      route.RepeatLimits
+		Releases         ReleaseSettings
+		Grace            time.Duration // setting: from the signal to stop until the process is killed
+		UnreadyDelay     time.Duration // setting: how long a stopping box waits for the entry to send callers elsewhere
+		Drain            time.Duration // setting: an endpoint that leaves gets nothing later than this
+		ConfigApplyLimit time.Duration // setting: a configuration is in force within this after it was accepted
 	}
 
 	// Router answers opaque requests.
@@ -205,7 +205,7 @@
 	defer x.mu.Unlock()
 	b := x.retryBudgets[service]
 	if b == nil {
-		b = route.NewRepeatBudget(x.settings.Repeats)
+		b = route.NewRepeatBudget(x.settings.RetryBudget)
 		x.retryBudgets[service] = b
 	}
 	return b
--- a/exchange/stop_cut_test.go
+++ b/exchange/stop_cut_test.go
@@ -153,7 +153,7 @@
 		id := request.Header.Get("T-Id")
 		reached <- id
 		if id == "under way" {
-			time.Sleep(2 * testSettings().TurnAway)
+			time.Sleep(2 * testSettings().UnreadyDelay)
 		}
 		_, _ = io.WriteString(w, "whole")
 	}), reached
@@ -218,7 +218,7 @@
 		defer close(ended)
 		s.end()
 	}()
-	time.Sleep(testSettings().TurnAway + 50*time.Millisecond)
+	time.Sleep(testSettings().UnreadyDelay + 50*time.Millisecond)
 	limit := began.Add(testSettings().Grace - leaveEarly)
 	left := time.Until(limit).Milliseconds() - 10
 	response, err := s.client.Do(s.request(t, http.MethodPost, "/once/", "id", "x", "T-Left", strconv.FormatInt(left, 10)))
--- a/exchange/sync.go
+++ b/exchange/sync.go
@@ -190,7 +190,7 @@
 // heldLimit is how long the store may hold a read of the declarations: a call lasts until something changes, and one that
 // is lost is found out while there is time to read what changed.
 func (s *syncer) heldLimit() time.Duration {
-	return min(scale(s.router.settings.InForce, heldShare), heldMost)
+	return min(scale(s.router.settings.ConfigApplyLimit, heldShare), heldMost)
 }
 
 // backOff notes a read that failed, waits before the next one, and returns how long it waited.
