--- a/exchange/callers_test.go
+++ b/exchange/callers_test.go
@@ -13,38 +13,38 @@
 )
 
 // heldConn returns its bytes only once it is told to, as a read does that crosses a close.
-type heldConn struct {
+type blockedConn struct {
 	net.Conn
 	release chan struct{}
 }
 
-func (c *heldConn) Read(p []byte) (int, error) {
+func (c *blockedConn) Read(p []byte) (int, error) {
 	<-c.release
 	return copy(p, "GET / HTTP/1.1\r\n\r\n"), nil
 }
 
-func (c *heldConn) Close() error { return nil }
+func (c *blockedConn) Close() error { return nil }
 
 // oneConn accepts one connection.
-type oneConn struct {
+type singleConnListener struct {
 	net.Listener
 	conn net.Conn
 }
 
-func (l *oneConn) Accept() (net.Conn, error) { return l.conn, nil }
+func (l *singleConnListener) Accept() (net.Conn, error) { return l.conn, nil }
 
-func acceptHeld(t *testing.T) (*callerListener, *callerConn, chan struct{}) {
+func acceptBlocked(t *testing.T) (*callerListener, *callerConn, chan struct{}) {
 	t.Helper()
 	release := make(chan struct{})
-	l := newCallerListener(&oneConn{conn: &heldConn{release: release}})
+	l := newCallerListener(&singleConnListener{conn: &blockedConn{release: release}})
 	conn, err := l.Accept()
 	require.NoError(t, err)
 	return l, conn.(*callerConn), release
 }
 
 // A stopping box once took a request from a connection at rest, sent it on, and closed the connection as it ended.
-func TestRequestThatCrossesTheCloseOfItsConnectionIsNotTaken(t *testing.T) {
-	l, conn, release := acceptHeld(t)
+func TestRequestThatRacesWithTheCloseOfItsConnectionIsNotAccepted(t *testing.T) {
+	l, conn, release := acceptBlocked(t)
 	read := make(chan error, 1)
 	go func() {
 		n, err := conn.Read(make([]byte, 64))
@@ -58,7 +58,7 @@
 }
 
 func TestConnectionWithARequestIsNotRetired(t *testing.T) {
-	l, conn, release := acceptHeld(t)
+	l, conn, release := acceptBlocked(t)
 	close(release)
 	n, err := conn.Read(make([]byte, 64))
 	require.NoError(t, err)
@@ -71,7 +71,7 @@
 }
 
 // Each answer that a stopping box has begun reaches its caller; the others see a closed connection and nothing of it ran.
-func TestStopAnswersEachRequestThatItHasTaken(t *testing.T) {
+func TestShutdownAnswersEachAcceptedRequest(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	l := newCallerListener(inner)
--- a/exchange/ends_test.go
+++ b/exchange/ends_test.go
@@ -30,7 +30,7 @@
 }
 
 // lineOf is the line with a message about a request.
-func (b *logBuffer) lineOf(t *testing.T, message, request string) map[string]any {
+func (b *logBuffer) findLine(t *testing.T, message, request string) map[string]any {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, text := range bytes.Split(b.data.Bytes(), []byte("\n")) {
@@ -51,7 +51,7 @@
 
 // A line about a send that broke tells whether the endpoint ended or only the connection was lost, and names the content
 // of the request, so that its repeats are found whatever their ids.
-func TestABrokenSendTellsWhetherItsEndpointEnded(t *testing.T) {
+func TestABrokenSendReportsWhetherItsEndpointCrashed(t *testing.T) {
 	before := slog.Default()
 	defer slog.SetDefault(before)
 	var lines logBuffer
@@ -66,7 +66,7 @@
 		})
 		s := newSite(t, self.endpoint("v1"))
 		s.do(t, http.MethodPost, "/once/", fmt.Sprint("id-", ends), "same body")
-		line := lines.lineOf(t, "send ended", fmt.Sprint("id-", ends))
+		line := lines.findLine(t, "send ended", fmt.Sprint("id-", ends))
 		assert.Equal(t, ends, line["endpoint_ended"])
 		want := willowwick.FingerprintOf(testAccount, http.MethodPost, testHost, "/once/", []byte("same body"))
 		assert.Equal(t, want.String(), line["fingerprint"])
@@ -75,7 +75,7 @@
 
 // All requests that broke at an endpoint share one look at it. The caller of the one that makes it may leave meanwhile; the others
 // would take the endpoint for alive, and one more may end.
-func TestALookAtAnEndpointOutlivesItsCaller(t *testing.T) {
+func TestACrashCheckOutlivesItsCaller(t *testing.T) {
 	t.Parallel()
 	r := newRunner(t, "r1", answerText("ok"))
 	s := newSite(t, r.endpoint("v1"))
--- a/exchange/escalation_test.go
+++ b/exchange/escalation_test.go
@@ -44,7 +44,7 @@
 
 // Seen: a request ended three endpoints some 50 ms after their small model's answer to it had been dropped for the large model's, and was sent to
 // five more, since an end counted against what was still at work there alone.
-func TestAnEndpointThatEndsAsAnAnswerIsDroppedCountsAgainstItsRequest(t *testing.T) {
+func TestACrashAsAnAnswerIsDroppedCountsAgainstItsRequest(t *testing.T) {
 	var ending *runner
 	underWay, chosen := make(chan struct{}), make(chan struct{})
 	ending = newRunner(t, "r1", func(w http.ResponseWriter, r *http.Request) {
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -46,14 +46,14 @@
 	assert.Empty(t, r.requests())
 }
 
-func TestBoxWithoutConfigurationSaysWhenToComeBack(t *testing.T) {
+func TestBoxWithoutConfigurationSendsRetryAfter(t *testing.T) {
 	s := startSite(t, &testControl{down: true}, testSettings())
 	reply := s.do(t, http.MethodGet, "/once/", "id-1", "")
 	assert.Equal(t, http.StatusServiceUnavailable, reply.status)
 	assert.NotEmpty(t, reply.header.Get("Retry-After"))
 }
 
-func TestUnrepeatableRequestIsNotRunAgain(t *testing.T) {
+func TestUnrepeatableRequestIsNotRetried(t *testing.T) {
 	broken := func(w http.ResponseWriter, _ *http.Request) { hangUp(w) }
 	a, b := newRunner(t, "r1", broken), newRunner(t, "r2", broken)
 	s := newSite(t, a.endpoint("v1"), b.endpoint("v1"))
@@ -95,7 +95,7 @@
 	assert.Empty(t, reply.header.Get("T-Seal"), "the signature goes with the endpoint's own status only")
 }
 
-func TestRepeatableRequestIsRunAgainAfterAFailure(t *testing.T) {
+func TestRepeatableRequestIsRetriedAfterAFailure(t *testing.T) {
 	bad := newRunner(t, "r1", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) })
 	good := newRunner(t, "r2", answerText("ok"))
 	s := newSite(t, bad.endpoint("v1"), good.endpoint("v1"))
@@ -145,7 +145,7 @@
 	requireClosed(t, left, patience, "the endpoint was not left")
 }
 
-func TestEndpointIsLeftWhenTheCallerLeaves(t *testing.T) {
+func TestEndpointConnectionClosesWhenTheCallerLeaves(t *testing.T) {
 	r, left := newSilentRunner(t)
 	s := newSite(t, r.endpoint("v1"))
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
@@ -198,7 +198,7 @@
 	assert.Equal(t, 2, len(a.requests())+len(b.requests()))
 }
 
-func TestStreamThatCannotGoOnDoesNotLookWhole(t *testing.T) {
+func TestStreamThatCannotResumeIsCutOff(t *testing.T) {
 	r := newRunner(t, "r1", func(w http.ResponseWriter, request *http.Request) {
 		streamEvents(w, request, 5)
 		hangUp(w)
@@ -355,7 +355,7 @@
 }
 
 // A request that was under way when a roll-out was ordered once went on at the new release.
-func TestRequestThatIsSentAgainKeepsToItsRelease(t *testing.T) {
+func TestRetriedRequestKeepsToItsRelease(t *testing.T) {
 	ordered := make(chan struct{})
 	var runs atomic.Int64
 	old := newRunner(t, "r1", func(w http.ResponseWriter, _ *http.Request) {
@@ -390,7 +390,7 @@
 }
 
 // A stream whose endpoint paused was once taken up elsewhere with the last run that it had, and cut when that failed.
-func TestStreamIsNotLeftForItsLastRunWhileItsEndpointLives(t *testing.T) {
+func TestStreamIsNotResumedElsewhereWithItsLastRunWhileItsEndpointLives(t *testing.T) {
 	for name, quiet := range map[string]bool{"lives": false, "quiet": true} {
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t, newRunner(t, "r1", answerText("a")).endpoint("v1"), newRunner(t, "r2", answerText("b")).endpoint("v1"))
@@ -417,7 +417,7 @@
 }
 
 // Requests that came in the first milliseconds of a box were once refused, with a second to wait.
-func TestRequestOfTheFirstMomentIsServed(t *testing.T) {
+func TestRequestDuringStartupIsServed(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	control := &testControl{endpoints: map[willowwick.EndpointID]willowwick.Endpoint{r.id: r.endpoint("v1")}}
 	control.change(func() {})
@@ -429,7 +429,7 @@
 
 // The last heartbeat of an endpoint that had gone once brought it back into use.
 // With many routes declared, the configuration takes some tenths of a second to arrive; callers that have time are served.
-func TestRequestWithMuchTimeWaitsLongerForABoxThatStarts(t *testing.T) {
+func TestRequestWithALongDeadlineWaitsLongerDuringStartup(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	control := &testControl{endpoints: map[willowwick.EndpointID]willowwick.Endpoint{"r1": r.endpoint("v1")}}
 	s := startSite(t, control, testSettings())
@@ -467,7 +467,7 @@
 
 // A box that the store refused, while others reached it, once took a removal for a lapsed entry, kept it, and told the
 // others so.
-func TestBoxThatOthersFedTakesRemovalsAtOnceAndTellsNobodyOfLapsedOnes(t *testing.T) {
+func TestBoxFedByOthersAppliesRemovalsAtOnceAndReportsNoExpiredEntries(t *testing.T) {
 	x, closeRouter := newRouter(testSettings(), testCodec{})
 	defer closeRouter()
 	s := newSyncer(x, nil)
@@ -495,7 +495,7 @@
 }
 
 // Boxes that were told that an entry had lapsed have dropped it, and once were not told that it is back.
-func TestAnEndpointWhoseEntryIsBackIsToldOf(t *testing.T) {
+func TestAnEndpointWhoseEntryIsBackIsReported(t *testing.T) {
 	x, closeRouter := newRouter(testSettings(), testCodec{})
 	defer closeRouter()
 	s := newSyncer(x, nil)
@@ -516,7 +516,7 @@
 
 // An endpoint came and went between two reads of a box, which then was told of it by one that had read less: it never heard
 // that the endpoint had gone, and listed it for good.
-func TestWhatABoxThatHasReadLessListsIsNoNews(t *testing.T) {
+func TestAnOlderListFromAnotherBoxChangesNothing(t *testing.T) {
 	x, closeRouter := newRouter(testSettings(), testCodec{})
 	defer closeRouter()
 	s := newSyncer(x, nil)
--- a/exchange/hints_test.go
+++ b/exchange/hints_test.go
@@ -41,12 +41,12 @@
 }
 
 // aheadAt is how long the box takes the endpoint to be reading.
-func aheadAt(s *site, endpoint willowwick.EndpointID) time.Duration {
+func forecastAt(s *site, endpoint willowwick.EndpointID) time.Duration {
 	return s.daemon.router.pool.Ahead(time.Now(), endpoint)
 }
 
 // Boxes that could not know what the others had sent once chose endpoints that were reading for a second and more.
-func TestAllBoxesHearWhatOneSendsToAnEndpoint(t *testing.T) {
+func TestHintsReachAllBoxes(t *testing.T) {
 	for _, boxes := range []int{2, maxDirectBoxes + 2} {
 		t.Run(fmt.Sprint(boxes, " boxes a hall"), func(t *testing.T) {
 			r := newRunner(t, "r1", answerText("ok"))
@@ -61,7 +61,7 @@
 			reading.Length = time.Minute // its speed is not known yet
 			x.hints.publish(reading, true)
 			for _, s := range sites[1:] {
-				require.Eventually(t, func() bool { return aheadAt(s, "r1") > time.Second }, patience, 5*time.Millisecond, s.daemon.router.settings.Box)
+				require.Eventually(t, func() bool { return forecastAt(s, "r1") > time.Second }, patience, 5*time.Millisecond, s.daemon.router.settings.Box)
 			}
 		})
 	}
@@ -71,7 +71,7 @@
 	return newHints(&Router{settings: Settings{Key: []byte(key)}}, nil)
 }
 
-func TestHintsOfStrangersAreNotTaken(t *testing.T) {
+func TestHintsWithAnotherKeyAreRejected(t *testing.T) {
 	own, stranger := newTestHints("0123456789abcdef"), newTestHints("fedcba9876543210")
 	rows := []hintRow{{Endpoint: 7, Micros: 100}, {Endpoint: 8, Micros: -5, IsShift: true, Parts: [maxHintParts]route.PartName{1, 2}}}
 	data, err := own.encode(hintForward, rows)
@@ -94,7 +94,7 @@
 	assert.Less(t, len(data), 1200)
 }
 
-func TestTellingNeverWaits(t *testing.T) {
+func TestPublishingHintsNeverBlocks(t *testing.T) {
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = conn.Close() })
@@ -107,7 +107,7 @@
 }
 
 // A box that is gone is listed for half a minute, and would lose what it is to pass on.
-func TestLargerHallIsToldThroughABoxThatLives(t *testing.T) {
+func TestHintsToALargerHallGoThroughALiveBox(t *testing.T) {
 	h := newTestHints("k")
 	var hall []netip.AddrPort
 	for i := range 5 {
@@ -121,7 +121,7 @@
 }
 
 // At 390 boxes with 5,400 requests a second, all that is sent would be 250 KB a second for each box to hear.
-func TestReadingsThatAreToldStayWithinTheirBytes(t *testing.T) {
+func TestHintsStayWithinTheirBandwidth(t *testing.T) {
 	const boxes, seconds = 390, 20
 	h, now := newTestHints("k"), time.Now()
 	told := map[bool]int{}
--- a/exchange/leave_test.go
+++ b/exchange/leave_test.go
@@ -12,10 +12,10 @@
 )
 
 // leftWithin is within what time nothing more is done for a caller that has left.
-const leftWithin = 500 * time.Millisecond
+const cleanupLimit = 500 * time.Millisecond
 
 // A caller that leaves while its request waits for a place costs no endpoint anything.
-func TestRequestOfACallerThatLeftIsNotSentWhenItsTurnComes(t *testing.T) {
+func TestQueuedRequestOfACallerThatLeftIsNotSent(t *testing.T) {
 	const places = initialEndpointLimit
 	goOn := make(chan struct{})
 	r := newRunner(t, "r1", func(w http.ResponseWriter, _ *http.Request) {
@@ -42,7 +42,7 @@
 	require.Eventually(t, func() bool { return s.daemon.router.gate.WaitingNow() == 1 }, patience, time.Millisecond)
 	leave()
 	require.Error(t, <-left)
-	require.Eventually(t, func() bool { return s.daemon.router.gate.WaitingNow() == 0 }, leftWithin, time.Millisecond)
+	require.Eventually(t, func() bool { return s.daemon.router.gate.WaitingNow() == 0 }, cleanupLimit, time.Millisecond)
 	close(goOn)
 	for range places {
 		assert.Equal(t, http.StatusOK, <-answered)
@@ -52,13 +52,13 @@
 }
 
 // A request that was not read to its end reaches no endpoint.
-func TestRequestOfACallerThatLeftWithinItIsNotSent(t *testing.T) {
+func TestIncompleteRequestIsNotSent(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	s := newStopSite(t, testSettings(), listen(t), r.endpoint("v1"))
-	caller := s.dialWire(t)
-	caller.send(t, headOf("/once/", "half", 100)+"half of it")
+	caller := s.dialRaw(t)
+	caller.send(t, requestHead("/once/", "half", 100)+"half of it")
 	require.Eventually(t, func() bool { return s.daemon.router.inFlight.Load() == 1 }, patience, time.Millisecond)
 	require.NoError(t, caller.Close())
-	require.Eventually(t, func() bool { return s.daemon.router.inFlight.Load() == 0 }, leftWithin, time.Millisecond)
+	require.Eventually(t, func() bool { return s.daemon.router.inFlight.Load() == 0 }, cleanupLimit, time.Millisecond)
 	assert.Empty(t, r.requests())
 }
--- a/exchange/silence_test.go
+++ b/exchange/silence_test.go
@@ -12,7 +12,7 @@
 )
 
 // readingWork is a prompt without shared parts.
-func readingWork(tokens willowwick.Tokens) route.Work {
+func promptWork(tokens willowwick.Tokens) route.Work {
 	return route.Work{Model: "large", Prompt: []willowwick.PromptPart{{ID: "own", Tokens: tokens}}}
 }
 
@@ -25,9 +25,9 @@
 }
 
 // learnReading shows the pool that its endpoints read a token in a tenth of a millisecond, give or take nothing.
-func learnReading(t *testing.T, pool *route.Pool, now time.Time) time.Time {
+func trainReadingSpeed(t *testing.T, pool *route.Pool, now time.Time) time.Time {
 	for range 400 {
-		place := sendWork(t, pool, now, readingWork(1000))
+		place := sendWork(t, pool, now, promptWork(1000))
 		now = now.Add(100 * time.Millisecond)
 		place.Begun(now)
 		place.Release(now, route.OutcomeGood)
@@ -36,16 +36,16 @@
 }
 
 // Streams were once declared silent at a share of their goal while their endpoint read a long prompt, and read anew elsewhere.
-func TestEndpointThatReadsALongPromptIsNotLeftAndADeadOneIsLeftSoon(t *testing.T) {
+func TestSendLeavesAnUnresponsiveEndpointButNotOneReadingALongPrompt(t *testing.T) {
 	s := newSite(t, newRunner(t, "r1", answerText("a")).endpoint("v1"), newRunner(t, "r2", answerText("b")).endpoint("v1"))
 	x := s.daemon.router
 	for range 20 {
 		x.retryBudget("work").Request(time.Now())
 	}
 	stream := streamRoute()
-	now := learnReading(t, x.pool, time.Now())
+	now := trainReadingSpeed(t, x.pool, time.Now())
 	for _, tokens := range []willowwick.Tokens{1000, 20000} {
-		place := sendWork(t, x.pool, now, readingWork(tokens))
+		place := sendWork(t, x.pool, now, promptWork(tokens))
 		sending := &send{
 			ticket: &gate.Ticket{Place: place}, sentAt: now,
 			call: &call{router: x, route: &stream, service: "work", out: &reply{}, deadline: now.Add(time.Minute)},
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestPlainServiceIsLeftWhenAnAnswerIsLaterThanAllButAFew(t *testing.T) {
+func TestLatenessOfAPlainServiceCoversAllButAFewAnswers(t *testing.T) {
 	r := newTestReleases()
 	seen := observation{service: "work", release: "v1", route: "again"}
 	for n := range 1000 {
@@ -79,7 +79,7 @@
 }
 
 // sendingOn is a send of a stream at the place, of which nothing has come back.
-func sendingOn(x *Router, place *route.Place, stream *willowwick.Route, now time.Time) *send {
+func newSilentSend(x *Router, place *route.Place, stream *willowwick.Route, now time.Time) *send {
 	return &send{
 		ticket: &gate.Ticket{Place: place}, sentAt: now,
 		call: &call{router: x, route: stream, service: "work", out: &reply{}, arrived: now, deadline: now.Add(time.Minute)},
@@ -87,32 +87,32 @@
 }
 
 // Boxes that had all just started once left endpoints that read their first prompts after half a second.
-func TestEndpointIsGivenTimeWhereNothingIsKnownOfReadingSpeeds(t *testing.T) {
+func TestSendWaitsLongerWhereReadingSpeedsAreUnknown(t *testing.T) {
 	s := newSite(t, newRunner(t, "r1", answerText("a")).endpoint("v1"), newRunner(t, "r2", answerText("b")).endpoint("v1"))
 	x := s.daemon.router
 	for range 20 {
 		x.retryBudget("work").Request(time.Now())
 	}
 	stream, now := streamRoute(), time.Now()
-	sending := sendingOn(x, sendWork(t, x.pool, now, readingWork(20000)), &stream, now)
+	sending := newSilentSend(x, sendWork(t, x.pool, now, promptWork(20000)), &stream, now)
 	assert.False(t, sending.shouldTryAnother(now.Add(2*time.Second)))
 	assert.True(t, sending.shouldTryAnother(now.Add(route.UnknownPatience+2*quietAfter)))
 }
 
-func TestLargeModelIsAskedLessTheLongerEndpointsWillBeReading(t *testing.T) {
+func TestRequiredConfidenceFallsAsTheReadingBacklogGrows(t *testing.T) {
 	s := newSite(t, newRunner(t, "r1", answerText("a")).endpoint("v1"))
 	x := s.daemon.router
-	stream, now := streamRoute(), learnReading(t, s.daemon.router.pool, time.Now())
+	stream, now := streamRoute(), trainReadingSpeed(t, s.daemon.router.pool, time.Now())
 	needed := func() int {
-		place := sendWork(t, x.pool, now, readingWork(0))
+		place := sendWork(t, x.pool, now, promptWork(0))
 		defer place.Release(now, route.OutcomeGood)
-		return sendingOn(x, place, &stream, now).requiredConfidence(now)
+		return newSilentSend(x, place, &stream, now).requiredConfidence(now)
 	}
 	assert.Equal(t, 50, needed())
-	sendWork(t, x.pool, now, readingWork(10000))
+	sendWork(t, x.pool, now, promptWork(10000))
 	assert.Equal(t, 50, needed(), "a second of reading is what it does well")
-	sendWork(t, x.pool, now, readingWork(5000))
+	sendWork(t, x.pool, now, promptWork(5000))
 	assert.InDelta(t, 25, needed(), 1)
-	sendWork(t, x.pool, now, readingWork(5000))
+	sendWork(t, x.pool, now, promptWork(5000))
 	assert.Zero(t, needed())
 }
--- a/exchange/stop_cut_test.go
+++ b/exchange/stop_cut_test.go
@@ -18,7 +18,7 @@
 )
 
 // stand is how long a goroutine of a box with a fifth of a core may wait for its turn.
-const stand = 100 * time.Millisecond
+const stall = 100 * time.Millisecond
 
 type (
 	// slowListener accepts connections for a box whose goroutines stand still where a test says.
@@ -26,7 +26,7 @@
 		net.Listener
 		accepted chan struct{} // told of each connection before Accept returns it; nil for none
 		release  chan struct{} // then waited for
-		stand    func()        // called before Accept and Read return and before each write; nil for nothing
+		stall    func()        // called before Accept and Read return and before each write; nil for nothing
 	}
 
 	slowConn struct {
@@ -35,7 +35,7 @@
 	}
 
 	// wireCaller writes requests on one connection, byte by byte as a test wants them.
-	wireCaller struct {
+	rawCaller struct {
 		net.Conn
 		reader *bufio.Reader
 	}
@@ -51,8 +51,8 @@
 		l.accepted <- struct{}{}
 		<-l.release
 	}
-	if l.stand != nil {
-		l.stand()
+	if l.stall != nil {
+		l.stall()
 	}
 	return &slowConn{conn, l}, nil
 }
@@ -60,16 +60,16 @@
 // Read implements net.Conn.
 func (c *slowConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if c.listener.stand != nil && n > 0 {
-		c.listener.stand()
+	if c.listener.stall != nil && n > 0 {
+		c.listener.stall()
 	}
 	return n, err
 }
 
 // Write implements net.Conn.
 func (c *slowConn) Write(p []byte) (int, error) {
-	if c.listener.stand != nil {
-		c.listener.stand()
+	if c.listener.stall != nil {
+		c.listener.stall()
 	}
 	return c.Conn.Write(p)
 }
@@ -104,23 +104,23 @@
 }
 
 // end is the planned stop with the end of the process, as far as connections see it; slow boxes are some time about it.
-func (s *site) end() {
+func (s *site) drainAndStop() {
 	s.daemon.Drain()
-	time.Sleep(stand)
+	time.Sleep(stall)
 	s.stop()
 }
 
-func (s *site) dialWire(t *testing.T) *wireCaller {
+func (s *site) dialRaw(t *testing.T) *rawCaller {
 	t.Helper()
 	conn, err := net.Dial("tcp", strings.TrimPrefix(s.url, "http://"))
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = conn.Close() })
 	require.NoError(t, conn.SetDeadline(time.Now().Add(patience)))
-	return &wireCaller{conn, bufio.NewReader(conn)}
+	return &rawCaller{conn, bufio.NewReader(conn)}
 }
 
 // headOf is the head of a request with a body of so many bytes, and with more headers.
-func headOf(path, id string, length int, more ...string) string {
+func requestHead(path, id string, length int, more ...string) string {
 	head := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: %s\r\nT-Id: %s\r\nT-Key: %s\r\nContent-Length: %d\r\n",
 		path, testHost, id, testKey, length)
 	for i := 0; i+1 < len(more); i += 2 {
@@ -129,14 +129,14 @@
 	return head + "\r\n"
 }
 
-func (c *wireCaller) send(t *testing.T, text string) {
+func (c *rawCaller) send(t *testing.T, text string) {
 	t.Helper()
 	_, err := io.WriteString(c, text)
 	require.NoError(t, err)
 }
 
 // receive returns the next answer's status and whole body.
-func (c *wireCaller) receive() (status int, body string, err error) {
+func (c *rawCaller) receive() (status int, body string, err error) {
 	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return 0, "", err
@@ -162,19 +162,19 @@
 // Seen: an endpoint has a request of a box that ended, and its caller's connection was closed with no answer.
 // How: the box's listener had accepted the connection as it was closed, and handed it on after all others were retired.
 // Cause: what was accepted went among the connections that the stop had already looked through.
-func TestConnectionThatIsAcceptedAsTheBoxEndsIsNotRead(t *testing.T) {
+func TestConnectionAcceptedDuringShutdownIsNotRead(t *testing.T) {
 	r, reached := newLongRunner(t)
 	callers := &slowListener{Listener: listen(t), accepted: make(chan struct{}), release: make(chan struct{})}
 	s := newStopSite(t, testSettings(), callers, r.endpoint("v1"))
-	caller := s.dialWire(t)
+	caller := s.dialRaw(t)
 	<-callers.accepted
-	caller.send(t, headOf("/once/", "late", 1, "T-Left", "1000")+"x")
+	caller.send(t, requestHead("/once/", "late", 1, "T-Left", "1000")+"x")
 	s.daemon.Drain()
 	close(callers.release)
 	select {
 	case id := <-reached:
 		assert.Fail(t, "a box that has ended sent on what it read", "request %s", id)
-	case <-time.After(stand):
+	case <-time.After(stall):
 	}
 	s.stop()
 	_, _, err := caller.receive()
@@ -184,11 +184,11 @@
 // Seen: a request that had reached its endpoint was cut when its box stopped, long before the end of the grace.
 // How: its caller had sent it right behind another one, and the server had read both at once.
 // Cause: a connection counted as at rest until something was read from it, and nothing was read for this request.
-func TestRequestThatWasReadWithTheOneBeforeIsAnsweredAtAStop(t *testing.T) {
+func TestPipelinedRequestIsAnsweredDuringShutdown(t *testing.T) {
 	r, reached := newLongRunner(t)
 	s := newStopSite(t, testSettings(), listen(t), r.endpoint("v1"))
-	caller := s.dialWire(t)
-	caller.send(t, headOf("/once/", "first", 1)+"x"+headOf("/once/", "under way", 1)+"x")
+	caller := s.dialRaw(t)
+	caller.send(t, requestHead("/once/", "first", 1)+"x"+requestHead("/once/", "under way", 1)+"x")
 	status, _, err := caller.receive()
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, status)
@@ -197,7 +197,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		s.end()
+		s.drainAndStop()
 	}()
 	status, body, err := caller.receive()
 	require.NoError(t, err, "the request was sent on, and its answer cut")
@@ -209,14 +209,14 @@
 // Seen: a request that a stopping box took as sure to end before the box does was cut.
 // How: its time was up some milliseconds before the end; its answer went out some milliseconds after.
 // Cause: what may be taken and what is waited for had the same limit.
-func TestStopLeavesTimeForTheAnswersOfWhatItTakes(t *testing.T) {
+func TestShutdownLeavesTimeToWriteAnswers(t *testing.T) {
 	r, _ := newSilentRunner(t)
-	callers := &slowListener{Listener: listen(t), stand: func() { time.Sleep(stand) }}
+	callers := &slowListener{Listener: listen(t), stall: func() { time.Sleep(stall) }}
 	s := newStopSite(t, testSettings(), callers, r.endpoint("v1"))
 	began, ended := time.Now(), make(chan struct{})
 	go func() {
 		defer close(ended)
-		s.end()
+		s.drainAndStop()
 	}()
 	time.Sleep(testSettings().UnreadyDelay + 50*time.Millisecond)
 	limit := began.Add(testSettings().Grace - leaveEarly)
--- a/exchange/stop_random_test.go
+++ b/exchange/stop_random_test.go
@@ -20,24 +20,24 @@
 const (
 	stopRounds = 8
 	// stopFew callers leave a box without requests now and then, stopMany never until it refuses them.
-	stopFew  = 3
-	stopMany = 12
+	fewCallers  = 3
+	manyCallers = 12
 	// stopPipe is how many requests a caller that pipelines sends at once.
-	stopPipe = 3
+	pipelineDepth = 3
 	// stopWork is the longest that the endpoint works on most requests, stopLong on one in stopShare of them, and
 	// stopPause the longest that a caller rests after an answer.
-	stopWork  = 20 * time.Millisecond
-	stopLong  = 240 * time.Millisecond
-	stopShare = 6
-	stopPause = 150 * time.Millisecond
+	maxShortWork   = 20 * time.Millisecond
+	maxLongWork    = 240 * time.Millisecond
+	longWorkEvery  = 6
+	maxCallerPause = 150 * time.Millisecond
 )
 
 type (
 	// stopHunt is a box that is stopped while callers ask it, with what became of their requests.
-	stopHunt struct {
+	stopLoadTest struct {
 		site     *site
 		endpoint *httptest.Server
-		ended    chan struct{} // closed once the box has ended
+		stopped  chan struct{} // closed once the box has ended
 
 		mu    sync.Mutex
 		ran   map[string]int // by id, at the endpoint
@@ -47,7 +47,7 @@
 
 	// stopCaller is one caller of a hunt.
 	stopCaller struct {
-		hunt *stopHunt
+		test *stopLoadTest
 		name string
 		rng  *rand.Rand
 		sent int
@@ -58,46 +58,46 @@
 // each request has a whole answer, or nothing of it reached the endpoint.
 func TestStopUnderLoadAnswersWhatReachedAnEndpoint(t *testing.T) {
 	for seed := range uint64(stopRounds) {
-		h := newStopHunt(t, seed)
-		count := stopFew
+		h := newStopLoadTest(t, seed)
+		count := fewCallers
 		if seed == 0 {
-			count = stopMany
+			count = manyCallers
 		}
 		var callers sync.WaitGroup
 		for n := range count {
-			c := &stopCaller{hunt: h, name: fmt.Sprintf("caller-%d-%d", seed, n), rng: rand.New(rand.NewPCG(seed, uint64(n)))}
-			callers.Go([]func(){c.askKept, c.askNew, c.askPiped}[n%3])
+			c := &stopCaller{test: h, name: fmt.Sprintf("caller-%d-%d", seed, n), rng: rand.New(rand.NewPCG(seed, uint64(n)))}
+			callers.Go([]func(){c.callOnKeptConn, c.callOnNewConns, c.callPipelined}[n%3])
 		}
-		rng := rand.New(rand.NewPCG(seed, stopMany))
-		time.Sleep(time.Duration(rng.Int64N(int64(stopPause))))
-		h.site.end()
-		close(h.ended)
+		rng := rand.New(rand.NewPCG(seed, manyCallers))
+		time.Sleep(time.Duration(rng.Int64N(int64(maxCallerPause))))
+		h.site.drainAndStop()
+		close(h.stopped)
 		callers.Wait()
-		h.judge(t, seed)
+		h.requireWholeOrNotRun(t, seed)
 	}
 }
 
-func newStopHunt(t *testing.T, seed uint64) *stopHunt {
+func newStopLoadTest(t *testing.T, seed uint64) *stopLoadTest {
 	t.Helper()
-	h := &stopHunt{ended: make(chan struct{}), ran: map[string]int{}, cut: map[string]error{}}
+	h := &stopLoadTest{stopped: make(chan struct{}), ran: map[string]int{}, cut: map[string]error{}}
 	h.endpoint = httptest.NewServer(http.HandlerFunc(h.work))
 	t.Cleanup(h.endpoint.Close)
 	settings := testSettings()
 	settings.UnreadyDelay, settings.Grace = 50*time.Millisecond, leaveEarly+lastAnswer+time.Second
-	callers := &slowListener{Listener: listen(t), stand: standAtRandom(seed)}
+	callers := &slowListener{Listener: listen(t), stall: stallAtRandom(seed)}
 	h.site = newStopSite(t, settings, callers, willowwick.Endpoint{
-		ID: "r1", Hall: "hall-a", Address: strings.TrimPrefix(h.endpoint.URL, "http://"), Service: "work", Release: "v1", Slots: stopMany,
+		ID: "r1", Hall: "hall-a", Address: strings.TrimPrefix(h.endpoint.URL, "http://"), Service: "work", Release: "v1", Slots: manyCallers,
 	})
 	return h
 }
 
 // standAtRandom lets one step in four stand still, as on a box with a fifth of a core.
-func standAtRandom(seed uint64) func() {
+func stallAtRandom(seed uint64) func() {
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(seed, 0))
 	return func() {
 		mu.Lock()
-		isStill, length := rng.IntN(4) == 0, time.Duration(rng.Int64N(int64(stand)))
+		isStill, length := rng.IntN(4) == 0, time.Duration(rng.Int64N(int64(stall)))
 		mu.Unlock()
 		if isStill {
 			time.Sleep(length)
@@ -106,7 +106,7 @@
 }
 
 // work is the endpoint: it answers with the request's id.
-func (h *stopHunt) work(w http.ResponseWriter, r *http.Request) {
+func (h *stopLoadTest) work(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("T-Id")
 	h.mu.Lock()
 	h.ran[id]++
@@ -122,7 +122,7 @@
 }
 
 // note keeps what became of a request; one whose time was up has a whole answer that says so.
-func (h *stopHunt) note(id string, status int, body string, err error) {
+func (h *stopLoadTest) record(id string, status int, body string, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
@@ -135,16 +135,16 @@
 	}
 }
 
-func (h *stopHunt) hasEnded() bool {
+func (h *stopLoadTest) isStopped() bool {
 	select {
-	case <-h.ended:
+	case <-h.stopped:
 		return true
 	default:
 		return false
 	}
 }
 
-func (h *stopHunt) judge(t *testing.T, seed uint64) {
+func (h *stopLoadTest) requireWholeOrNotRun(t *testing.T, seed uint64) {
 	t.Helper()
 	h.endpoint.Close() // waits for what it has taken
 	h.mu.Lock()
@@ -158,67 +158,67 @@
 }
 
 // next is the text of a new request and its id.
-func (c *stopCaller) next() (text, id string) {
+func (c *stopCaller) nextRequest() (text, id string) {
 	c.sent++
 	id = fmt.Sprintf("%s-%d", c.name, c.sent)
-	work := time.Duration(c.rng.Int64N(int64(stopWork)))
-	if c.rng.IntN(stopShare) == 0 {
-		work = time.Duration(c.rng.Int64N(int64(stopLong)))
+	work := time.Duration(c.rng.Int64N(int64(maxShortWork)))
+	if c.rng.IntN(longWorkEvery) == 0 {
+		work = time.Duration(c.rng.Int64N(int64(maxLongWork)))
 	}
-	return headOf("/once/", id, 1, "T-Left", "250", "T-Work", work.String()) + "x", id
+	return requestHead("/once/", id, 1, "T-Left", "250", "T-Work", work.String()) + "x", id
 }
 
 // askKept asks on one connection until it is closed, again and again until the box has ended.
-func (c *stopCaller) askKept() {
-	c.until(func(conn *wireCaller) bool { return c.exchange(conn, 1) })
+func (c *stopCaller) callOnKeptConn() {
+	c.callUntilStopped(func(conn *rawCaller) bool { return c.sendBatch(conn, 1) })
 }
 
 // askNew asks on a new connection each time.
-func (c *stopCaller) askNew() {
-	c.until(func(conn *wireCaller) bool {
-		c.exchange(conn, 1)
+func (c *stopCaller) callOnNewConns() {
+	c.callUntilStopped(func(conn *rawCaller) bool {
+		c.sendBatch(conn, 1)
 		return false
 	})
 }
 
 // askPiped asks on one connection, some requests at once.
-func (c *stopCaller) askPiped() {
-	c.until(func(conn *wireCaller) bool { return c.exchange(conn, stopPipe) })
+func (c *stopCaller) callPipelined() {
+	c.callUntilStopped(func(conn *rawCaller) bool { return c.sendBatch(conn, pipelineDepth) })
 }
 
 // until opens connections and uses each as long as it is good, until the box has ended.
-func (c *stopCaller) until(use func(*wireCaller) bool) {
-	for !c.hunt.hasEnded() {
-		conn, err := net.Dial("tcp", strings.TrimPrefix(c.hunt.site.url, "http://"))
+func (c *stopCaller) callUntilStopped(use func(*rawCaller) bool) {
+	for !c.test.isStopped() {
+		conn, err := net.Dial("tcp", strings.TrimPrefix(c.test.site.url, "http://"))
 		if err != nil {
-			c.rest()
+			c.pause()
 			continue
 		}
 		_ = conn.SetDeadline(time.Now().Add(patience))
-		caller := &wireCaller{conn, bufio.NewReader(conn)}
-		for use(caller) && !c.hunt.hasEnded() {
-			c.rest()
+		caller := &rawCaller{conn, bufio.NewReader(conn)}
+		for use(caller) && !c.test.isStopped() {
+			c.pause()
 		}
 		_ = conn.Close()
-		c.rest()
+		c.pause()
 	}
 }
 
-func (c *stopCaller) rest() {
-	time.Sleep(time.Duration(c.rng.Int64N(int64(stopPause))))
+func (c *stopCaller) pause() {
+	time.Sleep(time.Duration(c.rng.Int64N(int64(maxCallerPause))))
 }
 
 // exchange sends requests at once, takes their answers in turn, and reports whether the connection is good for more.
-func (c *stopCaller) exchange(conn *wireCaller, count int) bool {
+func (c *stopCaller) sendBatch(conn *rawCaller, count int) bool {
 	var texts, ids []string
 	for range count {
-		text, id := c.next()
+		text, id := c.nextRequest()
 		texts, ids = append(texts, text), append(ids, id)
 	}
 	_, broken := io.WriteString(conn, strings.Join(texts, ""))
 	for _, id := range ids {
 		status, body, err := conn.receive()
-		c.hunt.note(id, status, body, err)
+		c.test.record(id, status, body, err)
 		if err != nil {
 			broken = err
 		}
