--- a/exchange/admission.go
+++ b/exchange/admission.go
@@ -8,15 +8,16 @@
 )
 
 type (
-	// AdmittedRequests are the requests that are sent to endpoints by the operator's declarations, whatever they did there.
+	// AdmittedRequests are the requests that the operator declared admitted: they are sent to endpoints even if
+	// they crashed some.
 	AdmittedRequests struct {
-		AsOf      willowwick.Position                            // the declarations before it are counted in
-		Requests  map[willowwick.Fingerprint]willowwick.Position // where each of them was declared; never changed
-		TakenBack map[willowwick.Fingerprint]willowwick.Position // where others were taken back; likewise
-		HeldOver  map[willowwick.Fingerprint]HeldOver            // likewise
+		AsOf      willowwick.Position                            // all declarations before this position are included
+		Requests  map[willowwick.Fingerprint]willowwick.Position // position of each admission; never modified
+		TakenBack map[willowwick.Fingerprint]willowwick.Position // position at which others were withdrawn; never modified
+		HeldOver  map[willowwick.Fingerprint]HeldOver            // never modified
 	}
 
-	// admissions keeps the newest set of admitted requests that is known, and puts it in force on the ledger.
+	// admissions keeps the newest known set of admitted requests and applies it to the ledger.
 	admissions struct {
 		standingKeeper[willowwick.Fingerprint]
 	}
@@ -33,13 +34,13 @@
 	return a
 }
 
-// set is the newest set that is known; empty until the operator has admitted a request.
+// set returns the newest known set; it is empty until the operator has admitted a request.
 func (a *admissions) set() AdmittedRequests {
 	known := a.newest()
 	return AdmittedRequests{AsOf: known.asOf, Requests: known.members, TakenBack: known.takenBack, HeldOver: known.heldOver}
 }
 
-// declare takes what a read of the store brought.
+// declare applies the declarations that a read of the store returned.
 func (a *admissions) declare(declared willowwick.Declarations) {
 	changes := make([]standingChange[willowwick.Fingerprint], 0, len(declared.Admissions))
 	for _, admission := range declared.Admissions {
@@ -48,7 +49,7 @@
 	a.standingKeeper.declare(declared.Whole, declared.Next, changes)
 }
 
-// hear takes the set that another box knows.
+// receive merges the set that another box reported.
 func (a *admissions) receive(news AdmittedRequests, source string) {
 	a.standingKeeper.hear(standing[willowwick.Fingerprint]{news.AsOf, news.Requests, news.TakenBack, news.HeldOver}, source)
 }
--- a/exchange/call.go
+++ b/exchange/call.go
@@ -18,33 +18,36 @@
 )
 
 const (
-	// anyModel is the model of a caller that leaves the choice to the cascade.
+	// anyModel is the model name with which a caller leaves the choice to the cascade.
 	anyModel = "*"
-	// maxSends bounds how often one request is sent, also where no endpoint ran it.
+	// maxSends bounds how often one request is sent, including sends that no endpoint ran.
 	maxSends = 8
-	// missesOfHall is how many endpoints of a hall a request misses before it goes to others: all of a hall may end at once, while
-	// their entries stand for some seconds more.
+	// maxMissesPerHall is the number of unreachable endpoints of one hall after which a request prefers other
+	// halls: a whole hall may fail at once, while its endpoints stay listed for some seconds.
 	maxMissesPerHall = 2
-	// queueShare is the part of the goal that a request may wait for a place: later, a refusal serves its caller better.
+	// queueWaitShare is the share of the goal that a request may wait for a slot; later, a refusal serves the
+	// caller better.
 	queueWaitShare = 0.25
-	// comeBack is when a caller should return after a refusal: most places are free again by then.
+	// defaultRetryAfter is the Retry-After of a refusal that names no time: most slots are free again by then.
 	defaultRetryAfter = 300 * time.Millisecond
-	// comeBackElsewhere is when a caller should return after a refusal by a box that stops: at once, to another.
+	// stoppingRetryAfter is the Retry-After of a box that is shutting down: the caller should try another box at
+	// once.
 	stoppingRetryAfter = 50 * time.Millisecond
-	// comeBackLater is when a caller should return to a box that knows no configuration or endpoint yet.
+	// notReadyRetryAfter is the Retry-After of a box that has no configuration or no endpoints yet.
 	notReadyRetryAfter = time.Second
-	// defaultTimeout holds for routes that declare none.
+	// defaultTimeout applies to routes that declare no timeout.
 	defaultTimeout = 30 * time.Second
-	// plainCost is the least weight of a request in its client account's turn, and that of one that names no tokens.
+	// minCost is the least cost of a request in the fair queue of its client account, and the cost of a request
+	// that names no tokens.
 	minCost = willowwick.Tokens(100)
-	// promptPerOutput is how many tokens of a prompt cost an endpoint as much as one of the answer.
+	// promptTokensPerOutput is the number of prompt tokens that cost an endpoint as much as one output token.
 	promptTokensPerOutput = 4
-	// noModel stands for the model of a request that does not go through the cascade.
+	// noCascade is the cascade stage of a request that does not go through the cascade.
 	noCascade = -1
 )
 
 type (
-	// call is one request of a caller on its way.
+	// call is the state of one caller's request while the router handles it.
 	call struct {
 		router  *Router
 		ctx     context.Context
@@ -58,32 +61,32 @@
 
 		arrived      time.Time
 		deadline     time.Time
-		cascadeStage int // index in the route's models, or noModel
+		cascadeStage int // index in the route's models, or noCascade
 		choice       releaseChoice
 
-		yieldsToUrgent  bool      // it leaves what limited endpoints take to more urgent requests
-		permitDenials   int       // permits that it was denied
-		lastSendEndedAt time.Time // of its last send
-		sends           int       // times it was sent, whatever came of it
-		runs            int       // endpoints that may have run it
+		yieldsToUrgent  bool      // leaves the capacity of rate-limited endpoints to more urgent requests
+		permitDenials   int       // permits that this request was denied
+		lastSendEndedAt time.Time // zero before the first send has ended
+		sends           int       // all sends, whatever their result
+		runs            int       // endpoints that may have run the request
 		triedEndpoints  map[willowwick.EndpointID]bool
-		missesByHall    map[willowwick.HallID]int // endpoints of the hall that were not where the list says; nil if there were none
-		lastEventID     string                    // last event that went out
+		missesByHall    map[willowwick.HallID]int // endpoints of each hall that were not reached at their listed address; nil if none
+		lastEventID     string                    // ID of the last event that was sent to the caller
 		streamTiming    streamTiming
 		failure         *failedAnswer
 
-		contentHash  *willowwick.Fingerprint // nil until it was asked for
-		trialRelease willowwick.ReleaseID    // the request ended endpoints, and is tried on this release
+		contentHash  *willowwick.Fingerprint // computed on first use; nil before
+		trialRelease willowwick.ReleaseID    // the only release a poison request is tried on; empty for other requests
 	}
 
-	// pace is how the answer has gone out to the caller so far.
+	// streamTiming records when the events of a stream were sent to the caller.
 	streamTiming struct {
-		firstEventAt time.Time     // its first event; zero before, and for answers that are no stream
-		lastEventAt  time.Time     // its newest event
-		longestGap   time.Duration // measured length: the longest between two events
+		firstEventAt time.Time     // zero before the first event, and for answers that are not streams
+		lastEventAt  time.Time     // the newest event
+		longestGap   time.Duration // between two successive events
 	}
 
-	// failedAnswer is a whole answer of an endpoint with a status of 500 or more.
+	// failedAnswer is a complete answer of an endpoint with a status of 500 or more.
 	failedAnswer struct {
 		status int
 		header http.Header
@@ -91,7 +94,7 @@
 	}
 )
 
-// begin checks a request and reads its body; a refusal is written by the caller.
+// acceptCall validates a request and reads its body. The caller of acceptCall writes the refusal.
 func (x *Router) acceptCall(out *reply, r *http.Request, arrived time.Time) (*call, *willowwick.Refusal) {
 	head, err := x.codec.DecodeRequest(r.Header, arrived)
 	out.id = head.ID
@@ -125,7 +128,7 @@
 	return c, nil
 }
 
-// admit finds the request's route and client account in the configuration.
+// resolveRoute looks up the request's route and client account in the configuration.
 func (c *call) resolveRoute(path string) *willowwick.Refusal {
 	if c.route = c.table.route(c.message.Host, path); c.route == nil {
 		return willowwick.Invalid(willowwick.CodeUnknownService, "path", "no route of %q leads to %q", c.message.Host, path)
@@ -139,8 +142,9 @@
 	return nil
 }
 
-// unlessStale refuses for good what a configuration does not allow, unless another one may have to be in force by now. The
-// age is taken before the configuration: one that comes into force in between makes no older one up to date.
+// unlessStale turns a permanent refusal into a temporary one if a newer configuration may already have to be in
+// force. Staleness is determined before the table is compared: a configuration that takes effect in between doesn't
+// make the older one current.
 func (x *Router) unlessStale(refusal *willowwick.Refusal, t *table, now time.Time) *willowwick.Refusal {
 	isStale := x.sync.isStale(now) || x.table.Load() != t
 	return refusal.UnlessStale(isStale, now.Add(notReadyRetryAfter))
@@ -192,7 +196,7 @@
 	return body, err
 }
 
-// plan decides what holds for the whole request: its time, service, first model and release.
+// prepare sets the deadline, the service and the first cascade stage, and removes hop-by-hop headers.
 func (c *call) prepare() {
 	timeout := c.route.Timeout
 	if timeout <= 0 {
@@ -212,7 +216,8 @@
 	c.router.retryBudget(c.service).Request(c.arrived)
 }
 
-// sessionText names what should stay on one release: the session, or the request if it has none.
+// sessionKey returns the key by which requests stay on one release: the session, or the request ID if there is
+// none.
 func (c *call) sessionKey() string {
 	if c.head.Session != "" {
 		return string(c.head.Session)
@@ -220,7 +225,7 @@
 	return string(c.head.ID)
 }
 
-// run sends the request until it is answered or given up.
+// run sends the request until it is answered or cannot be retried.
 func (c *call) run() {
 	for {
 		ticket, refusal := c.awaitTicket()
@@ -255,10 +260,10 @@
 	}
 }
 
-// enter takes a place at an endpoint.
+// awaitTicket waits in the queue for a slot at an endpoint.
 func (c *call) awaitTicket() (*gate.Ticket, *willowwick.Refusal) {
 	now := clock.Now()
-	// Roll-outs may have begun or ended since the send before.
+	// Roll-outs may have started or ended since the previous send.
 	c.choice = c.router.releases.choose(c.service, c.sessionKey(), now, c.deadline)
 	c.choice.onlyRelease = c.trialRelease
 	until := c.deadline
@@ -279,7 +284,7 @@
 	})
 }
 
-// acquire takes a place at an endpoint that is allowed, in a hall that the request has not missed where there is one.
+// acquireSlot takes a slot at an allowed endpoint, preferring halls with fewer than maxMissesPerHall misses.
 func (c *call) acquireSlot(now time.Time, work route.Work, allow func(willowwick.Endpoint) bool) (*route.Place, bool) {
 	if c.avoidsLimitedEndpoints() {
 		allowed := allow
@@ -298,7 +303,7 @@
 	return c.router.pool.AcquireAllowed(now, c.service, work, c.excludedEndpoints(now), allow)
 }
 
-// noteMiss notes that an endpoint was not where the list says.
+// recordMiss counts an endpoint that was not reached at its listed address.
 func (c *call) recordMiss(endpoint willowwick.Endpoint) {
 	if c.missesByHall == nil {
 		c.missesByHall = map[willowwick.HallID]int{}
@@ -306,7 +311,7 @@
 	c.missesByHall[endpoint.Hall]++
 }
 
-// work is what the request asks of an endpoint's model.
+// work describes the request's model and prompt for routes with prefix affinity; it is empty for other routes.
 func (c *call) work() route.Work {
 	if !c.route.Affinity {
 		return route.Work{}
@@ -314,7 +319,7 @@
 	return route.Work{Model: c.requestedModel(), Prompt: c.head.Prompt}
 }
 
-// askedModel is the model that is asked now: the cascade's choice, or the caller's.
+// requestedModel returns the model to request now: that of the current cascade stage, or the one the caller named.
 func (c *call) requestedModel() willowwick.ModelID {
 	if c.cascadeStage == noCascade {
 		return c.head.Model
@@ -329,7 +334,8 @@
 	return c.account.Name
 }
 
-// fingerprint names the request's content. It is taken only where it is needed: bodies are large, and on a calm day nobody asks.
+// fingerprint returns the fingerprint of the request's content. It is computed on first use, because bodies are
+// large and it is rarely needed.
 func (c *call) fingerprint() willowwick.Fingerprint {
 	if c.contentHash == nil {
 		contentHash := c.computeFingerprint()
@@ -338,7 +344,7 @@
 	return *c.contentHash
 }
 
-// takeFingerprint is fingerprint for other goroutines than the call's own.
+// computeFingerprint returns the fingerprint without the cache, which only the call's own goroutine may use.
 func (c *call) computeFingerprint() willowwick.Fingerprint {
 	return willowwick.FingerprintOf(c.accountName(), c.message.Method, c.message.Host, c.message.Target, c.message.Body)
 }
@@ -347,7 +353,7 @@
 	return max(c.head.PromptTokens/promptTokensPerOutput+c.head.MaxTokens, minCost)
 }
 
-// mayGoOn decides whether the request is sent again after a send that brought no answer.
+// shouldRetry reports whether the request is retried after a send that brought no answer.
 func (c *call) shouldRetry(result sendResult) bool {
 	now := clock.Now()
 	if c.ctx.Err() != nil || c.sends >= maxSends || !now.Before(c.deadline) {
@@ -355,7 +361,7 @@
 	}
 	switch result.kind {
 	case notSent, unreached, escalated, withheld:
-		return true // for an escalation the budget was asked before the answer was dropped
+		return true // the budget for an escalation was taken before the answer was dropped
 	case notRun:
 		return c.canAwaitFreeSlot(now) && c.router.takeRetryBudget(c, route.RepeatFailover, now)
 	default:
@@ -363,22 +369,22 @@
 	}
 }
 
-// mustAwaitRoom reports whether every endpoint that takes requests has turned this one away: a moment passes before it goes to one of
-// them again, in which places come free.
+// mustAwaitFreeSlot reports whether every available endpoint has refused the request, so that it waits
+// sameEndpointRetryDelay for slots to become free before it retries one of them.
 func (c *call) mustAwaitFreeSlot(now time.Time) bool {
 	pool, allowedEndpoints := c.router.pool, c.allowedEndpoints()
 	_, isShort := pool.AllUnavailable(now, c.service, allowedEndpoints)
 	return !isShort && pool.NoneLeft(now, c.service, c.triedEndpoints, allowedEndpoints)
 }
 
-// mayAwaitRoom reports whether there is time for that where it is needed: a request that nothing has run yet is refused where its caller
-// would wait too long.
+// canAwaitFreeSlot reports whether there is time for the delay of mustAwaitFreeSlot, or no need for it: a request
+// that nothing has run yet is refused if its caller would wait longer than queueWaitShare of the goal.
 func (c *call) canAwaitFreeSlot(now time.Time) bool {
 	until := c.arrived.Add(scale(c.route.Goal, queueWaitShare))
 	return c.runs > 0 || now.Add(sameEndpointRetryDelay).Before(until) || !c.mustAwaitFreeSlot(now)
 }
 
-// mayRunAgain reports whether one more endpoint may run the request.
+// allowsAnotherRun reports whether one more endpoint may run the request.
 func (c *call) allowsAnotherRun() bool {
 	if c.out.headSent && !c.route.Resumable {
 		return false
@@ -386,7 +392,8 @@
 	return c.route.Repeatable && c.runs < c.route.MaxRuns
 }
 
-// giveUp ends a request that no endpoint has answered.
+// finishUnanswered ends a request that no endpoint has answered: it aborts a begun answer, passes on an endpoint's
+// failure, or writes the refusal.
 func (c *call) finishUnanswered(refusal *willowwick.Refusal) {
 	if c.ctx.Err() != nil && !c.isPastDeadline() {
 		c.router.metrics.outcome("caller_left")
@@ -415,7 +422,7 @@
 	return errors.Is(c.ctx.Err(), context.DeadlineExceeded) || !clock.Now().Before(c.deadline)
 }
 
-// note takes the time of an event that goes out.
+// recordEvent records the time of an event that is sent to the caller.
 func (p *streamTiming) recordEvent(now time.Time) {
 	if p.firstEventAt.IsZero() {
 		p.firstEventAt = now
@@ -425,7 +432,7 @@
 	p.lastEventAt = now
 }
 
-// logEnd writes the last line about a request.
+// logCompletion writes the last log line of a request.
 func (c *call) logCompletion(what string, status int, more ...any) {
 	attributes := append([]any{
 		"request", c.head.ID, "session", c.head.Session, "route", c.route.Name, "service", c.service, "status", status,
--- a/exchange/choice.go
+++ b/exchange/choice.go
@@ -10,54 +10,57 @@
 )
 
 const (
-	// canaryShare is the part of the sessions that try a new release in the first half of its period: enough for some
-	// answers a second. exposureShare is the most that it takes of the operator's bound on exposure: sessions differ in
-	// requests, and what a release got before it showed to be bad counts too.
+	// canaryShare is the share of the sessions that try a new release in the first half of its period: enough for
+	// some answers a second. exposureShare is the largest part of the operator's bound on exposure that the canary
+	// may use: sessions differ in requests, and what a bad release answered before it was detected counts too.
 	canaryShare   = 0.04
 	exposureShare = 0.3
-	// canaryBoxes is the size of a fleet for which that share is meant: in one of twice the boxes half of it brings
-	// the same evidence, and half as many sessions in progress are taken for new ones by a box that has not seen them.
+	// canaryBoxes is the size of a fleet for which canaryShare is meant. In a fleet of twice the boxes, half the
+	// share brings the same evidence, and half as many sessions in progress are mistaken for new ones by a box that
+	// has not seen them.
 	canaryBoxes = 8
-	// keptSpread is how long after an order no session tries the new release: by then the boxes of a hall have told each
-	// other, by way of their reader, of the sessions that they had before.
+	// sessionSyncDelay is the time after an order during which no session tries the new release: by then the boxes
+	// of a hall have exchanged, through the hub, the sessions they had before.
 	sessionSyncDelay = 1500 * time.Millisecond
-	// canaryEnd, and the shares after it, are parts of the period; sessions may change release after its half.
+	// canaryEnd is the share of the period after which sessions may change release; the steps of rampSteps are
+	// shares of the period too.
 	canaryEnd = 0.5
-	// lastCall is the part of the period at which a good release is completed, even with requests under way on the old one.
+	// forcedCompletionShare is the share of the period at which a good release is completed even with requests in
+	// flight on the old one.
 	forcedCompletionShare = 0.94
-	// enoughEvidence is how many answers must be known of a release before all sessions move to it: with a third of them
-	// bad, a release shows it by about ten. A release that has fewer at the end of its period stays on trial: completed
-	// unseen, a bad one is all that is left.
+	// minRampAnswers is the number of answers that must be known of a release before all sessions move to it: a
+	// release that fails a third of them is detected after about ten. A release with fewer answers at the end of
+	// its period stays on trial, since a bad one completed unseen would be all that is left.
 	minRampAnswers = 30
-	// hashParts is the resolution of shares of sessions.
+	// hashResolution is the number of steps into which shares of sessions are divided.
 	hashResolution = 10000
 )
 
-// rampSteps are the shares of sessions from a part of the period on.
+// rampSteps are the shares of sessions on the target from a share of the period on, latest first.
 var rampSteps = []struct{ from, targetShare float64 }{
 	{0.70, 1}, {0.62, 0.6}, {0.56, 0.35}, {canaryEnd, 0.18},
 }
 
 type (
-	// sessionHash is the hash of a service's session.
+	// sessionHash is the hash of a session of a service.
 	sessionHash uint64
 
-	// sessionSeen is where a session's newest request went, and until when that counts.
+	// sessionRecord is the release choice of a session's newest request, valid until a time.
 	sessionRecord struct {
-		target willowwick.ReleaseID // of the roll-out that sent it there; empty if it went to another release
+		target willowwick.ReleaseID // target of the roll-out that the session was sent to; empty for another release
 		until  time.Time
 	}
 
-	// releaseChoice says which endpoints a request may go to.
+	// releaseChoice says which endpoints a request may use during a roll-out.
 	releaseChoice struct {
-		release     willowwick.ReleaseID // the target of a roll-out; empty if there is none
+		release     willowwick.ReleaseID // the target of the roll-out; empty if there is none
 		useTarget   bool
 		banned      []willowwick.ReleaseID
-		onlyRelease willowwick.ReleaseID // the one release on which the request is tried; empty if any will do
+		onlyRelease willowwick.ReleaseID // the one release a poison request is tried on; empty to allow any
 	}
 )
 
-// allows reports whether the endpoint has the release that was chosen.
+// allows reports whether the endpoint has the chosen release.
 func (c releaseChoice) allows(endpoint willowwick.Endpoint) bool {
 	if c.onlyRelease != "" {
 		return c.allowsFallback(endpoint)
@@ -65,23 +68,24 @@
 	return c.allowsFallback(endpoint) && (c.release == "" || (endpoint.Release == c.release) == c.useTarget)
 }
 
-// otherwise allows what is used if no endpoint has the chosen release.
+// allowsFallback reports whether the endpoint may be used if no endpoint has the chosen release.
 func (c releaseChoice) allowsFallback(endpoint willowwick.Endpoint) bool {
 	return !slices.Contains(c.banned, endpoint.Release) && (c.onlyRelease == "" || endpoint.Release == c.onlyRelease)
 }
 
-// hashOf names a session of a service on the wire between boxes, and places it among those that try a release first.
+// hashSession returns the hash that identifies a session between boxes and ranks it for the canary.
 func hashSession(service willowwick.ServiceID, session string) sessionHash {
 	return sessionHash(xxhash.Sum64String(string(service) + "/" + session))
 }
 
-// isWithin reports whether the session belongs to the given share of all.
+// isWithin reports whether the session belongs to the given share of all sessions.
 func (h sessionHash) isWithin(share float64) bool {
 	return float64(h%hashResolution) < share*hashResolution
 }
 
-// kept names the sessions that this box knows on other releases than the target, among those that would try it first:
-// another box of the hall that takes one of them up is not to move it in the first half of the period.
+// pinnedSessions returns the sessions that this box knows on releases other than the target, among those in the
+// canary share: another box of the hall that receives such a session must not move it in the first half of the
+// period.
 func (r *releases) pinnedSessions(now time.Time) []sessionHash {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -101,7 +105,7 @@
 	return list
 }
 
-// setKeptElsewhere takes the sessions that boxes of the fleet know on other releases.
+// setPinnedElsewhere replaces the sessions that other boxes of the fleet reported as pinned to other releases.
 func (r *releases) setPinnedElsewhere(list []sessionHash) {
 	kept := make(map[sessionHash]bool, len(list))
 	for _, hash := range list {
@@ -114,8 +118,8 @@
 
 // choose decides whether a request goes to the target of a roll-out.
 //
-// The choice is remembered until a request of the session can no longer follow this one, which ends at its deadline at
-// the latest.
+// The choice is remembered until no further request of the session can follow this one, which ends at its deadline
+// at the latest.
 func (r *releases) choose(service willowwick.ServiceID, session string, now, deadline time.Time) releaseChoice {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -134,8 +138,8 @@
 	return choice
 }
 
-// isRetired reports whether the endpoints of a release may be stopped at any time: it is given up or found to be bad, or all
-// requests of its service have moved to another one.
+// isRetired reports whether the endpoints of a release may be stopped at any time: the release was given up or
+// found to be bad, or all requests of its service have moved to another one.
 func (r *releases) isRetired(service willowwick.ServiceID, release willowwick.ReleaseID, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -150,6 +154,7 @@
 	return m.state == willowwick.ReleaseCompleted && !isTarget || m.state == willowwick.ReleaseRolledBack && isTarget
 }
 
+// chooseInRollout chooses between the target and the other releases; the caller holds the lock.
 func (r *releases) chooseInRollout(m *rolloutState, session string, now time.Time) releaseChoice {
 	choice := releaseChoice{release: m.order.Target}
 	switch m.state {
@@ -169,22 +174,22 @@
 	case m.elapsedShare(now) < canaryEnd && (known || r.pinnedElsewhere[hash] || now.Sub(m.startedAt) < sessionSyncDelay):
 		choice.useTarget = false
 	default:
-		// A session that would be sent to a release without endpoints runs on the others, and is to stay there.
+		// A session whose target has no endpoints runs on the other releases, and stays there.
 		choice.useTarget = hashed && r.hasRelease(m.order.Service, m.order.Target)
 	}
 	return choice
 }
 
-// part is how much of the period has passed.
+// elapsedShare returns how much of the period has passed, as a share.
 func (m *rolloutState) elapsedShare(now time.Time) float64 {
 	return now.Sub(m.startedAt).Seconds() / max(m.order.Period.Seconds(), 1)
 }
 
-// share is the part of the sessions that the target gets.
+// targetShare returns the share of the sessions that go to the target.
 func (m *rolloutState) targetShare(now time.Time, canary float64) float64 {
 	elapsedShare := m.elapsedShare(now)
 	if m.targetAnswers < minRampAnswers {
-		elapsedShare = min(elapsedShare, canaryEnd) // the first step brings the evidence that the next ones need
+		elapsedShare = min(elapsedShare, canaryEnd) // the canary brings the evidence that the next steps need
 	}
 	for _, step := range rampSteps {
 		if elapsedShare >= step.from {
@@ -194,7 +199,7 @@
 	return canary
 }
 
-// firstShare is the part of the sessions that try a new release first, in a fleet of a few boxes.
+// initialCanaryShare returns the canary share in a fleet of fewer than 2*canaryBoxes boxes.
 func (s ReleaseSettings) initialCanaryShare() float64 {
 	if s.Exposure <= 0 {
 		return canaryShare
@@ -202,9 +207,9 @@
 	return min(canaryShare, exposureShare*s.Exposure)
 }
 
-// setBoxes fits the share of sessions that try a new release to the size of the fleet.
+// setFleetSize adapts the canary share to the number of boxes.
 //
-// It goes by halves: boxes that count a few more or less than others still choose alike.
+// It halves the share in powers of two, so that boxes whose counts differ slightly still choose alike.
 func (r *releases) setFleetSize(boxes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/exchange/evacuation.go
+++ b/exchange/evacuation.go
@@ -10,15 +10,15 @@
 )
 
 type (
-	// EvacuatedHalls are the halls whose endpoints get no new work by the operator's declarations.
+	// EvacuatedHalls are the halls that the operator declared evacuated: their endpoints get no new work.
 	EvacuatedHalls struct {
-		AsOf      willowwick.Position                       // the declarations before it are counted in
-		Halls     map[willowwick.HallID]willowwick.Position // where each of them was declared evacuated; never changed
-		TakenBack map[willowwick.HallID]willowwick.Position // where others were taken back; likewise
-		HeldOver  map[willowwick.HallID]HeldOver            // likewise
+		AsOf      willowwick.Position                       // all declarations before this position are included
+		Halls     map[willowwick.HallID]willowwick.Position // position of each evacuation; never modified
+		TakenBack map[willowwick.HallID]willowwick.Position // position at which others were withdrawn; never modified
+		HeldOver  map[willowwick.HallID]HeldOver            // never modified
 	}
 
-	// evacuations keeps the newest set of evacuated halls that is known, and puts it in force on the pool.
+	// evacuations keeps the newest known set of evacuated halls and applies it to the pool.
 	evacuations struct {
 		standingKeeper[willowwick.HallID]
 	}
@@ -33,18 +33,18 @@
 	return e
 }
 
-// set is the newest set that is known.
+// set returns the newest known set.
 func (e *evacuations) set() EvacuatedHalls {
 	known := e.newest()
 	return EvacuatedHalls{AsOf: known.asOf, Halls: known.members, TakenBack: known.takenBack, HeldOver: known.heldOver}
 }
 
-// count is the number of evacuated halls.
+// count returns the number of evacuated halls.
 func (e *evacuations) count() int {
 	return len(e.inForce().members)
 }
 
-// declare takes what a read of the store brought.
+// declare applies the declarations that a read of the store returned.
 func (e *evacuations) declare(declared willowwick.Declarations) {
 	changes := make([]standingChange[willowwick.HallID], 0, len(declared.Evacuations))
 	for _, evacuation := range declared.Evacuations {
@@ -53,12 +53,12 @@
 	e.standingKeeper.declare(declared.Whole, declared.Next, changes)
 }
 
-// hear takes the set that another box knows.
+// receive merges the set that another box reported.
 func (e *evacuations) receive(news EvacuatedHalls, source string) {
 	e.standingKeeper.hear(standing[willowwick.HallID]{news.AsOf, news.Halls, news.TakenBack, news.HeldOver}, source)
 }
 
-// logEvacuations writes a line for each hall that is evacuated or taken back.
+// logEvacuations logs each hall that is evacuated or whose evacuation is withdrawn.
 func logEvacuations(old, news inForce[willowwick.HallID], source string) {
 	for hall, at := range news.members {
 		if _, wasEvacuated := old.members[hall]; !wasEvacuated {
--- a/exchange/hints.go
+++ b/exchange/hints.go
@@ -20,64 +20,70 @@
 )
 
 const (
-	// hintPause is how long a box collects readings before it tells its hall, for each box that it tells: the boxes of a
-	// hall of 65 then get at most a thousand datagrams a second together from each of them.
+	// hintPausePerBox is how long a box collects readings before it sends them to its hall, for each box that
+	// receives them: in a hall of 65 boxes, each box then gets at most a thousand datagrams a second from all
+	// others together.
 	hintPausePerBox = time.Millisecond
-	// hintPauseLeast is the least of it: the time of a datagram on its way is a fraction of it, a prompt takes many.
+	// minHintPause is the least time for which readings are collected: a datagram takes a fraction of it to arrive,
+	// and reading a prompt takes many times as long.
 	minHintPause = 5 * time.Millisecond
-	// hintRows bounds the readings of one datagram, so that it fits into a packet with room to spare.
+	// maxHintRows limits the readings of one datagram, so that it fits into a packet with room to spare.
 	maxHintRows = 48
-	// hintQueue bounds the readings that wait to be told; what is more is not told.
+	// hintQueueSize limits the readings that wait to be sent; more are dropped.
 	hintQueueSize = 256
-	// hintBytes is above the size of the largest datagram.
+	// hintReadBytes is the size of the receive buffer, above that of the largest datagram.
 	hintReadBytes = 2048
-	// hintSealBytes is the length of the seal before the rows: enough that none is guessed in a box's life.
+	// hintSealBytes is the length of the seal (a truncated HMAC) before the rows: long enough not to be guessed
+	// while a box runs.
 	hintSealBytes = 12
-	// hintParts bounds the parts of a prompt that are told of: shared ones are few, and those named last matter most.
+	// maxHintParts limits the prompt parts in a reading: shared ones are few, and the last ones matter most.
 	maxHintParts = 2
-	// directMost is the size up to which all boxes of another hall are told directly; of a larger one, one is told, and
-	// tells the others: bytes between halls cost more than those within.
+	// maxDirectBoxes is the largest size of another hall whose boxes are all sent readings directly. In a larger
+	// hall one box gets them and forwards them, since bytes between halls cost more than those within.
 	maxDirectBoxes = 3
-	// rowsHeard is how many readings a second a box hears of all others together: at 17 bytes each, two thirds of the 30 KB
-	// a second that a box may spend on control. Each box tells its part of them, the long ones first.
+	// maxRowsPerSecond is how many readings a second a box receives from all others together: at 17 bytes each, two
+	// thirds of the 30 KB a second that a box may spend on control traffic. Each box sends an equal share of them,
+	// long readings first.
 	maxRowsPerSecond = 1200
-	// rowsAtOnce is how many seconds' part of them a box may tell at once, and rowsAtOnceLeast the least of it.
+	// rowBurstSeconds is the burst of a box's share, in seconds of its rate, and minRowBurst the least burst in
+	// readings.
 	rowBurstSeconds = 2
 	minRowBurst     = 16
-	// shortReading is what is told only while half of a box's part is left.
+	// shortReading is the duration below which readings are sent only while at least half of the burst is left.
 	shortReading = 100 * time.Millisecond
-	// tellerFresh is how long a box that told of readings counts as alive: boxes that serve tell some each second.
+	// hintSenderTTL is how long a box that sent readings counts as alive: boxes that serve requests send some each
+	// second.
 	hintSenderTTL = 2 * time.Second
 )
 
 type (
-	// hints tells the other boxes what this one sends to endpoints, and hears it of them.
+	// hints exchanges with other boxes what each sends to endpoints.
 	//
-	// Each box knows only its own requests at once, but an endpoint reads prompts one after the other, whoever sent them.
-	// What the others send makes forecasts of the first event good enough to choose by. A datagram that is lost costs a worse
-	// choice and nothing else.
+	// A box knows only its own requests at once, but an endpoint reads prompts one after another, whoever sent
+	// them. With the readings of other boxes, forecasts of the first event are good enough to choose endpoints by.
+	// A lost datagram costs a worse choice and nothing else.
 	hints struct {
 		router *Router
 		conn   net.PacketConn
 		queue  chan hint
 
 		mu          sync.Mutex
-		lastHeard   map[netip.AddrPort]time.Time // when each box last told of readings
-		rowTokens   float64                      // readings that may be told at rowsAt
+		lastHeard   map[netip.AddrPort]time.Time // when each box last sent readings
+		rowTokens   float64                      // readings that may be sent at rowTokensAt
 		rowTokensAt time.Time
 	}
 
-	// hint is a reading that waits to be told.
+	// hint is a reading that waits to be sent.
 	hint struct {
 		row         hintRow
-		isForwarded bool // another hall told of it: it goes to the own hall alone
+		isForwarded bool // received from another hall; sent within the own hall only
 	}
 
-	// hintRow is one reading on the wire; names are cut to half of their hashes.
+	// hintRow is one reading on the wire; names are truncated to half of their hashes.
 	hintRow struct {
 		Endpoint uint32
-		Micros   int32 // how long it reads, or by how much later than forecast all of it is read
-		IsShift  bool  // it is the latter
+		Micros   int32 // duration of the reading, or the delay of all readings against the forecast
+		IsShift  bool  // Micros is a delay
 		Parts    [maxHintParts]route.PartName
 	}
 
@@ -86,9 +92,9 @@
 )
 
 const (
-	// hintKeep is for the box alone that gets it.
+	// hintFinal marks readings for the receiving box only.
 	hintFinal hintKind = iota
-	// hintPass is to be told to the other boxes of the hall, too.
+	// hintForward marks readings that the receiver forwards to the other boxes of its hall.
 	hintForward
 )
 
@@ -96,7 +102,7 @@
 	return &hints{router: x, conn: conn, queue: make(chan hint, hintQueueSize), lastHeard: map[netip.AddrPort]time.Time{}}
 }
 
-// tell passes a reading on to the other boxes, if there is one; it never waits.
+// publish queues a reading for the other boxes if isReading is set; it never blocks.
 func (h *hints) publish(reading route.Reading, isReading bool) {
 	if h.conn == nil || !isReading {
 		return
@@ -113,7 +119,8 @@
 	h.enqueue(hint{row: row})
 }
 
-// mayTell takes from this box's part of the readings that all boxes tell.
+// takeRowToken takes a token from this box's share of the readings that all boxes send, and reports whether there
+// was one.
 func (h *hints) takeRowToken(length time.Duration, boxes int, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -139,7 +146,7 @@
 	}
 }
 
-// send tells what was collected until the context ends.
+// send sends the queued readings until the context ends.
 func (h *hints) send(ctx context.Context) {
 	for {
 		select {
@@ -157,7 +164,7 @@
 	}
 }
 
-// collect adds what waits to the first reading.
+// collect returns the first reading and those queued behind it, up to maxHintRows.
 func (h *hints) collect(first hint) (own, heard []hintRow) {
 	next, found := first, true
 	for found && len(own)+len(heard) < maxHintRows {
@@ -175,7 +182,7 @@
 	return own, heard
 }
 
-// sendAcross tells the boxes of another hall: all of a small one, and of a larger one a box that tells the others.
+// sendToHall sends readings to another hall: to all boxes of a small one, or to one box that forwards them.
 func (h *hints) sendToHall(hall []netip.AddrPort, rows []hintRow) {
 	if len(hall) <= maxDirectBoxes {
 		h.sendTo(hall, hintFinal, rows)
@@ -184,7 +191,7 @@
 	h.sendTo([]netip.AddrPort{h.chooseRelay(hall)}, hintForward, rows)
 }
 
-// relayOf chooses one of the boxes that are known to live, or any where none is.
+// chooseRelay returns a random box that is known to be alive, or any box if there is none.
 func (h *hints) chooseRelay(hall []netip.AddrPort) netip.AddrPort {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -204,19 +211,19 @@
 	}
 	data, err := h.encode(kind, rows)
 	if err != nil {
-		slog.Error("readings could not be encoded", "error", err)
+		slog.Error("encode readings failed", "error", err)
 		return
 	}
 	for _, box := range boxes {
 		if _, err := h.conn.WriteTo(data, net.UDPAddrFromAddrPort(box)); err != nil {
-			slog.Debug("readings were not told", "address", box, "error", err)
+			slog.Debug("send readings failed", "address", box, "error", err)
 			continue
 		}
 		h.router.metrics.hintSent()
 	}
 }
 
-// receive takes what other boxes tell until the connection is closed.
+// receive applies the readings of other boxes until the connection is closed.
 func (h *hints) receive() {
 	data := make([]byte, hintReadBytes)
 	for {
@@ -225,12 +232,12 @@
 			return
 		}
 		if err != nil {
-			slog.Debug("datagram of a box could not be read", "error", err)
+			slog.Debug("read of a datagram failed", "error", err)
 			continue
 		}
 		kind, rows, err := h.decode(data[:n])
 		if err != nil {
-			slog.Debug("datagram is not a box's", "from", from, "error", err)
+			slog.Debug("invalid datagram", "from", from, "error", err)
 			continue
 		}
 		h.apply(kind, rows, clock.Now())
@@ -261,7 +268,7 @@
 	}
 }
 
-// encode writes the seal, the kind and the rows.
+// encode returns a datagram: the seal, the kind and the rows.
 func (h *hints) encode(kind hintKind, rows []hintRow) ([]byte, error) {
 	body := bytes.NewBuffer([]byte{byte(kind)})
 	if err := binary.Write(body, binary.BigEndian, rows); err != nil {
@@ -270,19 +277,19 @@
 	return append(h.seal(body.Bytes()), body.Bytes()...), nil
 }
 
-// decode reads a datagram whose seal is the fleet's.
+// decode verifies and parses a datagram.
 func (h *hints) decode(data []byte) (hintKind, []hintRow, error) {
 	if len(data) <= hintSealBytes {
-		return 0, nil, errors.Errorf("%d bytes are too few", len(data))
+		return 0, nil, errors.Errorf("datagram of %d bytes is too short", len(data))
 	}
 	seal, body := data[:hintSealBytes], data[hintSealBytes:]
 	if !hmac.Equal(seal, h.seal(body)) {
-		return 0, nil, errors.New("the seal does not fit")
+		return 0, nil, errors.New("datagram has an invalid seal")
 	}
 	kind, body := hintKind(body[0]), body[1:]
 	size := binary.Size(hintRow{})
 	if len(body)%size != 0 {
-		return 0, nil, errors.Errorf("%d bytes are no whole rows", len(body))
+		return 0, nil, errors.Errorf("%d bytes are not a multiple of the row size", len(body))
 	}
 	rows := make([]hintRow, len(body)/size)
 	if err := binary.Read(bytes.NewReader(body), binary.BigEndian, rows); err != nil {
@@ -291,7 +298,7 @@
 	return kind, rows, nil
 }
 
-// seal shows that a datagram comes from a box of the fleet.
+// seal returns the truncated HMAC that proves that a datagram comes from a box of the fleet.
 func (h *hints) seal(body []byte) []byte {
 	mac := hmac.New(sha256.New, h.router.settings.Key)
 	mac.Write(body)
--- a/exchange/notices.go
+++ b/exchange/notices.go
@@ -11,18 +11,19 @@
 	"github.com/willowwick/willowwick/wire"
 )
 
-// belongs reports whether an answer is to this request. One that is late tells of its endpoint all the same.
+// answersRequest reports whether an answer belongs to this request. The notice of an earlier request's late answer
+// is applied all the same.
 func (s *send) answersRequest(answer *wire.Answer) bool {
 	head := s.router.codec.DecodeAnswer(answer.Status, answer.Header, clock.Now())
 	if head.Request == "" || head.Request == s.call.head.ID {
 		return true
 	}
-	s.applyNotice(answer.Status, head.Notice, time.Time{}) // when its request was sent is not known
+	s.applyNotice(answer.Status, head.Notice, time.Time{}) // the time its request was sent is unknown
 	return false
 }
 
-// hear takes what an answer, to a request that was sent at the given time, says of its endpoint, whatever becomes of the answer: errors, refusals and answers that are dropped
-// tell as much as those that are passed on. Another endpoint at the address says nothing of this one.
+// applyNotice applies what an answer to a request sent at the given time reports about its endpoint, even if the
+// answer is an error, a refusal or dropped. An answer of another endpoint at the same address (421) is ignored.
 func (s *send) applyNotice(status int, notice willowwick.Notice, sentAt time.Time) {
 	if status == http.StatusMisdirectedRequest {
 		return
@@ -41,8 +42,8 @@
 	}
 }
 
-// hearLeaving takes from another box which endpoints leave: an endpoint ends some time after its answers have begun to say so, and what
-// is sent there late may be cut.
+// receiveLeaving applies the draining endpoints reported by another box. An endpoint shuts down some time after its
+// answers have begun to report it, and requests sent late may be cut off.
 func (x *Router) receiveLeaving(rows []route.LeavingRow, source string) {
 	for _, endpoint := range x.pool.HearLeaving(rows) {
 		slog.Info("endpoint says that it leaves", "endpoint", endpoint, "source", source)
--- a/exchange/permits.go
+++ b/exchange/permits.go
@@ -14,25 +14,26 @@
 )
 
 const (
-	// rpcPermit names the method on the wire that asks for permits.
+	// rpcPermit is the RPC method that requests permits.
 	rpcPermit = rpcName + ".Permit"
-	// askLimit is how long a request waits for its permit: a question takes two ways there and back between halls.
+	// permitTimeout is how long a request waits for its permit, which may take two round trips between halls.
 	permitTimeout = 100 * time.Millisecond
-	// mostAsks bounds how many permits one request is denied before it goes only to endpoints that need none.
+	// maxPermitDenials is the number of denied permits after which a request uses only endpoints without a rate
+	// limit.
 	maxPermitDenials = 3
-	// tryAgainAfter is how long after a send a request may go to the same endpoint again where the limits of all others take
-	// no more: places come free meanwhile.
+	// sameEndpointRetryDelay is the time after a send before a request may retry the same endpoint when no other
+	// endpoint takes requests: slots become free in the meantime.
 	sameEndpointRetryDelay = 50 * time.Millisecond
 )
 
-// Permits to send to endpoints that name limits are handed out by one box, so that a limit holds for all boxes together. A box
-// asks the hub of its hall, which asks the hub that grants: of those that are in touch, the one that started first, so that
-// boxes that start change nothing.
+// Permits to send to rate-limited endpoints are granted by one box, so that a limit holds for all boxes together. A box
+// asks the hub of its hall, which asks the granter: among the hubs that are in touch, the one that started first, so that
+// newly started boxes don't change it.
 //
-// Boxes that are cut from each other may have a granter on each side. Each hands out the part of a limit that the boxes
-// make which take it for the granter, so that all parts together are no more than the limit.
+// Boxes in a network partition may have a granter on each side. Each grants the share of a limit that corresponds to the
+// boxes that follow it, so that all shares together don't exceed the limit.
 
-// obtainPermit reports whether the request may be sent to the endpoint of its place.
+// obtainPermit reports whether the request may be sent to the endpoint of its slot.
 func (c *call) obtainPermit(ticket *gate.Ticket) bool {
 	if !ticket.MustAsk() {
 		return true
@@ -41,7 +42,7 @@
 	now := clock.Now()
 	reply, err := x.peers.requestPermit(c.ctx, x.limits.Ask(now, id, x.settings.Box), now)
 	if err != nil {
-		slog.Debug("no permit was had", "endpoint", id, "error", err)
+		slog.Debug("permit could not be obtained", "endpoint", id, "error", err)
 		x.metrics.asked("unanswered")
 		x.limits.Unanswered(clock.Now(), id)
 		return false
@@ -54,7 +55,7 @@
 	return true
 }
 
-// askPermit asks for permits; a box that is slow to answer keeps no request waiting.
+// requestPermit asks the granter for permits; it waits at most permitTimeout for a slow box.
 func (p *peers) requestPermit(ctx context.Context, call ratelimit.Call, now time.Time) (ratelimit.Reply, error) {
 	address := p.granterFor(now)
 	if address == p.self().Address {
@@ -65,17 +66,17 @@
 	})
 }
 
-// callForPermit asks the box at an address over its connection.
+// callPermit calls the box at an address over its connection.
 func (p *peers) callPermit(ctx context.Context, address string, call *ratelimit.Call) (reply ratelimit.Reply, err error) {
 	err = p.transport.Call(ctx, address, rpcPermit, call, &reply)
 	return reply, err
 }
 
-// Permit answers a box that asks for permits, by asking the box that grants if that is another one.
+// Permit answers a box that asks for permits, forwarding the call if another box is the granter.
 func (s *rpcServer) Permit(call *ratelimit.Call, reply *ratelimit.Reply) error {
 	p, now := s.peers, clock.Now()
 	if call.IsPassedOn && p.granterFor(now) != p.self().Address {
-		return errors.New("this box grants no permits")
+		return errors.New("this box does not grant permits")
 	}
 	passed := *call
 	passed.IsPassedOn = true
@@ -84,7 +85,7 @@
 	return err
 }
 
-// grant answers a question as the box that grants.
+// grant answers a call as the granter.
 func (p *peers) grant(call ratelimit.Call, now time.Time) ratelimit.Reply {
 	p.setGranting(now, true)
 	reply := p.granter.Answer(call, p.grantedShare(now), now)
@@ -92,15 +93,15 @@
 	return reply
 }
 
-// noteGranting notes whether this box is the one that grants.
+// setGranting records whether this box is the granter.
 func (p *peers) setGranting(now time.Time, isGranting bool) {
 	if p.granter.SetGranting(now, isGranting) {
 		slog.Info("grants of permits changed", "granting", isGranting)
 	}
 }
 
-// granterFor is the address of the box that this one asks for permits: its hub, or on a hub the box that grants, which may be
-// this one.
+// granterFor returns the address that this box asks for permits: its hub, or on a hub the granter, which may be
+// this box.
 func (p *peers) granterFor(now time.Time) string {
 	if hub, hasHub := p.hub(now); hasHub {
 		return hub.Address
@@ -108,7 +109,7 @@
 	return p.granterOfHubs(now)
 }
 
-// granterOfHubs is the address of the box that grants, as a hub knows it.
+// granterOfHubs returns the granter's address, as a hub knows it.
 func (p *peers) granterOfHubs(now time.Time) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,7 +121,7 @@
 		}
 		digest := &p.known[hub.Address].digest
 		if digest.StartedMs == 0 {
-			continue // a box of an earlier release
+			continue // the box runs an earlier release
 		}
 		if digest.StartedMs < startedMs || digest.StartedMs == startedMs && hub.Address < first {
 			first, startedMs = hub.Address, digest.StartedMs
@@ -129,8 +130,9 @@
 	return first
 }
 
-// grantedPart is the part of a limit that this box hands out: that of the boxes which take it for the one that grants, among all
-// that are known. A box that has just started and is in touch with none does not know them yet.
+// grantedShare returns the share of a limit that this box grants: the boxes that follow it, divided by all known
+// boxes. A box that has just started and is in touch with none does not know them yet, and assumes youngFleet
+// boxes.
 func (p *peers) grantedShare(now time.Time) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -156,13 +158,14 @@
 	return float64(following) / float64(all)
 }
 
-// isLimited reports whether an endpoint names a limit.
+// isLimited reports whether an endpoint has named a rate limit.
 func (x *Router) isLimited(now time.Time, endpoint willowwick.Endpoint) bool {
 	_, isLimited := x.limits.Limited(now, endpoint.ID)
 	return isLimited
 }
 
-// allowed says which endpoints the request may go to, whatever they have to do: those of the chosen release where there are any.
+// allowedEndpoints returns the filter for the request's endpoints, whatever their load: the chosen release if it
+// has endpoints, or the other releases.
 func (c *call) allowedEndpoints() func(willowwick.Endpoint) bool {
 	if c.router.pool.HasStaying(c.service, c.choice.allows) {
 		return c.choice.allows
@@ -170,7 +173,8 @@
 	return c.choice.allowsFallback
 }
 
-// isHopeless reports whether no endpoint that the request might go to takes one before a time, since all name limits or rest.
+// areAllUnavailable reports whether all endpoints that the request may use are rate-limited or in backoff, and
+// until when.
 func (c *call) areAllUnavailable(now time.Time) (shortage route.Shortage, areAllUnavailable bool) {
 	allow := c.allowedEndpoints()
 	if !c.avoidsLimitedEndpoints() {
@@ -183,19 +187,19 @@
 	return c.router.pool.AllUnavailable(now, c.service, isFree)
 }
 
-// isShort reports whether none of them takes one now.
+// areNoneAvailable is areAllUnavailable without the time.
 func (c *call) areNoneAvailable(now time.Time) bool {
 	_, areNoneAvailable := c.areAllUnavailable(now)
 	return areNoneAvailable
 }
 
-// hasOnlyUnavailableLeft reports whether the request was sent to all endpoints but those that take none now.
+// hasOnlyUnavailableLeft reports whether the request was already sent to all endpoints that are available now.
 func (c *call) hasOnlyUnavailableLeft(now time.Time) bool {
 	return len(c.triedEndpoints) > 0 && c.router.pool.OnlyUnavailableLeft(now, c.service, c.triedEndpoints, c.allowedEndpoints())
 }
 
-// excluded are the endpoints to which the request does not go now, since it was there before: none where all others take none
-// now, after a moment, since a second try beats a refusal.
+// excludedEndpoints returns the endpoints that the request must not use again. If no other endpoint is available
+// there are none after sameEndpointRetryDelay, since a retry at the same endpoint is better than a refusal.
 func (c *call) excludedEndpoints(now time.Time) map[willowwick.EndpointID]bool {
 	if c.hasOnlyUnavailableLeft(now) && now.Sub(c.lastSendEndedAt) >= sameEndpointRetryDelay {
 		return nil
@@ -203,12 +207,12 @@
 	return c.triedEndpoints
 }
 
-// avoidsLimits reports whether the request goes only to endpoints that name no limit.
+// avoidsLimitedEndpoints reports whether the request uses only endpoints without a rate limit.
 func (c *call) avoidsLimitedEndpoints() bool {
 	return c.yieldsToUrgent || c.permitDenials >= maxPermitDenials
 }
 
-// noteShortage notes a request that was refused since all endpoints name limits.
+// recordShortage records a request that was refused because all endpoints are rate-limited.
 func (c *call) recordShortage(refusal *willowwick.Refusal) {
 	if refusal.Code == willowwick.CodeRateLimited {
 		c.router.shortages.record(c.service, urgency(c.route, c.account), clock.Now())
--- a/exchange/relay.go
+++ b/exchange/relay.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// streamBuffer holds what one read of a stream brings.
+	// streamReadBytes is the initial size of the buffer of a stream.
 	streamReadBytes = 8 << 10
-	// maxEvent bounds an event that is not yet whole.
+	// maxEventBytes limits the size of an incomplete event.
 	maxEventBytes = 1 << 20
 )
 
@@ -33,10 +33,10 @@
 	controller *http.ResponseController
 	codec      willowwick.HeaderCodec
 	id         willowwick.RequestID
-	headSent   bool // the head is out
+	headSent   bool // the status line and headers were sent
 }
 
-// head sends the status and the endpoint's headers.
+// writeHead sends the status and the endpoint's headers; a negative length sends none.
 func (r *reply) writeHead(status int, header http.Header, length int64) {
 	wire.StripHop(header)
 	own := r.writer.Header()
@@ -55,7 +55,7 @@
 	r.writer.WriteHeader(status)
 }
 
-// passFailure sends an endpoint's failure; one whose status would promise that nothing ran is changed.
+// writeFailure relays an endpoint's error answer. A 503 becomes a 502, since a 503 would promise that nothing ran.
 func (r *reply) writeFailure(f *failedAnswer) {
 	status := f.status
 	if status == http.StatusServiceUnavailable {
@@ -67,10 +67,11 @@
 	r.write(f.body)
 }
 
-// write passes bytes on; a caller that is gone shows in the request's context.
+// write sends bytes to the caller and reports whether that succeeded; a caller that disconnected also cancels the
+// request's context.
 func (r *reply) write(data []byte) bool {
 	if _, err := r.writer.Write(data); err != nil {
-		slog.Debug("caller does not take its answer", "request", r.id, "error", err)
+		slog.Debug("write to the caller failed", "request", r.id, "error", err)
 		return false
 	}
 	return true
@@ -78,21 +79,21 @@
 
 func (r *reply) flush() {
 	if err := r.controller.Flush(); err != nil {
-		slog.Debug("caller does not take its answer", "request", r.id, "error", err)
+		slog.Debug("write to the caller failed", "request", r.id, "error", err)
 	}
 }
 
-// abort closes the connection, so that the caller sees that the answer is not whole.
+// abort closes the connection, so that the caller sees that the answer is incomplete.
 func (r *reply) abort() {
 	panic(http.ErrAbortHandler)
 }
 
-// passWhole reads the answer to its end before its head goes out, so that a break can still be made good.
+// relayWhole reads the complete answer before it sends the head, so that a broken answer can still be retried.
 func (s *send) relayWhole() sendResult {
 	body, err := io.ReadAll(io.LimitReader(s.answer, maxBufferedBody))
 	if err != nil {
 		s.outcome = route.OutcomeFailed
-		return sendResult{broken, errors.Wrap(err, "body of the answer")}
+		return sendResult{broken, errors.Wrap(err, "read the body of the answer")}
 	}
 	s.observe(false)
 	s.outcome = route.OutcomeGood
@@ -109,19 +110,19 @@
 	return sendResult{kind: answered}
 }
 
-// passLarge passes an answer on that is too large to be held.
+// relayLarge relays an answer that is too large to be buffered.
 func (s *send) relayLarge(begin []byte) sendResult {
 	s.out.writeHead(s.answer.Status, s.answer.Header, s.answer.Length)
 	s.out.write(begin)
 	if _, err := io.Copy(s.out.writer, s.answer); err != nil {
 		s.outcome = route.OutcomeFailed
-		return sendResult{broken, errors.Wrap(err, "body of the answer")}
+		return sendResult{broken, errors.Wrap(err, "read the body of the answer")}
 	}
 	s.delivered()
 	return sendResult{kind: answered}
 }
 
-// passStream passes whole events on as they come.
+// relayStream relays complete events as they arrive.
 func (s *send) relayStream() sendResult {
 	buffer := make([]byte, 0, streamReadBytes)
 	for {
@@ -145,12 +146,12 @@
 		case err != nil:
 			return s.streamBroken(err)
 		case len(buffer) > maxEventBytes:
-			return s.streamBroken(errors.New("an event is too large"))
+			return s.streamBroken(errors.New("an event exceeds the maximum size"))
 		}
 	}
 }
 
-// grow makes room for a read.
+// grow ensures room for a read of at least half of streamReadBytes.
 func grow(buffer []byte) []byte {
 	if cap(buffer)-len(buffer) >= streamReadBytes/2 {
 		return buffer
@@ -158,7 +159,7 @@
 	return append(make([]byte, 0, 2*cap(buffer)), buffer...)
 }
 
-// awaitEvents waits for bytes of the stream; a silent endpoint is left if another may go on.
+// awaitEvents waits for bytes of the stream; it gives up a silent endpoint if the stream may be resumed elsewhere.
 func (s *send) awaitEvents() error {
 	stallAt := s.deadline
 	if s.route.Resumable && s.route.GapGoal > 0 {
@@ -176,8 +177,9 @@
 	}
 }
 
-// mayLeaveStream decides whether a stream that pauses for long is taken up elsewhere. An endpoint that goes on with
-// others may still finish it, so there it takes one more run in reserve: the next endpoint may fail.
+// mayResumeElsewhere reports whether a stream that has been silent for long is resumed at another endpoint. While
+// the endpoint makes progress with other requests it may still finish this one, so one run must then be left in
+// reserve: the next endpoint may fail.
 func (s *send) mayResumeElsewhere(now time.Time) bool {
 	if !s.allowsAnotherRun() || !s.router.hasRetryBudget(s.call, now) || !s.router.hasOtherEndpoint(s.call, s.ticket.Endpoint.ID) {
 		return false
@@ -185,7 +187,7 @@
 	return s.runs+1 < s.route.MaxRuns || s.ticket.IsQuiet(now)
 }
 
-// passEvents sends whole events, the head before the first of them.
+// relayEvents sends complete events to the caller, and the head before the first of them.
 func (s *send) relayEvents(events []byte) bool {
 	if !s.out.headSent {
 		s.observe(false)
@@ -202,7 +204,7 @@
 	return true
 }
 
-// lastID returns the id of the last event that has one.
+// newestEventID returns the ID of the last event that has one.
 func newestEventID(events []byte) string {
 	at := bytes.LastIndex(events, idField)
 	for at > 0 && events[at-1] != '\n' {
@@ -218,10 +220,10 @@
 	return string(bytes.TrimSpace(line))
 }
 
-// endStream ends a stream whose last byte has come; a part of an event at its end means that it broke off.
+// endStream ends a stream after its last byte; an incomplete event at the end means that it broke off.
 func (s *send) endStream(rest []byte) sendResult {
 	if len(bytes.TrimSpace(rest)) > 0 {
-		return s.streamBroken(errors.New("the stream ended within an event"))
+		return s.streamBroken(errors.New("the stream ended with an incomplete event"))
 	}
 	if !s.out.headSent {
 		s.observe(false)
@@ -242,7 +244,7 @@
 	return sendResult{kind: callerLeft}
 }
 
-// delivered counts and logs an answer that the caller has whole.
+// delivered counts and logs an answer that was sent to the caller completely.
 func (s *send) delivered() {
 	took := clock.Since(s.arrived)
 	s.router.metrics.delivered(s.route, took)
--- a/exchange/release.go
+++ b/exchange/release.go
@@ -11,28 +11,28 @@
 )
 
 type (
-	// ReleaseSettings bound roll-outs of releases.
+	// ReleaseSettings limit roll-outs of releases.
 	ReleaseSettings struct {
-		Session time.Duration // setting: requests of a session follow each other within this
-		// Exposure is the share of a service's requests that a bad release may get; 0 if the operator names none.
+		Session time.Duration // longest time between two successive requests of a session
+		// Exposure is the share of a service's requests that a bad release may get; 0 if the operator sets none.
 		Exposure float64
 	}
 
-	// releaseKey names a release of a service.
+	// releaseKey identifies a release of a service.
 	releaseKey struct {
 		Service willowwick.ServiceID
 		Release willowwick.ReleaseID
 	}
 
-	// releases decides which release answers, and judges new ones.
+	// releases chooses the release for each request, and judges new releases by the evidence.
 	releases struct {
 		settings ReleaseSettings
-		// isThere reports whether a service has an endpoint of a release that stays.
+		// hasRelease reports whether a service has an endpoint of a release that isn't draining.
 		hasRelease func(willowwick.ServiceID, willowwick.ReleaseID) bool
 
 		mu       sync.Mutex
 		rollouts map[willowwick.ServiceID]*rolloutState
-		// keptElsewhere are sessions that other boxes know on other releases than a roll-out's target.
+		// pinnedElsewhere are sessions that other boxes reported on releases other than a roll-out's target.
 		pinnedElsewhere map[sessionHash]bool
 		canary          float64 // share of the sessions that try a new release first
 		verdicts        verdicts
@@ -41,12 +41,12 @@
 		lateness        map[typicalKey]*route.Lateness
 		sessions        map[string]sessionRecord
 
-		era            willowwick.Era                                   // the newest that an order is of
-		restoredAt     time.Time                                        // until then orders may be ones that are written again
-		deferredOrders map[willowwick.ServiceID]willowwick.ReleaseOrder // until then
+		era            willowwick.Era                                   // the newest era of an order
+		restoredAt     time.Time                                        // until then, orders may be ones that the operator writes again
+		deferredOrders map[willowwick.ServiceID]willowwick.ReleaseOrder // applied at restoredAt unless written again
 	}
 
-	// move is a roll-out as this box sees it.
+	// rolloutState is a roll-out as this box knows it.
 	rolloutState struct {
 		order         willowwick.ReleaseOrder
 		startedAt     time.Time
@@ -54,7 +54,7 @@
 		persisted     bool // the state is in the store
 		panel         *rollout.Panel
 		evidence      map[evidenceKey]rollout.Evidence
-		targetAnswers uint64 // answers known of the target
+		targetAnswers uint64 // answers of the target known to this box
 	}
 
 	// progress is how far a box has come with a roll-out.
@@ -65,10 +65,10 @@
 		Moved  bool // all new requests go to the target
 	}
 
-	// dueStatus is a state that is to be written to the store.
+	// dueStatus is a state that has to be written to the store.
 	dueStatus struct {
 		willowwick.ReleaseStatus
-		isForced bool // the period ends: it is written even while requests are under way on the old release
+		isForced bool // written even with requests in flight on the old release, since the period is about to end
 	}
 )
 
@@ -87,7 +87,7 @@
 	}
 }
 
-// begin takes an order; age is how long ago it was given, as far as is known.
+// applyOrder starts the roll-out of an order; age is how long ago it was given, as far as known.
 func (r *releases) applyOrder(order willowwick.ReleaseOrder, age time.Duration, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -97,7 +97,7 @@
 	}
 }
 
-// beginNew takes an order unless a later one is known; the caller holds the lock.
+// applyNewOrder starts a roll-out unless a later order is known; the caller holds the lock.
 func (r *releases) applyNewOrder(order willowwick.ReleaseOrder, age time.Duration, now time.Time) {
 	m := r.rollouts[order.Service]
 	if m != nil && m.order.At >= order.At {
@@ -107,7 +107,7 @@
 		return
 	}
 	if m != nil && m.state == willowwick.ReleaseRunning {
-		// Its sessions go back to what the others use; only one release is tried at a time.
+		// Only one release is tried at a time: the sessions on the previous target return to the other releases.
 		r.verdicts.giveUp(releaseKey{order.Service, m.order.Target}, now)
 	}
 	delete(r.verdicts, releaseKey{order.Service, order.Target})
@@ -119,7 +119,7 @@
 		"period_ms", order.Period.Milliseconds(), "age_ms", age.Milliseconds())
 }
 
-// settle takes the state of a roll-out as the store holds it, or as another box believes it to be.
+// applyStatus applies the state of a roll-out from the store (persisted) or from another box.
 func (r *releases) applyStatus(status willowwick.ReleaseStatus, persisted bool, source string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -131,18 +131,18 @@
 		m.persisted = m.persisted || persisted && m.state == willowwick.ReleaseRunning
 		return
 	}
-	news := m.state != status.State
-	// What the store holds goes before what this box believes.
+	isChange := m.state != status.State
+	// The store's state takes precedence over this box's own.
 	if persisted || m.state == willowwick.ReleaseRunning {
 		m.state, m.persisted = status.State, persisted
 		r.recordVerdict(m)
 	}
-	if news {
+	if isChange {
 		slog.Info("roll-out ended", "service", status.Service, "release", status.Target, "state", m.state, "source", source)
 	}
 }
 
-// noteEnd keeps how a roll-out ended, whatever is ordered after it.
+// recordVerdict keeps the result of a roll-out, whatever is ordered after it; the caller holds the lock.
 func (r *releases) recordVerdict(m *rolloutState) {
 	key := releaseKey{m.order.Service, m.order.Target}
 	switch m.state {
@@ -153,14 +153,14 @@
 	}
 }
 
-// ended lists what became of releases.
+// verdictRows returns the verdicts on releases for other boxes.
 func (r *releases) verdictRows(now time.Time) []verdictRow {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.verdicts.rows(now)
 }
 
-// hearEnded takes what another box knows of releases, but for those that this box has a roll-out to.
+// receiveVerdicts merges another box's verdicts, except on releases that this box has a roll-out to.
 func (r *releases) receiveVerdicts(rows []verdictRow) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -179,7 +179,7 @@
 	}
 }
 
-// progresses returns this box's roll-outs.
+// progressList returns the progress of this box's roll-outs.
 func (r *releases) progressList(now time.Time) []progress {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -193,7 +193,7 @@
 	return list
 }
 
-// due returns the states that the box that leads should write.
+// due returns the states that the leader has to write.
 func (r *releases) due(now time.Time) []dueStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/exchange/router.go
+++ b/exchange/router.go
@@ -17,49 +17,52 @@
 )
 
 const (
-	// startLimit is how many own requests an endpoint gets before it is known: the slots of a large runner.
+	// initialEndpointLimit is the limit on own requests at an endpoint that has not reported its slots yet: the
+	// slots of a large runner.
 	initialEndpointLimit = 64
-	// loadFresh is how long a load report counts: a runner's requests last about a second.
+	// loadReportMaxAge is how long a load report is used: a runner's requests last about a second.
 	loadReportMaxAge = 1500 * time.Millisecond
-	// warmLimit is the least time that a request waits for a box that has just started, and warmShare the part of its
-	// deadline: both are a quarter of what callers of such deadlines set as their goal.
+	// minWarmWait is the least time that a request waits for a box that has just started, and warmWaitShare the
+	// share of the time to its deadline that it may wait: both are a quarter of what callers with such deadlines
+	// set as their goal.
 	minWarmWait   = 75 * time.Millisecond
 	warmWaitShare = 1.0 / 40
-	// queueAtEndpoint is how many requests an endpoint may hold beyond its slots, as a share of them: enough that no
-	// slot rests, few enough that client accounts take turns here and not behind each other there.
+	// endpointQueueShare is the number of requests an endpoint may hold beyond its slots, as a share of them:
+	// enough to keep all slots busy, few enough that client accounts queue fairly here and not behind each other
+	// there.
 	endpointQueueShare = 1.0
-	// quietAfter is how long an endpoint with requests may say nothing before others are preferred: several times
-	// a plain service's usual work, and what a runner takes to read a long prompt.
+	// quietAfter is how long an endpoint with requests may send nothing before others are preferred: several times
+	// a plain service's usual work, and the time a runner takes to read a long prompt.
 	quietAfter = 350 * time.Millisecond
-	// lowestPriority is the last rank that endpoints know.
+	// lowestPriority is the least urgent priority that endpoints know.
 	lowestPriority = 9
-	// defaultBodyBytes bounds bodies where the configuration does not.
+	// defaultMaxBodyBytes limits request bodies where the configuration sets no limit.
 	defaultMaxBodyBytes = 4 << 20
 )
 
 type (
-	// Settings are what an exchange is told at its start.
+	// Settings configure an exchange at its start.
 	Settings struct {
 		Box        willowwick.BoxID
 		Hall       willowwick.HallID
 		Boot       willowwick.BootID
 		Peers      string // host:port under which other boxes reach this one
-		LinkMbps   int    // width of the box's link; 0 if it is not known
+		LinkMbps   int    // bandwidth of the box's link; 0 if unknown
 		Key        []byte // shared by all boxes
 		Seeds      []string
 		Seed       uint64
-		Confidence int // a small model's answer below this is given up for the largest model's
-		// LateConfidence takes the place of Confidence where the largest model's answer would come after the goal.
+		Confidence int // a small model's answer below this confidence is dropped for the largest model's
+		// LateConfidence replaces Confidence where the largest model's answer would come after the goal.
 		LateConfidence   int
 		RetryBudget      route.RepeatLimits
 		Releases         ReleaseSettings
-		Grace            time.Duration // setting: from the signal to stop until the process is killed
-		UnreadyDelay     time.Duration // setting: how long a stopping box waits for the entry to send callers elsewhere
-		Drain            time.Duration // setting: an endpoint that leaves gets nothing later than this
-		ConfigApplyLimit time.Duration // setting: a configuration is in force within this after it was accepted
+		Grace            time.Duration // time from the stop signal until the process is killed
+		UnreadyDelay     time.Duration // how long a stopping box waits for the load balancer to send callers elsewhere
+		Drain            time.Duration // a draining endpoint gets no requests later than this
+		ConfigApplyLimit time.Duration // a configuration is in force within this time after it was accepted
 	}
 
-	// Router answers opaque requests.
+	// Router relays requests to endpoints without interpreting their bodies.
 	Router struct {
 		settings  Settings
 		codec     willowwick.HeaderCodec
@@ -81,10 +84,10 @@
 
 		metrics     *routerMetrics
 		inFlight    atomic.Int64
-		warm        chan struct{} // closed once configuration and endpoints are known
+		warm        chan struct{} // closed once the configuration and endpoints are known
 		warmOnce    sync.Once
 		stopping    atomic.Bool
-		refusesLate atomic.Bool  // only requests that are sure to end before stopAt are taken
+		refusesLate atomic.Bool  // refuses requests that may not end before stopAt
 		stopAt      atomic.Int64 // nanoseconds since 1970
 
 		mu           sync.Mutex
@@ -140,7 +143,8 @@
 	c.run()
 }
 
-// logRefused writes the only line about a request that was refused on arrival, with the ages of what that rests on.
+// logRefused writes the only log line of a request that was refused on arrival, with the ages of the configuration
+// and the list of endpoints that the refusal is based on.
 func (x *Router) logRefused(out *reply, r *http.Request, refusal *willowwick.Refusal, arrived time.Time) {
 	slog.Info("refused on arrival", "request", out.id, "host", r.Host, "target", r.RequestURI,
 		"status", statusOf(refusal), "cause", refusal.Message, "config", x.configVersion(),
@@ -154,7 +158,7 @@
 	return 0
 }
 
-// refuse answers a request that gets no endpoint's answer.
+// refuse writes a refusal to a caller whose request got no endpoint's answer.
 func (x *Router) refuse(out *reply, refusal *willowwick.Refusal) {
 	x.metrics.refused(refusal)
 	header := out.writer.Header()
@@ -172,7 +176,7 @@
 	out.write([]byte(refusal.Message + "\n"))
 }
 
-// statusOf is the status that a refusal goes out with; only those of requests that have not run promise so.
+// statusOf returns the HTTP status of a refusal; only 503 promises that the request was not run.
 func statusOf(refusal *willowwick.Refusal) int {
 	switch refusal.Kind {
 	case willowwick.KindNotRun:
@@ -211,7 +215,7 @@
 	return b
 }
 
-// takeRepeat draws on the budget of repeats.
+// takeRetryBudget takes one retry from the service's budget, and reports whether it allowed it.
 func (x *Router) takeRetryBudget(c *call, kind route.RepeatKind, now time.Time) bool {
 	taken := x.retryBudget(c.service).Take(now, kind, x.peers.sharers(kind, now))
 	if !taken {
@@ -221,24 +225,24 @@
 	return taken
 }
 
-// hasRepeat reports whether the budget would allow a failover.
+// hasRetryBudget reports whether the budget would allow a failover.
 func (x *Router) hasRetryBudget(c *call, now time.Time) bool {
 	return x.retryBudget(c.service).Allows(now, route.RepeatFailover, x.peers.sharers(route.RepeatFailover, now))
 }
 
-// hasOther reports whether another endpoint of the service than the given one may be tried.
+// hasOtherEndpoint reports whether an endpoint of the service other than the given one may be tried.
 func (x *Router) hasOtherEndpoint(c *call, not willowwick.EndpointID) bool {
 	return x.pool.HasOpen(clock.Now(), c.service, func(endpoint willowwick.Endpoint) bool {
 		return endpoint.ID != not && !c.triedEndpoints[endpoint.ID] && c.choice.allows(endpoint)
 	})
 }
 
-// hasRelease reports whether a service has an endpoint of a release that stays.
+// hasRelease reports whether a service has an endpoint of a release that isn't draining.
 func (x *Router) hasRelease(service willowwick.ServiceID, release willowwick.ReleaseID) bool {
 	return x.pool.HasStaying(service, func(endpoint willowwick.Endpoint) bool { return endpoint.Release == release })
 }
 
-// setTable puts a configuration in force unless a newer one already is.
+// setTable puts a configuration in force unless the current one is as new.
 func (x *Router) setTable(declared *willowwick.RoutingTable, source string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -252,7 +256,8 @@
 		"accounts", len(declared.Accounts), "source", source)
 }
 
-// paceCold shares out what cold endpoints bear among the boxes. One that has just started has not counted them yet.
+// setColdPauses divides the load that cold endpoints can take among the boxes. A box that has just started has not
+// counted the others yet, and assumes a fleet of youngFleet boxes.
 func (x *Router) setColdPauses(now time.Time) {
 	t := x.table.Load()
 	if t == nil {
@@ -269,14 +274,15 @@
 	x.pool.SetColdPauses(pauses)
 }
 
-// noteWarm lets requests in that came before the first configuration and list of endpoints.
+// signalWarm releases the requests that wait for the first configuration and list of endpoints, once both are
+// known.
 func (x *Router) signalWarm() {
 	if x.table.Load() != nil && x.sync.hasEndpoints() {
 		x.warmOnce.Do(func() { close(x.warm) })
 	}
 }
 
-// awaitWarm holds a request of the first moments until it can be served: the store answers in some milliseconds.
+// awaitWarm delays a request during startup until it can be served: the store answers within some milliseconds.
 func (x *Router) awaitWarm(r *http.Request) {
 	select {
 	case <-x.warm:
@@ -285,7 +291,7 @@
 	}
 	limit := minWarmWait
 	now := clock.Now()
-	// A header that is wrong is told to the caller once the request is begun.
+	// An invalid header is reported to the caller later, by acceptCall.
 	if head, err := x.codec.DecodeRequest(r.Header, now); err == nil && !head.Deadline.IsZero() {
 		limit = max(limit, scale(head.Deadline.Sub(now), warmWaitShare))
 	}
@@ -298,7 +304,7 @@
 	}
 }
 
-// ready reports whether the entry should send callers here, and if not, why.
+// ready reports whether the load balancer should send callers here, and if not, why.
 func (x *Router) ready() (ok bool, why string) {
 	switch {
 	case x.stopping.Load():
--- a/exchange/send.go
+++ b/exchange/send.go
@@ -19,53 +19,54 @@
 const (
 	// answered: the caller has the whole answer.
 	answered sendKind = iota
-	// callerLeft: the caller went away, or the time was up for a begun answer.
+	// callerLeft: the caller disconnected, or the deadline passed after the answer had begun.
 	callerLeft
-	// notSent: nothing reached the endpoint.
+	// notSent: no connection to the endpoint could be opened.
 	notSent
-	// unreached: nothing listens at the endpoint's address, which showed at once.
+	// unreached: the endpoint's address refused the connection.
 	unreached
-	// notRun: the endpoint said that it did not run the request.
+	// notRun: the endpoint reported that it did not run the request.
 	notRun
 	// silent: nothing came back for so long that another endpoint is likely to answer sooner.
 	silent
-	// broken: the connection or the answer broke; the endpoint may have run the request.
+	// broken: the connection or the answer broke off; the endpoint may have run the request.
 	broken
-	// failed: the endpoint answered with a failure of its own.
+	// failed: the endpoint answered with an error status.
 	failed
-	// abandoned: the request's time was up, or its caller left.
+	// abandoned: the request's deadline passed, or its caller disconnected.
 	abandoned
-	// escalated: the answer of a small model was dropped for a larger one's.
+	// escalated: a small model's answer was dropped in favour of a larger model.
 	escalated
-	// withheld: the endpoint takes no requests any more since it was chosen, and the request was not sent.
+	// withheld: the endpoint stopped taking requests after it was chosen, and the request was not sent.
 	withheld
 )
 
 const (
-	// muteFactor is by how many times later than an answer may well be a request is sent elsewhere even though its
-	// endpoint goes on with others: the endpoint has lost it. Before that, one that works is only busy, and others would
-	// be too.
+	// lostRequestFactor is the multiple of the time by which an answer is overdue after which a request is retried
+	// elsewhere even though its endpoint is making progress with other requests: the endpoint has lost this one.
+	// Before that, an endpoint that makes progress is only busy, and others would be too.
 	lostRequestFactor = 3
-	// crowdedRunner is the number of requests at a runner from which on large models are asked less, not at all
-	// at twice as many: runs wait for each other's tokens there.
+	// crowdedRunnerRequests is the number of requests at a runner above which the required confidence falls; it is
+	// lowest at twice as many. Concurrent runs slow each other down.
 	crowdedRunnerRequests = 10.0
-	// backlogLimit is how long endpoints will be reading, in the mean, from which on large models are asked less, not at
-	// all at twice as long: each of their readings then makes some other answer late.
+	// crowdedBacklog is the mean time endpoints need to read their queued prompts above which the required
+	// confidence falls; it is lowest at twice as much. Beyond it, each reading of a prompt makes some other answer
+	// late.
 	crowdedBacklog = time.Second
-	// easyShare is the part of the goal that must be left after the expected answer for the full threshold: answers
-	// vary about twofold around what is usual.
+	// fullThresholdSlack is the share of the goal that must be left after the expected answer for the full
+	// confidence threshold: answers vary about twofold around the usual time.
 	fullThresholdSlack = 0.5
-	// stallShare is the multiple of the longest pause after which a stream is taken up elsewhere: a shorter
-	// silence is a runner that reads somebody's long prompt, and reading this one anew takes as long.
+	// stallGapFactor is the multiple of the route's gap goal after which a silent stream is resumed elsewhere: in a
+	// shorter silence the runner reads another long prompt, and reading this one anew would take as long.
 	stallGapFactor = 1.5
-	// maxWhole is the largest answer that is read whole before its head goes out.
+	// maxBufferedBody is the size in bytes from which an answer is sent on before it was read completely.
 	maxBufferedBody = 256 << 10
 )
 
 type (
 	sendKind int
 
-	// sendResult is what came of one send.
+	// sendResult is the result of one send.
 	sendResult struct {
 		kind sendKind
 		err  error
@@ -76,12 +77,12 @@
 		*call
 		ticket     *gate.Ticket
 		conn       *wire.Conn   // nil until the endpoint is reached
-		answer     *wire.Answer // nil until its head has come
+		answer     *wire.Answer // nil until its head was received
 		answerHead willowwick.AnswerHead
 		sentAt     time.Time
-		model      willowwick.ModelID // asked of the endpoint; empty to leave the caller's
+		model      willowwick.ModelID // overrides the caller's model; empty to leave it
 		outcome    route.Outcome
-		crashed    bool // its connection broke because the endpoint ended
+		crashed    bool // the connection broke because the endpoint crashed
 	}
 )
 
@@ -90,7 +91,7 @@
 	silent: "silent", broken: "broken", failed: "failed", abandoned: "abandoned", escalated: "escalated", withheld: "withheld",
 }
 
-// refusal is what the caller is told if the request is given up after this send.
+// refusal returns the refusal for a request that is not retried after this send.
 func (r sendResult) refusal(c *call) *willowwick.Refusal {
 	now := clock.Now()
 	cause := sendKindNames[r.kind]
@@ -107,7 +108,7 @@
 	}
 }
 
-// sendOnce sends the request to the place's endpoint and passes the answer on.
+// sendOnce sends the request to the ticket's endpoint and relays the answer.
 func (c *call) sendOnce(ticket *gate.Ticket) sendResult {
 	s := &send{call: c, ticket: ticket, outcome: route.OutcomeCancelled}
 	if c.cascadeStage != noCascade {
@@ -115,7 +116,7 @@
 	}
 	result := s.do()
 	if c.ctx.Err() != nil && result.kind != answered {
-		// What broke was the end of the request's time, not the endpoint.
+		// The end of the request's context, not the endpoint, broke the send.
 		result = sendResult{abandoned, c.ctx.Err()}
 		s.outcome = route.OutcomeCancelled
 		if s.answer == nil && c.isPastDeadline() && s.conn != nil && !c.route.Stream {
@@ -145,13 +146,14 @@
 	return result
 }
 
-// hasMissed reports whether the endpoint was not reached at its address, or another one was.
+// missedEndpoint reports whether the endpoint was not reached at its address, or another one answered there.
 func (s *send) missedEndpoint(result sendResult) bool {
 	isOther := s.answer != nil && s.answer.Status == http.StatusMisdirectedRequest
 	return isOther || result.kind == notSent || result.kind == unreached
 }
 
-// isWithoutAnswer reports whether the endpoint's connection brought nothing, for a reason other than the caller's leaving.
+// receivedNothing reports whether the endpoint's connection returned no answer, for a reason other than a caller
+// that disconnected.
 func (s *send) receivedNothing(result sendResult) bool {
 	if s.conn == nil || s.answer != nil {
 		return false
@@ -159,7 +161,7 @@
 	return result.kind == silent || result.kind == broken || s.isPastDeadline()
 }
 
-// noteBroken finds out whether the endpoint ended under the request.
+// checkForCrash finds out whether the endpoint crashed while it had the request.
 func (s *send) checkForCrash() {
 	broken := brokenSend{request: s.describePoison(), endpoint: s.ticket.Endpoint, at: clock.Now()}
 	s.crashed = s.router.crashes.hasCrashed(s.ctx, broken.endpoint, broken.at)
@@ -179,7 +181,7 @@
 	ahead, reading := s.ticket.Forecast()
 	var more []any
 	if result.kind == broken {
-		// What the same request did before, under other ids, is found by its fingerprint.
+		// The fingerprint finds earlier sends of the same content under other request IDs.
 		more = []any{"fingerprint", c.fingerprint().String(), "endpoint_ended", s.crashed}
 	}
 	slog.Info("send ended", append(more, "request", c.head.ID, "outcome", sendKindNames[result.kind], "cause", cause,
@@ -201,20 +203,21 @@
 		return sendResult{notSent, err}
 	}
 	if s.ticket.IsWithheld(clock.Now()) {
-		// What it said since it was chosen holds for this request too: a permit, or a new connection, takes its time.
+		// A notice that arrived after the endpoint was chosen applies to this request too: getting a permit or a
+		// new connection takes time.
 		conn.Release("")
 		return sendResult{kind: withheld}
 	}
 	s.conn = conn
-	// The end of the request, by time or by its caller, ends the endpoint's work too.
+	// When the request ends, by its deadline or its caller, the endpoint's work ends too.
 	stop := context.AfterFunc(s.ctx, conn.Close)
 	defer stop()
 	defer s.releaseConn()
 	message := s.message
 	message.Header = s.encodeHeader()
 	if err := conn.Send(&message); err != nil {
-		// The endpoint may have answered early and closed; what it said is still to be read.
-		slog.Debug("send broke off", "request", s.call.head.ID, "error", err)
+		// The endpoint may have answered early and closed the connection; its answer can still be read.
+		slog.Debug("request could not be sent completely", "request", s.call.head.ID, "error", err)
 	}
 	s.runs++
 	s.countUnwantedSend()
@@ -244,7 +247,7 @@
 	return header
 }
 
-// countSent counts sends to endpoints that want fewer, or none.
+// countUnwantedSend counts sends to endpoints that are rate-limited, draining or in backoff.
 func (s *send) countUnwantedSend() {
 	now := clock.Now()
 	if s.router.isLimited(now, s.ticket.Endpoint) {
@@ -259,7 +262,7 @@
 	}
 }
 
-// receive reads the head of the answer; a silent endpoint is left if another may be tried.
+// receive reads the head of the answer; it gives up a silent endpoint if another one may be tried.
 func (s *send) receive() error {
 	silentAt := s.overdueAt()
 	for {
@@ -269,7 +272,7 @@
 			if s.shouldTryAnother(now) {
 				return err
 			}
-			// The forecast may have moved meanwhile.
+			// The forecast may have changed in the meantime.
 			silentAt = earliest(s.deadline, latest(s.overdueAt(), now.Add(quietAfter)))
 			continue
 		}
@@ -287,8 +290,8 @@
 	}
 }
 
-// lateAt is when an answer that has not begun is later than all but a few, by the forecast of reading its prompt, or by
-// what is usual on its route where no forecast is.
+// overdueAt returns the time after which an answer that has not begun is later than nearly all others, by the
+// forecast for reading its prompt, or by the usual time of its route if there is no forecast.
 func (s *send) overdueAt() time.Time {
 	if !s.route.Repeatable {
 		return s.deadline
@@ -305,7 +308,7 @@
 	return earliest(s.deadline, due.Add(lateness))
 }
 
-// isLost decides whether a silent endpoint is left for another.
+// shouldTryAnother reports whether the request leaves a silent endpoint for another.
 func (s *send) shouldTryAnother(now time.Time) bool {
 	if !s.allowsAnotherRun() || !s.router.hasRetryBudget(s.call, now) || !s.router.hasOtherEndpoint(s.call, s.ticket.Endpoint.ID) {
 		return false
@@ -325,7 +328,7 @@
 	return sendResult{broken, err}
 }
 
-// judge decides by the head of the answer what becomes of it.
+// handleAnswer decides by the answer's head whether it is relayed, dropped or retried.
 func (s *send) handleAnswer() sendResult {
 	status := s.answer.Status
 	switch {
@@ -341,7 +344,7 @@
 		return sendResult{kind: escalated}
 	case s.out.headSent && status != http.StatusOK:
 		s.outcome = route.OutcomeFailed
-		return sendResult{broken, errors.Errorf("status %d in place of the rest of the stream", status)}
+		return sendResult{broken, errors.Errorf("status %d instead of the rest of the stream", status)}
 	case s.route.Stream && status == http.StatusOK:
 		return s.relayStream()
 	default:
@@ -356,24 +359,24 @@
 		s.router.pool.MarkMisplaced(s.ticket.Endpoint)
 	}
 	if _, err := io.Copy(io.Discard, io.LimitReader(s.answer, maxBufferedBody)); err != nil {
-		slog.Debug("rest of a refusal could not be read", "request", s.call.head.ID, "error", err)
+		slog.Debug("body of a refusal could not be read", "request", s.call.head.ID, "error", err)
 	}
 	return sendResult{notRun, errors.Errorf("status %d", s.answer.Status)}
 }
 
-// hasFailed keeps the endpoint's failure, to be passed on if nothing better comes.
+// handleFailure keeps the endpoint's error answer, which is relayed if no other endpoint answers.
 func (s *send) handleFailure() sendResult {
 	s.outcome = route.OutcomeError
 	body, err := io.ReadAll(io.LimitReader(s.answer, maxBufferedBody))
 	s.observe(true)
 	if err != nil {
-		return sendResult{broken, errors.Wrap(err, "failure of the endpoint")}
+		return sendResult{broken, errors.Wrap(err, "read the endpoint's error answer")}
 	}
 	s.failure = &failedAnswer{status: s.answer.Status, header: s.answer.Header, body: body}
 	return sendResult{failed, errors.Errorf("status %d", s.answer.Status)}
 }
 
-// shouldEscalate decides whether the next larger model is asked instead.
+// shouldEscalate reports whether the largest model is requested instead of relaying this answer.
 func (s *send) shouldEscalate() bool {
 	c := s.call
 	if c.cascadeStage == noCascade || c.cascadeStage == len(c.route.Models)-1 || s.answer.Status != http.StatusOK || c.out.headSent {
@@ -387,21 +390,21 @@
 		return false
 	}
 	if !c.router.pool.HasAvailable(now, c.service, c.allowedEndpoints()) {
-		return false // the answer that is there is worth more than a refusal
+		return false // with no endpoint available for the large model, this answer is better than a refusal
 	}
 	return c.runs < c.route.MaxRuns && s.hasTimeFor(c.route.Models[len(c.route.Models)-1], now) && s.router.takeRetryBudget(c, route.RepeatEscalation, now)
 }
 
-// hasTimeFor reports whether a model's answer, begun now, usually begins before the request's time is up; where it does not,
-// the answer that is there is all that the caller can get.
+// hasTimeFor reports whether an answer of the model, requested now, usually begins before the deadline. If not, the
+// present answer is all that the caller can get.
 func (s *send) hasTimeFor(model willowwick.ModelID, now time.Time) bool {
 	usual, _ := s.router.releases.usual(s.route.Name, model)
 	return now.Add(usual).Before(s.deadline)
 }
 
-// confidenceNeeded falls from one setting to the other as the large model's answer is expected later, and as the
-// runners get crowded: an answer that comes after the goal is worth less than a doubtful one in time, and a run of
-// the large model makes many others late.
+// requiredConfidence returns the confidence below which an answer is escalated. It falls from Settings.Confidence
+// to Settings.LateConfidence as the large model's answer is expected later and as the runners get crowded: an
+// answer after the goal is worth less than a doubtful one in time, and a run of the large model delays many others.
 func (s *send) requiredConfidence(now time.Time) int {
 	settings := s.router.settings
 	largest := s.route.Models[len(s.route.Models)-1]
@@ -422,7 +425,7 @@
 	})
 }
 
-// finish gives the connection back, or closes it where the answer was not read to its end.
+// releaseConn returns the connection to the pool, or closes it if the answer was not read to its end.
 func (s *send) releaseConn() {
 	if s.answer == nil {
 		s.conn.Close()
--- a/exchange/shortage.go
+++ b/exchange/shortage.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	// yieldFor is how long less urgent requests yield after one was refused for the limits of endpoints.
+	// yieldDuration is how long less urgent requests yield after a request was refused because of rate limits.
 	yieldDuration = time.Second
-	// yieldShare: of the less urgent requests one in so many does not yield, so that no kind of request is left without.
+	// noYieldEvery: every so many of the less urgent requests does not yield, so that no kind of request starves.
 	noYieldEvery = 3
 )
 
 type (
-	// shortages are the services whose endpoints took fewer requests than came, all of them naming limits. What they take then
-	// goes to the most urgent requests first.
+	// shortages tracks services whose endpoints are all rate-limited and took fewer requests than arrived. Their
+	// capacity then goes to the most urgent requests first.
 	shortages struct {
 		mu       sync.Mutex
 		services map[willowwick.ServiceID]*shortage
 	}
 
-	// shortage is that of one service.
+	// shortage is the shortage of one service.
 	shortage struct {
 		rank   int       // of the most urgent request that was refused
-		until  time.Time // less urgent ones yield
-		checks int       // how often it was asked whether one must
+		until  time.Time // less urgent requests yield until then
+		checks int       // calls of mustYield that counted
 	}
 )
 
@@ -34,7 +34,7 @@
 	return &shortages{services: map[willowwick.ServiceID]*shortage{}}
 }
 
-// note notes that a request was refused for the limits of all endpoints.
+// record records a request that was refused because all endpoints are rate-limited.
 func (s *shortages) record(service willowwick.ServiceID, rank int, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,7 +48,7 @@
 	}
 }
 
-// mustYield reports whether a request leaves what limited endpoints take to more urgent ones.
+// mustYield reports whether a request leaves the capacity of rate-limited endpoints to more urgent ones.
 func (s *shortages) mustYield(service willowwick.ServiceID, rank int, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
