--- a/exchange/call.go
+++ b/exchange/call.go
@@ -103,7 +103,7 @@
 	}
 	t := x.table.Load()
 	if t == nil {
-		return nil, willowwick.NotRun(willowwick.CodeStale, arrived.Add(notReadyRetryAfter), "no configuration is known yet")
+		return nil, willowwick.NotRun(willowwick.CodeStale, arrived.Add(notReadyRetryAfter), "no configuration has been loaded yet")
 	}
 	target, path := requestTarget(r)
 	c := &call{
@@ -115,7 +115,7 @@
 		return nil, x.unlessStale(refusal, t, arrived)
 	}
 	if head.ID == "" {
-		return nil, willowwick.Invalid(willowwick.CodeBadRequest, "id", "the request has no id")
+		return nil, willowwick.Invalid(willowwick.CodeBadRequest, "id", "the request has no ID")
 	}
 	if refusal := c.readBody(r); refusal != nil {
 		return nil, x.unlessStale(refusal, t, arrived)
@@ -131,7 +131,7 @@
 // resolveRoute looks up the request's route and client account in the configuration.
 func (c *call) resolveRoute(path string) *willowwick.Refusal {
 	if c.route = c.table.route(c.message.Host, path); c.route == nil {
-		return willowwick.Invalid(willowwick.CodeUnknownService, "path", "no route of %q leads to %q", c.message.Host, path)
+		return willowwick.Invalid(willowwick.CodeUnknownService, "path", "no route matches host %q and path %q", c.message.Host, path)
 	}
 	if c.route.Anonymous || len(c.table.Accounts) == 0 {
 		return nil
@@ -174,14 +174,14 @@
 		limit = defaultMaxBodyBytes
 	}
 	if r.ContentLength > limit {
-		return willowwick.Invalid(willowwick.CodeTooLarge, "body", "the body has %d bytes; %d are allowed", r.ContentLength, limit)
+		return willowwick.Invalid(willowwick.CodeTooLarge, "body", "the body has %d bytes; the limit is %d", r.ContentLength, limit)
 	}
 	body, err := readAll(io.LimitReader(r.Body, limit+1), r.ContentLength)
 	if err != nil {
-		return willowwick.NotRun(willowwick.CodeBadRequest, time.Time{}, "the body broke off: %v", err)
+		return willowwick.NotRun(willowwick.CodeBadRequest, time.Time{}, "the body could not be read completely: %v", err)
 	}
 	if int64(len(body)) > limit {
-		return willowwick.Invalid(willowwick.CodeTooLarge, "body", "more than the %d bytes that are allowed", limit)
+		return willowwick.Invalid(willowwick.CodeTooLarge, "body", "the body exceeds the limit of %d bytes", limit)
 	}
 	c.message.Body, c.message.HasLen = body, true
 	return nil
--- a/exchange/callers.go
+++ b/exchange/callers.go
@@ -11,36 +11,37 @@
 )
 
 const (
-	// atRest: no request is on the connection.
+	// connIdle: no request is on the connection.
 	connIdle connUse = iota
-	// inUse: a request is on it, from its first byte on.
+	// connBusy: a request is on the connection, from its first byte on.
 	connBusy
 	// retired: this box has closed it, and takes nothing from it any more.
 	connRetired
 )
 
-// retirePoll is how often a stopping box looks whether callers' connections are at rest.
+// retirePoll is how often a stopping box checks whether callers' connections are idle.
 const retirePoll = 10 * time.Millisecond
 
 type (
 	connUse = int32
 
-	// callerConnKey finds the caller's connection in the context of its requests.
+	// callerConnKey is the context key of the caller's connection.
 	callerConnKey struct{}
 
-	// callerListener knows the connections of callers, and which of them have a request on them.
+	// callerListener tracks callers' connections and which of them have a request.
 	//
-	// net/http takes a connection for idle until it has read a whole head, and would close it then.
+	// net/http considers a connection idle until it has read a complete head, and would close it until then.
 	callerListener struct {
 		net.Listener
 		busyConns atomic.Int64
 
-		mu      sync.Mutex
-		conns   map[*callerConn]bool
-		retired bool // nothing is taken from what is accepted from now on
+		mu    sync.Mutex
+		conns map[*callerConn]bool
+		// retired: this box has closed the connection and accepts nothing more from it.
+		retired bool // new connections are closed unread
 	}
 
-	// callerConn is a caller's connection with whether a request is on it.
+	// callerConn is a caller's connection and its use.
 	callerConn struct {
 		net.Conn
 		listener *callerListener
@@ -52,8 +53,8 @@
 	return &callerListener{Listener: listener, conns: map[*callerConn]bool{}}
 }
 
-// Accept implements net.Listener. A connection that was accepted as the listener was closed may come here only after the
-// others were retired: it is closed unread, for nobody would wait for its request.
+// Accept implements net.Listener. A connection that was accepted while the listener was being closed may get here
+// only after the others were retired; it is closed unread, because nothing would wait for its request.
 func (l *callerListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -67,7 +68,7 @@
 	return c, nil
 }
 
-// enter reports whether requests may be taken from a new connection; if so, the connection is waited for.
+// register reports whether requests may be accepted from a new connection; if so, retire waits for the connection.
 func (l *callerListener) register(c *callerConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -78,25 +79,26 @@
 	return true
 }
 
-// noteConn is the server's hook for the context of a connection's requests.
+// connContext is the server's ConnContext hook.
 func (l *callerListener) connContext(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, callerConnKey{}, conn)
 }
 
-// takeOnly passes on requests of connections that are waited for. The server may have read a request together with the
-// one before it: its connection then looks at rest until the request is here, and may have been retired.
+// rejectRetired passes on requests of connections that are not retired. The server may have read a request together
+// with the previous one: the connection then seems idle until the request gets here, and may have been retired.
 func (l *callerListener) rejectRetired(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c, ok := r.Context().Value(callerConnKey{}).(*callerConn)
 		if ok && !c.acquire() {
-			slog.Info("request was not taken, its connection is closed already", "target", r.RequestURI)
+			slog.Info("request rejected, its connection was already closed", "target", r.RequestURI)
 			panic(http.ErrAbortHandler)
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// Read implements net.Conn; bytes that come as the connection is retired belong to a request that was never taken.
+// Read implements net.Conn; bytes that arrive while the connection is retired belong to a request that was never
+// accepted.
 func (c *callerConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 && !c.acquire() {
@@ -105,7 +107,7 @@
 	return n, err
 }
 
-// take marks the connection as in use by a request, and reports whether the request may go on.
+// acquire marks the connection as busy, and reports whether its request may proceed.
 func (c *callerConn) acquire() bool {
 	if c.use.CompareAndSwap(connIdle, connBusy) {
 		c.listener.busyConns.Add(1)
@@ -115,7 +117,7 @@
 
 func (c *callerConn) closeUnread() {
 	if err := c.Conn.Close(); err != nil {
-		slog.Debug("caller's connection did not close", "error", err)
+		slog.Debug("close of a caller's connection failed", "error", err)
 	}
 }
 
@@ -127,7 +129,7 @@
 	return c.Conn.Close()
 }
 
-// noteState is the server's hook; a connection is at rest again once its answer is out.
+// trackState is the server's ConnState hook; a connection is idle again once its answer was written.
 func (l *callerListener) trackState(conn net.Conn, state http.ConnState) {
 	c, ok := conn.(*callerConn)
 	if !ok || state != http.StateIdle && state != http.StateClosed && state != http.StateHijacked {
@@ -138,8 +140,8 @@
 	}
 }
 
-// retire closes the connections that are at rest, each before another request can be taken from it, and waits for the
-// others to come to rest; it returns how many are left when the context ends. The listener is closed before.
+// retire closes idle connections, each before another request can be read from it, and waits for the others to
+// become idle; it returns how many are left when the context ends. The listener must be closed before.
 func (l *callerListener) retire(ctx context.Context) int {
 	for {
 		left := l.retireIdle()
@@ -150,7 +152,7 @@
 	}
 }
 
-// retireResting closes the connections that are at rest and returns how many are not.
+// retireIdle closes the idle connections and returns how many are not idle.
 func (l *callerListener) retireIdle() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/exchange/crash.go
+++ b/exchange/crash.go
@@ -12,57 +12,60 @@
 )
 
 const (
-	// endKept is how long it is remembered that an endpoint ended: its entry is gone by then.
+	// crashCheckTTL is how long the result of a crash check is kept: the endpoint's entry is gone by then.
 	crashCheckTTL = 30 * time.Second
-	// breakKept is how long a connection that broke may still turn out to have ended with its endpoint: some heartbeats.
+	// pendingBreakTTL is how long a broken connection may still be attributed to a crash of its endpoint: some
+	// heartbeats.
 	pendingBreakTTL = 10 * time.Second
-	// mostBreaks bounds the broken connections that wait for that.
+	// maxPendingBreaks limits the broken connections that wait for that.
 	maxPendingBreaks = 1024
-	// dropKept is how long a send whose answer was dropped may still have been at work at its endpoint, and so have ended it;
-	// mostDrops bounds those that are kept, and keptBody the bodies of their requests: of a longer one the fingerprint is taken at once.
+	// dropCrashWindow is how long after its answer was dropped a request may still have been running at its
+	// endpoint, and so have crashed it. maxPendingDrops limits how many such sends are kept, and maxRetainedBody
+	// the bodies of their requests; the fingerprint of a larger body is computed at once.
 	dropCrashWindow = time.Second
 	maxPendingDrops = 256
 	maxRetainedBody = 64 << 10
-	// dropNews is how much later it may become known here that the endpoint ended: another box tells of it within some swaps.
+	// crashReportDelay is how much later the crash may become known here: another box reports it within some gossip
+	// exchanges.
 	crashReportDelay = 2 * time.Second
 )
 
 type (
-	// endChecks finds out whether an endpoint ended when a connection to it broke. Where it did, nothing listens at its address any
-	// more; where only the connection was reset, it does.
+	// crashDetector finds out whether an endpoint crashed when a connection to it broke. If it did, nothing listens
+	// at its address any more; if only the connection was reset, something does.
 	crashDetector struct {
 		router *Router
 
 		mu     sync.Mutex
 		checks map[endpointIncarnation]*crashCheck
-		breaks []brokenSend // of endpoints at whose address something listened again
+		breaks []brokenSend // sends to endpoints at whose address something listened again
 		drops  []droppedSend
 	}
 
-	// droppedSend is a send whose answer was dropped while its endpoint may have been at work on it.
+	// droppedSend is a send whose answer was dropped while its endpoint may have been running the request.
 	droppedSend struct {
-		describePoison func() willowwick.HarmfulRequest // the fingerprint is taken only if the endpoint ended
+		describePoison func() willowwick.HarmfulRequest // computes the fingerprint, which is needed only if the endpoint crashed
 		endpoint       willowwick.Endpoint
 		at             time.Time
 	}
 
-	// endpointInLife names one life of an endpoint.
+	// endpointIncarnation identifies one incarnation of an endpoint.
 	endpointIncarnation struct {
 		id          willowwick.EndpointID
 		incarnation willowwick.Incarnation
 	}
 
-	// brokenSend is a request whose connection broke, for which reason is not known yet.
+	// brokenSend is a request whose connection broke for an unknown reason.
 	brokenSend struct {
 		request  willowwick.HarmfulRequest
 		endpoint willowwick.Endpoint
 		at       time.Time
 	}
 
-	// endCheck is one look, which all requests that broke at the endpoint share.
+	// crashCheck is one check of an endpoint, shared by all requests whose connections to it broke.
 	crashCheck struct {
 		startedAt time.Time
-		done      chan struct{} // closed once hasEnded is known
+		done      chan struct{} // closed once crashed is set
 		crashed   bool
 	}
 )
@@ -71,8 +74,9 @@
 	return &crashDetector{router: x, checks: map[endpointIncarnation]*crashCheck{}}
 }
 
-// hasEnded reports whether an endpoint, to which a connection broke at a moment, ended by itself. One that leaves, whose entry is
-// gone, or whose release is given up may be stopped by its operator at any time.
+// hasCrashed reports whether an endpoint, to which a connection broke at brokeAt, crashed. An endpoint that is
+// draining or no longer listed, or whose release is retired, may have been stopped by its operator and doesn't
+// count.
 func (e *crashDetector) hasCrashed(ctx context.Context, endpoint willowwick.Endpoint, brokeAt time.Time) bool {
 	if e.router.sync.hasStartedAgain(endpoint) {
 		return true
@@ -98,7 +102,8 @@
 	}
 }
 
-// checkFor returns the check that is under way for an endpoint or tells what is asked; isOwn says that the caller has to make it.
+// checkFor returns the endpoint's check that is in progress or still conclusive; isOwn means that the caller must
+// run it.
 func (e *crashDetector) checkFor(of endpointIncarnation, brokeAt time.Time) (check *crashCheck, isOwn bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -121,8 +126,8 @@
 	}
 }
 
-// look makes the check; an endpoint of which nothing shows in time counts as alive. It goes on if the caller of the request that
-// makes it leaves: others wait for what it shows, and would send the request to one more endpoint.
+// probe runs the check; an endpoint whose state remains unknown counts as alive. It continues if the caller of its
+// request disconnects: other requests wait for the result, and without it would be sent to one more endpoint.
 func (e *crashDetector) probe(ctx context.Context, check *crashCheck, address string) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), quarantine.CheckLimit)
 	defer cancel()
@@ -131,7 +136,7 @@
 	close(check.done)
 }
 
-// forget drops old checks; the caller holds the lock.
+// forgetOldChecks drops expired checks; the caller holds the lock.
 func (e *crashDetector) forgetOldChecks(now time.Time) {
 	for of, check := range e.checks {
 		if now.Sub(check.startedAt) > crashCheckTTL {
@@ -140,8 +145,8 @@
 	}
 }
 
-// await keeps a send that broke while something listens at its endpoint's address: the endpoint may have started again already,
-// which its next entry shows.
+// awaitRestart keeps a broken send while something listens at its endpoint's address: the endpoint may have
+// restarted already, which its next entry shows.
 func (e *crashDetector) awaitRestart(broken brokenSend) {
 	if broken.endpoint.Incarnation == 0 {
 		return
@@ -154,7 +159,7 @@
 	}
 }
 
-// endedBefore takes that a life of an endpoint was over before the one that its entry tells of now.
+// recordRestart records that an incarnation of an endpoint had ended before the one of its newest entry.
 func (e *crashDetector) recordRestart(id willowwick.EndpointID, incarnation willowwick.Incarnation) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -167,7 +172,7 @@
 	})
 }
 
-// noteDropped keeps a send whose answer is dropped now.
+// recordDropped keeps a send whose answer is dropped now.
 func (e *crashDetector) recordDropped(dropped droppedSend) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -177,7 +182,7 @@
 	}
 }
 
-// dropped is the send as its answer is dropped now.
+// dropped returns the record of a send whose answer is dropped now.
 func (s *send) dropped() droppedSend {
 	c, d := s.call, droppedSend{endpoint: s.ticket.Endpoint, at: clock.Now()}
 	if len(c.message.Body) > maxRetainedBody {
@@ -189,8 +194,8 @@
 	return d
 }
 
-// countDropped counts the ends of endpoints, of which this box has just learnt, against the sends whose answers were dropped there right
-// before: nobody heard their connections break.
+// countDroppedAtCrash attributes crashes that this box has just learnt of to the sends whose answers were dropped
+// there within dropCrashWindow: their connections were no longer read, so the break went unnoticed.
 func (e *crashDetector) countDroppedAtCrash() {
 	var ended []brokenSend
 	e.mu.Lock()
--- a/exchange/poison.go
+++ b/exchange/poison.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// harmEvery is how often a box looks whether the store has to be told of a request: soon enough that all boxes may lose
-	// power a moment after a request was found out.
+	// poisonWriteInterval is how often a box checks for poison requests to write to the store: short, since all
+	// boxes may lose power a moment after a request was identified.
 	poisonWriteInterval = feedPoll
-	// mostTarget bounds what is kept and told of a caller's path, which may be as long as its headers.
+	// maxTargetBytes limits what is kept and reported of a request's target, which may be as long as its headers.
 	maxTargetBytes = 512
-	// harmRetry is the pause after a call to the store that failed.
+	// poisonRetryDelay is the delay after a failed call to the store.
 	poisonRetryDelay = time.Second
-	// harmLook is how often a box that reads the store looks there for what others found, while it hears of no box of some hall: all
-	// have to know within three seconds.
+	// poisonReadInterval is how often a box that reads the store checks it for requests found by other boxes while
+	// it is in touch with no box of some hall: all boxes have to know of them within three seconds.
 	poisonReadInterval = time.Second
 )
 
-// refuseHarmful refuses a request that ends the endpoints that run it. The box that leads tries it now and then where it may run
-// after all; it is the only one that does so at a time.
+// refusePoison refuses a poison request, which crashes the endpoints that run it. The leader, and only it, retries
+// such a request from time to time on a release that may run it.
 func (c *call) refusePoison(now time.Time) *willowwick.Refusal {
 	if !c.isPoison() {
 		return nil
@@ -42,14 +42,14 @@
 	return quarantine.Refusal()
 }
 
-// isHarmful reports whether the request is to be sent to no endpoint. Its fingerprint is taken only while some request is under
-// suspicion.
+// isPoison reports whether the request must not be sent to any endpoint. The fingerprint is computed only while
+// some request is suspected.
 func (c *call) isPoison() bool {
 	poison := c.router.poison
 	return c.trialRelease == "" && !poison.IsEmpty() && poison.Refuses(c.fingerprint())
 }
 
-// releasesOf lists the releases of a service's endpoints that may get requests.
+// usableReleases returns the releases of a service's endpoints that may get requests.
 func (x *Router) usableReleases(service willowwick.ServiceID, now time.Time) []willowwick.ReleaseID {
 	var list []willowwick.ReleaseID
 	for _, endpoint := range x.pool.Endpoints() {
@@ -61,12 +61,12 @@
 	return list
 }
 
-// identify says what is told of the request to other boxes and to operators.
+// describePoison returns what other boxes and operators get to know of the request.
 func (c *call) describePoison() willowwick.HarmfulRequest {
 	return c.describePoisonAs(c.fingerprint())
 }
 
-// identifyAs is identify with the request's fingerprint.
+// describePoisonAs is describePoison with a given fingerprint.
 func (c *call) describePoisonAs(fingerprint willowwick.Fingerprint) willowwick.HarmfulRequest {
 	return willowwick.HarmfulRequest{
 		Request: fingerprint, Account: c.accountName(), Service: c.service, Host: c.message.Host,
@@ -74,7 +74,7 @@
 	}
 }
 
-// noteHarm notes that an endpoint ended while it had a request.
+// recordCrash records that an endpoint crashed while it had a request.
 func (x *Router) recordCrash(broken brokenSend) {
 	x.metrics.endedUnder()
 	endpoint := broken.endpoint
@@ -84,15 +84,15 @@
 	x.peers.hurry()
 }
 
-// noteHarmless notes that an endpoint has answered the request whole.
+// recordHarmless records that an endpoint has answered the request completely.
 func (s *send) recordHarmless(now time.Time) {
 	if quarantine.IsHarmlessBy(s.answer.Status) && !s.router.poison.IsEmpty() {
 		s.router.poison.NoteAnswer(s.fingerprint(), now)
 	}
 }
 
-// keepHarmful looks after what the store holds of requests that end endpoints, until the context ends. What the boxes know dies with
-// them, and all may lose power at once.
+// runPoisonSync keeps the poison requests in the store up to date until the context ends: all boxes may lose power
+// at once, and with it what they know.
 func (s *syncer) runPoisonSync(ctx context.Context) {
 	sleep(ctx, lookFor)
 	for ctx.Err() == nil {
@@ -103,8 +103,8 @@
 	}
 }
 
-// lookAfterHarmful reads what the store holds where that is due, and writes what this box found; it reports whether the store
-// answered.
+// syncPoison reads the store's poison requests if that is due, and writes what this box found; it reports whether
+// the store answered.
 func (s *syncer) syncPoison(ctx context.Context) bool {
 	now := clock.Now()
 	isAnswered := true
@@ -117,18 +117,18 @@
 	return s.writePoison(ctx) && isAnswered
 }
 
-// mustReadHarmful reports whether this box has to read what the store holds: once, since what boxes know dies with them, and again
-// and again while other halls may have found out something that they cannot tell it.
+// mustReadPoison reports whether this box has to read the poison requests from the store: once after its start, and
+// then periodically while it misses a hall, which may have found requests that it cannot report here.
 func (s *syncer) mustReadPoison(now time.Time) bool {
 	isDue := s.harmDue.IsZero() || !now.Before(s.harmDue) && s.router.peers.missesHall(now)
 	return isDue && !s.isFed(now) && !s.mayRest(now)
 }
 
-// restoreHarmful reads what the store holds, and reports whether that was possible.
+// restorePoison reads the poison requests from the store, and reports whether it answered.
 func (s *syncer) restorePoison(ctx context.Context) bool {
 	records, err := s.control.Harmful(ctx)
 	if err != nil {
-		slog.Info("requests that end endpoints could not be read", "error", err)
+		slog.Info("read of poison requests failed", "error", err)
 		return false
 	}
 	now := clock.Now()
@@ -140,12 +140,12 @@
 	return true
 }
 
-// writeHarmful writes what is due, and reports whether the store took it.
+// writePoison writes the requests that are due, and reports whether the store accepted them.
 func (s *syncer) writePoison(ctx context.Context) bool {
 	for _, request := range s.router.poison.Due() {
 		era := s.currentEra()
 		if err := s.control.SetHarmful(ctx, request.WithEndTimes(clock.System)); err != nil {
-			slog.Info("request that ends endpoints could not be written", "fingerprint", request.Request.String(), "error", err)
+			slog.Info("write of a poison request failed", "fingerprint", request.Request.String(), "error", err)
 			return false
 		}
 		if era == s.currentEra() {
--- a/exchange/release.go
+++ b/exchange/release.go
@@ -43,7 +43,7 @@
 
 		era            willowwick.Era                                   // the newest era of an order
 		restoredAt     time.Time                                        // until then, orders may be ones that the operator writes again
-		deferredOrders map[willowwick.ServiceID]willowwick.ReleaseOrder // applied at restoredAt unless written again
+		deferredOrders map[willowwick.ServiceID]willowwick.ReleaseOrder // applied at restoredAt if still the newest
 	}
 
 	// rolloutState is a roll-out as this box knows it.
--- a/exchange/send.go
+++ b/exchange/send.go
@@ -100,7 +100,7 @@
 	}
 	switch {
 	case c.runs == 0:
-		return willowwick.NotRun(willowwick.CodeOverloaded, now.Add(defaultRetryAfter), "no endpoint took the request (%s)", cause)
+		return willowwick.NotRun(willowwick.CodeOverloaded, now.Add(defaultRetryAfter), "no endpoint accepted the request (%s)", cause)
 	case c.isPastDeadline():
 		return willowwick.Failed(willowwick.CodeDeadline, "the time was up (%s)", cause)
 	default:
