--- a/exchange/caller_left_test.go
+++ b/exchange/caller_left_test.go
@@ -11,10 +11,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// leftWithin is within what time nothing more is done for a caller that has left.
+// cleanupLimit is the time within which a box stops working for a caller that has disconnected.
 const cleanupLimit = 500 * time.Millisecond
 
-// A caller that leaves while its request waits for a place costs no endpoint anything.
+// A request whose caller disconnects while it waits for a slot is not sent to an endpoint.
 func TestQueuedRequestOfACallerThatLeftIsNotSent(t *testing.T) {
 	const places = initialEndpointLimit
 	goOn := make(chan struct{})
@@ -48,10 +48,10 @@
 		assert.Equal(t, http.StatusOK, <-answered)
 	}
 	time.Sleep(100 * time.Millisecond)
-	assert.Len(t, r.requests(), places, "nothing was sent for the caller that left")
+	assert.Len(t, r.requests(), places, "the request of the disconnected caller was sent")
 }
 
-// A request that was not read to its end reaches no endpoint.
+// A request whose body was not read completely is not sent to an endpoint.
 func TestIncompleteRequestIsNotSent(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	s := newStopSite(t, testSettings(), listen(t), r.endpoint("v1"))
--- a/exchange/callers_test.go
+++ b/exchange/callers_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// heldConn returns its bytes only once it is told to, as a read does that crosses a close.
+// blockedConn returns its bytes only once it is released, like a read that races with a close.
 type blockedConn struct {
 	net.Conn
 	release chan struct{}
@@ -25,7 +25,7 @@
 
 func (c *blockedConn) Close() error { return nil }
 
-// oneConn accepts one connection.
+// singleConnListener accepts one connection.
 type singleConnListener struct {
 	net.Listener
 	conn net.Conn
@@ -42,7 +42,7 @@
 	return l, conn.(*callerConn), release
 }
 
-// A stopping box once took a request from a connection at rest, sent it on, and closed the connection as it ended.
+// A stopping box accepted a request from an idle connection, sent it on, and then closed the connection.
 func TestRequestThatRacesWithTheCloseOfItsConnectionIsNotAccepted(t *testing.T) {
 	l, conn, release := acceptBlocked(t)
 	read := make(chan error, 1)
@@ -65,12 +65,13 @@
 	require.NotZero(t, n)
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
-	assert.Equal(t, 1, l.retire(ended), "it is waited for until the end of the time")
+	assert.Equal(t, 1, l.retire(ended), "the busy connection is waited for until the context ends")
 	l.trackState(conn, http.StateIdle)
 	assert.Zero(t, l.retire(t.Context()))
 }
 
-// Each answer that a stopping box has begun reaches its caller; the others see a closed connection and nothing of it ran.
+// Each answer that a stopping box has begun reaches its caller; other callers see a closed connection, and nothing
+// of their requests was run.
 func TestShutdownAnswersEachAcceptedRequest(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/exchange/crash_test.go
+++ b/exchange/crash_test.go
@@ -16,7 +16,7 @@
 	"github.com/willowwick/willowwick/clock"
 )
 
-// logBuffer keeps what is logged.
+// logBuffer collects log lines.
 type logBuffer struct {
 	mu   sync.Mutex
 	data bytes.Buffer
@@ -29,7 +29,7 @@
 	return b.data.Write(line)
 }
 
-// lineOf is the line with a message about a request.
+// findLine returns the line with the given message and request ID.
 func (b *logBuffer) findLine(t *testing.T, message, request string) map[string]any {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -39,18 +39,18 @@
 			return line
 		}
 	}
-	require.Fail(t, "no such line", "%s of %s", message, request)
+	require.Fail(t, "no such log line", "%s of %s", message, request)
 	return nil
 }
 
-// crash ends the runner as the end of its process would: nothing listens any more, and all its connections break.
+// crash ends the runner like a crash of its process: its listener and all its connections are closed.
 func (r *runner) crash() {
 	_ = r.Listener.Close()
 	r.CloseClientConnections()
 }
 
-// A line about a send that broke tells whether the endpoint ended or only the connection was lost, and names the content
-// of the request, so that its repeats are found whatever their ids.
+// The log line of a broken send tells whether the endpoint crashed or only the connection was lost, and has the
+// fingerprint of the request, which finds its retries under any ID.
 func TestABrokenSendReportsWhetherItsEndpointCrashed(t *testing.T) {
 	before := slog.Default()
 	defer slog.SetDefault(before)
@@ -73,8 +73,8 @@
 	}
 }
 
-// All requests that broke at an endpoint share one look at it. The caller of the one that makes it may leave meanwhile; the others
-// would take the endpoint for alive, and one more may end.
+// All requests whose connections to an endpoint broke share one check. If it ended with the caller of the request
+// that runs it, the others would take the endpoint for alive, and one more might crash.
 func TestACrashCheckOutlivesItsCaller(t *testing.T) {
 	t.Parallel()
 	r := newRunner(t, "r1", answerText("ok"))
--- a/exchange/escalation_test.go
+++ b/exchange/escalation_test.go
@@ -10,10 +10,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Pattern: prompts wait long at crowded endpoints, so that the small model's answer begins just before its caller's deadline.
-// If its confidence is under the lower threshold it is dropped for the large model's, which cannot come in time any more, and
-// the caller gets nothing. Grounds: a short request of 4 s on a played day of 295 boxes, sent to the large model 0.4 s before its deadline after
-// 2.7 s at the small model's endpoint; 183 requests of that day ran out of time, for this cause or others.
+// Prompts wait long at crowded endpoints, so that the small model's answer begins just before its caller's
+// deadline. With a confidence under the lower threshold it was dropped for the large model's, which could not begin
+// in time, and the caller got nothing. In a simulated day of 295 boxes, a short request with 4 s was sent to the
+// large model 0.4 s before its deadline, after 2.7 s at the small model's endpoint; 183 requests of that day ran
+// out of time, for this cause or others.
 func TestAnAnswerIsNotDroppedForOneThatCannotComeInTime(t *testing.T) {
 	const usual = 300 * time.Millisecond // of the large model
 	r := newRunner(t, "r1", func(w http.ResponseWriter, request *http.Request) {
@@ -35,15 +36,16 @@
 	}
 	for _, id := range []string{"a", "b", "c"} {
 		reply := s.do(t, http.MethodPost, "/stream/", id, "x", "T-Model", "*", "X-Small-Waits", "1ms")
-		require.Equal(t, "id: 1\ndata: large\n\n", reply.body, "there is time for the large model")
+		require.Equal(t, "id: 1\ndata: large\n\n", reply.body, "there was time for the large model")
 	}
 	reply := s.do(t, http.MethodPost, "/stream/", "d", "x", "T-Model", "*", "X-Small-Waits", "700ms", "T-Left", "850")
 	assert.Equal(t, http.StatusOK, reply.status)
 	assert.Equal(t, "id: 1\ndata: small\n\n", reply.body)
 }
 
-// Seen: a request ended three endpoints some 50 ms after their small model's answer to it had been dropped for the large model's, and was sent to
-// five more, since an end counted against what was still at work there alone.
+// A request crashed three endpoints some 50 ms after the small model's answer to it had been dropped for the large
+// model's, and was sent to five more: a crash counted only against requests that were still running at the
+// endpoint.
 func TestACrashAsAnAnswerIsDroppedCountsAgainstItsRequest(t *testing.T) {
 	var ending *runner
 	underWay, chosen := make(chan struct{}), make(chan struct{})
@@ -52,13 +54,13 @@
 		if isHarmful {
 			w.Header().Set("T-Confidence", "10")
 			chosen <- struct{}{}
-			<-chosen // there is another endpoint for the large model
+			<-chosen // the other endpoint for the large model exists now
 		}
 		_, _ = io.WriteString(w, event(1))
 		_ = http.NewResponseController(w).Flush()
 		if !isHarmful {
 			close(underWay)
-			<-r.Context().Done() // it is at work there until the endpoint ends
+			<-r.Context().Done() // runs until the endpoint crashes
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -84,5 +86,5 @@
 	assert.Eventually(t, func() bool {
 		suspected, _ := s.daemon.router.poison.Counts()
 		return suspected == 2
-	}, time.Second, 10*time.Millisecond, "both requests were at work there, or had just been")
+	}, time.Second, 10*time.Millisecond, "both requests were running there, or had just been")
 }
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -165,7 +165,7 @@
 	}
 }
 
-// Events that come in one piece with the end of the stream were once taken for the start of another event.
+// Events that arrived in one read with the end of the stream were taken for the start of an incomplete event.
 func TestEventsThatComeWithTheEndOfTheStreamArePassedOn(t *testing.T) {
 	r := newRunner(t, "r1", func(w http.ResponseWriter, _ *http.Request) {
 		text := events(3)
@@ -276,7 +276,7 @@
 	s := newSite(t, r.endpoint("v1"))
 	s.control.change(func() { s.control.down = true })
 	require.Eventually(t, func() bool { return s.daemon.router.sync.isAway() }, patience, time.Millisecond)
-	// Entries lapse only while the store is away for longer than heartbeats take.
+	// Entries expire only while the store is unreachable for longer than a heartbeat takes.
 	time.Sleep(2 * testSettings().Drain)
 	s.control.change(func() {
 		s.control.down = false
@@ -288,7 +288,7 @@
 	assert.Equal(t, http.StatusServiceUnavailable, s.do(t, http.MethodPost, "/once/", "id", "x").status)
 }
 
-// A box once took requests until the end of the grace and cut them there.
+// A box accepted requests until the end of its grace period and then cut them off.
 func TestPlannedStopTakesNothingThatItCannotFinish(t *testing.T) {
 	r := newRunner(t, "r1", func(w http.ResponseWriter, request *http.Request) {
 		time.Sleep(800 * time.Millisecond)
@@ -305,10 +305,10 @@
 	time.Sleep(50 * time.Millisecond)
 	ok, _ := s.daemon.router.ready()
 	assert.False(t, ok)
-	// What comes soon after the signal is served whole.
+	// A request soon after the signal is served completely.
 	soon := make(chan siteReply)
 	go func() { soon <- s.do(t, http.MethodPost, "/stream/", "late", "x") }()
-	// What comes later and may not end in time is sent elsewhere, with nothing run.
+	// A later request that may not end in time is refused, and not run.
 	time.Sleep(testSettings().UnreadyDelay)
 	blocking := make(chan siteReply)
 	go func() { blocking <- s.do(t, http.MethodPost, "/once/", "short", "x", "T-Left", "1000") }()
@@ -333,7 +333,7 @@
 	assert.Equal(t, body, r.body[0])
 }
 
-// A request that was read just as the box found itself idle was once cut.
+// A request that was read just as the box found itself idle was cut off.
 func TestPlannedStopWaitsForARequestThatCameLast(t *testing.T) {
 	r := newRunner(t, "r1", func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(30 * time.Millisecond)
@@ -345,7 +345,7 @@
 		time.Sleep(testSettings().UnreadyDelay + time.Duration(offset)*time.Millisecond)
 		response, err := s.client.Do(s.request(t, http.MethodPost, "/once/", "id", "x", "T-Left", "1000"))
 		if err != nil {
-			continue // the connection was refused or closed with nothing read
+			continue // the connection was refused, or closed before the request was read
 		}
 		body, err := io.ReadAll(response.Body)
 		_ = response.Body.Close()
@@ -354,7 +354,7 @@
 	}
 }
 
-// A request that was under way when a roll-out was ordered once went on at the new release.
+// A request in flight when a roll-out was ordered was retried on the new release.
 func TestRetriedRequestKeepsToItsRelease(t *testing.T) {
 	ordered := make(chan struct{})
 	var runs atomic.Int64
@@ -368,7 +368,7 @@
 	})
 	s := newSite(t, old.endpoint("v1"))
 	fresh := newRunner(t, "r2", answerText("new"))
-	time.Sleep(lookFor) // a box that has just started first looks whether another reads for it
+	time.Sleep(lookFor) // a box that has just started first checks whether a hub reads the store for it
 	time.AfterFunc(50*time.Millisecond, func() {
 		s.control.change(func() {
 			s.control.endpoints["r2"] = fresh.endpoint("v2")
@@ -389,7 +389,7 @@
 	require.True(t, s.daemon.router.hasRelease("work", "v2"), "and so was the new release's endpoint")
 }
 
-// A stream whose endpoint paused was once taken up elsewhere with the last run that it had, and cut when that failed.
+// A stream whose endpoint paused was resumed elsewhere with its last allowed run, and cut off when that run failed.
 func TestStreamIsNotResumedElsewhereWithItsLastRunWhileItsEndpointLives(t *testing.T) {
 	for name, quiet := range map[string]bool{"lives": false, "quiet": true} {
 		t.Run(name, func(t *testing.T) {
@@ -416,7 +416,7 @@
 	}
 }
 
-// Requests that came in the first milliseconds of a box were once refused, with a second to wait.
+// Requests in the first milliseconds of a box were refused with a Retry-After of one second.
 func TestRequestDuringStartupIsServed(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	control := &testControl{endpoints: map[willowwick.EndpointID]willowwick.Endpoint{r.id: r.endpoint("v1")}}
@@ -427,8 +427,8 @@
 	assert.Equal(t, http.StatusOK, s.do(t, http.MethodPost, "/once/", "id", "x").status)
 }
 
-// The last heartbeat of an endpoint that had gone once brought it back into use.
-// With many routes declared, the configuration takes some tenths of a second to arrive; callers that have time are served.
+// With many routes declared, the configuration takes some tenths of a second to arrive; callers with time left are
+// served.
 func TestRequestWithALongDeadlineWaitsLongerDuringStartup(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	control := &testControl{endpoints: map[willowwick.EndpointID]willowwick.Endpoint{"r1": r.endpoint("v1")}}
@@ -440,6 +440,7 @@
 	assert.Equal(t, http.StatusOK, got.status)
 }
 
+// The last heartbeat of an endpoint that had been removed put it back into use.
 func TestHeartbeatThatComesLateBringsNoEndpointBack(t *testing.T) {
 	x, closeRouter := newRouter(testSettings(), testCodec{})
 	defer closeRouter()
@@ -465,8 +466,8 @@
 	require.True(t, isListed(), "it goes on: it lives")
 }
 
-// A box that the store refused, while others reached it, once took a removal for a lapsed entry, kept it, and told the
-// others so.
+// A box that the store refused, while others reached it, took a removal for an expired entry, kept the entry, and
+// reported it as expired to the other boxes.
 func TestBoxFedByOthersAppliesRemovalsAtOnceAndReportsNoExpiredEntries(t *testing.T) {
 	x, closeRouter := newRouter(testSettings(), testCodec{})
 	defer closeRouter()
@@ -494,7 +495,7 @@
 	require.Contains(t, changes.Gone, willowwick.EndpointID("b"), "who could see the store knows whether it is gone")
 }
 
-// Boxes that were told that an entry had lapsed have dropped it, and once were not told that it is back.
+// Boxes that received that an entry had expired dropped it, and did not receive that it was back.
 func TestAnEndpointWhoseEntryIsBackIsReported(t *testing.T) {
 	x, closeRouter := newRouter(testSettings(), testCodec{})
 	defer closeRouter()
@@ -514,8 +515,8 @@
 	require.Equal(t, beat(2), changes.Endpoints)
 }
 
-// An endpoint came and went between two reads of a box, which then was told of it by one that had read less: it never heard
-// that the endpoint had gone, and listed it for good.
+// An endpoint appeared and was removed between two reads of a box, which then received it from a box that had read
+// less: it never learnt of the removal, and listed the endpoint for ever.
 func TestAnOlderListFromAnotherBoxChangesNothing(t *testing.T) {
 	x, closeRouter := newRouter(testSettings(), testCodec{})
 	defer closeRouter()
@@ -537,8 +538,8 @@
 	require.True(t, found, "it came again after what this box has read")
 }
 
-// While configurations came one after the other, the list of endpoints once was not read: each answer of the store
-// counted as news of it.
+// While configurations arrived one after another, the list of endpoints was not read: each answer of the store
+// counted as an update of it.
 func TestEndpointsAreReadDuringAStormOfConfigurations(t *testing.T) {
 	a, b := newRunner(t, "r1", answerText("a")), newRunner(t, "r2", answerText("b"))
 	s := newSite(t, a.endpoint("v1"), b.endpoint("v1"))
--- a/exchange/hints_test.go
+++ b/exchange/hints_test.go
@@ -13,7 +13,7 @@
 	"github.com/willowwick/willowwick/route"
 )
 
-// newHalls starts as many boxes in each hall, which know each other by the first box of each.
+// newHalls starts the given number of boxes in each hall, which find each other through the first box of all.
 func newHalls(t *testing.T, halls, boxes int, endpoints ...willowwick.Endpoint) []*site {
 	control := newTestControl(testTable(1, streamRoute()), endpoints...)
 	var sites []*site
@@ -40,12 +40,12 @@
 	return sites
 }
 
-// aheadAt is how long the box takes the endpoint to be reading.
+// forecastAt returns how long the box expects the endpoint to be reading.
 func forecastAt(s *site, endpoint willowwick.EndpointID) time.Duration {
 	return s.daemon.router.pool.Ahead(time.Now(), endpoint)
 }
 
-// Boxes that could not know what the others had sent once chose endpoints that were reading for a second and more.
+// Boxes that didn't know what the others had sent chose endpoints that were reading for a second and more.
 func TestHintsReachAllBoxes(t *testing.T) {
 	for _, boxes := range []int{2, maxDirectBoxes + 2} {
 		t.Run(fmt.Sprint(boxes, " boxes a hall"), func(t *testing.T) {
@@ -58,7 +58,7 @@
 			require.NotNil(t, place)
 			reading, isReading := place.Sent(time.Now())
 			require.True(t, isReading)
-			reading.Length = time.Minute // its speed is not known yet
+			reading.Length = time.Minute // its speed is unknown yet
 			x.hints.publish(reading, true)
 			for _, s := range sites[1:] {
 				require.Eventually(t, func() bool { return forecastAt(s, "r1") > time.Second }, patience, 5*time.Millisecond, s.daemon.router.settings.Box)
@@ -99,14 +99,14 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = conn.Close() })
 	s := newSite(t)
-	h := newHints(s.daemon.router, conn) // nobody sends what waits
+	h := newHints(s.daemon.router, conn) // nothing sends the queue
 	for range 2 * hintQueueSize {
 		h.publish(route.Reading{Endpoint: 1}, true)
 	}
 	assert.Len(t, h.queue, hintQueueSize)
 }
 
-// A box that is gone is listed for half a minute, and would lose what it is to pass on.
+// A box that is gone stays listed for half a minute, and would lose the readings that it has to forward.
 func TestHintsToALargerHallGoThroughALiveBox(t *testing.T) {
 	h := newTestHints("k")
 	var hall []netip.AddrPort
@@ -120,7 +120,7 @@
 	}
 }
 
-// At 390 boxes with 5,400 requests a second, all that is sent would be 250 KB a second for each box to hear.
+// At 390 boxes with 5,400 requests a second, sending all readings would cost each box 250 KB a second.
 func TestHintsStayWithinTheirBandwidth(t *testing.T) {
 	const boxes, seconds = 390, 20
 	h, now := newTestHints("k"), time.Now()
@@ -140,7 +140,7 @@
 	}
 	heard := float64(told[true]+told[false]) / seconds * boxes
 	assert.LessOrEqual(t, heard, 1.5*maxRowsPerSecond)
-	assert.Greater(t, float64(told[true])/float64(offered[true]), 0.9, "long ones are told")
+	assert.Greater(t, float64(told[true])/float64(offered[true]), 0.9, "most long readings must be sent")
 	few := newTestHints("k")
 	for n := range 100 {
 		assert.True(t, few.takeRowToken(time.Millisecond, 6, now.Add(time.Duration(n)*10*time.Millisecond)))
--- a/exchange/keep_alive_test.go
+++ b/exchange/keep_alive_test.go
@@ -10,12 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Seen: connections to endpoints that keep them for long are closed after half a second, and dialed anew.
-//
-// How: the head of an answer is passed on without the headers of its connection; when the answer is over, what the endpoint
-// said of its connection is looked for in the same headers.
-//
-// Cause: reply.head takes them out of the answer's own headers (StripHop), and Answer.Done reads them after that.
+// Connections to endpoints with a long keep-alive were closed after half a second and dialed anew: reply.writeHead
+// strips the hop-by-hop headers from the answer's own header map (StripHop), and Answer.Done looked for Keep-Alive
+// there afterwards.
 func TestConnectionsAreKeptAsLongAsTheEndpointSays(t *testing.T) {
 	r := newRunner(t, "r1", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Keep-Alive", "timeout=30")
--- a/exchange/release.go
+++ b/exchange/release.go
@@ -68,7 +68,7 @@
 	// dueStatus is a state that has to be written to the store.
 	dueStatus struct {
 		willowwick.ReleaseStatus
-		isForced bool // written even with requests in flight on the old release, since the period is about to end
+		isForced bool // written even with requests in flight on the old release: the period is about to end, or the state is known
 	}
 )
 
--- a/exchange/silence_test.go
+++ b/exchange/silence_test.go
@@ -11,12 +11,12 @@
 	"github.com/willowwick/willowwick/route"
 )
 
-// readingWork is a prompt without shared parts.
+// promptWork returns a prompt without shared parts.
 func promptWork(tokens willowwick.Tokens) route.Work {
 	return route.Work{Model: "large", Prompt: []willowwick.PromptPart{{ID: "own", Tokens: tokens}}}
 }
 
-// sendWork takes a place for the work and notes it as sent.
+// sendWork acquires a slot for the work and marks it as sent.
 func sendWork(t *testing.T, pool *route.Pool, now time.Time, work route.Work) *route.Place {
 	place, _ := pool.AcquireAllowed(now, "work", work, nil, func(willowwick.Endpoint) bool { return true })
 	require.NotNil(t, place)
@@ -24,7 +24,7 @@
 	return place
 }
 
-// learnReading shows the pool that its endpoints read a token in a tenth of a millisecond, give or take nothing.
+// trainReadingSpeed teaches the pool that its endpoints read a token in exactly a tenth of a millisecond.
 func trainReadingSpeed(t *testing.T, pool *route.Pool, now time.Time) time.Time {
 	for range 400 {
 		place := sendWork(t, pool, now, promptWork(1000))
@@ -35,7 +35,8 @@
 	return now
 }
 
-// Streams were once declared silent at a share of their goal while their endpoint read a long prompt, and read anew elsewhere.
+// Streams were declared silent at a share of their goal while their endpoint was reading a long prompt, which
+// another endpoint then read anew.
 func TestSendLeavesAnUnresponsiveEndpointButNotOneReadingALongPrompt(t *testing.T) {
 	s := newSite(t, newRunner(t, "r1", answerText("a")).endpoint("v1"), newRunner(t, "r2", answerText("b")).endpoint("v1"))
 	x := s.daemon.router
@@ -51,11 +52,11 @@
 			call: &call{router: x, route: &stream, service: "work", out: &reply{}, deadline: now.Add(time.Minute)},
 		}
 		forecast := time.Duration(tokens) * 100 * time.Microsecond
-		assert.False(t, sending.shouldTryAnother(now.Add(forecast)), "%d tokens are being read", tokens)
+		assert.False(t, sending.shouldTryAnother(now.Add(forecast)), "%d tokens are still being read", tokens)
 		assert.True(t, sending.shouldTryAnother(now.Add(forecast+quietAfter+100*time.Millisecond)), "%d tokens should have been read", tokens)
 		place.Heard(now.Add(forecast + quietAfter))
-		assert.False(t, sending.shouldTryAnother(now.Add(forecast+quietAfter+100*time.Millisecond)), "the endpoint goes on with others")
-		assert.True(t, sending.shouldTryAnother(now.Add(lostRequestFactor*(forecast+quietAfter+100*time.Millisecond))), "the endpoint has lost it")
+		assert.False(t, sending.shouldTryAnother(now.Add(forecast+quietAfter+100*time.Millisecond)), "the endpoint makes progress with other requests")
+		assert.True(t, sending.shouldTryAnother(now.Add(lostRequestFactor*(forecast+quietAfter+100*time.Millisecond))), "the endpoint has lost the request")
 		place.Release(now, route.OutcomeCancelled)
 	}
 }
@@ -75,10 +76,10 @@
 	assert.Less(t, typical+lateness, 150*time.Millisecond)
 	typical, lateness = r.usual("another", "")
 	assert.Zero(t, typical)
-	assert.Equal(t, (*route.Lateness)(nil).Value(), lateness, "of which nothing is known")
+	assert.Equal(t, (*route.Lateness)(nil).Value(), lateness, "nothing is known of this route")
 }
 
-// sendingOn is a send of a stream at the place, of which nothing has come back.
+// newSilentSend returns a send of a stream at the place, of which nothing has been received.
 func newSilentSend(x *Router, place *route.Place, stream *willowwick.Route, now time.Time) *send {
 	return &send{
 		ticket: &gate.Ticket{Place: place}, sentAt: now,
@@ -86,7 +87,7 @@
 	}
 }
 
-// Boxes that had all just started once left endpoints that read their first prompts after half a second.
+// Boxes that had all just started left endpoints that were reading their first prompts after half a second.
 func TestSendWaitsLongerWhereReadingSpeedsAreUnknown(t *testing.T) {
 	s := newSite(t, newRunner(t, "r1", answerText("a")).endpoint("v1"), newRunner(t, "r2", answerText("b")).endpoint("v1"))
 	x := s.daemon.router
@@ -110,7 +111,7 @@
 	}
 	assert.Equal(t, 50, needed())
 	sendWork(t, x.pool, now, promptWork(10000))
-	assert.Equal(t, 50, needed(), "a second of reading is what it does well")
+	assert.Equal(t, 50, needed(), "a backlog of one second does not lower the threshold")
 	sendWork(t, x.pool, now, promptWork(5000))
 	assert.InDelta(t, 25, needed(), 1)
 	sendWork(t, x.pool, now, promptWork(5000))
--- a/exchange/silent_conns_test.go
+++ b/exchange/silent_conns_test.go
@@ -14,14 +14,10 @@
 	"github.com/willowwick/willowwick/standin"
 )
 
-// Seen: after all connections to an endpoint fell silent, each of those at rest costs a request of its own, though new ones
-// work.
-//
-// How: a request that may run only once waits on a silent connection until its time is up. The next one takes the next
-// connection at rest.
-//
-// Cause: a send that got no answer leaves the other connections at rest in use (wire.Pool.Drop is called for endpoints that
-// are gone alone). Keep-alives of TCP do not show it: the connection takes bytes.
+// After all connections to an endpoint fell silent, each idle one cost a request of its own, though new ones
+// worked: a request that may run only once waited on a silent connection until its deadline, and the next request
+// took the next idle one. A send without an answer left the other idle connections in the pool (wire.Pool.Drop is
+// called only for removed endpoints), and TCP keep-alive doesn't detect it, since the connection accepts bytes.
 func TestOneSilentConnectionToAnEndpointCostsOneRequest(t *testing.T) {
 	const before = 4
 	arrived := make(chan struct{}, before)
@@ -51,8 +47,8 @@
 	close(goOn)
 	calls.Wait()
 	require.Equal(t, before, link.Silence())
-	// An endpoint that does not say how long it keeps connections has them closed after half a second; the limits of these
-	// requests are short enough for all of them to meet the silent ones.
+	// An endpoint that doesn't report a keep-alive has its connections closed after half a second; the deadlines of
+	// these requests are short enough for all of them to meet the silent ones.
 	lost := 0
 	for i := range before + 1 {
 		if s.do(t, http.MethodPost, "/once/", fmt.Sprint("after-", i), "x", "T-Left", "100").status != http.StatusOK {
@@ -60,5 +56,5 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	assert.LessOrEqual(t, lost, 1, "requests without an answer")
+	assert.LessOrEqual(t, lost, 1, "too many requests without an answer")
 }
--- a/exchange/slow_link_test.go
+++ b/exchange/slow_link_test.go
@@ -10,12 +10,12 @@
 	"github.com/willowwick/willowwick"
 )
 
-// narrowControl is a store behind a narrow link: what is declared takes a while to come in, and another answer that would
-// come meanwhile is too late for its limit.
+// slowLinkControl is a store behind a slow link: declarations take a while to arrive, and any other answer
+// meanwhile misses its limit.
 type slowLinkControl struct {
 	*testControl
 	isSlow    atomic.Bool
-	transfers atomic.Int64 // answers with what is declared that are coming in
+	transfers atomic.Int64 // answers with declarations that are being transferred
 }
 
 // Declarations implements willowwick.Control.
@@ -24,7 +24,7 @@
 	if err != nil || declared.Next == from || !c.isSlow.Load() {
 		return declared, err
 	}
-	// A megabyte, what one read may bring, takes as long where 5.6 Mbit/s of a link are left for it.
+	// A megabyte, the most that one read may return, takes this long over 5.6 Mbit/s of a link.
 	const transfer = 1500 * time.Millisecond
 	c.transfers.Add(1)
 	defer c.transfers.Add(-1)
@@ -41,13 +41,9 @@
 	return c.testControl.Endpoints(ctx, from)
 }
 
-// Seen: a configuration never comes into force, though its bytes come in all the time.
-//
-// How: while its answer fills the link, a read of endpoints is not answered in time. That ends the read of declarations,
-// which begins anew from the same place, and so on.
-//
-// Cause: a read is ended by what becomes of another one (giveUpHeldRead), also where it is not held any more but moves
-// forward. What limits a read that nothing comes of is the limit of its own connection.
+// A configuration never came into force although its bytes kept arriving: while its answer filled the link, a read
+// of endpoints timed out, which ended the read of declarations too (giveUpHeldRead), and that started over from the
+// same position. A read that makes progress is limited only by its own connection.
 func TestAConfigurationThatArrivesSlowlyIsNotAbandoned(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	control := &slowLinkControl{testControl: newTestControl(testTable(1, onceRoute()), r.endpoint("v1"))}
--- a/exchange/stop_cut_test.go
+++ b/exchange/stop_cut_test.go
@@ -17,16 +17,16 @@
 	"github.com/willowwick/willowwick"
 )
 
-// stand is how long a goroutine of a box with a fifth of a core may wait for its turn.
+// stall is how long a goroutine may wait to be scheduled on a box with a fifth of a core.
 const stall = 100 * time.Millisecond
 
 type (
-	// slowListener accepts connections for a box whose goroutines stand still where a test says.
+	// slowListener accepts connections for a box whose goroutines stall where a test says.
 	slowListener struct {
 		net.Listener
-		accepted chan struct{} // told of each connection before Accept returns it; nil for none
+		accepted chan struct{} // receives before Accept returns a connection; nil for never
 		release  chan struct{} // then waited for
-		stall    func()        // called before Accept and Read return and before each write; nil for nothing
+		stall    func()        // called before Accept and Read return and before each write; nil for no stall
 	}
 
 	slowConn struct {
@@ -34,7 +34,7 @@
 		listener *slowListener
 	}
 
-	// wireCaller writes requests on one connection, byte by byte as a test wants them.
+	// rawCaller writes the bytes of requests on one connection as a test wants them.
 	rawCaller struct {
 		net.Conn
 		reader *bufio.Reader
@@ -74,7 +74,7 @@
 	return c.Conn.Write(p)
 }
 
-// newStopSite starts a daemon that takes callers from the listener.
+// newStopSite starts a daemon that accepts callers from the listener.
 func newStopSite(t *testing.T, settings Settings, callers net.Listener, endpoints ...willowwick.Endpoint) *site {
 	t.Helper()
 	control := newTestControl(testTable(1, onceRoute(), againRoute(), streamRoute()), endpoints...)
@@ -103,7 +103,8 @@
 	return s
 }
 
-// end is the planned stop with the end of the process, as far as connections see it; slow boxes are some time about it.
+// drainAndStop is the planned stop followed by the end of the process, as connections see it; slow boxes take some
+// time between the two.
 func (s *site) drainAndStop() {
 	s.daemon.Drain()
 	time.Sleep(stall)
@@ -119,7 +120,7 @@
 	return &rawCaller{conn, bufio.NewReader(conn)}
 }
 
-// headOf is the head of a request with a body of so many bytes, and with more headers.
+// requestHead returns the head of a request with a body of the given length, and with more headers.
 func requestHead(path, id string, length int, more ...string) string {
 	head := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: %s\r\nT-Id: %s\r\nT-Key: %s\r\nContent-Length: %d\r\n",
 		path, testHost, id, testKey, length)
@@ -135,7 +136,7 @@
 	require.NoError(t, err)
 }
 
-// receive returns the next answer's status and whole body.
+// receive returns the next answer's status and complete body.
 func (c *rawCaller) receive() (status int, body string, err error) {
 	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
@@ -146,7 +147,7 @@
 	return response.StatusCode, string(data), err
 }
 
-// newLongRunner answers what is called "under way" only once a stopping box looks for connections at rest.
+// newLongRunner answers the request "under way" only once a stopping box waits for connections to become idle.
 func newLongRunner(t *testing.T) (*runner, <-chan string) {
 	reached := make(chan string, 4)
 	return newRunner(t, "r1", func(w http.ResponseWriter, request *http.Request) {
@@ -159,9 +160,9 @@
 	}), reached
 }
 
-// Seen: an endpoint has a request of a box that ended, and its caller's connection was closed with no answer.
-// How: the box's listener had accepted the connection as it was closed, and handed it on after all others were retired.
-// Cause: what was accepted went among the connections that the stop had already looked through.
+// An endpoint ran a request of a box that had ended, and the caller's connection was closed without an answer: the
+// listener had accepted the connection while it was being closed, and returned it after all others were retired, so
+// that nothing waited for it.
 func TestConnectionAcceptedDuringShutdownIsNotRead(t *testing.T) {
 	r, reached := newLongRunner(t)
 	callers := &slowListener{Listener: listen(t), accepted: make(chan struct{}), release: make(chan struct{})}
@@ -173,7 +174,7 @@
 	close(callers.release)
 	select {
 	case id := <-reached:
-		assert.Fail(t, "a box that has ended sent on what it read", "request %s", id)
+		assert.Fail(t, "a box that has ended sent a request to the endpoint", "request %s", id)
 	case <-time.After(stall):
 	}
 	s.stop()
@@ -181,9 +182,9 @@
 	assert.Error(t, err)
 }
 
-// Seen: a request that had reached its endpoint was cut when its box stopped, long before the end of the grace.
-// How: its caller had sent it right behind another one, and the server had read both at once.
-// Cause: a connection counted as at rest until something was read from it, and nothing was read for this request.
+// A request that had reached its endpoint was cut off when its box stopped, long before the end of the grace
+// period. Its caller had sent it right behind another one, and the server had read both at once; the connection
+// counted as idle until more was read from it, and nothing was read for the second request.
 func TestPipelinedRequestIsAnsweredDuringShutdown(t *testing.T) {
 	r, reached := newLongRunner(t)
 	s := newStopSite(t, testSettings(), listen(t), r.endpoint("v1"))
@@ -200,15 +201,15 @@
 		s.drainAndStop()
 	}()
 	status, body, err := caller.receive()
-	require.NoError(t, err, "the request was sent on, and its answer cut")
+	require.NoError(t, err, "the request was sent on, and its answer cut off")
 	assert.Equal(t, http.StatusOK, status)
 	assert.Equal(t, "whole", body)
 	requireClosed(t, ended, patience, "the box does not end")
 }
 
-// Seen: a request that a stopping box took as sure to end before the box does was cut.
-// How: its time was up some milliseconds before the end; its answer went out some milliseconds after.
-// Cause: what may be taken and what is waited for had the same limit.
+// A request that a stopping box accepted as sure to end in time was cut off: its deadline was some milliseconds
+// before the box ended, and its answer was written some milliseconds after. The limit for accepting requests and
+// the limit for waiting for them were the same.
 func TestShutdownLeavesTimeToWriteAnswers(t *testing.T) {
 	r, _ := newSilentRunner(t)
 	callers := &slowListener{Listener: listen(t), stall: func() { time.Sleep(stall) }}
--- a/exchange/stop_random_test.go
+++ b/exchange/stop_random_test.go
@@ -19,13 +19,13 @@
 
 const (
 	stopRounds = 8
-	// stopFew callers leave a box without requests now and then, stopMany never until it refuses them.
+	// fewCallers leave a box without requests now and then; manyCallers keep it busy until it refuses them.
 	fewCallers  = 3
 	manyCallers = 12
-	// stopPipe is how many requests a caller that pipelines sends at once.
+	// pipelineDepth is how many requests a pipelining caller sends at once.
 	pipelineDepth = 3
-	// stopWork is the longest that the endpoint works on most requests, stopLong on one in stopShare of them, and
-	// stopPause the longest that a caller rests after an answer.
+	// The endpoint works up to maxShortWork on most requests, and up to maxLongWork on one in longWorkEvery; a
+	// caller pauses up to maxCallerPause after an answer.
 	maxShortWork   = 20 * time.Millisecond
 	maxLongWork    = 240 * time.Millisecond
 	longWorkEvery  = 6
@@ -33,19 +33,19 @@
 )
 
 type (
-	// stopHunt is a box that is stopped while callers ask it, with what became of their requests.
+	// stopLoadTest is a box that is stopped while callers send requests, with the results of these.
 	stopLoadTest struct {
 		site     *site
 		endpoint *httptest.Server
-		stopped  chan struct{} // closed once the box has ended
+		stopped  chan struct{} // closed once the box has stopped
 
 		mu    sync.Mutex
-		ran   map[string]int // by id, at the endpoint
+		ran   map[string]int // runs at the endpoint, by request ID
 		whole int
-		cut   map[string]error // by id, what came in place of a whole answer
+		cut   map[string]error // by request ID, the error received instead of a complete answer
 	}
 
-	// stopCaller is one caller of a hunt.
+	// stopCaller is one caller of a stopLoadTest.
 	stopCaller struct {
 		test *stopLoadTest
 		name string
@@ -54,8 +54,8 @@
 	}
 )
 
-// TestStopUnderLoadAnswersWhatReachedAnEndpoint stops slow boxes under callers with kept, new and pipelined connections:
-// each request has a whole answer, or nothing of it reached the endpoint.
+// TestStopUnderLoadAnswersWhatReachedAnEndpoint stops slow boxes under callers with kept, new and pipelined
+// connections: each request gets a complete answer, or never reached the endpoint.
 func TestStopUnderLoadAnswersWhatReachedAnEndpoint(t *testing.T) {
 	for seed := range uint64(stopRounds) {
 		h := newStopLoadTest(t, seed)
@@ -91,7 +91,7 @@
 	return h
 }
 
-// standAtRandom lets one step in four stand still, as on a box with a fifth of a core.
+// stallAtRandom stalls one step in four, as on a box with a fifth of a core.
 func stallAtRandom(seed uint64) func() {
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(seed, 0))
@@ -105,7 +105,7 @@
 	}
 }
 
-// work is the endpoint: it answers with the request's id.
+// work is the endpoint's handler: it answers with the request's ID.
 func (h *stopLoadTest) work(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("T-Id")
 	h.mu.Lock()
@@ -121,7 +121,7 @@
 	_, _ = io.WriteString(w, id)
 }
 
-// note keeps what became of a request; one whose time was up has a whole answer that says so.
+// record records the result of a request; a 504 is a complete answer.
 func (h *stopLoadTest) record(id string, status int, body string, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -146,7 +146,7 @@
 
 func (h *stopLoadTest) requireWholeOrNotRun(t *testing.T, seed uint64) {
 	t.Helper()
-	h.endpoint.Close() // waits for what it has taken
+	h.endpoint.Close() // waits for running requests
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	t.Logf("seed %d: %d whole, %d not, %d ran", seed, h.whole, len(h.cut), len(h.ran))
@@ -157,7 +157,7 @@
 	}
 }
 
-// next is the text of a new request and its id.
+// nextRequest returns the bytes of a new request and its ID.
 func (c *stopCaller) nextRequest() (text, id string) {
 	c.sent++
 	id = fmt.Sprintf("%s-%d", c.name, c.sent)
@@ -168,12 +168,12 @@
 	return requestHead("/once/", id, 1, "T-Left", "250", "T-Work", work.String()) + "x", id
 }
 
-// askKept asks on one connection until it is closed, again and again until the box has ended.
+// callOnKeptConn sends requests on one connection until it is closed, and reconnects until the box has stopped.
 func (c *stopCaller) callOnKeptConn() {
 	c.callUntilStopped(func(conn *rawCaller) bool { return c.sendBatch(conn, 1) })
 }
 
-// askNew asks on a new connection each time.
+// callOnNewConns opens a connection for each request.
 func (c *stopCaller) callOnNewConns() {
 	c.callUntilStopped(func(conn *rawCaller) bool {
 		c.sendBatch(conn, 1)
@@ -181,12 +181,12 @@
 	})
 }
 
-// askPiped asks on one connection, some requests at once.
+// callPipelined sends several requests at once on one connection.
 func (c *stopCaller) callPipelined() {
 	c.callUntilStopped(func(conn *rawCaller) bool { return c.sendBatch(conn, pipelineDepth) })
 }
 
-// until opens connections and uses each as long as it is good, until the box has ended.
+// callUntilStopped opens connections and uses each while use returns true, until the box has stopped.
 func (c *stopCaller) callUntilStopped(use func(*rawCaller) bool) {
 	for !c.test.isStopped() {
 		conn, err := net.Dial("tcp", strings.TrimPrefix(c.test.site.url, "http://"))
@@ -208,7 +208,8 @@
 	time.Sleep(time.Duration(c.rng.Int64N(int64(maxCallerPause))))
 }
 
-// exchange sends requests at once, takes their answers in turn, and reports whether the connection is good for more.
+// sendBatch sends requests at once, receives their answers in order, and reports whether the connection is still
+// usable.
 func (c *stopCaller) sendBatch(conn *rawCaller, count int) bool {
 	var texts, ids []string
 	for range count {
