--- a/exchange/admission.go
+++ b/exchange/admission.go
@@ -23,13 +23,13 @@
 	}
 )
 
-func newAdmissions(harm *quarantine.Ledger) *admissions {
+func newAdmissions(poison *quarantine.Ledger) *admissions {
 	a := &admissions{}
-	a.put = func(old, news inForce[willowwick.Fingerprint], source string) {
-		if len(news.members) > 0 || len(old.members) > 0 {
-			slog.Info("requests admitted by the operator", "requests", len(news.members), "as_of", news.asOf, "source", source)
+	a.put = func(old, updated inForce[willowwick.Fingerprint], source string) {
+		if len(updated.members) > 0 || len(old.members) > 0 {
+			slog.Info("requests admitted by the operator", "requests", len(updated.members), "as_of", updated.asOf, "source", source)
 		}
-		harm.SetAdmitted(news.members)
+		poison.SetAdmitted(updated.members)
 	}
 	return a
 }
@@ -50,6 +50,6 @@
 }
 
 // receive merges the set that another box reported.
-func (a *admissions) receive(news AdmittedRequests, source string) {
-	a.standingKeeper.hear(standing[willowwick.Fingerprint]{news.AsOf, news.Requests, news.TakenBack, news.HeldOver}, source)
+func (a *admissions) receive(update AdmittedRequests, source string) {
+	a.standingKeeper.hear(standing[willowwick.Fingerprint]{update.AsOf, update.Requests, update.TakenBack, update.HeldOver}, source)
 }
--- a/exchange/call.go
+++ b/exchange/call.go
@@ -274,11 +274,11 @@
 	return c.router.gate.Enter(c.ctx, gate.Wish{
 		Work: string(c.service), Account: c.accountName(), Weight: 1, Cost: c.cost(), Deadline: until,
 		Acquire: func(now time.Time) (*route.Place, bool) {
-			place, known := c.acquireSlot(now, work, c.choice.allows)
-			if place == nil && !known && c.choice.release != "" {
+			slot, known := c.acquireSlot(now, work, c.choice.allows)
+			if slot == nil && !known && c.choice.release != "" {
 				return c.acquireSlot(now, work, c.choice.allowsFallback)
 			}
-			return place, known
+			return slot, known
 		},
 		Hopeless: c.areAllUnavailable,
 	})
@@ -293,11 +293,11 @@
 		}
 	}
 	if len(c.missesByHall) > 0 {
-		there := func(endpoint willowwick.Endpoint) bool {
+		allowFewMisses := func(endpoint willowwick.Endpoint) bool {
 			return c.missesByHall[endpoint.Hall] < maxMissesPerHall && allow(endpoint)
 		}
-		if place, _ := c.router.pool.AcquireAllowed(now, c.service, work, c.triedEndpoints, there); place != nil {
-			return place, true
+		if slot, _ := c.router.pool.AcquireAllowed(now, c.service, work, c.triedEndpoints, allowFewMisses); slot != nil {
+			return slot, true
 		}
 	}
 	return c.router.pool.AcquireAllowed(now, c.service, work, c.excludedEndpoints(now), allow)
--- a/exchange/caller_left_test.go
+++ b/exchange/caller_left_test.go
@@ -16,20 +16,20 @@
 
 // A request whose caller disconnects while it waits for a slot is not sent to an endpoint.
 func TestQueuedRequestOfACallerThatLeftIsNotSent(t *testing.T) {
-	const places = initialEndpointLimit
+	const slots = initialEndpointLimit
 	goOn := make(chan struct{})
 	r := newRunner(t, "r1", func(w http.ResponseWriter, _ *http.Request) {
 		<-goOn
 		w.WriteHeader(http.StatusOK)
 	})
 	s := newSite(t, r.endpoint("v1"))
-	answered := make(chan int, places)
-	for i := range places {
+	answered := make(chan int, slots)
+	for i := range slots {
 		go func() {
 			answered <- s.do(t, http.MethodPost, "/once/", fmt.Sprint("before-", i), "x").status
 		}()
 	}
-	require.Eventually(t, func() bool { return len(r.requests()) == places }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return len(r.requests()) == slots }, patience, time.Millisecond)
 	ctx, leave := context.WithCancel(t.Context())
 	left := make(chan error, 1)
 	go func() {
@@ -44,11 +44,11 @@
 	require.Error(t, <-left)
 	require.Eventually(t, func() bool { return s.daemon.router.gate.WaitingNow() == 0 }, cleanupLimit, time.Millisecond)
 	close(goOn)
-	for range places {
+	for range slots {
 		assert.Equal(t, http.StatusOK, <-answered)
 	}
 	time.Sleep(100 * time.Millisecond)
-	assert.Len(t, r.requests(), places, "the request of the disconnected caller was sent")
+	assert.Len(t, r.requests(), slots, "the request of the disconnected caller was sent")
 }
 
 // A request whose body was not read completely is not sent to an endpoint.
--- a/exchange/callers.go
+++ b/exchange/callers.go
@@ -30,7 +30,8 @@
 
 	// callerListener tracks callers' connections and which of them have a request.
 	//
-	// net/http considers a connection idle until it has read a complete head, and would close it until then.
+	// net/http considers a connection idle until it has read a complete head, and would close it while a request
+	// arrives.
 	callerListener struct {
 		net.Listener
 		busyConns atomic.Int64
--- a/exchange/choice.go
+++ b/exchange/choice.go
@@ -209,7 +209,8 @@
 
 // setFleetSize adapts the canary share to the number of boxes.
 //
-// It halves the share in powers of two, so that boxes whose counts differ slightly still choose alike.
+// It halves the share for each doubling of the fleet, so that boxes whose counts differ slightly still choose
+// alike.
 func (r *releases) setFleetSize(boxes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/exchange/evacuation.go
+++ b/exchange/evacuation.go
@@ -26,9 +26,9 @@
 
 func newEvacuations(pool *route.Pool) *evacuations {
 	e := &evacuations{}
-	e.put = func(old, news inForce[willowwick.HallID], source string) {
-		pool.SetEvacuated(slices.Collect(maps.Keys(news.members)))
-		logEvacuations(old, news, source)
+	e.put = func(old, updated inForce[willowwick.HallID], source string) {
+		pool.SetEvacuated(slices.Collect(maps.Keys(updated.members)))
+		logEvacuations(old, updated, source)
 	}
 	return e
 }
@@ -54,20 +54,20 @@
 }
 
 // receive merges the set that another box reported.
-func (e *evacuations) receive(news EvacuatedHalls, source string) {
-	e.standingKeeper.hear(standing[willowwick.HallID]{news.AsOf, news.Halls, news.TakenBack, news.HeldOver}, source)
+func (e *evacuations) receive(update EvacuatedHalls, source string) {
+	e.standingKeeper.hear(standing[willowwick.HallID]{update.AsOf, update.Halls, update.TakenBack, update.HeldOver}, source)
 }
 
 // logEvacuations logs each hall that is evacuated or whose evacuation is withdrawn.
-func logEvacuations(old, news inForce[willowwick.HallID], source string) {
-	for hall, at := range news.members {
+func logEvacuations(old, updated inForce[willowwick.HallID], source string) {
+	for hall, at := range updated.members {
 		if _, wasEvacuated := old.members[hall]; !wasEvacuated {
-			slog.Info("hall evacuated", "hall", hall, "offset", at, "as_of", news.asOf, "source", source)
+			slog.Info("hall evacuated", "hall", hall, "offset", at, "as_of", updated.asOf, "source", source)
 		}
 	}
 	for hall, at := range old.members {
-		if _, isEvacuated := news.members[hall]; !isEvacuated {
-			slog.Info("hall taken back", "hall", hall, "evacuated_at", at, "as_of", news.asOf, "source", source)
+		if _, isEvacuated := updated.members[hall]; !isEvacuated {
+			slog.Info("hall taken back", "hall", hall, "evacuated_at", at, "as_of", updated.asOf, "source", source)
 		}
 	}
 }
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -142,7 +142,7 @@
 	reply := s.do(t, http.MethodPost, "/once/", "id", "x", "T-Left", "60000")
 	assert.Equal(t, http.StatusGatewayTimeout, reply.status)
 	assert.InDelta(t, 2, time.Since(began).Seconds(), 0.4)
-	requireClosed(t, left, patience, "the endpoint was not left")
+	requireClosed(t, left, patience, "the connection to the endpoint was not closed")
 }
 
 func TestEndpointConnectionClosesWhenTheCallerLeaves(t *testing.T) {
@@ -152,7 +152,7 @@
 	defer cancel()
 	_, err := s.client.Do(s.request(t, http.MethodPost, "/stream/", "id", "x").WithContext(ctx))
 	require.Error(t, err)
-	requireClosed(t, left, time.Second, "the endpoint was not left")
+	requireClosed(t, left, time.Second, "the connection to the endpoint was not closed")
 }
 
 func TestStreamIsPassedOnWhole(t *testing.T) {
@@ -316,7 +316,7 @@
 	reply := s.do(t, http.MethodPost, "/stream/", "too late", "x", "T-Left", "20000")
 	assert.Equal(t, http.StatusServiceUnavailable, reply.status)
 	assert.NotEmpty(t, reply.header.Get("Retry-After"))
-	assert.Equal(t, http.StatusOK, (<-blocking).status, "what ends before the stop is served")
+	assert.Equal(t, http.StatusOK, (<-blocking).status, "a request that ends before the stop is served")
 	reply = <-soon
 	assert.Equal(t, events(3), reply.body)
 	assert.NoError(t, reply.err)
@@ -386,7 +386,7 @@
 	assert.Equal(t, "ok", got.body)
 	assert.Empty(t, fresh.requests())
 	require.NotEmpty(t, s.daemon.router.releases.progressList(time.Now()), "the order was known before the second send")
-	require.True(t, s.daemon.router.hasRelease("work", "v2"), "and so was the new release's endpoint")
+	require.True(t, s.daemon.router.hasRelease("work", "v2"), "the new release's endpoint was known too")
 }
 
 // A stream whose endpoint paused was resumed elsewhere with its last allowed run, and cut off when that run failed.
@@ -411,7 +411,7 @@
 			}
 			assert.Equal(t, quiet, sending.mayResumeElsewhere(now))
 			sending.runs = 1
-			assert.True(t, sending.mayResumeElsewhere(now), "another run stays in reserve")
+			assert.True(t, sending.mayResumeElsewhere(now), "another run is left in reserve")
 		})
 	}
 }
@@ -457,13 +457,13 @@
 	s.apply(willowwick.EndpointChanges{Present: beat(5), Next: 1}, now)
 	require.True(t, isListed())
 	s.apply(willowwick.EndpointChanges{Gone: []willowwick.EndpointID{"e"}, Present: beat(6), Next: 3}, now)
-	require.False(t, isListed(), "gone, and one heartbeat that was on its way")
+	require.False(t, isListed(), "removed, with one heartbeat in transit")
 	s.apply(willowwick.EndpointChanges{Present: beat(6), Next: 4}, now)
-	require.False(t, isListed(), "the same one again")
+	require.False(t, isListed(), "the same heartbeat again")
 	s.apply(willowwick.EndpointChanges{Whole: true, Present: beat(6), Next: 4}, now)
-	require.False(t, isListed(), "in the whole list too")
+	require.False(t, isListed(), "also in the complete list")
 	s.apply(willowwick.EndpointChanges{Present: beat(7), Next: 5}, now)
-	require.True(t, isListed(), "it goes on: it lives")
+	require.True(t, isListed(), "further heartbeats show that it is alive")
 }
 
 // A box that the store refused, while others reached it, took a removal for an expired entry, kept the entry, and
@@ -486,13 +486,13 @@
 	s.noteFailure(readEndpoints, later, errDown)
 	s.apply(willowwick.EndpointChanges{Gone: []willowwick.EndpointID{"b"}, Next: 3}, later)
 	_, found = s.entry("b")
-	require.True(t, found, "it may be back within the time of the grace")
+	require.True(t, found, "it may return within the grace period")
 	s.changedAt = 3
 	older := Digest{EndpointsFrom: 2}
-	require.Empty(t, s.listFor(&SwapCall{Digest: older}).Endpoints, "told whole")
+	require.Empty(t, s.listFor(&SwapCall{Digest: older}).Endpoints, "in a complete list")
 	changes := s.listFor(&SwapCall{Digest: older, TakesChanges: true})
-	require.Empty(t, changes.Endpoints, "told as changes")
-	require.Contains(t, changes.Gone, willowwick.EndpointID("b"), "who could see the store knows whether it is gone")
+	require.Empty(t, changes.Endpoints, "in a list of changes")
+	require.Contains(t, changes.Gone, willowwick.EndpointID("b"), "a box that reached the store knows whether it was removed")
 }
 
 // Boxes that received that an entry had expired dropped it, and did not receive that it was back.
@@ -535,7 +535,7 @@
 	ahead.Endpoints.From, ahead.Endpoints.Next = 4, 4
 	s.takeFromPeer(ahead, now)
 	_, found = s.entry("b")
-	require.True(t, found, "it came again after what this box has read")
+	require.True(t, found, "it returned after the last read of this box")
 }
 
 // While configurations arrived one after another, the list of endpoints was not read: each answer of the store
--- a/exchange/hints.go
+++ b/exchange/hints.go
@@ -21,8 +21,8 @@
 
 const (
 	// hintPausePerBox is how long a box collects readings before it sends them to its hall, for each box that
-	// receives them: in a hall of 65 boxes, each box then gets at most a thousand datagrams a second from all
-	// others together.
+	// receives them: in a hall of 65 boxes, each box then sends at most a thousand datagrams a second to all others
+	// together.
 	hintPausePerBox = time.Millisecond
 	// minHintPause is the least time for which readings are collected: a datagram takes a fraction of it to arrive,
 	// and reading a prompt takes many times as long.
--- a/exchange/notices.go
+++ b/exchange/notices.go
@@ -29,15 +29,15 @@
 		return
 	}
 	x, endpoint, now := s.router, s.ticket.Endpoint, clock.Now()
-	news := x.pool.Hear(now, sentAt, endpoint, notice)
-	if news.Leaving {
+	changes := x.pool.Hear(now, sentAt, endpoint, notice)
+	if changes.Leaving {
 		slog.Info("endpoint says that it leaves", "endpoint", endpoint.ID, "source", "answer", "request", s.call.head.ID)
 	}
-	if news.Rest {
+	if changes.Rest {
 		slog.Info("endpoint asks for rest", "endpoint", endpoint.ID, "request", s.call.head.ID,
 			"ms", notice.RestUntil.Sub(now).Milliseconds())
 	}
-	if news.Limit {
+	if changes.Limit {
 		x.peers.hurry()
 	}
 }
--- a/exchange/permits.go
+++ b/exchange/permits.go
@@ -78,10 +78,10 @@
 	if call.IsPassedOn && p.granterFor(now) != p.self().Address {
 		return errors.New("this box does not grant permits")
 	}
-	passed := *call
-	passed.IsPassedOn = true
+	forwarded := *call
+	forwarded.IsPassedOn = true
 	var err error
-	*reply, err = p.requestPermit(context.Background(), passed, now)
+	*reply, err = p.requestPermit(context.Background(), forwarded, now)
 	return err
 }
 
@@ -136,10 +136,10 @@
 func (p *peers) grantedShare(now time.Time) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	follows := map[willowwick.HallID]bool{}
+	hallFollows := map[willowwick.HallID]bool{}
 	for _, hall := range p.hallsKnown() {
 		hub, found := p.hubOf(hall, now)
-		follows[hall] = found && p.known[hub.Address].digest.Granter == p.self().Address
+		hallFollows[hall] = found && p.known[hub.Address].digest.Granter == p.self().Address
 	}
 	all, following := 1, 1
 	for _, known := range p.known {
@@ -148,7 +148,7 @@
 		}
 		all++
 		isOwnHall := known.box.Hall == p.router.settings.Hall
-		if isOwnHall && known.isInTouch(now) || !isOwnHall && follows[known.box.Hall] {
+		if isOwnHall && known.isInTouch(now) || !isOwnHall && hallFollows[known.box.Hall] {
 			following++
 		}
 	}
--- a/exchange/relay.go
+++ b/exchange/relay.go
@@ -136,7 +136,7 @@
 		whole := bytes.LastIndex(buffer, eventEnd) + len(eventEnd)
 		if whole >= len(eventEnd) {
 			if !s.relayEvents(buffer[:whole]) {
-				return s.endForLostCaller()
+				return s.callerDisconnected()
 			}
 			buffer = buffer[:copy(buffer, buffer[whole:])]
 		}
@@ -238,7 +238,7 @@
 	return s.unanswered(errors.Wrap(err, "stream"))
 }
 
-func (s *send) endForLostCaller() sendResult {
+func (s *send) callerDisconnected() sendResult {
 	s.router.metrics.outcome("caller_left")
 	s.logCompletion("caller left", 0, "event", s.lastEventID)
 	return sendResult{kind: callerLeft}
--- a/exchange/router.go
+++ b/exchange/router.go
@@ -242,7 +242,7 @@
 	return x.pool.HasStaying(service, func(endpoint willowwick.Endpoint) bool { return endpoint.Release == release })
 }
 
-// setTable puts a configuration in force unless the current one is as new.
+// setTable puts a configuration in force unless the current one is as new or newer.
 func (x *Router) setTable(declared *willowwick.RoutingTable, source string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/exchange/send.go
+++ b/exchange/send.go
@@ -253,11 +253,11 @@
 	if s.router.isLimited(now, s.ticket.Endpoint) {
 		s.router.metrics.sentToLimited()
 	}
-	leaves, rests := s.ticket.Noticed(now)
-	if leaves {
+	isLeaving, inBackoff := s.ticket.Noticed(now)
+	if isLeaving {
 		s.router.metrics.sentToLeaving()
 	}
-	if rests {
+	if inBackoff {
 		s.router.metrics.sentToResting()
 	}
 }
@@ -412,9 +412,9 @@
 	expected := now.Sub(s.arrived) + usual
 	left := 1 - float64(expected)/float64(max(s.route.Goal, 1))
 	pressure := s.router.pool.Pressure(now, s.service, s.choice.allows)
-	crowd, backlog := pressure.Requests/crowdedRunnerRequests, float64(pressure.Backlog)/float64(crowdedBacklog)
-	ease := min(max(min(left/fullThresholdSlack, 2-crowd, 2-backlog), 0), 1)
-	return settings.LateConfidence + int(ease*float64(settings.Confidence-settings.LateConfidence))
+	crowding, backlog := pressure.Requests/crowdedRunnerRequests, float64(pressure.Backlog)/float64(crowdedBacklog)
+	weight := min(max(min(left/fullThresholdSlack, 2-crowding, 2-backlog), 0), 1)
+	return settings.LateConfidence + int(weight*float64(settings.Confidence-settings.LateConfidence))
 }
 
 // observe counts the answer as evidence on the endpoint's release.
--- a/exchange/shortage.go
+++ b/exchange/shortage.go
@@ -10,7 +10,8 @@
 const (
 	// yieldDuration is how long less urgent requests yield after a request was refused because of rate limits.
 	yieldDuration = time.Second
-	// noYieldEvery: every so many of the less urgent requests does not yield, so that no kind of request starves.
+	// noYieldEvery is the number of less urgent requests of which one does not yield, so that no kind of request
+	// starves.
 	noYieldEvery = 3
 )
 
