--- a/exchange/call.go
+++ b/exchange/call.go
@@ -71,7 +71,7 @@
 		runs            int       // endpoints that may have run the request
 		triedEndpoints  map[willowwick.EndpointID]bool
 		missesByHall    map[willowwick.HallID]int // endpoints of each hall that were not reached at their listed address; nil if none
-		lastEventID     string                    // ID of the last event that was sent to the caller
+		lastEventID     string                    // ID of the newest event that the caller has received
 		streamTiming    streamTiming
 		failure         *failedAnswer
 
--- a/exchange/callers.go
+++ b/exchange/callers.go
@@ -15,7 +15,7 @@
 	connIdle connUse = iota
 	// connBusy: a request is on the connection, from its first byte on.
 	connBusy
-	// retired: this box has closed it, and takes nothing from it any more.
+	// connRetired: this box has closed the connection and accepts nothing more from it.
 	connRetired
 )
 
@@ -36,9 +36,8 @@
 		net.Listener
 		busyConns atomic.Int64
 
-		mu    sync.Mutex
-		conns map[*callerConn]bool
-		// retired: this box has closed the connection and accepts nothing more from it.
+		mu      sync.Mutex
+		conns   map[*callerConn]bool
 		retired bool // new connections are closed unread
 	}
 
--- a/exchange/crash.go
+++ b/exchange/crash.go
@@ -186,8 +186,8 @@
 func (s *send) dropped() droppedSend {
 	c, d := s.call, droppedSend{endpoint: s.ticket.Endpoint, at: clock.Now()}
 	if len(c.message.Body) > maxRetainedBody {
-		about := c.describePoison()
-		d.describePoison = func() willowwick.HarmfulRequest { return about }
+		request := c.describePoison()
+		d.describePoison = func() willowwick.HarmfulRequest { return request }
 	} else {
 		d.describePoison = func() willowwick.HarmfulRequest { return c.describePoisonAs(c.computeFingerprint()) }
 	}
