--- a/exchange/leave_test.go
+++ b/exchange/caller_left_test.go
@@ -11,25 +11,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-// leftWithin is within what time nothing more is done for a caller that has left.
-const leftWithin = 500 * time.Millisecond
+// cleanupLimit is the time within which a box stops working for a caller that has disconnected.
+const cleanupLimit = 500 * time.Millisecond
 
-// A caller that leaves while its request waits for a place costs no endpoint anything.
-func TestRequestOfACallerThatLeftIsNotSentWhenItsTurnComes(t *testing.T) {
-	const places = startLimit
+// A request whose caller disconnects while it waits for a slot is not sent to an endpoint.
+func TestQueuedRequestOfACallerThatLeftIsNotSent(t *testing.T) {
+	const slots = initialEndpointLimit
 	goOn := make(chan struct{})
 	r := newRunner(t, "r1", func(w http.ResponseWriter, _ *http.Request) {
 		<-goOn
 		w.WriteHeader(http.StatusOK)
 	})
 	s := newSite(t, r.endpoint("v1"))
-	answered := make(chan int, places)
-	for i := range places {
+	answered := make(chan int, slots)
+	for i := range slots {
 		go func() {
 			answered <- s.do(t, http.MethodPost, "/once/", fmt.Sprint("before-", i), "x").status
 		}()
 	}
-	require.Eventually(t, func() bool { return len(r.requests()) == places }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return len(r.requests()) == slots }, patience, time.Millisecond)
 	ctx, leave := context.WithCancel(t.Context())
 	left := make(chan error, 1)
 	go func() {
@@ -42,23 +42,23 @@
 	require.Eventually(t, func() bool { return s.daemon.router.gate.WaitingNow() == 1 }, patience, time.Millisecond)
 	leave()
 	require.Error(t, <-left)
-	require.Eventually(t, func() bool { return s.daemon.router.gate.WaitingNow() == 0 }, leftWithin, time.Millisecond)
+	require.Eventually(t, func() bool { return s.daemon.router.gate.WaitingNow() == 0 }, cleanupLimit, time.Millisecond)
 	close(goOn)
-	for range places {
+	for range slots {
 		assert.Equal(t, http.StatusOK, <-answered)
 	}
 	time.Sleep(100 * time.Millisecond)
-	assert.Len(t, r.requests(), places, "nothing was sent for the caller that left")
+	assert.Len(t, r.requests(), slots, "the request of the disconnected caller was sent")
 }
 
-// A request that was not read to its end reaches no endpoint.
-func TestRequestOfACallerThatLeftWithinItIsNotSent(t *testing.T) {
+// A request whose body was not read completely is not sent to an endpoint.
+func TestIncompleteRequestIsNotSent(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	s := newStopSite(t, testSettings(), listen(t), r.endpoint("v1"))
-	caller := s.dialWire(t)
-	caller.send(t, headOf("/once/", "half", 100)+"half of it")
+	caller := s.dialRaw(t)
+	caller.send(t, requestHead("/once/", "half", 100)+"half of it")
 	require.Eventually(t, func() bool { return s.daemon.router.inFlight.Load() == 1 }, patience, time.Millisecond)
 	require.NoError(t, caller.Close())
-	require.Eventually(t, func() bool { return s.daemon.router.inFlight.Load() == 0 }, leftWithin, time.Millisecond)
+	require.Eventually(t, func() bool { return s.daemon.router.inFlight.Load() == 0 }, cleanupLimit, time.Millisecond)
 	assert.Empty(t, r.requests())
 }
--- a/exchange/callers_test.go
+++ b/exchange/callers_test.go
@@ -12,39 +12,39 @@
 	"github.com/stretchr/testify/require"
 )
 
-// heldConn returns its bytes only once it is told to, as a read does that crosses a close.
-type heldConn struct {
+// blockedConn returns its bytes only once it is released, like a read that races with a close.
+type blockedConn struct {
 	net.Conn
 	release chan struct{}
 }
 
-func (c *heldConn) Read(p []byte) (int, error) {
+func (c *blockedConn) Read(p []byte) (int, error) {
 	<-c.release
 	return copy(p, "GET / HTTP/1.1\r\n\r\n"), nil
 }
 
-func (c *heldConn) Close() error { return nil }
+func (c *blockedConn) Close() error { return nil }
 
-// oneConn accepts one connection.
-type oneConn struct {
+// singleConnListener accepts one connection.
+type singleConnListener struct {
 	net.Listener
 	conn net.Conn
 }
 
-func (l *oneConn) Accept() (net.Conn, error) { return l.conn, nil }
+func (l *singleConnListener) Accept() (net.Conn, error) { return l.conn, nil }
 
-func acceptHeld(t *testing.T) (*callerListener, *callerConn, chan struct{}) {
+func acceptBlocked(t *testing.T) (*callerListener, *callerConn, chan struct{}) {
 	t.Helper()
 	release := make(chan struct{})
-	l := newCallerListener(&oneConn{conn: &heldConn{release: release}})
+	l := newCallerListener(&singleConnListener{conn: &blockedConn{release: release}})
 	conn, err := l.Accept()
 	require.NoError(t, err)
 	return l, conn.(*callerConn), release
 }
 
-// A stopping box once took a request from a connection at rest, sent it on, and closed the connection as it ended.
-func TestRequestThatCrossesTheCloseOfItsConnectionIsNotTaken(t *testing.T) {
-	l, conn, release := acceptHeld(t)
+// A stopping box accepted a request from an idle connection, sent it on, and then closed the connection.
+func TestRequestThatRacesWithTheCloseOfItsConnectionIsNotAccepted(t *testing.T) {
+	l, conn, release := acceptBlocked(t)
 	read := make(chan error, 1)
 	go func() {
 		n, err := conn.Read(make([]byte, 64))
@@ -54,29 +54,30 @@
 	assert.Zero(t, l.retire(t.Context()))
 	close(release)
 	assert.ErrorIs(t, <-read, net.ErrClosed)
-	assert.Zero(t, l.busy.Load())
+	assert.Zero(t, l.busyConns.Load())
 }
 
 func TestConnectionWithARequestIsNotRetired(t *testing.T) {
-	l, conn, release := acceptHeld(t)
+	l, conn, release := acceptBlocked(t)
 	close(release)
 	n, err := conn.Read(make([]byte, 64))
 	require.NoError(t, err)
 	require.NotZero(t, n)
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
-	assert.Equal(t, 1, l.retire(ended), "it is waited for until the end of the time")
-	l.noteState(conn, http.StateIdle)
+	assert.Equal(t, 1, l.retire(ended), "the busy connection is waited for until the context ends")
+	l.trackState(conn, http.StateIdle)
 	assert.Zero(t, l.retire(t.Context()))
 }
 
-// Each answer that a stopping box has begun reaches its caller; the others see a closed connection and nothing of it ran.
-func TestStopAnswersEachRequestThatItHasTaken(t *testing.T) {
+// Each answer that a stopping box has begun reaches its caller; other callers see a closed connection, and nothing
+// of their requests was run.
+func TestShutdownAnswersEachAcceptedRequest(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	l := newCallerListener(inner)
 	taken := make(chan struct{}, 1)
-	server := &http.Server{ReadHeaderTimeout: time.Second, ConnState: l.noteState, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	server := &http.Server{ReadHeaderTimeout: time.Second, ConnState: l.trackState, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		taken <- struct{}{}
 		time.Sleep(50 * time.Millisecond)
 		_, _ = io.WriteString(w, "whole")
--- /dev/null
+++ b/exchange/crash.go
@@ -0,0 +1,213 @@
+package exchange
+
+import (
+	"context"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/willowwick/willowwick"
+	"github.com/willowwick/willowwick/clock"
+	"github.com/willowwick/willowwick/quarantine"
+)
+
+const (
+	// crashCheckTTL is how long the result of a crash check is kept: the endpoint's entry is gone by then.
+	crashCheckTTL = 30 * time.Second
+	// pendingBreakTTL is how long a broken connection may still be attributed to a crash of its endpoint: some
+	// heartbeats.
+	pendingBreakTTL = 10 * time.Second
+	// maxPendingBreaks limits the broken connections that wait for that.
+	maxPendingBreaks = 1024
+	// dropCrashWindow is how long after its answer was dropped a request may still have been running at its
+	// endpoint, and so have crashed it. maxPendingDrops limits how many such sends are kept, and maxRetainedBody
+	// the bodies of their requests; the fingerprint of a larger body is computed at once.
+	dropCrashWindow = time.Second
+	maxPendingDrops = 256
+	maxRetainedBody = 64 << 10
+	// crashReportDelay is how much later the crash may become known here: another box reports it within some gossip
+	// exchanges.
+	crashReportDelay = 2 * time.Second
+)
+
+type (
+	// crashDetector finds out whether an endpoint crashed when a connection to it broke. If it did, nothing listens
+	// at its address any more; if only the connection was reset, something does.
+	crashDetector struct {
+		router *Router
+
+		mu     sync.Mutex
+		checks map[endpointIncarnation]*crashCheck
+		breaks []brokenSend // sends to endpoints at whose address something listened again
+		drops  []droppedSend
+	}
+
+	// droppedSend is a send whose answer was dropped while its endpoint may have been running the request.
+	droppedSend struct {
+		describePoison func() willowwick.HarmfulRequest // computes the fingerprint, which is needed only if the endpoint crashed
+		endpoint       willowwick.Endpoint
+		at             time.Time
+	}
+
+	// endpointIncarnation identifies one incarnation of an endpoint.
+	endpointIncarnation struct {
+		id          willowwick.EndpointID
+		incarnation willowwick.Incarnation
+	}
+
+	// brokenSend is a request whose connection broke for an unknown reason.
+	brokenSend struct {
+		request  willowwick.HarmfulRequest
+		endpoint willowwick.Endpoint
+		at       time.Time
+	}
+
+	// crashCheck is one check of an endpoint, shared by all requests whose connections to it broke.
+	crashCheck struct {
+		startedAt time.Time
+		done      chan struct{} // closed once crashed is set
+		crashed   bool
+	}
+)
+
+func newCrashDetector(x *Router) *crashDetector {
+	return &crashDetector{router: x, checks: map[endpointIncarnation]*crashCheck{}}
+}
+
+// hasCrashed reports whether an endpoint, to which a connection broke at brokeAt, crashed. An endpoint that is
+// draining or no longer listed, or whose release is retired, may have been stopped by its operator and doesn't
+// count.
+func (e *crashDetector) hasCrashed(ctx context.Context, endpoint willowwick.Endpoint, brokeAt time.Time) bool {
+	if e.router.sync.hasStartedAgain(endpoint) {
+		return true
+	}
+	_, isListed := e.router.sync.entry(endpoint.ID)
+	if !isListed || e.router.pool.IsLeaving(endpoint.ID) || e.router.releases.isRetired(endpoint.Service, endpoint.Release, brokeAt) {
+		return false
+	}
+	for {
+		check, isOwn := e.checkFor(endpointIncarnation{endpoint.ID, endpoint.Incarnation}, brokeAt)
+		if isOwn {
+			e.probe(ctx, check, endpoint.Address)
+			return check.crashed
+		}
+		select {
+		case <-check.done:
+		case <-ctx.Done():
+			return false
+		}
+		if check.crashed || !check.startedAt.Before(brokeAt) {
+			return check.crashed
+		}
+	}
+}
+
+// checkFor returns the endpoint's check that is in progress or still conclusive; isOwn means that the caller must
+// run it.
+func (e *crashDetector) checkFor(of endpointIncarnation, brokeAt time.Time) (check *crashCheck, isOwn bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	check = e.checks[of]
+	if check != nil && (!check.isDone() || check.crashed || !check.startedAt.Before(brokeAt)) {
+		return check, false
+	}
+	e.forgetOldChecks(brokeAt)
+	check = &crashCheck{startedAt: clock.Now(), done: make(chan struct{})}
+	e.checks[of] = check
+	return check, true
+}
+
+func (c *crashCheck) isDone() bool {
+	select {
+	case <-c.done:
+		return true
+	default:
+		return false
+	}
+}
+
+// probe runs the check; an endpoint whose state remains unknown counts as alive. It continues if the caller of its
+// request disconnects: other requests wait for the result, and without it would be sent to one more endpoint.
+func (e *crashDetector) probe(ctx context.Context, check *crashCheck, address string) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), quarantine.CheckLimit)
+	defer cancel()
+	listens, known := e.router.conns.IsListening(ctx, address)
+	check.crashed = known && !listens
+	close(check.done)
+}
+
+// forgetOldChecks drops expired checks; the caller holds the lock.
+func (e *crashDetector) forgetOldChecks(now time.Time) {
+	for of, check := range e.checks {
+		if now.Sub(check.startedAt) > crashCheckTTL {
+			delete(e.checks, of)
+		}
+	}
+}
+
+// awaitRestart keeps a broken send while something listens at its endpoint's address: the endpoint may have
+// restarted already, which its next entry shows.
+func (e *crashDetector) awaitRestart(broken brokenSend) {
+	if broken.endpoint.Incarnation == 0 {
+		return
+	}
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.breaks = slices.DeleteFunc(e.breaks, func(b brokenSend) bool { return broken.at.Sub(b.at) > pendingBreakTTL })
+	if len(e.breaks) < maxPendingBreaks {
+		e.breaks = append(e.breaks, broken)
+	}
+}
+
+// recordRestart records that an incarnation of an endpoint had ended before the one of its newest entry.
+func (e *crashDetector) recordRestart(id willowwick.EndpointID, incarnation willowwick.Incarnation) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.breaks = slices.DeleteFunc(e.breaks, func(b brokenSend) bool {
+		isOf := b.endpoint.ID == id && b.endpoint.Incarnation == incarnation
+		if isOf {
+			e.router.recordCrash(b)
+		}
+		return isOf
+	})
+}
+
+// recordDropped keeps a send whose answer is dropped now.
+func (e *crashDetector) recordDropped(dropped droppedSend) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.drops = slices.DeleteFunc(e.drops, func(d droppedSend) bool { return dropped.at.Sub(d.at) > dropCrashWindow+crashReportDelay })
+	if len(e.drops) < maxPendingDrops {
+		e.drops = append(e.drops, dropped)
+	}
+}
+
+// dropped returns the record of a send whose answer is dropped now.
+func (s *send) dropped() droppedSend {
+	c, d := s.call, droppedSend{endpoint: s.ticket.Endpoint, at: clock.Now()}
+	if len(c.message.Body) > maxRetainedBody {
+		request := c.describePoison()
+		d.describePoison = func() willowwick.HarmfulRequest { return request }
+	} else {
+		d.describePoison = func() willowwick.HarmfulRequest { return c.describePoisonAs(c.computeFingerprint()) }
+	}
+	return d
+}
+
+// countDroppedAtCrash attributes crashes that this box has just learnt of to the sends whose answers were dropped
+// there within dropCrashWindow: their connections were no longer read, so the break went unnoticed.
+func (e *crashDetector) countDroppedAtCrash() {
+	var ended []brokenSend
+	e.mu.Lock()
+	e.drops = slices.DeleteFunc(e.drops, func(d droppedSend) bool {
+		at, isKnown := e.router.poison.EndOf(d.endpoint.ID, d.endpoint.Incarnation)
+		if isKnown && at.Sub(d.at).Abs() <= dropCrashWindow {
+			ended = append(ended, brokenSend{request: d.describePoison(), endpoint: d.endpoint, at: at})
+		}
+		return isKnown
+	})
+	e.mu.Unlock()
+	for _, one := range ended {
+		e.router.recordCrash(one)
+	}
+}
--- a/exchange/ends_test.go
+++ b/exchange/crash_test.go
@@ -16,7 +16,7 @@
 	"github.com/willowwick/willowwick/clock"
 )
 
-// logBuffer keeps what is logged.
+// logBuffer collects log lines.
 type logBuffer struct {
 	mu   sync.Mutex
 	data bytes.Buffer
@@ -29,8 +29,8 @@
 	return b.data.Write(line)
 }
 
-// lineOf is the line with a message about a request.
-func (b *logBuffer) lineOf(t *testing.T, message, request string) map[string]any {
+// findLine returns the line with the given message and request ID.
+func (b *logBuffer) findLine(t *testing.T, message, request string) map[string]any {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, text := range bytes.Split(b.data.Bytes(), []byte("\n")) {
@@ -39,19 +39,19 @@
 			return line
 		}
 	}
-	require.Fail(t, "no such line", "%s of %s", message, request)
+	require.Fail(t, "no such log line", "%s of %s", message, request)
 	return nil
 }
 
-// crash ends the runner as the end of its process would: nothing listens any more, and all its connections break.
+// crash ends the runner like a crash of its process: its listener and all its connections are closed.
 func (r *runner) crash() {
 	_ = r.Listener.Close()
 	r.CloseClientConnections()
 }
 
-// A line about a send that broke tells whether the endpoint ended or only the connection was lost, and names the content
-// of the request, so that its repeats are found whatever their ids.
-func TestABrokenSendTellsWhetherItsEndpointEnded(t *testing.T) {
+// The log line of a broken send tells whether the endpoint crashed or only the connection was lost, and has the
+// fingerprint of the request, which finds its retries under any ID.
+func TestABrokenSendReportsWhetherItsEndpointCrashed(t *testing.T) {
 	before := slog.Default()
 	defer slog.SetDefault(before)
 	var lines logBuffer
@@ -66,16 +66,16 @@
 		})
 		s := newSite(t, self.endpoint("v1"))
 		s.do(t, http.MethodPost, "/once/", fmt.Sprint("id-", ends), "same body")
-		line := lines.lineOf(t, "send ended", fmt.Sprint("id-", ends))
+		line := lines.findLine(t, "send ended", fmt.Sprint("id-", ends))
 		assert.Equal(t, ends, line["endpoint_ended"])
 		want := willowwick.FingerprintOf(testAccount, http.MethodPost, testHost, "/once/", []byte("same body"))
 		assert.Equal(t, want.String(), line["fingerprint"])
 	}
 }
 
-// All requests that broke at an endpoint share one look at it. The caller of the one that makes it may leave meanwhile; the others
-// would take the endpoint for alive, and one more may end.
-func TestALookAtAnEndpointOutlivesItsCaller(t *testing.T) {
+// All requests whose connections to an endpoint broke share one check. If it ended with the caller of the request
+// that runs it, the others would take the endpoint for alive, and one more might crash.
+func TestACrashCheckOutlivesItsCaller(t *testing.T) {
 	t.Parallel()
 	r := newRunner(t, "r1", answerText("ok"))
 	s := newSite(t, r.endpoint("v1"))
@@ -84,7 +84,7 @@
 	brokeAt := clock.Now()
 	left, leave := context.WithCancel(t.Context())
 	leave()
-	ends := s.daemon.router.ends
-	ends.hasEnded(left, endpoint, brokeAt)
-	assert.True(t, ends.hasEnded(t.Context(), endpoint, brokeAt))
+	crashes := s.daemon.router.crashes
+	crashes.hasCrashed(left, endpoint, brokeAt)
+	assert.True(t, crashes.hasCrashed(t.Context(), endpoint, brokeAt))
 }
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -46,14 +46,14 @@
 	assert.Empty(t, r.requests())
 }
 
-func TestBoxWithoutConfigurationSaysWhenToComeBack(t *testing.T) {
+func TestBoxWithoutConfigurationSendsRetryAfter(t *testing.T) {
 	s := startSite(t, &testControl{down: true}, testSettings())
 	reply := s.do(t, http.MethodGet, "/once/", "id-1", "")
 	assert.Equal(t, http.StatusServiceUnavailable, reply.status)
 	assert.NotEmpty(t, reply.header.Get("Retry-After"))
 }
 
-func TestUnrepeatableRequestIsNotRunAgain(t *testing.T) {
+func TestUnrepeatableRequestIsNotRetried(t *testing.T) {
 	broken := func(w http.ResponseWriter, _ *http.Request) { hangUp(w) }
 	a, b := newRunner(t, "r1", broken), newRunner(t, "r2", broken)
 	s := newSite(t, a.endpoint("v1"), b.endpoint("v1"))
@@ -95,7 +95,7 @@
 	assert.Empty(t, reply.header.Get("T-Seal"), "the signature goes with the endpoint's own status only")
 }
 
-func TestRepeatableRequestIsRunAgainAfterAFailure(t *testing.T) {
+func TestRepeatableRequestIsRetriedAfterAFailure(t *testing.T) {
 	bad := newRunner(t, "r1", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) })
 	good := newRunner(t, "r2", answerText("ok"))
 	s := newSite(t, bad.endpoint("v1"), good.endpoint("v1"))
@@ -142,17 +142,17 @@
 	reply := s.do(t, http.MethodPost, "/once/", "id", "x", "T-Left", "60000")
 	assert.Equal(t, http.StatusGatewayTimeout, reply.status)
 	assert.InDelta(t, 2, time.Since(began).Seconds(), 0.4)
-	requireClosed(t, left, patience, "the endpoint was not left")
+	requireClosed(t, left, patience, "the connection to the endpoint was not closed")
 }
 
-func TestEndpointIsLeftWhenTheCallerLeaves(t *testing.T) {
+func TestEndpointConnectionClosesWhenTheCallerLeaves(t *testing.T) {
 	r, left := newSilentRunner(t)
 	s := newSite(t, r.endpoint("v1"))
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	_, err := s.client.Do(s.request(t, http.MethodPost, "/stream/", "id", "x").WithContext(ctx))
 	require.Error(t, err)
-	requireClosed(t, left, time.Second, "the endpoint was not left")
+	requireClosed(t, left, time.Second, "the connection to the endpoint was not closed")
 }
 
 func TestStreamIsPassedOnWhole(t *testing.T) {
@@ -165,7 +165,7 @@
 	}
 }
 
-// Events that come in one piece with the end of the stream were once taken for the start of another event.
+// Events that arrived in one read with the end of the stream were taken for the start of an incomplete event.
 func TestEventsThatComeWithTheEndOfTheStreamArePassedOn(t *testing.T) {
 	r := newRunner(t, "r1", func(w http.ResponseWriter, _ *http.Request) {
 		text := events(3)
@@ -198,7 +198,7 @@
 	assert.Equal(t, 2, len(a.requests())+len(b.requests()))
 }
 
-func TestStreamThatCannotGoOnDoesNotLookWhole(t *testing.T) {
+func TestStreamThatCannotResumeIsCutOff(t *testing.T) {
 	r := newRunner(t, "r1", func(w http.ResponseWriter, request *http.Request) {
 		streamEvents(w, request, 5)
 		hangUp(w)
@@ -276,7 +276,7 @@
 	s := newSite(t, r.endpoint("v1"))
 	s.control.change(func() { s.control.down = true })
 	require.Eventually(t, func() bool { return s.daemon.router.sync.isAway() }, patience, time.Millisecond)
-	// Entries lapse only while the store is away for longer than heartbeats take.
+	// Entries expire only while the store is unreachable for longer than a heartbeat takes.
 	time.Sleep(2 * testSettings().Drain)
 	s.control.change(func() {
 		s.control.down = false
@@ -288,7 +288,7 @@
 	assert.Equal(t, http.StatusServiceUnavailable, s.do(t, http.MethodPost, "/once/", "id", "x").status)
 }
 
-// A box once took requests until the end of the grace and cut them there.
+// A box accepted requests until the end of its grace period and then cut them off.
 func TestPlannedStopTakesNothingThatItCannotFinish(t *testing.T) {
 	r := newRunner(t, "r1", func(w http.ResponseWriter, request *http.Request) {
 		time.Sleep(800 * time.Millisecond)
@@ -305,18 +305,18 @@
 	time.Sleep(50 * time.Millisecond)
 	ok, _ := s.daemon.router.ready()
 	assert.False(t, ok)
-	// What comes soon after the signal is served whole.
+	// A request soon after the signal is served completely.
 	soon := make(chan siteReply)
 	go func() { soon <- s.do(t, http.MethodPost, "/stream/", "late", "x") }()
-	// What comes later and may not end in time is sent elsewhere, with nothing run.
-	time.Sleep(testSettings().TurnAway)
+	// A later request that may not end in time is refused, and not run.
+	time.Sleep(testSettings().UnreadyDelay)
 	blocking := make(chan siteReply)
 	go func() { blocking <- s.do(t, http.MethodPost, "/once/", "short", "x", "T-Left", "1000") }()
 	time.Sleep(50 * time.Millisecond)
 	reply := s.do(t, http.MethodPost, "/stream/", "too late", "x", "T-Left", "20000")
 	assert.Equal(t, http.StatusServiceUnavailable, reply.status)
 	assert.NotEmpty(t, reply.header.Get("Retry-After"))
-	assert.Equal(t, http.StatusOK, (<-blocking).status, "what ends before the stop is served")
+	assert.Equal(t, http.StatusOK, (<-blocking).status, "a request that ends before the stop is served")
 	reply = <-soon
 	assert.Equal(t, events(3), reply.body)
 	assert.NoError(t, reply.err)
@@ -333,7 +333,7 @@
 	assert.Equal(t, body, r.body[0])
 }
 
-// A request that was read just as the box found itself idle was once cut.
+// A request that was read just as the box found itself idle was cut off.
 func TestPlannedStopWaitsForARequestThatCameLast(t *testing.T) {
 	r := newRunner(t, "r1", func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(30 * time.Millisecond)
@@ -342,10 +342,10 @@
 	for offset := -6; offset <= 6; offset++ {
 		s := newSite(t, r.endpoint("v1"))
 		go s.daemon.Drain()
-		time.Sleep(testSettings().TurnAway + time.Duration(offset)*time.Millisecond)
+		time.Sleep(testSettings().UnreadyDelay + time.Duration(offset)*time.Millisecond)
 		response, err := s.client.Do(s.request(t, http.MethodPost, "/once/", "id", "x", "T-Left", "1000"))
 		if err != nil {
-			continue // the connection was refused or closed with nothing read
+			continue // the connection was refused, or closed before the request was read
 		}
 		body, err := io.ReadAll(response.Body)
 		_ = response.Body.Close()
@@ -354,8 +354,8 @@
 	}
 }
 
-// A request that was under way when a roll-out was ordered once went on at the new release.
-func TestRequestThatIsSentAgainKeepsToItsRelease(t *testing.T) {
+// A request in flight when a roll-out was ordered was retried on the new release.
+func TestRetriedRequestKeepsToItsRelease(t *testing.T) {
 	ordered := make(chan struct{})
 	var runs atomic.Int64
 	old := newRunner(t, "r1", func(w http.ResponseWriter, _ *http.Request) {
@@ -368,7 +368,7 @@
 	})
 	s := newSite(t, old.endpoint("v1"))
 	fresh := newRunner(t, "r2", answerText("new"))
-	time.Sleep(lookFor) // a box that has just started first looks whether another reads for it
+	time.Sleep(lookFor) // a box that has just started first checks whether a hub reads the store for it
 	time.AfterFunc(50*time.Millisecond, func() {
 		s.control.change(func() {
 			s.control.endpoints["r2"] = fresh.endpoint("v2")
@@ -376,7 +376,7 @@
 		})
 		x := s.daemon.router
 		for until := time.Now().Add(patience); time.Now().Before(until); time.Sleep(time.Millisecond) {
-			if len(x.releases.progresses(time.Now())) > 0 && x.hasRelease("work", "v2") {
+			if len(x.releases.progressList(time.Now())) > 0 && x.hasRelease("work", "v2") {
 				break
 			}
 		}
@@ -385,12 +385,12 @@
 	got := s.do(t, http.MethodPost, "/again/", "id-1", "x")
 	assert.Equal(t, "ok", got.body)
 	assert.Empty(t, fresh.requests())
-	require.NotEmpty(t, s.daemon.router.releases.progresses(time.Now()), "the order was known before the second send")
-	require.True(t, s.daemon.router.hasRelease("work", "v2"), "and so was the new release's endpoint")
+	require.NotEmpty(t, s.daemon.router.releases.progressList(time.Now()), "the order was known before the second send")
+	require.True(t, s.daemon.router.hasRelease("work", "v2"), "the new release's endpoint was known too")
 }
 
-// A stream whose endpoint paused was once taken up elsewhere with the last run that it had, and cut when that failed.
-func TestStreamIsNotLeftForItsLastRunWhileItsEndpointLives(t *testing.T) {
+// A stream whose endpoint paused was resumed elsewhere with its last allowed run, and cut off when that run failed.
+func TestStreamIsNotResumedElsewhereWithItsLastRunWhileItsEndpointLives(t *testing.T) {
 	for name, quiet := range map[string]bool{"lives": false, "quiet": true} {
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t, newRunner(t, "r1", answerText("a")).endpoint("v1"), newRunner(t, "r2", answerText("b")).endpoint("v1"))
@@ -400,46 +400,47 @@
 			route.MaxRuns = 3
 			require.NotNil(t, place)
 			for range 20 {
-				x.budget("work").Request(time.Now())
+				x.retryBudget("work").Request(time.Now())
 			}
 			sending := &send{ticket: &gate.Ticket{Place: place}, call: &call{
-				router: x, route: &route, service: "work", runs: 2, out: &reply{begun: true},
+				router: x, route: &route, service: "work", runs: 2, out: &reply{headSent: true},
 			}}
 			now := time.Now()
 			if quiet {
 				now = now.Add(2 * quietAfter)
 			}
-			assert.Equal(t, quiet, sending.mayLeaveStream(now))
+			assert.Equal(t, quiet, sending.mayResumeElsewhere(now))
 			sending.runs = 1
-			assert.True(t, sending.mayLeaveStream(now), "another run stays in reserve")
+			assert.True(t, sending.mayResumeElsewhere(now), "another run is left in reserve")
 		})
 	}
 }
 
-// Requests that came in the first milliseconds of a box were once refused, with a second to wait.
-func TestRequestOfTheFirstMomentIsServed(t *testing.T) {
+// Requests in the first milliseconds of a box were refused with a Retry-After of one second.
+func TestRequestDuringStartupIsServed(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	control := &testControl{endpoints: map[willowwick.EndpointID]willowwick.Endpoint{r.id: r.endpoint("v1")}}
 	control.change(func() {})
 	s := startSite(t, control, testSettings())
 	require.Eventually(t, s.daemon.router.sync.hasEndpoints, patience, time.Millisecond)
-	time.AfterFunc(warmLimit/3, func() { s.daemon.router.setTable(testTable(1, onceRoute()), "test") })
+	time.AfterFunc(minWarmWait/3, func() { s.daemon.router.setTable(testTable(1, onceRoute()), "test") })
 	assert.Equal(t, http.StatusOK, s.do(t, http.MethodPost, "/once/", "id", "x").status)
 }
 
-// The last heartbeat of an endpoint that had gone once brought it back into use.
-// With many routes declared, the configuration takes some tenths of a second to arrive; callers that have time are served.
-func TestRequestWithMuchTimeWaitsLongerForABoxThatStarts(t *testing.T) {
+// With many routes declared, the configuration takes some tenths of a second to arrive; callers with time left are
+// served.
+func TestRequestWithALongDeadlineWaitsLongerDuringStartup(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	control := &testControl{endpoints: map[willowwick.EndpointID]willowwick.Endpoint{"r1": r.endpoint("v1")}}
 	s := startSite(t, control, testSettings())
-	time.AfterFunc(4*warmLimit, func() {
+	time.AfterFunc(4*minWarmWait, func() {
 		control.change(func() { control.table = testTable(1, onceRoute()) })
 	})
 	got := s.do(t, http.MethodPost, "/once/", "id-1", "x", "T-Left", "20000")
 	assert.Equal(t, http.StatusOK, got.status)
 }
 
+// The last heartbeat of an endpoint that had been removed put it back into use.
 func TestHeartbeatThatComesLateBringsNoEndpointBack(t *testing.T) {
 	x, closeRouter := newRouter(testSettings(), testCodec{})
 	defer closeRouter()
@@ -456,18 +457,18 @@
 	s.apply(willowwick.EndpointChanges{Present: beat(5), Next: 1}, now)
 	require.True(t, isListed())
 	s.apply(willowwick.EndpointChanges{Gone: []willowwick.EndpointID{"e"}, Present: beat(6), Next: 3}, now)
-	require.False(t, isListed(), "gone, and one heartbeat that was on its way")
+	require.False(t, isListed(), "removed, with one heartbeat in transit")
 	s.apply(willowwick.EndpointChanges{Present: beat(6), Next: 4}, now)
-	require.False(t, isListed(), "the same one again")
+	require.False(t, isListed(), "the same heartbeat again")
 	s.apply(willowwick.EndpointChanges{Whole: true, Present: beat(6), Next: 4}, now)
-	require.False(t, isListed(), "in the whole list too")
+	require.False(t, isListed(), "also in the complete list")
 	s.apply(willowwick.EndpointChanges{Present: beat(7), Next: 5}, now)
-	require.True(t, isListed(), "it goes on: it lives")
+	require.True(t, isListed(), "further heartbeats show that it is alive")
 }
 
-// A box that the store refused, while others reached it, once took a removal for a lapsed entry, kept it, and told the
-// others so.
-func TestBoxThatOthersFedTakesRemovalsAtOnceAndTellsNobodyOfLapsedOnes(t *testing.T) {
+// A box that the store refused, while others reached it, took a removal for an expired entry, kept the entry, and
+// reported it as expired to the other boxes.
+func TestBoxFedByOthersAppliesRemovalsAtOnceAndReportsNoExpiredEntries(t *testing.T) {
 	x, closeRouter := newRouter(testSettings(), testCodec{})
 	defer closeRouter()
 	s := newSyncer(x, nil)
@@ -485,17 +486,17 @@
 	s.noteFailure(readEndpoints, later, errDown)
 	s.apply(willowwick.EndpointChanges{Gone: []willowwick.EndpointID{"b"}, Next: 3}, later)
 	_, found = s.entry("b")
-	require.True(t, found, "it may be back within the time of the grace")
+	require.True(t, found, "it may return within the grace period")
 	s.changedAt = 3
 	older := Digest{EndpointsFrom: 2}
-	require.Empty(t, s.listFor(&SwapCall{Digest: older}).Endpoints, "told whole")
+	require.Empty(t, s.listFor(&SwapCall{Digest: older}).Endpoints, "in a complete list")
 	changes := s.listFor(&SwapCall{Digest: older, TakesChanges: true})
-	require.Empty(t, changes.Endpoints, "told as changes")
-	require.Contains(t, changes.Gone, willowwick.EndpointID("b"), "who could see the store knows whether it is gone")
+	require.Empty(t, changes.Endpoints, "in a list of changes")
+	require.Contains(t, changes.Gone, willowwick.EndpointID("b"), "a box that reached the store knows whether it was removed")
 }
 
-// Boxes that were told that an entry had lapsed have dropped it, and once were not told that it is back.
-func TestAnEndpointWhoseEntryIsBackIsToldOf(t *testing.T) {
+// Boxes that received that an entry had expired dropped it, and did not receive that it was back.
+func TestAnEndpointWhoseEntryIsBackIsReported(t *testing.T) {
 	x, closeRouter := newRouter(testSettings(), testCodec{})
 	defer closeRouter()
 	s := newSyncer(x, nil)
@@ -514,9 +515,9 @@
 	require.Equal(t, beat(2), changes.Endpoints)
 }
 
-// An endpoint came and went between two reads of a box, which then was told of it by one that had read less: it never heard
-// that the endpoint had gone, and listed it for good.
-func TestWhatABoxThatHasReadLessListsIsNoNews(t *testing.T) {
+// An endpoint appeared and was removed between two reads of a box, which then received it from a box that had read
+// less: it never learnt of the removal, and listed the endpoint for ever.
+func TestAnOlderListFromAnotherBoxChangesNothing(t *testing.T) {
 	x, closeRouter := newRouter(testSettings(), testCodec{})
 	defer closeRouter()
 	s := newSyncer(x, nil)
@@ -534,11 +535,11 @@
 	ahead.Endpoints.From, ahead.Endpoints.Next = 4, 4
 	s.takeFromPeer(ahead, now)
 	_, found = s.entry("b")
-	require.True(t, found, "it came again after what this box has read")
+	require.True(t, found, "it returned after the last read of this box")
 }
 
-// While configurations came one after the other, the list of endpoints once was not read: each answer of the store
-// counted as news of it.
+// While configurations arrived one after another, the list of endpoints was not read: each answer of the store
+// counted as an update of it.
 func TestEndpointsAreReadDuringAStormOfConfigurations(t *testing.T) {
 	a, b := newRunner(t, "r1", answerText("a")), newRunner(t, "r2", answerText("b"))
 	s := newSite(t, a.endpoint("v1"), b.endpoint("v1"))
--- a/exchange/hints_test.go
+++ b/exchange/hints_test.go
@@ -13,7 +13,7 @@
 	"github.com/willowwick/willowwick/route"
 )
 
-// newHalls starts as many boxes in each hall, which know each other by the first box of each.
+// newHalls starts the given number of boxes in each hall, which find each other through the first box of all.
 func newHalls(t *testing.T, halls, boxes int, endpoints ...willowwick.Endpoint) []*site {
 	control := newTestControl(testTable(1, streamRoute()), endpoints...)
 	var sites []*site
@@ -40,14 +40,14 @@
 	return sites
 }
 
-// aheadAt is how long the box takes the endpoint to be reading.
-func aheadAt(s *site, endpoint willowwick.EndpointID) time.Duration {
+// forecastAt returns how long the box expects the endpoint to be reading.
+func forecastAt(s *site, endpoint willowwick.EndpointID) time.Duration {
 	return s.daemon.router.pool.Ahead(time.Now(), endpoint)
 }
 
-// Boxes that could not know what the others had sent once chose endpoints that were reading for a second and more.
-func TestAllBoxesHearWhatOneSendsToAnEndpoint(t *testing.T) {
-	for _, boxes := range []int{2, directMost + 2} {
+// Boxes that didn't know what the others had sent chose endpoints that were reading for a second and more.
+func TestHintsReachAllBoxes(t *testing.T) {
+	for _, boxes := range []int{2, maxDirectBoxes + 2} {
 		t.Run(fmt.Sprint(boxes, " boxes a hall"), func(t *testing.T) {
 			r := newRunner(t, "r1", answerText("ok"))
 			sites := newHalls(t, 2, boxes, r.endpoint("v1"))
@@ -58,10 +58,10 @@
 			require.NotNil(t, place)
 			reading, isReading := place.Sent(time.Now())
 			require.True(t, isReading)
-			reading.Length = time.Minute // its speed is not known yet
-			x.hints.tell(reading, true)
+			reading.Length = time.Minute // its speed is unknown yet
+			x.hints.publish(reading, true)
 			for _, s := range sites[1:] {
-				require.Eventually(t, func() bool { return aheadAt(s, "r1") > time.Second }, patience, 5*time.Millisecond, s.daemon.router.settings.Box)
+				require.Eventually(t, func() bool { return forecastAt(s, "r1") > time.Second }, patience, 5*time.Millisecond, s.daemon.router.settings.Box)
 			}
 		})
 	}
@@ -71,14 +71,14 @@
 	return newHints(&Router{settings: Settings{Key: []byte(key)}}, nil)
 }
 
-func TestHintsOfStrangersAreNotTaken(t *testing.T) {
+func TestHintsWithAnotherKeyAreRejected(t *testing.T) {
 	own, stranger := newTestHints("0123456789abcdef"), newTestHints("fedcba9876543210")
-	rows := []hintRow{{Endpoint: 7, Micros: 100}, {Endpoint: 8, Micros: -5, IsShift: true, Parts: [hintParts]route.PartName{1, 2}}}
-	data, err := own.encode(hintPass, rows)
+	rows := []hintRow{{Endpoint: 7, Micros: 100}, {Endpoint: 8, Micros: -5, IsShift: true, Parts: [maxHintParts]route.PartName{1, 2}}}
+	data, err := own.encode(hintForward, rows)
 	require.NoError(t, err)
 	kind, got, err := own.decode(data)
 	require.NoError(t, err)
-	assert.Equal(t, hintPass, kind)
+	assert.Equal(t, hintForward, kind)
 	assert.Equal(t, rows, got)
 	_, _, err = stranger.decode(data)
 	assert.Error(t, err)
@@ -89,39 +89,39 @@
 }
 
 func TestDatagramOfHintsFitsAPacket(t *testing.T) {
-	data, err := newTestHints("k").encode(hintKeep, make([]hintRow, hintRows))
+	data, err := newTestHints("k").encode(hintFinal, make([]hintRow, maxHintRows))
 	require.NoError(t, err)
 	assert.Less(t, len(data), 1200)
 }
 
-func TestTellingNeverWaits(t *testing.T) {
+func TestPublishingHintsNeverBlocks(t *testing.T) {
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = conn.Close() })
 	s := newSite(t)
-	h := newHints(s.daemon.router, conn) // nobody sends what waits
-	for range 2 * hintQueue {
-		h.tell(route.Reading{Endpoint: 1}, true)
+	h := newHints(s.daemon.router, conn) // nothing sends the queue
+	for range 2 * hintQueueSize {
+		h.publish(route.Reading{Endpoint: 1}, true)
 	}
-	assert.Len(t, h.queue, hintQueue)
+	assert.Len(t, h.queue, hintQueueSize)
 }
 
-// A box that is gone is listed for half a minute, and would lose what it is to pass on.
-func TestLargerHallIsToldThroughABoxThatLives(t *testing.T) {
+// A box that is gone stays listed for half a minute, and would lose the readings that it has to forward.
+func TestHintsToALargerHallGoThroughALiveBox(t *testing.T) {
 	h := newTestHints("k")
 	var hall []netip.AddrPort
 	for i := range 5 {
 		hall = append(hall, netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i + 1)}), 1))
 	}
-	h.tellers[hall[3]] = time.Now()
-	h.tellers[hall[1]] = time.Now().Add(-2 * tellerFresh)
+	h.lastHeard[hall[3]] = time.Now()
+	h.lastHeard[hall[1]] = time.Now().Add(-2 * hintSenderTTL)
 	for range 20 {
-		assert.Equal(t, hall[3], h.relayOf(hall))
+		assert.Equal(t, hall[3], h.chooseRelay(hall))
 	}
 }
 
-// At 390 boxes with 5,400 requests a second, all that is sent would be 250 KB a second for each box to hear.
-func TestReadingsThatAreToldStayWithinTheirBytes(t *testing.T) {
+// At 390 boxes with 5,400 requests a second, sending all readings would cost each box 250 KB a second.
+func TestHintsStayWithinTheirBandwidth(t *testing.T) {
 	const boxes, seconds = 390, 20
 	h, now := newTestHints("k"), time.Now()
 	told := map[bool]int{}
@@ -134,15 +134,15 @@
 			length = time.Second
 		}
 		offered[isLong]++
-		if h.mayTell(length, boxes, now) {
+		if h.takeRowToken(length, boxes, now) {
 			told[isLong]++
 		}
 	}
 	heard := float64(told[true]+told[false]) / seconds * boxes
-	assert.LessOrEqual(t, heard, 1.5*rowsHeard)
-	assert.Greater(t, float64(told[true])/float64(offered[true]), 0.9, "long ones are told")
+	assert.LessOrEqual(t, heard, 1.5*maxRowsPerSecond)
+	assert.Greater(t, float64(told[true])/float64(offered[true]), 0.9, "most long readings must be sent")
 	few := newTestHints("k")
 	for n := range 100 {
-		assert.True(t, few.mayTell(time.Millisecond, 6, now.Add(time.Duration(n)*10*time.Millisecond)))
+		assert.True(t, few.takeRowToken(time.Millisecond, 6, now.Add(time.Duration(n)*10*time.Millisecond)))
 	}
 }
--- /dev/null
+++ b/exchange/poison.go
@@ -0,0 +1,156 @@
+package exchange
+
+import (
+	"context"
+	"log/slog"
+	"slices"
+	"time"
+
+	"github.com/willowwick/willowwick"
+	"github.com/willowwick/willowwick/clock"
+	"github.com/willowwick/willowwick/quarantine"
+)
+
+const (
+	// poisonWriteInterval is how often a box checks for poison requests to write to the store: short, since all
+	// boxes may lose power a moment after a request was identified.
+	poisonWriteInterval = feedPoll
+	// maxTargetBytes limits what is kept and reported of a request's target, which may be as long as its headers.
+	maxTargetBytes = 512
+	// poisonRetryDelay is the delay after a failed call to the store.
+	poisonRetryDelay = time.Second
+	// poisonReadInterval is how often a box that reads the store checks it for requests found by other boxes while
+	// it is in touch with no box of some hall: all boxes have to know of them within three seconds.
+	poisonReadInterval = time.Second
+)
+
+// refusePoison refuses a poison request, which crashes the endpoints that run it. The leader, and only it, retries
+// such a request from time to time on a release that may run it.
+func (c *call) refusePoison(now time.Time) *willowwick.Refusal {
+	if !c.isPoison() {
+		return nil
+	}
+	x := c.router
+	if x.sync.isLeading() {
+		if release, isAllowed := x.poison.Trial(c.describePoison(), x.usableReleases(c.service, now), now); isAllowed {
+			slog.Info("refused request is tried", "request", c.head.ID, "fingerprint", c.fingerprint().String(), "release", release)
+			x.peers.hurry()
+			c.trialRelease = release
+			return nil
+		}
+	}
+	return quarantine.Refusal()
+}
+
+// isPoison reports whether the request must not be sent to any endpoint. The fingerprint is computed only while
+// some request is suspected.
+func (c *call) isPoison() bool {
+	poison := c.router.poison
+	return c.trialRelease == "" && !poison.IsEmpty() && poison.Refuses(c.fingerprint())
+}
+
+// usableReleases returns the releases of a service's endpoints that may get requests.
+func (x *Router) usableReleases(service willowwick.ServiceID, now time.Time) []willowwick.ReleaseID {
+	var list []willowwick.ReleaseID
+	for _, endpoint := range x.pool.Endpoints() {
+		isUsed := endpoint.Service == service && !endpoint.Leaving && !x.releases.isRetired(service, endpoint.Release, now)
+		if isUsed && !slices.Contains(list, endpoint.Release) {
+			list = append(list, endpoint.Release)
+		}
+	}
+	return list
+}
+
+// describePoison returns what other boxes and operators get to know of the request.
+func (c *call) describePoison() willowwick.HarmfulRequest {
+	return c.describePoisonAs(c.fingerprint())
+}
+
+// describePoisonAs is describePoison with a given fingerprint.
+func (c *call) describePoisonAs(fingerprint willowwick.Fingerprint) willowwick.HarmfulRequest {
+	return willowwick.HarmfulRequest{
+		Request: fingerprint, Account: c.accountName(), Service: c.service, Host: c.message.Host,
+		Target: c.message.Target[:min(len(c.message.Target), maxTargetBytes)],
+	}
+}
+
+// recordCrash records that an endpoint crashed while it had a request.
+func (x *Router) recordCrash(broken brokenSend) {
+	x.metrics.endedUnder()
+	endpoint := broken.endpoint
+	x.poison.NoteEnd(broken.request, willowwick.EndpointEnd{
+		Endpoint: endpoint.ID, Incarnation: endpoint.Incarnation, Release: endpoint.Release, At: broken.at,
+	})
+	x.peers.hurry()
+}
+
+// recordHarmless records that an endpoint has answered the request completely.
+func (s *send) recordHarmless(now time.Time) {
+	if quarantine.IsHarmlessBy(s.answer.Status) && !s.router.poison.IsEmpty() {
+		s.router.poison.NoteAnswer(s.fingerprint(), now)
+	}
+}
+
+// runPoisonSync keeps the poison requests in the store up to date until the context ends: all boxes may lose power
+// at once, and with it what they know.
+func (s *syncer) runPoisonSync(ctx context.Context) {
+	sleep(ctx, lookFor)
+	for ctx.Err() == nil {
+		if !s.syncPoison(ctx) {
+			sleep(ctx, poisonRetryDelay)
+		}
+		sleep(ctx, poisonWriteInterval)
+	}
+}
+
+// syncPoison reads the store's poison requests if that is due, and writes what this box found; it reports whether
+// the store answered.
+func (s *syncer) syncPoison(ctx context.Context) bool {
+	now := clock.Now()
+	isAnswered := true
+	if s.mustReadPoison(now) {
+		if isAnswered = s.restorePoison(ctx); isAnswered {
+			s.harmDue = now.Add(poisonReadInterval)
+		}
+	}
+	s.router.poison.Expire(now)
+	return s.writePoison(ctx) && isAnswered
+}
+
+// mustReadPoison reports whether this box has to read the poison requests from the store: once after its start, and
+// then periodically while it misses a hall, which may have found requests that it cannot report here.
+func (s *syncer) mustReadPoison(now time.Time) bool {
+	isDue := s.harmDue.IsZero() || !now.Before(s.harmDue) && s.router.peers.missesHall(now)
+	return isDue && !s.isFed(now) && !s.mayRest(now)
+}
+
+// restorePoison reads the poison requests from the store, and reports whether it answered.
+func (s *syncer) restorePoison(ctx context.Context) bool {
+	records, err := s.control.Harmful(ctx)
+	if err != nil {
+		slog.Info("read of poison requests failed", "error", err)
+		return false
+	}
+	now := clock.Now()
+	restored := make([]willowwick.HarmfulRequest, len(records))
+	for i, record := range records {
+		restored[i] = record.WithEndTimes(func(at time.Time) time.Time { return now.Add(-clock.System(now).Sub(at)) })
+	}
+	s.router.poison.Restore(restored, now)
+	return true
+}
+
+// writePoison writes the requests that are due, and reports whether the store accepted them.
+func (s *syncer) writePoison(ctx context.Context) bool {
+	for _, request := range s.router.poison.Due() {
+		era := s.currentEra()
+		if err := s.control.SetHarmful(ctx, request.WithEndTimes(clock.System)); err != nil {
+			slog.Info("write of a poison request failed", "fingerprint", request.Request.String(), "error", err)
+			return false
+		}
+		if era == s.currentEra() {
+			s.router.poison.Written(request)
+		}
+	}
+	return true
+}
--- a/exchange/release.go
+++ b/exchange/release.go
@@ -11,50 +11,50 @@
 )
 
 type (
-	// ReleaseSettings bound roll-outs of releases.
+	// ReleaseSettings limit roll-outs of releases.
 	ReleaseSettings struct {
-		Session time.Duration // setting: requests of a session follow each other within this
-		// Exposure is the share of a service's requests that a bad release may get; 0 if the operator names none.
+		Session time.Duration // longest time between two successive requests of a session
+		// Exposure is the share of a service's requests that a bad release may get; 0 if the operator sets none.
 		Exposure float64
 	}
 
-	// releaseKey names a release of a service.
+	// releaseKey identifies a release of a service.
 	releaseKey struct {
 		Service willowwick.ServiceID
 		Release willowwick.ReleaseID
 	}
 
-	// releases decides which release answers, and judges new ones.
+	// releases chooses the release for each request, and judges new releases by the evidence.
 	releases struct {
 		settings ReleaseSettings
-		// isThere reports whether a service has an endpoint of a release that stays.
-		isThere func(willowwick.ServiceID, willowwick.ReleaseID) bool
-
-		mu    sync.Mutex
-		moves map[willowwick.ServiceID]*move
-		// keptElsewhere are sessions that other boxes know on other releases than a roll-out's target.
-		keptElsewhere map[sessionHash]bool
-		canary        float64 // share of the sessions that try a new release first
-		verdicts      verdicts
-		own           map[evidenceKey]rollout.Evidence
-		typical       map[typicalKey]float64 // seconds
-		lateness      map[typicalKey]*route.Lateness
-		sessions      map[string]sessionSeen
-
-		era        willowwick.Era                                   // the newest that an order is of
-		restoredAt time.Time                                        // until then orders may be ones that are written again
-		putOff     map[willowwick.ServiceID]willowwick.ReleaseOrder // until then
-	}
-
-	// move is a roll-out as this box sees it.
-	move struct {
-		order    willowwick.ReleaseOrder
-		began    time.Time
-		state    willowwick.ReleaseState
-		written  bool // the state is in the store
-		panel    *rollout.Panel
-		seen     map[evidenceKey]rollout.Evidence
-		requests uint64 // answers known of the target
+		// hasRelease reports whether a service has an endpoint of a release that isn't draining.
+		hasRelease func(willowwick.ServiceID, willowwick.ReleaseID) bool
+
+		mu       sync.Mutex
+		rollouts map[willowwick.ServiceID]*rolloutState
+		// pinnedElsewhere are sessions that other boxes reported on releases other than a roll-out's target.
+		pinnedElsewhere map[sessionHash]bool
+		canary          float64 // share of the sessions that try a new release first
+		verdicts        verdicts
+		ownEvidence     map[evidenceKey]rollout.Evidence
+		typical         map[typicalKey]float64 // seconds
+		lateness        map[typicalKey]*route.Lateness
+		sessions        map[string]sessionRecord
+
+		era            willowwick.Era                                   // the newest era of an order
+		restoredAt     time.Time                                        // until then, orders may be ones that the operator writes again
+		deferredOrders map[willowwick.ServiceID]willowwick.ReleaseOrder // applied at restoredAt if still the newest
+	}
+
+	// rolloutState is a roll-out as this box knows it.
+	rolloutState struct {
+		order         willowwick.ReleaseOrder
+		startedAt     time.Time
+		state         willowwick.ReleaseState
+		persisted     bool // the state is in the store
+		panel         *rollout.Panel
+		evidence      map[evidenceKey]rollout.Evidence
+		targetAnswers uint64 // answers of the target known to this box
 	}
 
 	// progress is how far a box has come with a roll-out.
@@ -65,85 +65,85 @@
 		Moved  bool // all new requests go to the target
 	}
 
-	// dueStatus is a state that is to be written to the store.
+	// dueStatus is a state that has to be written to the store.
 	dueStatus struct {
 		willowwick.ReleaseStatus
-		lastCall bool // the period ends: it is written even while requests are under way on the old release
+		isForced bool // written even with requests in flight on the old release: the period is about to end, or the state is known
 	}
 )
 
-func newReleases(settings ReleaseSettings, isThere func(willowwick.ServiceID, willowwick.ReleaseID) bool) *releases {
+func newReleases(settings ReleaseSettings, hasRelease func(willowwick.ServiceID, willowwick.ReleaseID) bool) *releases {
 	return &releases{
-		settings: settings,
-		isThere:  isThere,
-		canary:   settings.firstShare(),
-		moves:    map[willowwick.ServiceID]*move{},
-		verdicts: verdicts{},
-		own:      map[evidenceKey]rollout.Evidence{},
-		typical:  map[typicalKey]float64{},
-		lateness: map[typicalKey]*route.Lateness{},
-		sessions: map[string]sessionSeen{},
-		putOff:   map[willowwick.ServiceID]willowwick.ReleaseOrder{},
+		settings:       settings,
+		hasRelease:     hasRelease,
+		canary:         settings.initialCanaryShare(),
+		rollouts:       map[willowwick.ServiceID]*rolloutState{},
+		verdicts:       verdicts{},
+		ownEvidence:    map[evidenceKey]rollout.Evidence{},
+		typical:        map[typicalKey]float64{},
+		lateness:       map[typicalKey]*route.Lateness{},
+		sessions:       map[string]sessionRecord{},
+		deferredOrders: map[willowwick.ServiceID]willowwick.ReleaseOrder{},
 	}
 }
 
-// begin takes an order; age is how long ago it was given, as far as is known.
-func (r *releases) begin(order willowwick.ReleaseOrder, age time.Duration, now time.Time) {
+// applyOrder starts the roll-out of an order; age is how long ago it was given, as far as known.
+func (r *releases) applyOrder(order willowwick.ReleaseOrder, age time.Duration, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.enterEra(order.At.Era(), now)
 	if !r.isWrittenAgain(order, now) {
-		r.beginNew(order, age, now)
+		r.applyNewOrder(order, age, now)
 	}
 }
 
-// beginNew takes an order unless a later one is known; the caller holds the lock.
-func (r *releases) beginNew(order willowwick.ReleaseOrder, age time.Duration, now time.Time) {
-	m := r.moves[order.Service]
+// applyNewOrder starts a roll-out unless a later order is known; the caller holds the lock.
+func (r *releases) applyNewOrder(order willowwick.ReleaseOrder, age time.Duration, now time.Time) {
+	m := r.rollouts[order.Service]
 	if m != nil && m.order.At >= order.At {
-		if began := now.Add(-age); m.order.At == order.At && began.Before(m.began) {
-			m.began = began
+		if startedAt := now.Add(-age); m.order.At == order.At && startedAt.Before(m.startedAt) {
+			m.startedAt = startedAt
 		}
 		return
 	}
 	if m != nil && m.state == willowwick.ReleaseRunning {
-		// Its sessions go back to what the others use; only one release is tried at a time.
+		// Only one release is tried at a time: the sessions on the previous target return to the other releases.
 		r.verdicts.giveUp(releaseKey{order.Service, m.order.Target}, now)
 	}
 	delete(r.verdicts, releaseKey{order.Service, order.Target})
-	r.moves[order.Service] = &move{
-		order: order, began: now.Add(-age), state: willowwick.ReleaseRunning,
-		panel: rollout.NewPanel(willowwick.VersionID(order.Target)), seen: map[evidenceKey]rollout.Evidence{},
+	r.rollouts[order.Service] = &rolloutState{
+		order: order, startedAt: now.Add(-age), state: willowwick.ReleaseRunning,
+		panel: rollout.NewPanel(willowwick.VersionID(order.Target)), evidence: map[evidenceKey]rollout.Evidence{},
 	}
 	slog.Info("roll-out ordered", "service", order.Service, "release", order.Target,
 		"period_ms", order.Period.Milliseconds(), "age_ms", age.Milliseconds())
 }
 
-// settle takes the state of a roll-out as the store holds it, or as another box believes it to be.
-func (r *releases) settle(status willowwick.ReleaseStatus, written bool, source string) {
+// applyStatus applies the state of a roll-out from the store (persisted) or from another box.
+func (r *releases) applyStatus(status willowwick.ReleaseStatus, persisted bool, source string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	m := r.moves[status.Service]
+	m := r.rollouts[status.Service]
 	if m == nil || m.order.Target != status.Target {
 		return
 	}
 	if status.State == willowwick.ReleaseRunning {
-		m.written = m.written || written && m.state == willowwick.ReleaseRunning
+		m.persisted = m.persisted || persisted && m.state == willowwick.ReleaseRunning
 		return
 	}
-	news := m.state != status.State
-	// What the store holds goes before what this box believes.
-	if written || m.state == willowwick.ReleaseRunning {
-		m.state, m.written = status.State, written
-		r.noteEnd(m)
+	isChange := m.state != status.State
+	// The store's state takes precedence over this box's own.
+	if persisted || m.state == willowwick.ReleaseRunning {
+		m.state, m.persisted = status.State, persisted
+		r.recordVerdict(m)
 	}
-	if news {
+	if isChange {
 		slog.Info("roll-out ended", "service", status.Service, "release", status.Target, "state", m.state, "source", source)
 	}
 }
 
-// noteEnd keeps how a roll-out ended, whatever is ordered after it.
-func (r *releases) noteEnd(m *move) {
+// recordVerdict keeps the result of a roll-out, whatever is ordered after it; the caller holds the lock.
+func (r *releases) recordVerdict(m *rolloutState) {
 	key := releaseKey{m.order.Service, m.order.Target}
 	switch m.state {
 	case willowwick.ReleaseRolledBack:
@@ -153,25 +153,25 @@
 	}
 }
 
-// ended lists what became of releases.
-func (r *releases) ended(now time.Time) []verdictRow {
+// verdictRows returns the verdicts on releases for other boxes.
+func (r *releases) verdictRows(now time.Time) []verdictRow {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.verdicts.rows(now)
 }
 
-// hearEnded takes what another box knows of releases, but for those that this box has a roll-out to.
-func (r *releases) hearEnded(rows []verdictRow) {
+// receiveVerdicts merges another box's verdicts, except on releases that this box has a roll-out to.
+func (r *releases) receiveVerdicts(rows []verdictRow) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, row := range rows {
-		if m := r.moves[row.Key.Service]; m == nil || m.order.Target != row.Key.Release {
+		if m := r.rollouts[row.Key.Service]; m == nil || m.order.Target != row.Key.Release {
 			r.verdicts.hear(row)
 		}
 	}
 }
 
-func (r *releases) forget(now time.Time) {
+func (r *releases) forgetSessions(now time.Time) {
 	for key, seen := range r.sessions {
 		if now.After(seen.until) {
 			delete(r.sessions, key)
@@ -179,32 +179,32 @@
 	}
 }
 
-// progresses returns this box's roll-outs.
-func (r *releases) progresses(now time.Time) []progress {
+// progressList returns the progress of this box's roll-outs.
+func (r *releases) progressList(now time.Time) []progress {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	list := make([]progress, 0, len(r.moves))
-	for service, m := range r.moves {
+	list := make([]progress, 0, len(r.rollouts))
+	for service, m := range r.rollouts {
 		list = append(list, progress{
 			Status: willowwick.ReleaseStatus{Service: service, Target: m.order.Target, State: m.state},
-			Order:  m.order, AgeMs: now.Sub(m.began).Milliseconds(), Moved: m.share(now, r.canary) >= 1,
+			Order:  m.order, AgeMs: now.Sub(m.startedAt).Milliseconds(), Moved: m.targetShare(now, r.canary) >= 1,
 		})
 	}
 	return list
 }
 
-// due returns the states that the box that leads should write.
+// due returns the states that the leader has to write.
 func (r *releases) due(now time.Time) []dueStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var list []dueStatus
-	for service, m := range r.moves {
+	for service, m := range r.rollouts {
 		status := willowwick.ReleaseStatus{Service: service, Target: m.order.Target, State: m.state}
 		switch {
-		case m.state == willowwick.ReleaseRunning && m.share(now, r.canary) >= 1:
+		case m.state == willowwick.ReleaseRunning && m.targetShare(now, r.canary) >= 1:
 			status.State = willowwick.ReleaseCompleted
-			list = append(list, dueStatus{status, m.part(now) >= lastCall})
-		case !m.written:
+			list = append(list, dueStatus{status, m.elapsedShare(now) >= forcedCompletionShare})
+		case !m.persisted:
 			list = append(list, dueStatus{status, true})
 		}
 	}
--- a/exchange/router.go
+++ b/exchange/router.go
@@ -17,49 +17,52 @@
 )
 
 const (
-	// startLimit is how many own requests an endpoint gets before it is known: the slots of a large runner.
-	startLimit = 64
-	// loadFresh is how long a load report counts: a runner's requests last about a second.
-	loadFresh = 1500 * time.Millisecond
-	// warmLimit is the least time that a request waits for a box that has just started, and warmShare the part of its
-	// deadline: both are a quarter of what callers of such deadlines set as their goal.
-	warmLimit = 75 * time.Millisecond
-	warmShare = 1.0 / 40
-	// queueAtEndpoint is how many requests an endpoint may hold beyond its slots, as a share of them: enough that no
-	// slot rests, few enough that client accounts take turns here and not behind each other there.
-	queueAtEndpoint = 1.0
-	// quietAfter is how long an endpoint with requests may say nothing before others are preferred: several times
-	// a plain service's usual work, and what a runner takes to read a long prompt.
+	// initialEndpointLimit is the limit on own requests at an endpoint that has not reported its slots yet: the
+	// slots of a large runner.
+	initialEndpointLimit = 64
+	// loadReportMaxAge is how long a load report is used: a runner's requests last about a second.
+	loadReportMaxAge = 1500 * time.Millisecond
+	// minWarmWait is the least time that a request waits for a box that has just started, and warmWaitShare the
+	// share of the time to its deadline that it may wait: both are a quarter of what callers with such deadlines
+	// set as their goal.
+	minWarmWait   = 75 * time.Millisecond
+	warmWaitShare = 1.0 / 40
+	// endpointQueueShare is the number of requests an endpoint may hold beyond its slots, as a share of them:
+	// enough to keep all slots busy, few enough that client accounts queue fairly here and not behind each other
+	// there.
+	endpointQueueShare = 1.0
+	// quietAfter is how long an endpoint with requests may send nothing before others are preferred: several times
+	// a plain service's usual work, and the time a runner takes to read a long prompt.
 	quietAfter = 350 * time.Millisecond
-	// lowestPriority is the last rank that endpoints know.
+	// lowestPriority is the least urgent priority that endpoints know.
 	lowestPriority = 9
-	// defaultBodyBytes bounds bodies where the configuration does not.
-	defaultBodyBytes = 4 << 20
+	// defaultMaxBodyBytes limits request bodies where the configuration sets no limit.
+	defaultMaxBodyBytes = 4 << 20
 )
 
 type (
-	// Settings are what an exchange is told at its start.
+	// Settings configure an exchange at its start.
 	Settings struct {
 		Box        willowwick.BoxID
 		Hall       willowwick.HallID
 		Boot       willowwick.BootID
 		Peers      string // host:port under which other boxes reach this one
-		LinkMbps   int    // width of the box's link; 0 if it is not known
+		LinkMbps   int    // bandwidth of the box's link; 0 if unknown
 		Key        []byte // shared by all boxes
 		Seeds      []string
 		Seed       uint64
-		Confidence int // a small model's answer below this is given up for the largest model's
-		// LateConfidence takes the place of Confidence where the largest model's answer would come after the goal.
-		LateConfidence int
-		Repeats        route.RepeatLimits
-		Releases       ReleaseSettings
-		Grace          time.Duration // setting: from the signal to stop until the process is killed
-		TurnAway       time.Duration // setting: how long a stopping box waits for the entry to send callers elsewhere
-		Drain          time.Duration // setting: an endpoint that leaves gets nothing later than this
-		InForce        time.Duration // setting: a configuration is in force within this after it was accepted
+		Confidence int // a small model's answer below this confidence is dropped for the largest model's
+		// LateConfidence replaces Confidence where the largest model's answer would come after the goal.
+		LateConfidence   int
+		RetryBudget      route.RepeatLimits
+		Releases         ReleaseSettings
+		Grace            time.Duration // time from the stop signal until the process is killed
+		UnreadyDelay     time.Duration // how long a stopping box waits for the load balancer to send callers elsewhere
+		Drain            time.Duration // a draining endpoint gets no requests later than this
+		ConfigApplyLimit time.Duration // a configuration is in force within this time after it was accepted
 	}
 
-	// Router answers opaque requests.
+	// Router relays requests to endpoints without interpreting their bodies.
 	Router struct {
 		settings  Settings
 		codec     willowwick.HeaderCodec
@@ -71,24 +74,24 @@
 		sync      *syncer
 		peers     *peers
 		hints     *hints
-		ends      *endChecks
-		harm      *quarantine.Ledger
+		crashes   *crashDetector
+		poison    *quarantine.Ledger
 		limits    *ratelimit.Ledger
 		shortages *shortages
 
 		evacuations *evacuations
 		admissions  *admissions
 
-		metrics  *routerMetrics
-		inFlight atomic.Int64
-		warm     chan struct{} // closed once configuration and endpoints are known
-		warmOnce sync.Once
-		stopping atomic.Bool
-		refusing atomic.Bool  // only requests that are sure to end before stopAt are taken
-		stopAt   atomic.Int64 // nanoseconds since 1970
+		metrics     *routerMetrics
+		inFlight    atomic.Int64
+		warm        chan struct{} // closed once the configuration and endpoints are known
+		warmOnce    sync.Once
+		stopping    atomic.Bool
+		refusesLate atomic.Bool  // refuses requests that may not end before stopAt
+		stopAt      atomic.Int64 // nanoseconds since 1970
 
-		mu      sync.Mutex
-		budgets map[willowwick.ServiceID]*route.RepeatBudget
+		mu           sync.Mutex
+		retryBudgets map[willowwick.ServiceID]*route.RepeatBudget
 	}
 )
 
@@ -98,16 +101,16 @@
 	limits := ratelimit.NewLedger()
 	x := &Router{
 		settings: settings, codec: codec, conns: conns, gate: gate.New(), warm: make(chan struct{}),
-		harm: quarantine.New(), limits: limits, shortages: newShortages(),
+		poison: quarantine.New(), limits: limits, shortages: newShortages(),
 		pool: route.NewPoolWith(route.NewHallFirst(settings.Hall, settings.Seed), route.PoolOptions{
-			StartLimit: startLimit, LoadFresh: loadFresh, TrustLast: true, QuietAfter: quietAfter, QueueShare: queueAtEndpoint,
+			StartLimit: initialEndpointLimit, LoadFresh: loadReportMaxAge, TrustLast: true, QuietAfter: quietAfter, QueueShare: endpointQueueShare,
 			Limits: limits,
 		}),
-		budgets: map[willowwick.ServiceID]*route.RepeatBudget{},
+		retryBudgets: map[willowwick.ServiceID]*route.RepeatBudget{},
 	}
 	x.evacuations = newEvacuations(x.pool)
-	x.admissions = newAdmissions(x.harm)
-	x.ends = newEndChecks(x)
+	x.admissions = newAdmissions(x.poison)
+	x.crashes = newCrashDetector(x)
 	x.releases = newReleases(settings.Releases, x.hasRelease)
 	x.metrics = newRouterMetrics(x)
 	return x, closeConns
@@ -123,15 +126,15 @@
 	}
 	out := &reply{writer: w, controller: http.NewResponseController(w), codec: x.codec}
 	x.awaitWarm(r)
-	c, refusal := x.begin(out, r, arrived)
+	c, refusal := x.acceptCall(out, r, arrived)
 	if refusal != nil {
 		x.refuse(out, refusal)
 		x.logRefused(out, r, refusal, arrived)
 		return
 	}
-	if x.refusing.Load() && c.deadline.UnixNano() > x.stopAt.Load() {
-		x.refuse(out, willowwick.NotRun(willowwick.CodeStopping, arrived.Add(comeBackElsewhere), "this box is stopping"))
-		c.logEnd("refused", http.StatusServiceUnavailable, "cause", "this box is stopping")
+	if x.refusesLate.Load() && c.deadline.UnixNano() > x.stopAt.Load() {
+		x.refuse(out, willowwick.NotRun(willowwick.CodeStopping, arrived.Add(stoppingRetryAfter), "this box is stopping"))
+		c.logCompletion("refused", http.StatusServiceUnavailable, "cause", "this box is stopping")
 		return
 	}
 	ctx, cancel := clock.WithDeadline(r.Context(), c.deadline)
@@ -140,7 +143,8 @@
 	c.run()
 }
 
-// logRefused writes the only line about a request that was refused on arrival, with the ages of what that rests on.
+// logRefused writes the only log line of a request that was refused on arrival, with the ages of the configuration
+// and the list of endpoints that the refusal is based on.
 func (x *Router) logRefused(out *reply, r *http.Request, refusal *willowwick.Refusal, arrived time.Time) {
 	slog.Info("refused on arrival", "request", out.id, "host", r.Host, "target", r.RequestURI,
 		"status", statusOf(refusal), "cause", refusal.Message, "config", x.configVersion(),
@@ -154,7 +158,7 @@
 	return 0
 }
 
-// refuse answers a request that gets no endpoint's answer.
+// refuse writes a refusal to a caller whose request got no endpoint's answer.
 func (x *Router) refuse(out *reply, refusal *willowwick.Refusal) {
 	x.metrics.refused(refusal)
 	header := out.writer.Header()
@@ -163,16 +167,16 @@
 	if refusal.Kind == willowwick.KindNotRun {
 		at := refusal.RetryAt
 		if at.IsZero() {
-			at = clock.Now().Add(comeBack)
+			at = clock.Now().Add(defaultRetryAfter)
 		}
 		header.Set("Retry-After", retryAfter(at, clock.Now()))
 	}
-	out.begun = true
+	out.headSent = true
 	out.writer.WriteHeader(statusOf(refusal))
 	out.write([]byte(refusal.Message + "\n"))
 }
 
-// statusOf is the status that a refusal goes out with; only those of requests that have not run promise so.
+// statusOf returns the HTTP status of a refusal; only 503 promises that the request was not run.
 func statusOf(refusal *willowwick.Refusal) int {
 	switch refusal.Kind {
 	case willowwick.KindNotRun:
@@ -200,20 +204,20 @@
 	}
 }
 
-func (x *Router) budget(service willowwick.ServiceID) *route.RepeatBudget {
+func (x *Router) retryBudget(service willowwick.ServiceID) *route.RepeatBudget {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	b := x.budgets[service]
+	b := x.retryBudgets[service]
 	if b == nil {
-		b = route.NewRepeatBudget(x.settings.Repeats)
-		x.budgets[service] = b
+		b = route.NewRepeatBudget(x.settings.RetryBudget)
+		x.retryBudgets[service] = b
 	}
 	return b
 }
 
-// takeRepeat draws on the budget of repeats.
-func (x *Router) takeRepeat(c *call, kind route.RepeatKind, now time.Time) bool {
-	taken := x.budget(c.service).Take(now, kind, x.peers.sharers(kind, now))
+// takeRetryBudget takes one retry from the service's budget, and reports whether it allowed it.
+func (x *Router) takeRetryBudget(c *call, kind route.RepeatKind, now time.Time) bool {
+	taken := x.retryBudget(c.service).Take(now, kind, x.peers.sharers(kind, now))
 	if !taken {
 		x.metrics.repeatDenied()
 		slog.Info("repeat not allowed by the budget", "request", c.head.ID, "service", c.service, "kind", int(kind))
@@ -221,24 +225,24 @@
 	return taken
 }
 
-// hasRepeat reports whether the budget would allow a failover.
-func (x *Router) hasRepeat(c *call, now time.Time) bool {
-	return x.budget(c.service).Allows(now, route.RepeatFailover, x.peers.sharers(route.RepeatFailover, now))
+// hasRetryBudget reports whether the budget would allow a failover.
+func (x *Router) hasRetryBudget(c *call, now time.Time) bool {
+	return x.retryBudget(c.service).Allows(now, route.RepeatFailover, x.peers.sharers(route.RepeatFailover, now))
 }
 
-// hasOther reports whether another endpoint of the service than the given one may be tried.
-func (x *Router) hasOther(c *call, not willowwick.EndpointID) bool {
+// hasOtherEndpoint reports whether an endpoint of the service other than the given one may be tried.
+func (x *Router) hasOtherEndpoint(c *call, not willowwick.EndpointID) bool {
 	return x.pool.HasOpen(clock.Now(), c.service, func(endpoint willowwick.Endpoint) bool {
-		return endpoint.ID != not && !c.exclude[endpoint.ID] && c.choice.allows(endpoint)
+		return endpoint.ID != not && !c.triedEndpoints[endpoint.ID] && c.choice.allows(endpoint)
 	})
 }
 
-// hasRelease reports whether a service has an endpoint of a release that stays.
+// hasRelease reports whether a service has an endpoint of a release that isn't draining.
 func (x *Router) hasRelease(service willowwick.ServiceID, release willowwick.ReleaseID) bool {
 	return x.pool.HasStaying(service, func(endpoint willowwick.Endpoint) bool { return endpoint.Release == release })
 }
 
-// setTable puts a configuration in force unless a newer one already is.
+// setTable puts a configuration in force unless the current one is as new or newer.
 func (x *Router) setTable(declared *willowwick.RoutingTable, source string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -246,14 +250,15 @@
 		return
 	}
 	x.table.Store(newTable(declared))
-	x.paceCold(clock.Now())
-	x.noteWarm()
+	x.setColdPauses(clock.Now())
+	x.signalWarm()
 	slog.Info("configuration in force", "version", declared.Version, "routes", len(declared.Routes),
 		"accounts", len(declared.Accounts), "source", source)
 }
 
-// paceCold shares out what cold endpoints bear among the boxes. One that has just started has not counted them yet.
-func (x *Router) paceCold(now time.Time) {
+// setColdPauses divides the load that cold endpoints can take among the boxes. A box that has just started has not
+// counted the others yet, and assumes a fleet of youngFleet boxes.
+func (x *Router) setColdPauses(now time.Time) {
 	t := x.table.Load()
 	if t == nil {
 		return
@@ -269,25 +274,26 @@
 	x.pool.SetColdPauses(pauses)
 }
 
-// noteWarm lets requests in that came before the first configuration and list of endpoints.
-func (x *Router) noteWarm() {
+// signalWarm releases the requests that wait for the first configuration and list of endpoints, once both are
+// known.
+func (x *Router) signalWarm() {
 	if x.table.Load() != nil && x.sync.hasEndpoints() {
 		x.warmOnce.Do(func() { close(x.warm) })
 	}
 }
 
-// awaitWarm holds a request of the first moments until it can be served: the store answers in some milliseconds.
+// awaitWarm delays a request during startup until it can be served: the store answers within some milliseconds.
 func (x *Router) awaitWarm(r *http.Request) {
 	select {
 	case <-x.warm:
 		return
 	default:
 	}
-	limit := warmLimit
+	limit := minWarmWait
 	now := clock.Now()
-	// A header that is wrong is told to the caller once the request is begun.
+	// An invalid header is reported to the caller later, by acceptCall.
 	if head, err := x.codec.DecodeRequest(r.Header, now); err == nil && !head.Deadline.IsZero() {
-		limit = max(limit, scale(head.Deadline.Sub(now), warmShare))
+		limit = max(limit, scale(head.Deadline.Sub(now), warmWaitShare))
 	}
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
@@ -298,7 +304,7 @@
 	}
 }
 
-// ready reports whether the entry should send callers here, and if not, why.
+// ready reports whether the load balancer should send callers here, and if not, why.
 func (x *Router) ready() (ok bool, why string) {
 	switch {
 	case x.stopping.Load():
--- a/exchange/shortage.go
+++ b/exchange/shortage.go
@@ -8,25 +8,26 @@
 )
 
 const (
-	// yieldFor is how long less urgent requests yield after one was refused for the limits of endpoints.
-	yieldFor = time.Second
-	// yieldShare: of the less urgent requests one in so many does not yield, so that no kind of request is left without.
-	yieldShare = 3
+	// yieldDuration is how long less urgent requests yield after a request was refused because of rate limits.
+	yieldDuration = time.Second
+	// noYieldEvery is the number of less urgent requests of which one does not yield, so that no kind of request
+	// starves.
+	noYieldEvery = 3
 )
 
 type (
-	// shortages are the services whose endpoints took fewer requests than came, all of them naming limits. What they take then
-	// goes to the most urgent requests first.
+	// shortages tracks services whose endpoints are all rate-limited and took fewer requests than arrived. Their
+	// capacity then goes to the most urgent requests first.
 	shortages struct {
 		mu       sync.Mutex
 		services map[willowwick.ServiceID]*shortage
 	}
 
-	// shortage is that of one service.
+	// shortage is the shortage of one service.
 	shortage struct {
-		rank  int       // of the most urgent request that was refused
-		until time.Time // less urgent ones yield
-		asked int       // how often it was asked whether one must
+		rank   int       // of the most urgent request that was refused
+		until  time.Time // less urgent requests yield until then
+		checks int       // calls of mustYield that counted
 	}
 )
 
@@ -34,8 +35,8 @@
 	return &shortages{services: map[willowwick.ServiceID]*shortage{}}
 }
 
-// note notes that a request was refused for the limits of all endpoints.
-func (s *shortages) note(service willowwick.ServiceID, rank int, now time.Time) {
+// record records a request that was refused because all endpoints are rate-limited.
+func (s *shortages) record(service willowwick.ServiceID, rank int, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	known := s.services[service]
@@ -44,11 +45,11 @@
 		s.services[service] = known
 	}
 	if !now.Before(known.until) || rank <= known.rank {
-		known.rank, known.until = rank, now.Add(yieldFor)
+		known.rank, known.until = rank, now.Add(yieldDuration)
 	}
 }
 
-// mustYield reports whether a request leaves what limited endpoints take to more urgent ones.
+// mustYield reports whether a request leaves the capacity of rate-limited endpoints to more urgent ones.
 func (s *shortages) mustYield(service willowwick.ServiceID, rank int, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,6 +57,6 @@
 	if known == nil || !now.Before(known.until) || rank <= known.rank {
 		return false
 	}
-	known.asked++
-	return known.asked%yieldShare != 0
+	known.checks++
+	return known.checks%noYieldEvery != 0
 }
--- a/exchange/stop_cut_test.go
+++ b/exchange/stop_cut_test.go
@@ -17,16 +17,16 @@
 	"github.com/willowwick/willowwick"
 )
 
-// stand is how long a goroutine of a box with a fifth of a core may wait for its turn.
-const stand = 100 * time.Millisecond
+// stall is how long a goroutine may wait to be scheduled on a box with a fifth of a core.
+const stall = 100 * time.Millisecond
 
 type (
-	// slowListener accepts connections for a box whose goroutines stand still where a test says.
+	// slowListener accepts connections for a box whose goroutines stall where a test says.
 	slowListener struct {
 		net.Listener
-		accepted chan struct{} // told of each connection before Accept returns it; nil for none
+		accepted chan struct{} // receives before Accept returns a connection; nil for never
 		release  chan struct{} // then waited for
-		stand    func()        // called before Accept and Read return and before each write; nil for nothing
+		stall    func()        // called before Accept and Read return and before each write; nil for no stall
 	}
 
 	slowConn struct {
@@ -34,8 +34,8 @@
 		listener *slowListener
 	}
 
-	// wireCaller writes requests on one connection, byte by byte as a test wants them.
-	wireCaller struct {
+	// rawCaller writes the bytes of requests on one connection as a test wants them.
+	rawCaller struct {
 		net.Conn
 		reader *bufio.Reader
 	}
@@ -51,8 +51,8 @@
 		l.accepted <- struct{}{}
 		<-l.release
 	}
-	if l.stand != nil {
-		l.stand()
+	if l.stall != nil {
+		l.stall()
 	}
 	return &slowConn{conn, l}, nil
 }
@@ -60,21 +60,21 @@
 // Read implements net.Conn.
 func (c *slowConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if c.listener.stand != nil && n > 0 {
-		c.listener.stand()
+	if c.listener.stall != nil && n > 0 {
+		c.listener.stall()
 	}
 	return n, err
 }
 
 // Write implements net.Conn.
 func (c *slowConn) Write(p []byte) (int, error) {
-	if c.listener.stand != nil {
-		c.listener.stand()
+	if c.listener.stall != nil {
+		c.listener.stall()
 	}
 	return c.Conn.Write(p)
 }
 
-// newStopSite starts a daemon that takes callers from the listener.
+// newStopSite starts a daemon that accepts callers from the listener.
 func newStopSite(t *testing.T, settings Settings, callers net.Listener, endpoints ...willowwick.Endpoint) *site {
 	t.Helper()
 	control := newTestControl(testTable(1, onceRoute(), againRoute(), streamRoute()), endpoints...)
@@ -103,24 +103,25 @@
 	return s
 }
 
-// end is the planned stop with the end of the process, as far as connections see it; slow boxes are some time about it.
-func (s *site) end() {
+// drainAndStop is the planned stop followed by the end of the process, as connections see it; slow boxes take some
+// time between the two.
+func (s *site) drainAndStop() {
 	s.daemon.Drain()
-	time.Sleep(stand)
+	time.Sleep(stall)
 	s.stop()
 }
 
-func (s *site) dialWire(t *testing.T) *wireCaller {
+func (s *site) dialRaw(t *testing.T) *rawCaller {
 	t.Helper()
 	conn, err := net.Dial("tcp", strings.TrimPrefix(s.url, "http://"))
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = conn.Close() })
 	require.NoError(t, conn.SetDeadline(time.Now().Add(patience)))
-	return &wireCaller{conn, bufio.NewReader(conn)}
+	return &rawCaller{conn, bufio.NewReader(conn)}
 }
 
-// headOf is the head of a request with a body of so many bytes, and with more headers.
-func headOf(path, id string, length int, more ...string) string {
+// requestHead returns the head of a request with a body of the given length, and with more headers.
+func requestHead(path, id string, length int, more ...string) string {
 	head := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: %s\r\nT-Id: %s\r\nT-Key: %s\r\nContent-Length: %d\r\n",
 		path, testHost, id, testKey, length)
 	for i := 0; i+1 < len(more); i += 2 {
@@ -129,14 +130,14 @@
 	return head + "\r\n"
 }
 
-func (c *wireCaller) send(t *testing.T, text string) {
+func (c *rawCaller) send(t *testing.T, text string) {
 	t.Helper()
 	_, err := io.WriteString(c, text)
 	require.NoError(t, err)
 }
 
-// receive returns the next answer's status and whole body.
-func (c *wireCaller) receive() (status int, body string, err error) {
+// receive returns the next answer's status and complete body.
+func (c *rawCaller) receive() (status int, body string, err error) {
 	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return 0, "", err
@@ -146,49 +147,49 @@
 	return response.StatusCode, string(data), err
 }
 
-// newLongRunner answers what is called "under way" only once a stopping box looks for connections at rest.
+// newLongRunner answers the request "under way" only once a stopping box waits for connections to become idle.
 func newLongRunner(t *testing.T) (*runner, <-chan string) {
 	reached := make(chan string, 4)
 	return newRunner(t, "r1", func(w http.ResponseWriter, request *http.Request) {
 		id := request.Header.Get("T-Id")
 		reached <- id
 		if id == "under way" {
-			time.Sleep(2 * testSettings().TurnAway)
+			time.Sleep(2 * testSettings().UnreadyDelay)
 		}
 		_, _ = io.WriteString(w, "whole")
 	}), reached
 }
 
-// Seen: an endpoint has a request of a box that ended, and its caller's connection was closed with no answer.
-// How: the box's listener had accepted the connection as it was closed, and handed it on after all others were retired.
-// Cause: what was accepted went among the connections that the stop had already looked through.
-func TestConnectionThatIsAcceptedAsTheBoxEndsIsNotRead(t *testing.T) {
+// An endpoint ran a request of a box that had ended, and the caller's connection was closed without an answer: the
+// listener had accepted the connection while it was being closed, and returned it after all others were retired, so
+// that nothing waited for it.
+func TestConnectionAcceptedDuringShutdownIsNotRead(t *testing.T) {
 	r, reached := newLongRunner(t)
 	callers := &slowListener{Listener: listen(t), accepted: make(chan struct{}), release: make(chan struct{})}
 	s := newStopSite(t, testSettings(), callers, r.endpoint("v1"))
-	caller := s.dialWire(t)
+	caller := s.dialRaw(t)
 	<-callers.accepted
-	caller.send(t, headOf("/once/", "late", 1, "T-Left", "1000")+"x")
+	caller.send(t, requestHead("/once/", "late", 1, "T-Left", "1000")+"x")
 	s.daemon.Drain()
 	close(callers.release)
 	select {
 	case id := <-reached:
-		assert.Fail(t, "a box that has ended sent on what it read", "request %s", id)
-	case <-time.After(stand):
+		assert.Fail(t, "a box that has ended sent a request to the endpoint", "request %s", id)
+	case <-time.After(stall):
 	}
 	s.stop()
 	_, _, err := caller.receive()
 	assert.Error(t, err)
 }
 
-// Seen: a request that had reached its endpoint was cut when its box stopped, long before the end of the grace.
-// How: its caller had sent it right behind another one, and the server had read both at once.
-// Cause: a connection counted as at rest until something was read from it, and nothing was read for this request.
-func TestRequestThatWasReadWithTheOneBeforeIsAnsweredAtAStop(t *testing.T) {
+// A request that had reached its endpoint was cut off when its box stopped, long before the end of the grace
+// period. Its caller had sent it right behind another one, and the server had read both at once; the connection
+// counted as idle until more was read from it, and nothing was read for the second request.
+func TestPipelinedRequestIsAnsweredDuringShutdown(t *testing.T) {
 	r, reached := newLongRunner(t)
 	s := newStopSite(t, testSettings(), listen(t), r.endpoint("v1"))
-	caller := s.dialWire(t)
-	caller.send(t, headOf("/once/", "first", 1)+"x"+headOf("/once/", "under way", 1)+"x")
+	caller := s.dialRaw(t)
+	caller.send(t, requestHead("/once/", "first", 1)+"x"+requestHead("/once/", "under way", 1)+"x")
 	status, _, err := caller.receive()
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, status)
@@ -197,28 +198,28 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		s.end()
+		s.drainAndStop()
 	}()
 	status, body, err := caller.receive()
-	require.NoError(t, err, "the request was sent on, and its answer cut")
+	require.NoError(t, err, "the request was sent on, and its answer cut off")
 	assert.Equal(t, http.StatusOK, status)
 	assert.Equal(t, "whole", body)
 	requireClosed(t, ended, patience, "the box does not end")
 }
 
-// Seen: a request that a stopping box took as sure to end before the box does was cut.
-// How: its time was up some milliseconds before the end; its answer went out some milliseconds after.
-// Cause: what may be taken and what is waited for had the same limit.
-func TestStopLeavesTimeForTheAnswersOfWhatItTakes(t *testing.T) {
+// A request that a stopping box accepted as sure to end in time was cut off: its deadline was some milliseconds
+// before the box ended, and its answer was written some milliseconds after. The limit for accepting requests and
+// the limit for waiting for them were the same.
+func TestShutdownLeavesTimeToWriteAnswers(t *testing.T) {
 	r, _ := newSilentRunner(t)
-	callers := &slowListener{Listener: listen(t), stand: func() { time.Sleep(stand) }}
+	callers := &slowListener{Listener: listen(t), stall: func() { time.Sleep(stall) }}
 	s := newStopSite(t, testSettings(), callers, r.endpoint("v1"))
 	began, ended := time.Now(), make(chan struct{})
 	go func() {
 		defer close(ended)
-		s.end()
+		s.drainAndStop()
 	}()
-	time.Sleep(testSettings().TurnAway + 50*time.Millisecond)
+	time.Sleep(testSettings().UnreadyDelay + 50*time.Millisecond)
 	limit := began.Add(testSettings().Grace - leaveEarly)
 	left := time.Until(limit).Milliseconds() - 10
 	response, err := s.client.Do(s.request(t, http.MethodPost, "/once/", "id", "x", "T-Left", strconv.FormatInt(left, 10)))
--- a/exchange/sync.go
+++ b/exchange/sync.go
@@ -53,7 +53,7 @@
 		control willowwick.Control
 		ordered chan struct{} // a roll-out was ordered, and what became of it is to be read
 
-		harmDue time.Time // what is refused is not read again before; zero until it was read. Only keepHarmful uses it
+		harmDue time.Time // what is refused is not read again before; zero until it was read. Only runPoisonSync uses it
 
 		mu sync.Mutex
 
@@ -190,7 +190,7 @@
 // heldLimit is how long the store may hold a read of the declarations: a call lasts until something changes, and one that
 // is lost is found out while there is time to read what changed.
 func (s *syncer) heldLimit() time.Duration {
-	return min(scale(s.router.settings.InForce, heldShare), heldMost)
+	return min(scale(s.router.settings.ConfigApplyLimit, heldShare), heldMost)
 }
 
 // backOff notes a read that failed, waits before the next one, and returns how long it waited.
@@ -274,7 +274,7 @@
 		return
 	}
 	for _, order := range declared.Orders {
-		s.router.releases.begin(order, 0, clock.Now())
+		s.router.releases.applyOrder(order, 0, clock.Now())
 	}
 	select {
 	case s.ordered <- struct{}{}:
