--- a/exchange/call.go
+++ b/exchange/call.go
@@ -268,7 +268,7 @@
 	work := c.work()
 	return c.router.gate.Enter(c.ctx, gate.Wish{
 		Work: string(c.service), Account: c.accountName(), Weight: 1, Cost: c.cost(), Deadline: until,
-		Acquire: func(now time.Time) (*route.Place, bool) {
+		Acquire: func(now time.Time) (*route.Slot, bool) {
 			place, known := c.acquire(now, work, c.choice.allows)
 			if place == nil && !known && c.choice.release != "" {
 				return c.acquire(now, work, c.choice.otherwise)
@@ -280,7 +280,7 @@
 }
 
 // acquire takes a place at an endpoint that is allowed, in a hall that the request has not missed where there is one.
-func (c *call) acquire(now time.Time, work route.Work, allow func(willowwick.Endpoint) bool) (*route.Place, bool) {
+func (c *call) acquire(now time.Time, work route.Work, allow func(willowwick.Endpoint) bool) (*route.Slot, bool) {
 	if c.avoidsLimits() {
 		allowed := allow
 		allow = func(endpoint willowwick.Endpoint) bool {
--- a/exchange/evacuation_test.go
+++ b/exchange/evacuation_test.go
@@ -30,7 +30,7 @@
 // fill takes all places at the endpoints and returns a function that gives them back.
 func (s *site) fill(t *testing.T) (free func()) {
 	all := func(willowwick.Endpoint) bool { return true }
-	var places []*route.Place
+	var places []*route.Slot
 	for s.daemon.router.pool.HasOpen(time.Now(), "work", all) {
 		place, _ := s.daemon.router.pool.AcquireAllowed(time.Now(), "work", route.Work{}, nil, all)
 		require.NotNil(t, place)
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -402,7 +402,7 @@
 			for range 20 {
 				x.budget("work").Request(time.Now())
 			}
-			sending := &send{ticket: &gate.Ticket{Place: place}, call: &call{
+			sending := &send{ticket: &gate.Ticket{Slot: place}, call: &call{
 				router: x, route: &route, service: "work", runs: 2, out: &reply{begun: true},
 			}}
 			now := time.Now()
--- a/exchange/permits.go
+++ b/exchange/permits.go
@@ -34,7 +34,7 @@
 
 // obtainPermit reports whether the request may be sent to the endpoint of its place.
 func (c *call) obtainPermit(ticket *gate.Ticket) bool {
-	if !ticket.MustAsk() {
+	if !ticket.MustRequestPermit() {
 		return true
 	}
 	x, id := c.router, ticket.Endpoint.ID
--- a/exchange/relay.go
+++ b/exchange/relay.go
@@ -131,7 +131,7 @@
 		buffer = grow(buffer)
 		n, err := s.answer.Read(buffer[len(buffer):cap(buffer)])
 		buffer = buffer[:len(buffer)+n]
-		s.ticket.Heard(clock.Now())
+		s.ticket.MarkAlive(clock.Now())
 		whole := bytes.LastIndex(buffer, eventEnd) + len(eventEnd)
 		if whole >= len(eventEnd) {
 			if !s.passEvents(buffer[:whole]) {
@@ -182,7 +182,7 @@
 	if !s.mayRunAgain() || !s.router.hasRepeat(s.call, now) || !s.router.hasOther(s.call, s.ticket.Endpoint.ID) {
 		return false
 	}
-	return s.runs+1 < s.route.MaxRuns || s.ticket.IsQuiet(now)
+	return s.runs+1 < s.route.MaxRuns || s.ticket.IsSilent(now)
 }
 
 // passEvents sends whole events, the head before the first of them.
--- a/exchange/send.go
+++ b/exchange/send.go
@@ -129,9 +129,9 @@
 		c.router.conns.Suspect(ticket.Endpoint.Address, s.sentAt)
 	}
 	if result.kind == silent {
-		c.router.hints.tell(ticket.HeldUp(clock.Now()))
+		c.router.hints.tell(ticket.TimedOut(clock.Now()))
 	} else {
-		c.router.hints.tell(ticket.Withdrawn(clock.Now()))
+		c.router.hints.tell(ticket.Cancelled(clock.Now()))
 	}
 	ticket.Done(s.outcome)
 	if s.hasMissed(result) {
@@ -193,14 +193,14 @@
 	s.sentAt = clock.Now()
 	conn, err := s.router.conns.Open(s.ctx, s.ticket.Endpoint.Address)
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		s.outcome = route.OutcomeUnreached
+		s.outcome = route.OutcomeUnreachable
 		return sendResult{unreached, err}
 	}
 	if err != nil {
 		s.outcome = route.OutcomeFailed
 		return sendResult{notSent, err}
 	}
-	if s.ticket.IsWithheld(clock.Now()) {
+	if s.ticket.EndpointRefusesWork(clock.Now()) {
 		// What it said since it was chosen holds for this request too: a permit, or a new connection, takes its time.
 		conn.Release("")
 		return sendResult{kind: withheld}
@@ -224,7 +224,7 @@
 	if err := s.receive(); err != nil {
 		return s.unanswered(err)
 	}
-	s.router.hints.tell(s.ticket.Begun(clock.Now()))
+	s.router.hints.tell(s.ticket.AnswerStarted(clock.Now()))
 	return s.judge()
 }
 
@@ -250,7 +250,7 @@
 	if s.router.isLimited(now, s.ticket.Endpoint) {
 		s.router.metrics.sentToLimited()
 	}
-	leaves, rests := s.ticket.Noticed(now)
+	leaves, rests := s.ticket.ReportedState(now)
 	if leaves {
 		s.router.metrics.sentToLeaving()
 	}
@@ -314,7 +314,7 @@
 	if now.Before(lateAt) {
 		return false
 	}
-	return !s.route.Stream || s.ticket.IsQuiet(now) || now.Sub(s.sentAt) > muteFactor*(lateAt.Sub(s.sentAt)+quietAfter)
+	return !s.route.Stream || s.ticket.IsSilent(now) || now.Sub(s.sentAt) > muteFactor*(lateAt.Sub(s.sentAt)+quietAfter)
 }
 
 func (s *send) unanswered(err error) sendResult {
--- a/exchange/silence_test.go
+++ b/exchange/silence_test.go
@@ -17,7 +17,7 @@
 }
 
 // sendWork takes a place for the work and notes it as sent.
-func sendWork(t *testing.T, pool *route.Pool, now time.Time, work route.Work) *route.Place {
+func sendWork(t *testing.T, pool *route.Pool, now time.Time, work route.Work) *route.Slot {
 	place, _ := pool.AcquireAllowed(now, "work", work, nil, func(willowwick.Endpoint) bool { return true })
 	require.NotNil(t, place)
 	place.Sent(now)
@@ -29,7 +29,7 @@
 	for range 400 {
 		place := sendWork(t, pool, now, readingWork(1000))
 		now = now.Add(100 * time.Millisecond)
-		place.Begun(now)
+		place.AnswerStarted(now)
 		place.Release(now, route.OutcomeGood)
 	}
 	return now
@@ -47,13 +47,13 @@
 	for _, tokens := range []willowwick.Tokens{1000, 20000} {
 		place := sendWork(t, x.pool, now, readingWork(tokens))
 		sending := &send{
-			ticket: &gate.Ticket{Place: place}, sentAt: now,
+			ticket: &gate.Ticket{Slot: place}, sentAt: now,
 			call: &call{router: x, route: &stream, service: "work", out: &reply{}, deadline: now.Add(time.Minute)},
 		}
 		forecast := time.Duration(tokens) * 100 * time.Microsecond
 		assert.False(t, sending.isLost(now.Add(forecast)), "%d tokens are being read", tokens)
 		assert.True(t, sending.isLost(now.Add(forecast+quietAfter+100*time.Millisecond)), "%d tokens should have been read", tokens)
-		place.Heard(now.Add(forecast + quietAfter))
+		place.MarkAlive(now.Add(forecast + quietAfter))
 		assert.False(t, sending.isLost(now.Add(forecast+quietAfter+100*time.Millisecond)), "the endpoint goes on with others")
 		assert.True(t, sending.isLost(now.Add(muteFactor*(forecast+quietAfter+100*time.Millisecond))), "the endpoint has lost it")
 		place.Release(now, route.OutcomeCancelled)
@@ -79,9 +79,9 @@
 }
 
 // sendingOn is a send of a stream at the place, of which nothing has come back.
-func sendingOn(x *Router, place *route.Place, stream *willowwick.Route, now time.Time) *send {
+func sendingOn(x *Router, place *route.Slot, stream *willowwick.Route, now time.Time) *send {
 	return &send{
-		ticket: &gate.Ticket{Place: place}, sentAt: now,
+		ticket: &gate.Ticket{Slot: place}, sentAt: now,
 		call: &call{router: x, route: stream, service: "work", out: &reply{}, arrived: now, deadline: now.Add(time.Minute)},
 	}
 }
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -43,7 +43,7 @@
 		Cost     willowwick.Tokens
 		Deadline time.Time
 		// Acquire takes a place if there is one; known is false if nothing serves the work.
-		Acquire func(now time.Time) (place *route.Place, known bool)
+		Acquire func(now time.Time) (place *route.Slot, known bool)
 		// Hopeless reports whether no place can come before a time, though some endpoint serves the work; nil if it always may.
 		Hopeless func(now time.Time) (shortage route.Shortage, isHopeless bool)
 	}
@@ -51,13 +51,13 @@
 	// waiting is a wish with what came of it.
 	waiting struct {
 		Wish
-		place  *route.Place
+		place  *route.Slot
 		result chan *willowwick.Refusal
 	}
 
 	// Ticket is a place with what is needed to give it back.
 	Ticket struct {
-		*route.Place
+		*route.Slot
 		gate  *Gate
 		work  string
 		cost  willowwick.Tokens
@@ -88,7 +88,7 @@
 			return nil, g.leave(w)
 		}
 	}
-	return &Ticket{Place: w.place, gate: g, work: wish.Work, cost: wish.Cost, taken: clock.Now()}, nil
+	return &Ticket{Slot: w.place, gate: g, work: wish.Work, cost: wish.Cost, taken: clock.Now()}, nil
 }
 
 // join takes a place if there is one, and otherwise a turn in the queue.
@@ -170,7 +170,7 @@
 	return q
 }
 
-func (g *Gate) took(w *waiting, place *route.Place) {
+func (g *Gate) took(w *waiting, place *route.Slot) {
 	w.place = place
 	g.taken[w.Work]++
 	g.queue(w.Work).SetPlaces(g.taken[w.Work])
--- a/replay/simulate.go
+++ b/replay/simulate.go
@@ -73,7 +73,7 @@
 		judged   bool
 		tries    int
 		cost     willowwick.MicroUnits
-		place    *route.Place
+		place    *route.Slot
 		started  time.Time
 	}
 
--- a/route/bench_test.go
+++ b/route/bench_test.go
@@ -113,7 +113,7 @@
 				work := Work{Model: "m", Prompt: []willowwick.PromptPart{{ID: "common", Tokens: 2520}, {ID: fmt.Sprint("subject", n%50), Tokens: 3780}, {ID: "own", Tokens: 2890}}}
 				place, _ := pool.AcquireAllowed(now, "s", work, nil, all)
 				place.Sent(now)
-				place.Begun(now)
+				place.AnswerStarted(now)
 				place.Release(now, OutcomeGood)
 			}
 		})
--- a/route/forecast.go
+++ b/route/forecast.go
@@ -73,7 +73,7 @@
 	// reader forecasts when an endpoint has read what it was sent: in the order of sending, one prompt at a time.
 	reader struct {
 		readyAt time.Time // when all of it is read
-		queue   []*Place  // own requests whose answer has not begun, in the order of sending
+		queue   []*Slot  // own requests whose answer has not begun, in the order of sending
 		kept    map[PartName]time.Time
 	}
 )
@@ -154,19 +154,19 @@
 	if len(r.queue) == 0 {
 		return time.Time{}
 	}
-	if first := r.queue[0]; !first.known {
+	if first := r.queue[0]; !first.hasForecast {
 		return first.sentAt.Add(UnknownPatience)
 	}
 	return r.queue[0].due
 }
 
 // push puts a reading at the end of the queue.
-func (r *reader) push(now time.Time, p *Place, reading time.Duration) {
+func (r *reader) push(now time.Time, p *Slot, reading time.Duration) {
 	if r.readyAt.Before(now) {
 		r.readyAt = now
 	}
 	r.readyAt = r.readyAt.Add(reading)
-	p.due, p.reading = r.readyAt, reading
+	p.due, p.prefillTime = r.readyAt, reading
 	r.queue = append(r.queue, p)
 }
 
@@ -183,7 +183,7 @@
 }
 
 // begun takes a reading out of the queue whose answer has begun, and returns by how much the others move with it.
-func (r *reader) begun(now time.Time, p *Place) time.Duration {
+func (r *reader) begun(now time.Time, p *Slot) time.Duration {
 	at := slices.Index(r.queue, p)
 	if at < 0 {
 		return 0
@@ -198,18 +198,18 @@
 }
 
 // drop takes a reading out of the queue that ends without an answer, and returns by how much the others move with it.
-func (r *reader) drop(now time.Time, p *Place) time.Duration {
+func (r *reader) drop(now time.Time, p *Slot) time.Duration {
 	at := slices.Index(r.queue, p)
 	if at < 0 {
 		return 0
 	}
 	r.queue = slices.Delete(r.queue, at, at+1)
-	r.shift(now, r.queue[at:], -p.reading)
-	return -p.reading
+	r.shift(now, r.queue[at:], -p.prefillTime)
+	return -p.prefillTime
 }
 
 // shift moves the forecast from some of the readings on.
-func (r *reader) shift(now time.Time, from []*Place, by time.Duration) {
+func (r *reader) shift(now time.Time, from []*Slot, by time.Duration) {
 	for _, p := range from {
 		p.due = p.due.Add(by)
 	}
@@ -232,8 +232,8 @@
 //
 // What was ahead of it counts as tokens of its own, by the speed that is known: a speed that is wrong makes all forecasts
 // wrong alike, and readings that found nothing ahead are too few where it is taken for too slow.
-func (p *Pool) learnSpeed(now time.Time, place *Place) {
-	if place.unread == 0 {
+func (p *Pool) learnSpeed(now time.Time, place *Slot) {
+	if place.uncached == 0 {
 		return
 	}
 	key := place.speedKey()
@@ -242,10 +242,10 @@
 		known = &speed{}
 		p.speeds[key] = known
 	}
-	tokens := float64(place.unread)
+	tokens := float64(place.uncached)
 	if perToken := known.perToken(); perToken > 0 {
-		tokens += place.ahead.Seconds() / perToken
-	} else if place.ahead > 0 {
+		tokens += place.backlog.Seconds() / perToken
+	} else if place.backlog > 0 {
 		return
 	}
 	known.learn(now.Sub(place.sentAt), tokens)
@@ -275,7 +275,7 @@
 }
 
 // learnLateness takes how much later than forecast an answer began.
-func (p *Pool) learnLateness(now time.Time, place *Place) {
+func (p *Pool) learnLateness(now time.Time, place *Slot) {
 	key := place.speedKey()
 	known := p.lateness[key]
 	if known == nil {
--- a/route/forecast_test.go
+++ b/route/forecast_test.go
@@ -33,7 +33,7 @@
 func all(willowwick.Endpoint) bool { return true }
 
 // sendTo takes a place for the work and sends it.
-func sendTo(t *testing.T, pool *Pool, now time.Time, work Work) (*Place, Reading) {
+func sendTo(t *testing.T, pool *Pool, now time.Time, work Work) (*Slot, Reading) {
 	t.Helper()
 	place, _ := pool.AcquireAllowed(now, "s", work, nil, all)
 	require.NotNil(t, place)
@@ -59,7 +59,7 @@
 	assert.Equal(t, now.Add(700*time.Millisecond), second.due)
 	now = now.Add(300 * time.Millisecond)
 	assert.Equal(t, 400*time.Millisecond, aheadOf(pool, now, "a"))
-	first.Begun(now)
+	first.AnswerStarted(now)
 	assert.Equal(t, 200*time.Millisecond, aheadOf(pool, now, "a"), "the first was read sooner than forecast")
 	second.Release(now, OutcomeCancelled)
 	assert.Zero(t, aheadOf(pool, now, "a"))
@@ -76,12 +76,12 @@
 	place, _ := sendTo(t, pool, now, promptOf("x", "1", 8000))
 	holder := place.Endpoint.ID
 	now = now.Add(time.Second)
-	place.Begun(now)
+	place.AnswerStarted(now)
 	place.Release(now, OutcomeGood)
 	for range 10 {
 		again, _ := sendTo(t, pool, now, promptOf("x", "2", 8000))
 		assert.Equal(t, holder, again.Endpoint.ID)
-		assert.EqualValues(t, 1000, again.unread, "its own part alone is read")
+		assert.EqualValues(t, 1000, again.uncached, "its own part alone is read")
 		again.Release(now, OutcomeGood)
 	}
 	other := promptOf("x", "3", 8000)
@@ -123,7 +123,7 @@
 		if first == 0 {
 			delete(pool.speeds, key)
 		}
-		var queue []*Place
+		var queue []*Slot
 		for n := range 300 {
 			// Three are always being read, one after the other.
 			for len(queue) < 3 {
@@ -131,7 +131,7 @@
 				queue = append(queue, place)
 			}
 			now = now.Add(tokens * truth)
-			queue[0].Begun(now)
+			queue[0].AnswerStarted(now)
 			queue[0].Release(now, OutcomeGood)
 			queue = queue[1:]
 		}
@@ -157,17 +157,17 @@
 	other.NoteReading(noon, reading)
 	held, _ := sendTo(t, other, noon, promptOf("y", "2", 4000))
 	now := noon.Add(200 * time.Millisecond)
-	shift, isShift := place.Begun(now)
+	shift, isShift := place.AnswerStarted(now)
 	require.True(t, isShift)
 	assert.Equal(t, -800*time.Millisecond, shift.Length)
 	other.NoteReading(now, shift)
 	assert.Equal(t, now.Add(500*time.Millisecond), held.due)
 	assert.Equal(t, 500*time.Millisecond, other.Ahead(now, "a"))
-	shift, isShift = held.Withdrawn(now)
+	shift, isShift = held.Cancelled(now)
 	require.True(t, isShift)
 	assert.Equal(t, -500*time.Millisecond, shift.Length)
 	assert.Zero(t, other.Ahead(now, "a"))
-	_, isShift = held.Withdrawn(now)
+	_, isShift = held.Cancelled(now)
 	assert.False(t, isShift)
 }
 
@@ -188,7 +188,7 @@
 	other.NoteReading(noon, reading)
 	now := noon.Add(time.Second)
 	before := one.lateness[place.speedKey()].Value()
-	shift, isShift := place.HeldUp(now)
+	shift, isShift := place.TimedOut(now)
 	require.True(t, isShift)
 	other.NoteReading(now, shift)
 	assert.Equal(t, 800*time.Millisecond, other.Ahead(now, place.Endpoint.ID))
--- a/route/notice_test.go
+++ b/route/notice_test.go
@@ -108,7 +108,7 @@
 // restWork is a request at the endpoint.
 type restWork struct {
 	box   *Pool
-	place *Place
+	place *Slot
 	until time.Time
 }
 
--- a/route/place.go
+++ b/route/place.go
@@ -29,23 +29,23 @@
 	// Outcome is how a call to an endpoint ended.
 	Outcome int
 
-	// Place is one request's place at an endpoint.
-	Place struct {
+	// Slot is one request's place at an endpoint.
+	Slot struct {
 		Endpoint   willowwick.Endpoint
 		pool       *Pool
 		member     *member
 		work       Work
-		prompt     reading
-		taken      time.Time
+		estimator     reading
+		acquiredAt      time.Time
 		released   bool
 		permission willowwick.Permission // what it needs to be sent
 
 		sentAt  time.Time         // when the work was sent; zero before
-		unread  willowwick.Tokens // tokens of the prompt that the endpoint has to read, as forecast
-		known   bool              // the model's speed was known then, and so the forecast is worth something
-		reading time.Duration     // forecast of how long it reads them
+		uncached  willowwick.Tokens // tokens of the prompt that the endpoint has to read, as forecast
+		hasForecast   bool              // the model's speed was known then, and so the forecast is worth something
+		prefillTime time.Duration     // forecast of how long it reads them
 		due     time.Time         // forecast of when it has
-		ahead   time.Duration     // forecast of how long it was still reading then
+		backlog   time.Duration     // forecast of how long it was still reading then
 	}
 )
 
@@ -56,149 +56,149 @@
 	OutcomeBusy
 	OutcomeFailed
 	OutcomeError     // a whole answer that tells of a failure
-	OutcomeUnreached // nothing listens at the endpoint's address
+	OutcomeUnreachable // nothing listens at the endpoint's address
 	OutcomeCancelled
 )
 
-// MustAsk reports whether a permit must be asked for before the request is sent; the caller then asks for one.
-func (p *Place) MustAsk() bool {
-	p.pool.mu.Lock()
-	defer p.pool.mu.Unlock()
-	if p.permission != willowwick.PermissionToAsk {
+// MustRequestPermit reports whether a permit must be asked for before the request is sent; the caller then asks for one.
+func (s *Slot) MustRequestPermit() bool {
+	s.pool.mu.Lock()
+	defer s.pool.mu.Unlock()
+	if s.permission != willowwick.PermissionToAsk {
 		return false
 	}
-	p.permission = willowwick.PermissionHeld
+	s.permission = willowwick.PermissionHeld
 	return true
 }
 
-// Noticed reports whether the endpoint has said in its answers that it leaves, and whether it has asked for rest that has not ended.
-func (p *Place) Noticed(now time.Time) (leaves, rests bool) {
-	p.pool.mu.Lock()
-	defer p.pool.mu.Unlock()
-	return p.member.said.leaving, p.member.said.isResting(now)
+// ReportedState reports whether the endpoint has said in its answers that it leaves, and whether it has asked for rest that has not ended.
+func (s *Slot) ReportedState(now time.Time) (leaves, rests bool) {
+	s.pool.mu.Lock()
+	defer s.pool.mu.Unlock()
+	return s.member.said.leaving, s.member.said.isResting(now)
 }
 
-// IsWithheld reports whether the endpoint takes no requests since the place was taken: it leaves by now, or rests.
-func (p *Place) IsWithheld(now time.Time) bool {
-	p.pool.mu.Lock()
-	defer p.pool.mu.Unlock()
-	return p.member.isWithheld(now)
+// EndpointRefusesWork reports whether the endpoint takes no requests since the place was taken: it leaves by now, or rests.
+func (s *Slot) EndpointRefusesWork(now time.Time) bool {
+	s.pool.mu.Lock()
+	defer s.pool.mu.Unlock()
+	return s.member.isWithheld(now)
 }
 
 // Sent notes that the endpoint has the request's prompt to read, and returns what is to be told to other boxes of it.
-func (p *Place) Sent(now time.Time) (reading Reading, isReading bool) {
-	p.pool.mu.Lock()
-	defer p.pool.mu.Unlock()
-	if len(p.work.Prompt) == 0 {
+func (s *Slot) Sent(now time.Time) (reading Reading, isReading bool) {
+	s.pool.mu.Lock()
+	defer s.pool.mu.Unlock()
+	if len(s.work.Prompt) == 0 {
 		return Reading{}, false
 	}
-	reader := &p.member.reader
-	p.sentAt, p.ahead = now, reader.ahead(now)
+	reader := &s.member.reader
+	s.sentAt, s.backlog = now, reader.ahead(now)
 	var length time.Duration
-	length, p.unread = p.prompt.at(now, p.member)
-	p.known = length > 0 || p.unread == 0
-	reader.push(now, p, length)
-	parts := p.prompt.names[:len(p.prompt.names)-1] // the last one is the request's own
+	length, s.uncached = s.estimator.at(now, s.member)
+	s.hasForecast = length > 0 || s.uncached == 0
+	reader.push(now, s, length)
+	parts := s.estimator.names[:len(s.estimator.names)-1] // the last one is the request's own
 	reader.keep(now, parts)
-	return Reading{Endpoint: uint32(p.member.hash), Length: length, Parts: parts}, true
-}
-
-// Begun notes that the answer has begun: the prompt is read. It returns what is to be told to other boxes of it.
-func (p *Place) Begun(now time.Time) (shift Reading, isShift bool) {
-	p.pool.mu.Lock()
-	defer p.pool.mu.Unlock()
-	p.member.heardAt = now
-	if !p.sentAt.IsZero() {
-		p.pool.learnSpeed(now, p)
-		p.pool.learnLateness(now, p)
-		return p.shift(p.member.reader.begun(now, p))
+	return Reading{Endpoint: uint32(s.member.hash), Length: length, Parts: parts}, true
+}
+
+// AnswerStarted notes that the answer has begun: the prompt is read. It returns what is to be told to other boxes of it.
+func (s *Slot) AnswerStarted(now time.Time) (shift Reading, isShift bool) {
+	s.pool.mu.Lock()
+	defer s.pool.mu.Unlock()
+	s.member.heardAt = now
+	if !s.sentAt.IsZero() {
+		s.pool.learnSpeed(now, s)
+		s.pool.learnLateness(now, s)
+		return s.shift(s.member.reader.begun(now, s))
 	}
 	return Reading{}, false
 }
 
-// Withdrawn notes that the request is taken back from the endpoint, if its answer has not begun, and returns what is to be
+// Cancelled notes that the request is taken back from the endpoint, if its answer has not begun, and returns what is to be
 // told to other boxes of it.
-func (p *Place) Withdrawn(now time.Time) (shift Reading, isShift bool) {
-	p.pool.mu.Lock()
-	defer p.pool.mu.Unlock()
-	return p.shift(p.member.reader.drop(now, p))
+func (s *Slot) Cancelled(now time.Time) (shift Reading, isShift bool) {
+	s.pool.mu.Lock()
+	defer s.pool.mu.Unlock()
+	return s.shift(s.member.reader.drop(now, s))
 }
 
-// HeldUp notes that the request is taken back from an endpoint that says nothing, and returns what is to be told to other
+// TimedOut notes that the request is taken back from an endpoint that says nothing, and returns what is to be told to other
 // boxes of it: that its answers come later by as much as this one would have, so that they try others meanwhile.
-func (p *Place) HeldUp(now time.Time) (shift Reading, isShift bool) {
-	p.pool.mu.Lock()
-	defer p.pool.mu.Unlock()
-	if !p.known {
+func (s *Slot) TimedOut(now time.Time) (shift Reading, isShift bool) {
+	s.pool.mu.Lock()
+	defer s.pool.mu.Unlock()
+	if !s.hasForecast {
 		return Reading{}, false
 	}
-	p.pool.learnLateness(now.Add(mostLateness), p)
-	p.member.reader.drop(now, p)
-	return p.shift(max(now.Sub(p.due), 0))
+	s.pool.learnLateness(now.Add(mostLateness), s)
+	s.member.reader.drop(now, s)
+	return s.shift(max(now.Sub(s.due), 0))
 }
 
 // shift is what is told of a forecast that has moved by more than others would notice.
-func (p *Place) shift(by time.Duration) (shift Reading, isShift bool) {
+func (s *Slot) shift(by time.Duration) (shift Reading, isShift bool) {
 	if by.Abs() < leastShift {
 		return Reading{}, false
 	}
-	return Reading{Endpoint: uint32(p.member.hash), Length: by, IsShift: true}, true
+	return Reading{Endpoint: uint32(s.member.hash), Length: by, IsShift: true}, true
 }
 
-// Heard notes a sign of life of the endpoint.
-func (p *Place) Heard(now time.Time) {
-	p.pool.mu.Lock()
-	defer p.pool.mu.Unlock()
-	p.member.heardAt = now
+// MarkAlive notes a sign of life of the endpoint.
+func (s *Slot) MarkAlive(now time.Time) {
+	s.pool.mu.Lock()
+	defer s.pool.mu.Unlock()
+	s.member.heardAt = now
 }
 
-// IsQuiet reports whether the endpoint has said nothing for long, and is not reading what it was sent.
-func (p *Place) IsQuiet(now time.Time) bool {
-	p.pool.mu.Lock()
-	defer p.pool.mu.Unlock()
-	return p.member.isQuiet(now, p.pool.options)
+// IsSilent reports whether the endpoint has said nothing for long, and is not reading what it was sent.
+func (s *Slot) IsSilent(now time.Time) bool {
+	s.pool.mu.Lock()
+	defer s.pool.mu.Unlock()
+	return s.member.isQuiet(now, s.pool.options)
 }
 
 // Due is when the answer should have begun, as forecast, and how much later it may well begin; ok is false if nothing
 // was forecast.
-func (p *Place) Due() (at time.Time, lateness time.Duration, ok bool) {
-	p.pool.mu.Lock()
-	defer p.pool.mu.Unlock()
-	return p.due, p.pool.lateness[p.speedKey()].Value(), p.known
+func (s *Slot) Due() (at time.Time, lateness time.Duration, ok bool) {
+	s.pool.mu.Lock()
+	defer s.pool.mu.Unlock()
+	return s.due, s.pool.lateness[s.speedKey()].Value(), s.hasForecast
 }
 
 // Forecast is how long the endpoint was still reading when the request was sent, and then read for it, as forecast.
-func (p *Place) Forecast() (ahead, reading time.Duration) {
-	p.pool.mu.Lock()
-	defer p.pool.mu.Unlock()
-	return p.ahead, p.reading
+func (s *Slot) Forecast() (ahead, reading time.Duration) {
+	s.pool.mu.Lock()
+	defer s.pool.mu.Unlock()
+	return s.backlog, s.prefillTime
 }
 
-func (p *Place) speedKey() speedKey {
-	return speedKey{p.Endpoint.Service, p.work.Model}
+func (s *Slot) speedKey() speedKey {
+	return speedKey{s.Endpoint.Service, s.work.Model}
 }
 
 // Release gives the place back with how the call ended; a second release changes nothing.
-func (p *Place) Release(now time.Time, outcome Outcome) {
-	p.pool.mu.Lock()
-	defer p.pool.mu.Unlock()
-	if p.released {
+func (s *Slot) Release(now time.Time, outcome Outcome) {
+	s.pool.mu.Lock()
+	defer s.pool.mu.Unlock()
+	if s.released {
 		return
 	}
-	p.released = true
-	if p.permission == willowwick.PermissionToAsk {
-		p.pool.options.Limits.Unasked(p.Endpoint.ID)
+	s.released = true
+	if s.permission == willowwick.PermissionToAsk {
+		s.pool.options.Limits.Unasked(s.Endpoint.ID)
 	}
-	p.member.reader.drop(now, p)
-	p.pool.inFlight--
-	if p.member.inFlight--; p.member.inFlight == 0 {
-		delete(p.pool.busy, p.member)
+	s.member.reader.drop(now, s)
+	s.pool.inFlight--
+	if s.member.inFlight--; s.member.inFlight == 0 {
+		delete(s.pool.busy, s.member)
 	}
 	// What came and went since the report takes no slot any more.
-	if p.member.recent > 0 && !p.taken.Before(p.member.load.At) {
-		p.member.recent--
+	if s.member.recent > 0 && !s.acquiredAt.Before(s.member.load.At) {
+		s.member.recent--
 	}
-	p.member.learn(now, outcome)
+	s.member.learn(now, outcome)
 }
 
 // learn adapts the number of own requests that the endpoint is given at once.
@@ -212,10 +212,10 @@
 		}
 	case OutcomeSlow, OutcomeBusy:
 		m.limit = max(1, m.limit*limitDecrease)
-	case OutcomeFailed, OutcomeUnreached:
+	case OutcomeFailed, OutcomeUnreachable:
 		m.limit = max(1, m.limit*limitDecrease)
 		m.failures++
-		if outcome == OutcomeUnreached {
+		if outcome == OutcomeUnreachable {
 			m.failures = max(m.failures, suspectAfter) // it has ended, or has not started again
 		}
 		m.noteFailing(now, 1)
--- a/route/pool.go
+++ b/route/pool.go
@@ -290,12 +290,12 @@
 
 // AcquireVersion takes a place at a runner that serves the version; known tells
 // whether any runner serves it at all.
-func (p *Pool) AcquireVersion(now time.Time, version willowwick.VersionID, prefix uint64, exclude map[willowwick.EndpointID]bool) (place *Place, known bool) {
+func (p *Pool) AcquireVersion(now time.Time, version willowwick.VersionID, prefix uint64, exclude map[willowwick.EndpointID]bool) (place *Slot, known bool) {
 	return p.acquire(now, row{version: version}, Work{}, prefix, exclude, nil)
 }
 
 // AcquireService takes a place at an instance of a plain service.
-func (p *Pool) AcquireService(now time.Time, service willowwick.ServiceID, exclude map[willowwick.EndpointID]bool) (place *Place, known bool) {
+func (p *Pool) AcquireService(now time.Time, service willowwick.ServiceID, exclude map[willowwick.EndpointID]bool) (place *Slot, known bool) {
 	return p.acquire(now, row{service: service}, Work{}, 0, exclude, nil)
 }
 
@@ -304,14 +304,14 @@
 func (p *Pool) AcquireAllowed(
 	now time.Time, service willowwick.ServiceID, work Work,
 	exclude map[willowwick.EndpointID]bool, allow func(willowwick.Endpoint) bool,
-) (place *Place, known bool) {
+) (place *Slot, known bool) {
 	return p.acquire(now, row{service: service}, work, 0, exclude, allow)
 }
 
 func (p *Pool) acquire(
 	now time.Time, name row, work Work, prefix uint64,
 	exclude map[willowwick.EndpointID]bool, allow func(willowwick.Endpoint) bool,
-) (*Place, bool) {
+) (*Slot, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r := p.rows[name]
@@ -342,7 +342,7 @@
 	m.recent++
 	p.busy[m] = true
 	p.inFlight++
-	return &Place{Endpoint: m.endpoint, pool: p, member: m, work: work, prompt: r.prompt, taken: now, permission: permission}, true
+	return &Slot{Endpoint: m.endpoint, pool: p, member: m, work: work, estimator: r.prompt, acquiredAt: now, permission: permission}, true
 }
 
 // readingOf is what the work's prompt asks of any of the service's endpoints.
--- a/route/ratelimit_test.go
+++ b/route/ratelimit_test.go
@@ -38,7 +38,7 @@
 		require.True(t, known)
 		require.NotNil(t, place)
 		assert.Equal(t, willowwick.EndpointID("e2"), place.Endpoint.ID)
-		assert.False(t, place.MustAsk())
+		assert.False(t, place.MustRequestPermit())
 	}
 	_, all := pool.AllUnavailable(now, "work", anyEndpoint)
 	assert.False(t, all)
@@ -60,7 +60,7 @@
 	assert.False(t, all, "a permit may be asked for")
 	place, _ = pool.AcquireAllowed(nextAt, "work", Work{}, nil, anyEndpoint)
 	require.NotNil(t, place)
-	assert.True(t, place.MustAsk())
+	assert.True(t, place.MustRequestPermit())
 }
 
 func TestARequestThatMissedTheOthersHasOnlyLimitedEndpointsLeft(t *testing.T) {
@@ -93,5 +93,5 @@
 	place.Release(now, OutcomeCancelled)
 	again, _ := pool.AcquireAllowed(now, "work", Work{}, nil, anyEndpoint)
 	require.NotNil(t, again)
-	assert.True(t, again.MustAsk())
+	assert.True(t, again.MustRequestPermit())
 }
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -217,7 +217,7 @@
 	now := time.Unix(0, 0)
 	pool := NewPoolWith(NewHallFirst("h", 1), PoolOptions{StartLimit: 64, TrustLast: true, QuietAfter: 300 * time.Millisecond})
 	pool.Update([]willowwick.Endpoint{{ID: "dead", Service: "s", Hall: "h"}, {ID: "live", Service: "s", Hall: "h"}})
-	var dead, live []*Place
+	var dead, live []*Slot
 	for len(dead) == 0 || len(live) == 0 {
 		place, _ := pool.AcquireService(now, "s", nil)
 		if place.Endpoint.ID == "dead" {
@@ -227,7 +227,7 @@
 		}
 	}
 	now = now.Add(400 * time.Millisecond)
-	live[0].Heard(now)
+	live[0].MarkAlive(now)
 	for range 20 {
 		place, _ := pool.AcquireService(now, "s", nil)
 		require.Equal(t, willowwick.EndpointID("live"), place.Endpoint.ID)
@@ -280,7 +280,7 @@
 	every := func(willowwick.Endpoint) bool { return true }
 	place, _ := p.AcquireAllowed(now, "work", Work{}, nil, every)
 	require.Equal(t, willowwick.EndpointID("ended"), place.Endpoint.ID)
-	place.Release(now, OutcomeUnreached)
+	place.Release(now, OutcomeUnreachable)
 	for range 20 {
 		place, _ = p.AcquireAllowed(now, "work", Work{}, nil, every)
 		require.Equal(t, willowwick.EndpointID("living"), place.Endpoint.ID)
--- a/serve/call.go
+++ b/serve/call.go
@@ -119,7 +119,7 @@
 	return r.daemon.gate.Enter(c.ctx, gate.Wish{
 		Work: string(c.version), Account: r.request.Account, Weight: r.account.FairWeight(),
 		Cost: r.request.EstimatedTokens(), Deadline: r.request.Deadline,
-		Acquire: func(now time.Time) (*route.Place, bool) {
+		Acquire: func(now time.Time) (*route.Slot, bool) {
 			return r.daemon.pool.AcquireVersion(now, c.version, r.prefix, c.exclude)
 		},
 		Hopeless: func(now time.Time) (route.Shortage, bool) { return r.daemon.pool.AllUnavailableOf(now, c.version) },
--- a/serve/permits.go
+++ b/serve/permits.go
@@ -12,8 +12,8 @@
 // obtainPermit reports whether a request may be sent to the endpoint of its place; if not, the place is given back, and the
 // request goes elsewhere.
 func (d *Daemon) obtainPermit(ctx context.Context, entered *gate.Ticket, exclude map[willowwick.EndpointID]bool) bool {
-	hasPermit := !entered.MustAsk() || d.node.ObtainPermit(ctx, entered.Endpoint.ID)
-	if hasPermit && !entered.IsWithheld(clock.Now()) {
+	hasPermit := !entered.MustRequestPermit() || d.node.ObtainPermit(ctx, entered.Endpoint.ID)
+	if hasPermit && !entered.EndpointRefusesWork(clock.Now()) {
 		return true
 	}
 	entered.Done(route.OutcomeCancelled)
--- a/serve/services.go
+++ b/serve/services.go
@@ -218,7 +218,7 @@
 	return gate.Wish{
 		Work: servicePrefix + string(s.service), Account: s.request.Account, Weight: s.account.FairWeight(),
 		Cost: serviceCost, Deadline: s.request.Deadline,
-		Acquire: func(now time.Time) (*route.Place, bool) {
+		Acquire: func(now time.Time) (*route.Slot, bool) {
 			return s.daemon.pool.AcquireService(now, s.service, s.exclude)
 		},
 		Hopeless: func(now time.Time) (route.Shortage, bool) {
