--- a/exchange/evacuation_test.go
+++ b/exchange/evacuation_test.go
@@ -24,7 +24,7 @@
 
 // sendsTo reports whether the box uses endpoints of the hall for new work, as far as they have places and live.
 func (s *site) sendsTo(hall willowwick.HallID) bool {
-	return s.daemon.router.pool.HasStaying("work", func(endpoint willowwick.Endpoint) bool { return endpoint.Hall == hall })
+	return s.daemon.router.pool.HasInService("work", func(endpoint willowwick.Endpoint) bool { return endpoint.Hall == hall })
 }
 
 // fill takes all places at the endpoints and returns a function that gives them back.
--- a/exchange/hints.go
+++ b/exchange/hints.go
@@ -254,7 +254,7 @@
 				reading.Parts = append(reading.Parts, part)
 			}
 		}
-		h.router.pool.NoteReading(now, reading)
+		h.router.pool.ApplyPrefillUpdate(now, reading)
 		if kind == hintPass {
 			h.enqueue(hint{row: row, isHeard: true})
 		}
--- a/exchange/hints_test.go
+++ b/exchange/hints_test.go
@@ -42,7 +42,7 @@
 
 // aheadAt is how long the box takes the endpoint to be reading.
 func aheadAt(s *site, endpoint willowwick.EndpointID) time.Duration {
-	return s.daemon.router.pool.Ahead(time.Now(), endpoint)
+	return s.daemon.router.pool.PrefillBacklog(time.Now(), endpoint)
 }
 
 // Boxes that could not know what the others had sent once chose endpoints that were reading for a second and more.
--- a/exchange/permits.go
+++ b/exchange/permits.go
@@ -164,7 +164,7 @@
 
 // allowed says which endpoints the request may go to, whatever they have to do: those of the chosen release where there are any.
 func (c *call) allowed() func(willowwick.Endpoint) bool {
-	if c.router.pool.HasStaying(c.service, c.choice.allows) {
+	if c.router.pool.HasInService(c.service, c.choice.allows) {
 		return c.choice.allows
 	}
 	return c.choice.otherwise
@@ -177,7 +177,7 @@
 		return c.router.pool.AllUnavailable(now, c.service, allow)
 	}
 	isFree := func(endpoint willowwick.Endpoint) bool { return allow(endpoint) && !c.router.isLimited(now, endpoint) }
-	if !c.router.pool.HasStaying(c.service, isFree) {
+	if !c.router.pool.HasInService(c.service, isFree) {
 		return route.Shortage{Until: now}, true
 	}
 	return c.router.pool.AllUnavailable(now, c.service, isFree)
--- a/exchange/router.go
+++ b/exchange/router.go
@@ -100,7 +100,7 @@
 		settings: settings, codec: codec, conns: conns, gate: gate.New(), warm: make(chan struct{}),
 		harm: quarantine.New(), limits: limits, shortages: newShortages(),
 		pool: route.NewPoolWith(route.NewHallFirst(settings.Hall, settings.Seed), route.PoolOptions{
-			StartLimit: startLimit, LoadFresh: loadFresh, TrustLast: true, QuietAfter: quietAfter, QueueShare: queueAtEndpoint,
+			StartLimit: startLimit, LoadMaxAge: loadFresh, FallBackToEjected: true, SilentAfter: quietAfter, QueueShare: queueAtEndpoint,
 			Limits: limits,
 		}),
 		budgets: map[willowwick.ServiceID]*route.RepeatBudget{},
@@ -235,7 +235,7 @@
 
 // hasRelease reports whether a service has an endpoint of a release that stays.
 func (x *Router) hasRelease(service willowwick.ServiceID, release willowwick.ReleaseID) bool {
-	return x.pool.HasStaying(service, func(endpoint willowwick.Endpoint) bool { return endpoint.Release == release })
+	return x.pool.HasInService(service, func(endpoint willowwick.Endpoint) bool { return endpoint.Release == release })
 }
 
 // setTable puts a configuration in force unless a newer one already is.
--- a/route/availability.go
+++ b/route/availability.go
@@ -38,7 +38,7 @@
 // it. Places that are taken, suspicions and pauses of cold endpoints are no such grounds: they may end at any moment.
 func (p *Pool) availability(now time.Time, m *member) availability {
 	switch {
-	case !m.stays():
+	case !m.isInService():
 		return availability{ground: hasLeft}
 	case m.said.isResting(now):
 		return availability{rests, m.said.restUntil}
@@ -52,19 +52,19 @@
 // AllUnavailable reports whether every one of the service's endpoints that stay and are allowed takes no request now: one that
 // waited for a place would wait in vain. There is no shortage where none stays.
 func (p *Pool) AllUnavailable(now time.Time, service willowwick.ServiceID, allow func(willowwick.Endpoint) bool) (Shortage, bool) {
-	return p.allUnavailable(now, row{service: service}, allow)
+	return p.allUnavailable(now, workKey{service: service}, allow)
 }
 
 // AllUnavailableOf is AllUnavailable for the runners that serve a version.
 func (p *Pool) AllUnavailableOf(now time.Time, version willowwick.VersionID) (Shortage, bool) {
-	return p.allUnavailable(now, row{version: version}, nil)
+	return p.allUnavailable(now, workKey{version: version}, nil)
 }
 
 // NoneLeft reports whether none of the service's endpoints that are allowed and not excluded may be given a request now.
 func (p *Pool) NoneLeft(
 	now time.Time, service willowwick.ServiceID, exclude map[willowwick.EndpointID]bool, allow func(willowwick.Endpoint) bool,
 ) bool {
-	return !p.hasMember(service, func(m *member) bool {
+	return !p.anyMember(service, func(m *member) bool {
 		found := p.availability(now, m)
 		return found.ground != hasLeft && !found.from.After(now) && !exclude[m.endpoint.ID] && allow(m.endpoint)
 	})
@@ -79,10 +79,10 @@
 	return all
 }
 
-func (p *Pool) allUnavailable(now time.Time, name row, allow func(willowwick.Endpoint) bool) (first Shortage, all bool) {
+func (p *Pool) allUnavailable(now time.Time, name workKey, allow func(willowwick.Endpoint) bool) (first Shortage, all bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r := p.rows[name]
+	r := p.candidates[name]
 	if r == nil {
 		return Shortage{}, false
 	}
@@ -106,12 +106,12 @@
 
 // HasAvailable reports whether one of the service's endpoints that are allowed may be given a request for certain, if it has room.
 func (p *Pool) HasAvailable(now time.Time, service willowwick.ServiceID, allow func(willowwick.Endpoint) bool) bool {
-	return p.hasMember(service, func(m *member) bool { return allow(m.endpoint) && p.availability(now, m).ground == mayUse })
+	return p.anyMember(service, func(m *member) bool { return allow(m.endpoint) && p.availability(now, m).ground == mayUse })
 }
 
 // countedBy returns which members show how much a service has to do: one that rests or names a limit has little to do because it
 // takes little, so that it counts only where there is no other.
-func (p *Pool) countedBy(now time.Time, r *candidateRow) func(m *member) bool {
+func (p *Pool) countedBy(now time.Time, r *candidateSet) func(m *member) bool {
 	isFree := func(m *member) bool { return p.availability(now, m).ground == mayUse }
 	for _, m := range r.members {
 		if isFree(m) {
--- a/route/cold.go
+++ b/route/cold.go
@@ -48,15 +48,15 @@
 	if !m.isCold(now) {
 		return false
 	}
-	if m.coldNext.IsZero() {
-		m.coldNext = now.Add(time.Duration(rand.Float64() * float64(p.coldPauses[m.endpoint.Service])))
+	if m.nextColdSendAt.IsZero() {
+		m.nextColdSendAt = now.Add(time.Duration(rand.Float64() * float64(p.coldPauses[m.endpoint.Service])))
 	}
-	return now.Before(m.coldNext)
+	return now.Before(m.nextColdSendAt)
 }
 
 // noteCold begins the pause after a request to a cold endpoint.
 func (p *Pool) noteCold(now time.Time, m *member) {
 	if m.isCold(now) {
-		m.coldNext = now.Add(p.coldPauses[m.endpoint.Service])
+		m.nextColdSendAt = now.Add(p.coldPauses[m.endpoint.Service])
 	}
 }
--- a/route/cold_test.go
+++ b/route/cold_test.go
@@ -96,7 +96,7 @@
 		place, _ := p.AcquireAllowed(now, "work", Work{}, nil, nil)
 		return place.Endpoint.ID == "cold"
 	}
-	next := func() time.Time { return p.endpoints["cold"].coldNext }
+	next := func() time.Time { return p.endpoints["cold"].nextColdSendAt }
 	require.False(t, takeCold(begin))
 	due := next()
 	list := p.Endpoints()
--- a/route/forecast.go
+++ b/route/forecast.go
@@ -73,7 +73,7 @@
 	// reader forecasts when an endpoint has read what it was sent: in the order of sending, one prompt at a time.
 	reader struct {
 		readyAt time.Time // when all of it is read
-		queue   []*Slot  // own requests whose answer has not begun, in the order of sending
+		queue   []*Slot   // own requests whose answer has not begun, in the order of sending
 		kept    map[PartName]time.Time
 	}
 )
--- a/route/forecast_test.go
+++ b/route/forecast_test.go
@@ -48,7 +48,7 @@
 }
 
 func aheadOf(pool *Pool, now time.Time, name willowwick.EndpointID) time.Duration {
-	return pool.Ahead(now, name)
+	return pool.PrefillBacklog(now, name)
 }
 
 func TestForecastAddsUpWhatAnEndpointHasToRead(t *testing.T) {
@@ -95,7 +95,7 @@
 	for ahead, leaves := range map[willowwick.Tokens]bool{3000: false, 30000: true} {
 		pool, now := readers(t, "a", "b"), noon
 		first, _ := sendTo(t, pool, now, promptOf("x", "1", 2000))
-		pool.NoteReading(now, Reading{Endpoint: uint32(first.member.hash), Length: time.Duration(ahead) * testReading})
+		pool.ApplyPrefillUpdate(now, Reading{Endpoint: uint32(first.member.hash), Length: time.Duration(ahead) * testReading})
 		second, _ := sendTo(t, pool, now, promptOf("x", "2", 2000))
 		assert.Equal(t, leaves, first.Endpoint.ID != second.Endpoint.ID, "%d tokens ahead", ahead)
 	}
@@ -104,13 +104,13 @@
 func TestWhatOtherBoxesSentCounts(t *testing.T) {
 	one, other := readers(t, "a", "b"), readers(t, "a", "b")
 	place, reading := sendTo(t, one, noon, promptOf("x", "1", 8000))
-	other.NoteReading(noon, reading)
+	other.ApplyPrefillUpdate(noon, reading)
 	assert.Equal(t, 900*time.Millisecond, aheadOf(other, noon, place.Endpoint.ID))
 	next, _ := sendTo(t, other, noon, promptOf("y", "2", 8000))
 	assert.NotEqual(t, place.Endpoint.ID, next.Endpoint.ID)
 	later := noon.Add(time.Second)
 	assert.EqualValues(t, 1000, unreadAt(other, later, place.Endpoint.ID, promptOf("x", "3", 8000)))
-	assert.NotPanics(t, func() { other.NoteReading(noon, Reading{Endpoint: 1, Length: time.Second}) })
+	assert.NotPanics(t, func() { other.ApplyPrefillUpdate(noon, Reading{Endpoint: 1, Length: time.Second}) })
 }
 
 // Speeds were once learnt only where nothing was ahead: taken for too slow after a restart, a model always had some.
@@ -136,7 +136,7 @@
 			queue = queue[1:]
 		}
 		assert.InEpsilon(t, truth.Seconds(), pool.speeds[key].perToken(), 0.1, name)
-		assert.InDelta(t, (2 * tokens * truth).Seconds(), pool.Ahead(now, "a").Seconds(), 0.1, name)
+		assert.InDelta(t, (2 * tokens * truth).Seconds(), pool.PrefillBacklog(now, "a").Seconds(), 0.1, name)
 	}
 }
 
@@ -154,19 +154,19 @@
 func TestForecastThatWasWrongIsPutRightAtAllBoxes(t *testing.T) {
 	one, other := readers(t, "a"), readers(t, "a")
 	place, reading := sendTo(t, one, noon, promptOf("x", "1", 9000))
-	other.NoteReading(noon, reading)
+	other.ApplyPrefillUpdate(noon, reading)
 	held, _ := sendTo(t, other, noon, promptOf("y", "2", 4000))
 	now := noon.Add(200 * time.Millisecond)
 	shift, isShift := place.AnswerStarted(now)
 	require.True(t, isShift)
 	assert.Equal(t, -800*time.Millisecond, shift.Length)
-	other.NoteReading(now, shift)
+	other.ApplyPrefillUpdate(now, shift)
 	assert.Equal(t, now.Add(500*time.Millisecond), held.due)
-	assert.Equal(t, 500*time.Millisecond, other.Ahead(now, "a"))
+	assert.Equal(t, 500*time.Millisecond, other.PrefillBacklog(now, "a"))
 	shift, isShift = held.Cancelled(now)
 	require.True(t, isShift)
 	assert.Equal(t, -500*time.Millisecond, shift.Length)
-	assert.Zero(t, other.Ahead(now, "a"))
+	assert.Zero(t, other.PrefillBacklog(now, "a"))
 	_, isShift = held.Cancelled(now)
 	assert.False(t, isShift)
 }
@@ -185,13 +185,13 @@
 func TestEndpointThatSaysNothingIsAvoidedByOtherBoxes(t *testing.T) {
 	one, other := readers(t, "a", "b"), readers(t, "a", "b")
 	place, reading := sendTo(t, one, noon, promptOf("x", "1", 1000))
-	other.NoteReading(noon, reading)
+	other.ApplyPrefillUpdate(noon, reading)
 	now := noon.Add(time.Second)
 	before := one.lateness[place.speedKey()].Value()
 	shift, isShift := place.TimedOut(now)
 	require.True(t, isShift)
-	other.NoteReading(now, shift)
-	assert.Equal(t, 800*time.Millisecond, other.Ahead(now, place.Endpoint.ID))
+	other.ApplyPrefillUpdate(now, shift)
+	assert.Equal(t, 800*time.Millisecond, other.PrefillBacklog(now, place.Endpoint.ID))
 	assert.Greater(t, one.lateness[place.speedKey()].Value(), before, "it counts as a late answer")
 	for range 100 {
 		one.learnLateness(now.Add(time.Hour), place)
--- a/route/place.go
+++ b/route/place.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	// suspectFor is how long an endpoint is first avoided after failures, suspectMost the longest time.
-	suspectFor  = 2 * time.Second
-	suspectMost = 16 * time.Second
-	// suspectAfter is how many failures in a row bring an endpoint under suspicion.
-	suspectAfter = 3
+	// baseEjection is how long an endpoint is first avoided after failures, suspectMost the longest time.
+	baseEjection = 2 * time.Second
+	maxEjection  = 16 * time.Second
+	// ejectAfterFailures is how many failures in a row bring an endpoint under suspicion.
+	ejectAfterFailures = 3
 	// limitDecrease is what is left of the limit on own requests after a slow, busy or failed call.
 	limitDecrease = 0.7
 	// slowStartLimit is the limit on own requests from which good calls no longer raise it.
 	slowStartLimit = 64
-	// failingHalf is the time in which half of the failing share is forgotten without calls.
-	failingHalf = 3 * time.Second
-	// leastShift is the least change of a forecast that other boxes are told of: a short prompt's reading.
-	leastShift = 20 * time.Millisecond
-	// failingFade is how much of the failing share one call replaces: the last ten or so count.
-	failingFade = 0.1
+	// failureHalfLife is the time in which half of the failing share is forgotten without calls.
+	failureHalfLife = 3 * time.Second
+	// minReportedShift is the least change of a forecast that other boxes are told of: a short prompt's reading.
+	minReportedShift = 20 * time.Millisecond
+	// failureRateStep is how much of the failing share one call replaces: the last ten or so count.
+	failureRateStep = 0.1
 )
 
 type (
@@ -35,17 +35,17 @@
 		pool       *Pool
 		member     *member
 		work       Work
-		estimator     reading
-		acquiredAt      time.Time
+		estimator  reading
+		acquiredAt time.Time
 		released   bool
 		permission willowwick.Permission // what it needs to be sent
 
-		sentAt  time.Time         // when the work was sent; zero before
-		uncached  willowwick.Tokens // tokens of the prompt that the endpoint has to read, as forecast
-		hasForecast   bool              // the model's speed was known then, and so the forecast is worth something
+		sentAt      time.Time         // when the work was sent; zero before
+		uncached    willowwick.Tokens // tokens of the prompt that the endpoint has to read, as forecast
+		hasForecast bool              // the model's speed was known then, and so the forecast is worth something
 		prefillTime time.Duration     // forecast of how long it reads them
-		due     time.Time         // forecast of when it has
-		backlog   time.Duration     // forecast of how long it was still reading then
+		due         time.Time         // forecast of when it has
+		backlog     time.Duration     // forecast of how long it was still reading then
 	}
 )
 
@@ -55,7 +55,7 @@
 	OutcomeSlow
 	OutcomeBusy
 	OutcomeFailed
-	OutcomeError     // a whole answer that tells of a failure
+	OutcomeError       // a whole answer that tells of a failure
 	OutcomeUnreachable // nothing listens at the endpoint's address
 	OutcomeCancelled
 )
@@ -82,7 +82,7 @@
 func (s *Slot) EndpointRefusesWork(now time.Time) bool {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	return s.member.isWithheld(now)
+	return s.member.refusesWork(now)
 }
 
 // Sent notes that the endpoint has the request's prompt to read, and returns what is to be told to other boxes of it.
@@ -107,7 +107,7 @@
 func (s *Slot) AnswerStarted(now time.Time) (shift Reading, isShift bool) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	s.member.heardAt = now
+	s.member.lastAliveAt = now
 	if !s.sentAt.IsZero() {
 		s.pool.learnSpeed(now, s)
 		s.pool.learnLateness(now, s)
@@ -139,7 +139,7 @@
 
 // shift is what is told of a forecast that has moved by more than others would notice.
 func (s *Slot) shift(by time.Duration) (shift Reading, isShift bool) {
-	if by.Abs() < leastShift {
+	if by.Abs() < minReportedShift {
 		return Reading{}, false
 	}
 	return Reading{Endpoint: uint32(s.member.hash), Length: by, IsShift: true}, true
@@ -149,14 +149,14 @@
 func (s *Slot) MarkAlive(now time.Time) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	s.member.heardAt = now
+	s.member.lastAliveAt = now
 }
 
 // IsSilent reports whether the endpoint has said nothing for long, and is not reading what it was sent.
 func (s *Slot) IsSilent(now time.Time) bool {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	return s.member.isQuiet(now, s.pool.options)
+	return s.member.isSilent(now, s.pool.options)
 }
 
 // Due is when the answer should have begun, as forecast, and how much later it may well begin; ok is false if nothing
@@ -192,21 +192,21 @@
 	s.member.reader.drop(now, s)
 	s.pool.inFlight--
 	if s.member.inFlight--; s.member.inFlight == 0 {
-		delete(s.pool.busy, s.member)
+		delete(s.pool.occupied, s.member)
 	}
 	// What came and went since the report takes no slot any more.
-	if s.member.recent > 0 && !s.acquiredAt.Before(s.member.load.At) {
-		s.member.recent--
+	if s.member.sentSinceReport > 0 && !s.acquiredAt.Before(s.member.load.At) {
+		s.member.sentSinceReport--
 	}
-	s.member.learn(now, outcome)
+	s.member.recordOutcome(now, outcome)
 }
 
-// learn adapts the number of own requests that the endpoint is given at once.
-func (m *member) learn(now time.Time, outcome Outcome) {
+// recordOutcome adapts the number of own requests that the endpoint is given at once.
+func (m *member) recordOutcome(now time.Time, outcome Outcome) {
 	switch outcome {
 	case OutcomeGood:
-		m.failures, m.trial = 0, false
-		m.noteFailing(now, 0)
+		m.failures, m.isProbing = 0, false
+		m.recordFailure(now, 0)
 		if m.limit < slowStartLimit {
 			m.limit += 1 / m.limit
 		}
@@ -216,33 +216,33 @@
 		m.limit = max(1, m.limit*limitDecrease)
 		m.failures++
 		if outcome == OutcomeUnreachable {
-			m.failures = max(m.failures, suspectAfter) // it has ended, or has not started again
+			m.failures = max(m.failures, ejectAfterFailures) // it has ended, or has not started again
 		}
-		m.noteFailing(now, 1)
-		if m.failures >= suspectAfter && !now.Before(m.suspectUntil) {
-			m.suspectUntil = now.Add(m.suspicion())
-			m.trial = true
+		m.recordFailure(now, 1)
+		if m.failures >= ejectAfterFailures && !now.Before(m.ejectedUntil) {
+			m.ejectedUntil = now.Add(m.ejectionTime())
+			m.isProbing = true
 		}
 	case OutcomeError:
-		m.noteFailing(now, 1)
+		m.recordFailure(now, 1)
 	}
 }
 
-// suspicion doubles with each failure in a row beyond the first that were needed.
-func (m *member) suspicion() time.Duration {
-	return min(suspectMost, suspectFor<<min(m.failures-suspectAfter, 8))
+// ejectionTime doubles with each failure in a row beyond the first that were needed.
+func (m *member) ejectionTime() time.Duration {
+	return min(maxEjection, baseEjection<<min(m.failures-ejectAfterFailures, 8))
 }
 
-func (m *member) noteFailing(now time.Time, value float64) {
-	m.failing = m.failingShare(now)
-	m.failing += failingFade * (value - m.failing)
-	m.failingAt = now
+func (m *member) recordFailure(now time.Time, value float64) {
+	m.failureRateThen = m.failureRate(now)
+	m.failureRateThen += failureRateStep * (value - m.failureRateThen)
+	m.failureRateAt = now
 }
 
-// failingShare fades with time, so that an endpoint that is avoided is tried again.
-func (m *member) failingShare(now time.Time) float64 {
-	if m.failing == 0 {
+// failureRate fades with time, so that an endpoint that is avoided is tried again.
+func (m *member) failureRate(now time.Time) float64 {
+	if m.failureRateThen == 0 {
 		return 0
 	}
-	return m.failing * math.Exp2(-now.Sub(m.failingAt).Seconds()/failingHalf.Seconds())
+	return m.failureRateThen * math.Exp2(-now.Sub(m.failureRateAt).Seconds()/failureHalfLife.Seconds())
 }
--- a/route/pressure.go
+++ b/route/pressure.go
@@ -16,7 +16,7 @@
 func (p *Pool) Pressure(now time.Time, service willowwick.ServiceID, allow func(willowwick.Endpoint) bool) Pressure {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r := p.rows[row{service: service}]
+	r := p.candidates[workKey{service: service}]
 	if r == nil {
 		return Pressure{}
 	}
@@ -24,7 +24,7 @@
 	var backlog time.Duration
 	requests, endpoints := 0, 0
 	for _, m := range r.members {
-		if !m.stays() || now.Before(m.suspectUntil) || !allow(m.endpoint) || !counts(m) {
+		if !m.isInService() || now.Before(m.ejectedUntil) || !allow(m.endpoint) || !counts(m) {
 			continue
 		}
 		load := m.knownLoad(now, p.options)
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -215,7 +215,7 @@
 // A runner that had gone without a word once got request after request, since it looked idle.
 func TestSilentEndpointIsAvoidedBeforeItsRequestsFail(t *testing.T) {
 	now := time.Unix(0, 0)
-	pool := NewPoolWith(NewHallFirst("h", 1), PoolOptions{StartLimit: 64, TrustLast: true, QuietAfter: 300 * time.Millisecond})
+	pool := NewPoolWith(NewHallFirst("h", 1), PoolOptions{StartLimit: 64, FallBackToEjected: true, SilentAfter: 300 * time.Millisecond})
 	pool.Update([]willowwick.Endpoint{{ID: "dead", Service: "s", Hall: "h"}, {ID: "live", Service: "s", Hall: "h"}})
 	var dead, live []*Slot
 	for len(dead) == 0 || len(live) == 0 {
@@ -239,28 +239,28 @@
 
 func TestEndpointUnderSuspicionIsTriedByOneRequestAndLonger(t *testing.T) {
 	now := time.Unix(0, 0)
-	pool := NewPoolWith(NewHallFirst("h", 1), PoolOptions{StartLimit: 64, QuietAfter: 300 * time.Millisecond})
+	pool := NewPoolWith(NewHallFirst("h", 1), PoolOptions{StartLimit: 64, SilentAfter: 300 * time.Millisecond})
 	pool.Update([]willowwick.Endpoint{{ID: "e", Service: "s", Hall: "h"}})
 	fail := func() {
 		place, _ := pool.AcquireService(now, "s", nil)
 		require.NotNil(t, place)
 		place.Release(now, OutcomeFailed)
 	}
-	for range suspectAfter {
+	for range ejectAfterFailures {
 		fail()
 	}
 	place, known := pool.AcquireService(now, "s", nil)
 	require.Nil(t, place)
 	require.True(t, known)
-	now = now.Add(suspectFor)
+	now = now.Add(baseEjection)
 	trial, _ := pool.AcquireService(now, "s", nil)
 	require.NotNil(t, trial)
 	second, _ := pool.AcquireService(now, "s", nil)
 	require.Nil(t, second, "one request tries the endpoint")
 	trial.Release(now, OutcomeFailed)
-	place, _ = pool.AcquireService(now.Add(suspectFor), "s", nil)
+	place, _ = pool.AcquireService(now.Add(baseEjection), "s", nil)
 	require.Nil(t, place, "the suspicion lasts longer each time")
-	now = now.Add(2 * suspectFor)
+	now = now.Add(2 * baseEjection)
 	trial, _ = pool.AcquireService(now, "s", nil)
 	require.NotNil(t, trial)
 	trial.Release(now, OutcomeGood)
@@ -272,7 +272,7 @@
 
 // One connection that is refused shows that nothing listens there, so the requests after it are spared the same.
 func TestAnEndpointThatRefusesConnectionsIsLeftAtOnce(t *testing.T) {
-	p := NewPoolWith(NewHallFirst("hall-a", 1), PoolOptions{TrustLast: true})
+	p := NewPoolWith(NewHallFirst("hall-a", 1), PoolOptions{FallBackToEjected: true})
 	p.Update([]willowwick.Endpoint{
 		{ID: "ended", Hall: "hall-a", Service: "work", Slots: 8}, {ID: "living", Hall: "hall-b", Service: "work", Slots: 8},
 	})
--- a/route/row.go
+++ b/route/row.go
@@ -8,22 +8,22 @@
 )
 
 type (
-	// row names the endpoints that can take the same work.
-	row struct {
+	// workKey names the endpoints that can take the same work.
+	workKey struct {
 		version willowwick.VersionID
 		service willowwick.ServiceID
 	}
 
-	// candidateRow implements willowwick.CandidateSet at a moment.
-	candidateRow struct {
-		members  []*member
-		ring     []ringPoint
-		now      time.Time
-		exclude  map[willowwick.EndpointID]bool
-		allow    func(willowwick.Endpoint) bool
-		pool     *Pool
-		prompt   reading
-		trusting bool // endpoints under suspicion count as open
+	// candidateSet implements willowwick.CandidateSet at a moment.
+	candidateSet struct {
+		members      []*member
+		ring         []ringPoint
+		now          time.Time
+		exclude      map[willowwick.EndpointID]bool
+		allow        func(willowwick.Endpoint) bool
+		pool         *Pool
+		estimator    reading
+		allowEjected bool // endpoints under suspicion count as open
 	}
 
 	ringPoint struct {
@@ -33,54 +33,54 @@
 )
 
 // Len implements willowwick.CandidateSet.
-func (r *candidateRow) Len() int {
-	return len(r.members)
+func (s *candidateSet) Len() int {
+	return len(s.members)
 }
 
 // At implements willowwick.CandidateSet.
-func (r *candidateRow) At(index int) willowwick.Candidate {
-	m := r.members[index]
-	reading, _ := r.prompt.at(r.now, m)
+func (s *candidateSet) At(index int) willowwick.Candidate {
+	m := s.members[index]
+	reading, _ := s.estimator.at(s.now, m)
 	return willowwick.Candidate{
 		Endpoint: m.endpoint.ID,
 		Hall:     m.endpoint.Hall,
-		Load:     m.knownLoad(r.now, r.pool.options),
+		Load:     m.knownLoad(s.now, s.pool.options),
 		InFlight: m.inFlight,
-		Recent:   m.recent,
-		Open: !r.exclude[m.endpoint.ID] && r.allows(m) && !r.pool.isPaused(r.now, m) && m.open(r.now, r.pool.options, r.trusting) &&
-			r.pool.options.Limits.MayUse(r.now, m.endpoint.ID),
-		Ahead:   m.reader.ahead(r.now),
+		Recent:   m.sentSinceReport,
+		Open: !s.exclude[m.endpoint.ID] && s.allows(m) && !s.pool.isPaused(s.now, m) && m.isOpen(s.now, s.pool.options, s.allowEjected) &&
+			s.pool.options.Limits.MayUse(s.now, m.endpoint.ID),
+		Ahead:   m.reader.ahead(s.now),
 		Reading: reading,
-		Failing: m.failingShare(r.now),
+		Failing: m.failureRate(s.now),
 	}
 }
 
-func (r *candidateRow) allows(m *member) bool {
-	return r.allow == nil || r.allow(m.endpoint)
+func (s *candidateSet) allows(m *member) bool {
+	return s.allow == nil || s.allow(m.endpoint)
 }
 
 // Owner implements willowwick.CandidateSet by consistent hashing.
-func (r *candidateRow) Owner(prefix uint64) int {
-	at := sort.Search(len(r.ring), func(i int) bool { return r.ring[i].hash >= prefix })
-	if at == len(r.ring) {
+func (s *candidateSet) Owner(prefix uint64) int {
+	at := sort.Search(len(s.ring), func(i int) bool { return s.ring[i].hash >= prefix })
+	if at == len(s.ring) {
 		at = 0
 	}
-	return r.ring[at].index
+	return s.ring[at].index
 }
 
 // allExcluded reports whether no endpoint that stays is left to try.
-func (r *candidateRow) allExcluded() bool {
-	for _, m := range r.members {
-		if m.stays() && r.allows(m) && !r.exclude[m.endpoint.ID] {
+func (s *candidateSet) allExcluded() bool {
+	for _, m := range s.members {
+		if m.isInService() && s.allows(m) && !s.exclude[m.endpoint.ID] {
 			return false
 		}
 	}
 	return true
 }
 
-func (r *candidateRow) anyServing() bool {
-	for _, m := range r.members {
-		if m.stays() && r.allows(m) {
+func (s *candidateSet) hasServing() bool {
+	for _, m := range s.members {
+		if m.isInService() && s.allows(m) {
 			return true
 		}
 	}
--- a/serve/harm.go
+++ b/serve/harm.go
@@ -61,7 +61,7 @@
 // requests with it, and one of them may have ended it, so that they count as one failure and not as many.
 func (d *Daemon) noteBroken(ctx context.Context, c *content, endpoint willowwick.Endpoint, release willowwick.ReleaseID, err error) (isEvidence bool) {
 	isSent := !errors.Is(err, willowwick.ErrNotSent) && !errors.Is(err, willowwick.ErrBusy) && !errors.Is(err, willowwick.ErrLeaving)
-	if !isSent || ctx.Err() != nil || !d.pool.Stays(endpoint.ID) {
+	if !isSent || ctx.Err() != nil || !d.pool.IsInService(endpoint.ID) {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(ctx, quarantine.CheckLimit)
