--- a/exchange/call.go
+++ b/exchange/call.go
@@ -368,7 +368,7 @@
 func (c *call) mustAwaitRoom(now time.Time) bool {
 	pool, allowed := c.router.pool, c.allowed()
 	_, isShort := pool.AllUnavailable(now, c.service, allowed)
-	return !isShort && pool.NoneLeft(now, c.service, c.exclude, allowed)
+	return !isShort && pool.NoneAvailable(now, c.service, c.exclude, allowed)
 }
 
 // mayAwaitRoom reports whether there is time for that where it is needed: a request that nothing has run yet is refused where its caller
--- a/exchange/permits.go
+++ b/exchange/permits.go
@@ -191,7 +191,7 @@
 
 // hasOnlyUnavailableLeft reports whether the request was sent to all endpoints but those that take none now.
 func (c *call) hasOnlyUnavailableLeft(now time.Time) bool {
-	return len(c.exclude) > 0 && c.router.pool.OnlyUnavailableLeft(now, c.service, c.exclude, c.allowed())
+	return len(c.exclude) > 0 && c.router.pool.RemainingUnavailable(now, c.service, c.exclude, c.allowed())
 }
 
 // excluded are the endpoints to which the request does not go now, since it was there before: none where all others take none
--- a/route/availability.go
+++ b/route/availability.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	// mayUse: the endpoint may be given a request, if it has room.
-	mayUse ground = iota
-	// hasLeft: it leaves, or its hall is evacuated, or it is not where its entry says.
-	hasLeft
-	// rests: it asked for rest.
-	rests
-	// isLimited: it names a limit, and a request needs a permit, which may be denied.
-	isLimited
+	// reasonNone: the endpoint may be given a request, if it has room.
+	reasonNone unavailableReason = iota
+	// reasonOutOfService: it leaves, or its hall is evacuated, or it is not where its entry says.
+	reasonOutOfService
+	// reasonBackoff: it asked for rest.
+	reasonBackoff
+	// reasonRateLimit: it names a limit, and a request needs a permit, which may be denied.
+	reasonRateLimit
 )
 
 type (
-	// ground is why an endpoint is given no request for certain, whatever it has to do.
-	ground int
+	// unavailableReason is why an endpoint is given no request for certain, whatever it has to do.
+	unavailableReason int
 
 	// availability is whether an endpoint may be given a request.
 	availability struct {
-		ground ground
-		from   time.Time // when it may be, where that is known: the end of its rest, or the next chance of a permit
+		reason      unavailableReason
+		availableAt time.Time // when it may be, where that is known: the end of its rest, or the next chance of a permit
 	}
 
 	// Shortage is that no endpoint that could take a request takes one now, whatever they have to do.
@@ -39,12 +39,12 @@
 func (p *Pool) availability(now time.Time, m *member) availability {
 	switch {
 	case !m.isInService():
-		return availability{ground: hasLeft}
+		return availability{reason: reasonOutOfService}
 	case m.said.isResting(now):
-		return availability{rests, m.said.restUntil}
+		return availability{reasonBackoff, m.said.restUntil}
 	}
 	if nextAt, limited := p.options.Limits.Limited(now, m.endpoint.ID); limited {
-		return availability{isLimited, nextAt}
+		return availability{reasonRateLimit, nextAt}
 	}
 	return availability{}
 }
@@ -55,24 +55,24 @@
 	return p.allUnavailable(now, workKey{service: service}, allow)
 }
 
-// AllUnavailableOf is AllUnavailable for the runners that serve a version.
-func (p *Pool) AllUnavailableOf(now time.Time, version willowwick.VersionID) (Shortage, bool) {
+// AllUnavailableForVersion is AllUnavailable for the runners that serve a version.
+func (p *Pool) AllUnavailableForVersion(now time.Time, version willowwick.VersionID) (Shortage, bool) {
 	return p.allUnavailable(now, workKey{version: version}, nil)
 }
 
-// NoneLeft reports whether none of the service's endpoints that are allowed and not excluded may be given a request now.
-func (p *Pool) NoneLeft(
+// NoneAvailable reports whether none of the service's endpoints that are allowed and not excluded may be given a request now.
+func (p *Pool) NoneAvailable(
 	now time.Time, service willowwick.ServiceID, exclude map[willowwick.EndpointID]bool, allow func(willowwick.Endpoint) bool,
 ) bool {
 	return !p.anyMember(service, func(m *member) bool {
 		found := p.availability(now, m)
-		return found.ground != hasLeft && !found.from.After(now) && !exclude[m.endpoint.ID] && allow(m.endpoint)
+		return found.reason != reasonOutOfService && !found.availableAt.After(now) && !exclude[m.endpoint.ID] && allow(m.endpoint)
 	})
 }
 
-// OnlyUnavailableLeft reports whether those of the service's endpoints that stay, are allowed and are not excluded all take no
+// RemainingUnavailable reports whether those of the service's endpoints that stay, are allowed and are not excluded all take no
 // request now.
-func (p *Pool) OnlyUnavailableLeft(
+func (p *Pool) RemainingUnavailable(
 	now time.Time, service willowwick.ServiceID, exclude map[willowwick.EndpointID]bool, allow func(willowwick.Endpoint) bool,
 ) bool {
 	_, all := p.AllUnavailable(now, service, func(endpoint willowwick.Endpoint) bool { return allow(endpoint) && !exclude[endpoint.ID] })
@@ -91,14 +91,14 @@
 			continue
 		}
 		found := p.availability(now, m)
-		if found.ground == hasLeft {
+		if found.reason == reasonOutOfService {
 			continue
 		}
-		if !found.from.After(now) {
+		if !found.availableAt.After(now) {
 			return Shortage{}, false
 		}
-		if !all || found.from.Before(first.Until) {
-			first, all = Shortage{Until: found.from, IsCertain: found.ground == rests}, true
+		if !all || found.availableAt.Before(first.Until) {
+			first, all = Shortage{Until: found.availableAt, IsCertain: found.reason == reasonBackoff}, true
 		}
 	}
 	return first, all
@@ -106,13 +106,13 @@
 
 // HasAvailable reports whether one of the service's endpoints that are allowed may be given a request for certain, if it has room.
 func (p *Pool) HasAvailable(now time.Time, service willowwick.ServiceID, allow func(willowwick.Endpoint) bool) bool {
-	return p.anyMember(service, func(m *member) bool { return allow(m.endpoint) && p.availability(now, m).ground == mayUse })
+	return p.anyMember(service, func(m *member) bool { return allow(m.endpoint) && p.availability(now, m).reason == reasonNone })
 }
 
-// countedBy returns which members show how much a service has to do: one that rests or names a limit has little to do because it
+// pressureFilter returns which members show how much a service has to do: one that rests or names a limit has little to do because it
 // takes little, so that it counts only where there is no other.
-func (p *Pool) countedBy(now time.Time, r *candidateSet) func(m *member) bool {
-	isFree := func(m *member) bool { return p.availability(now, m).ground == mayUse }
+func (p *Pool) pressureFilter(now time.Time, r *candidateSet) func(m *member) bool {
+	isFree := func(m *member) bool { return p.availability(now, m).reason == reasonNone }
 	for _, m := range r.members {
 		if isFree(m) {
 			return isFree
--- a/route/cold.go
+++ b/route/cold.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// coldShare is the part of what a cold endpoint bears that all boxes together send it: each box keeps its own pauses, so
+	// coldRateShare is the part of what a cold endpoint bears that all boxes together send it: each box keeps its own pauses, so
 	// that in some seconds more of them come due than in others.
-	coldShare = 0.6
-	// coldAgain is by how much later a cold endpoint must say that it is cold to have become so again: what is left of the
+	coldRateShare = 0.6
+	// coldAgainMargin is by how much later a cold endpoint must say that it is cold to have become so again: what is left of the
 	// same time is told with each heartbeat, and read up to some 1.2 s later.
-	coldAgain = 2 * time.Second
+	coldAgainMargin = 2 * time.Second
 )
 
 // ColdPause is the pause that each of so many boxes keeps between its requests to a cold endpoint that bears so many a
@@ -22,12 +22,12 @@
 	if perSecond <= 0 {
 		return 0
 	}
-	return time.Duration(float64(boxes) / (coldShare * perSecond) * float64(time.Second))
+	return time.Duration(float64(boxes) / (coldRateShare * perSecond) * float64(time.Second))
 }
 
 // IsColdAgain reports whether an endpoint that was cold until the one time has become cold anew until the other.
 func IsColdAgain(before, until time.Time) bool {
-	return until.After(before.Add(coldAgain))
+	return until.After(before.Add(coldAgainMargin))
 }
 
 // SetColdPauses sets the pauses between this box's requests to one cold endpoint, by service.
@@ -42,9 +42,9 @@
 	return now.Before(m.endpoint.ColdUntil)
 }
 
-// isPaused reports whether the endpoint is cold and this box's next request to it must wait. The first one waits for a
+// isColdPaused reports whether the endpoint is cold and this box's next request to it must wait. The first one waits for a
 // random part of the pause: all boxes hear of the endpoint at the same time.
-func (p *Pool) isPaused(now time.Time, m *member) bool {
+func (p *Pool) isColdPaused(now time.Time, m *member) bool {
 	if !m.isCold(now) {
 		return false
 	}
@@ -54,8 +54,8 @@
 	return now.Before(m.nextColdSendAt)
 }
 
-// noteCold begins the pause after a request to a cold endpoint.
-func (p *Pool) noteCold(now time.Time, m *member) {
+// startColdPause begins the pause after a request to a cold endpoint.
+func (p *Pool) startColdPause(now time.Time, m *member) {
 	if m.isCold(now) {
 		m.nextColdSendAt = now.Add(p.coldPauses[m.endpoint.Service])
 	}
--- a/route/notice_test.go
+++ b/route/notice_test.go
@@ -75,7 +75,7 @@
 	pool.Hear(now, now, first, rest(now.Add(9*time.Second)))
 	_, all := pool.AllUnavailable(now, "work", anyEndpoint)
 	assert.False(t, all)
-	assert.True(t, pool.OnlyUnavailableLeft(now, "work", map[willowwick.EndpointID]bool{"e2": true}, anyEndpoint))
+	assert.True(t, pool.RemainingUnavailable(now, "work", map[willowwick.EndpointID]bool{"e2": true}, anyEndpoint))
 	pool.Hear(now, now, noticeEndpoint("e2", 1), rest(now.Add(3*time.Second)))
 	shortage, all := pool.AllUnavailable(now, "work", anyEndpoint)
 	require.True(t, all)
--- a/route/pool.go
+++ b/route/pool.go
@@ -336,7 +336,7 @@
 	if m.inFlight == 0 {
 		m.lastAliveAt = now
 	}
-	p.noteCold(now, m)
+	p.startColdPause(now, m)
 	permission := p.options.Limits.Use(now, m.endpoint.ID)
 	m.inFlight++
 	m.sentSinceReport++
@@ -357,7 +357,7 @@
 // count, since a permit may be denied.
 func (p *Pool) HasOpen(now time.Time, service willowwick.ServiceID, allow func(willowwick.Endpoint) bool) bool {
 	return p.anyMember(service, func(m *member) bool {
-		return p.availability(now, m).ground == mayUse && allow(m.endpoint) && !p.isPaused(now, m) && m.isOpen(now, p.options, false)
+		return p.availability(now, m).reason == reasonNone && allow(m.endpoint) && !p.isColdPaused(now, m) && m.isOpen(now, p.options, false)
 	})
 }
 
--- a/route/pressure.go
+++ b/route/pressure.go
@@ -20,7 +20,7 @@
 	if r == nil {
 		return Pressure{}
 	}
-	counts := p.countedBy(now, r)
+	counts := p.pressureFilter(now, r)
 	var backlog time.Duration
 	requests, endpoints := 0, 0
 	for _, m := range r.members {
--- a/route/ratelimit_test.go
+++ b/route/ratelimit_test.go
@@ -66,9 +66,9 @@
 func TestARequestThatMissedTheOthersHasOnlyLimitedEndpointsLeft(t *testing.T) {
 	now := time.Now()
 	pool := newLimitedPool(now, now.Add(time.Minute), []willowwick.EndpointID{"e1", "e2"}, "e1")
-	assert.False(t, pool.OnlyUnavailableLeft(now, "work", nil, anyEndpoint))
-	assert.True(t, pool.OnlyUnavailableLeft(now, "work", map[willowwick.EndpointID]bool{"e2": true}, anyEndpoint))
-	assert.False(t, pool.OnlyUnavailableLeft(now, "work", map[willowwick.EndpointID]bool{"e1": true, "e2": true}, anyEndpoint))
+	assert.False(t, pool.RemainingUnavailable(now, "work", nil, anyEndpoint))
+	assert.True(t, pool.RemainingUnavailable(now, "work", map[willowwick.EndpointID]bool{"e2": true}, anyEndpoint))
+	assert.False(t, pool.RemainingUnavailable(now, "work", map[willowwick.EndpointID]bool{"e1": true, "e2": true}, anyEndpoint))
 }
 
 // An endpoint that takes two a second runs next to nothing, and is not idle.
--- a/route/row.go
+++ b/route/row.go
@@ -47,7 +47,7 @@
 		Load:     m.knownLoad(s.now, s.pool.options),
 		InFlight: m.inFlight,
 		Recent:   m.sentSinceReport,
-		Open: !s.exclude[m.endpoint.ID] && s.allows(m) && !s.pool.isPaused(s.now, m) && m.isOpen(s.now, s.pool.options, s.allowEjected) &&
+		Open: !s.exclude[m.endpoint.ID] && s.allows(m) && !s.pool.isColdPaused(s.now, m) && m.isOpen(s.now, s.pool.options, s.allowEjected) &&
 			s.pool.options.Limits.MayUse(s.now, m.endpoint.ID),
 		Ahead:   m.reader.ahead(s.now),
 		Reading: reading,
--- a/serve/call.go
+++ b/serve/call.go
@@ -122,7 +122,9 @@
 		Acquire: func(now time.Time) (*route.Slot, bool) {
 			return r.daemon.pool.AcquireVersion(now, c.version, r.prefix, c.exclude)
 		},
-		Hopeless: func(now time.Time) (route.Shortage, bool) { return r.daemon.pool.AllUnavailableOf(now, c.version) },
+		Hopeless: func(now time.Time) (route.Shortage, bool) {
+			return r.daemon.pool.AllUnavailableForVersion(now, c.version)
+		},
 	})
 }
 
