--- a/exchange/hints.go
+++ b/exchange/hints.go
@@ -78,7 +78,7 @@
 		Endpoint uint32
 		Micros   int32 // how long it reads, or by how much later than forecast all of it is read
 		IsShift  bool  // it is the latter
-		Parts    [hintParts]route.PartName
+		Parts    [hintParts]route.PartHash
 	}
 
 	// hintKind is the first byte of a datagram.
@@ -97,17 +97,17 @@
 }
 
 // tell passes a reading on to the other boxes, if there is one; it never waits.
-func (h *hints) tell(reading route.Reading, isReading bool) {
+func (h *hints) tell(reading route.PrefillUpdate, isReading bool) {
 	if h.conn == nil || !isReading {
 		return
 	}
-	if !h.mayTell(reading.Length, h.router.peers.boxes(), clock.Now()) {
+	if !h.mayTell(reading.Duration, h.router.peers.boxes(), clock.Now()) {
 		h.router.metrics.hintDropped()
 		return
 	}
 	row := hintRow{
 		Endpoint: reading.Endpoint, IsShift: reading.IsShift,
-		Micros: int32(min(max(reading.Length.Microseconds(), math.MinInt32), math.MaxInt32)),
+		Micros: int32(min(max(reading.Duration.Microseconds(), math.MinInt32), math.MaxInt32)),
 	}
 	copy(row.Parts[:], reading.Parts[max(len(reading.Parts)-hintParts, 0):])
 	h.enqueue(hint{row: row})
@@ -248,7 +248,7 @@
 
 func (h *hints) take(kind hintKind, rows []hintRow, now time.Time) {
 	for _, row := range rows {
-		reading := route.Reading{Endpoint: row.Endpoint, Length: time.Duration(row.Micros) * time.Microsecond, IsShift: row.IsShift}
+		reading := route.PrefillUpdate{Endpoint: row.Endpoint, Duration: time.Duration(row.Micros) * time.Microsecond, IsShift: row.IsShift}
 		for _, part := range row.Parts {
 			if part != 0 {
 				reading.Parts = append(reading.Parts, part)
--- a/exchange/hints_test.go
+++ b/exchange/hints_test.go
@@ -58,7 +58,7 @@
 			require.NotNil(t, place)
 			reading, isReading := place.Sent(time.Now())
 			require.True(t, isReading)
-			reading.Length = time.Minute // its speed is not known yet
+			reading.Duration = time.Minute // its speed is not known yet
 			x.hints.tell(reading, true)
 			for _, s := range sites[1:] {
 				require.Eventually(t, func() bool { return aheadAt(s, "r1") > time.Second }, patience, 5*time.Millisecond, s.daemon.router.settings.Box)
@@ -73,7 +73,7 @@
 
 func TestHintsOfStrangersAreNotTaken(t *testing.T) {
 	own, stranger := newTestHints("0123456789abcdef"), newTestHints("fedcba9876543210")
-	rows := []hintRow{{Endpoint: 7, Micros: 100}, {Endpoint: 8, Micros: -5, IsShift: true, Parts: [hintParts]route.PartName{1, 2}}}
+	rows := []hintRow{{Endpoint: 7, Micros: 100}, {Endpoint: 8, Micros: -5, IsShift: true, Parts: [hintParts]route.PartHash{1, 2}}}
 	data, err := own.encode(hintPass, rows)
 	require.NoError(t, err)
 	kind, got, err := own.decode(data)
@@ -101,7 +101,7 @@
 	s := newSite(t)
 	h := newHints(s.daemon.router, conn) // nobody sends what waits
 	for range 2 * hintQueue {
-		h.tell(route.Reading{Endpoint: 1}, true)
+		h.tell(route.PrefillUpdate{Endpoint: 1}, true)
 	}
 	assert.Len(t, h.queue, hintQueue)
 }
--- a/exchange/known.go
+++ b/exchange/known.go
@@ -134,7 +134,7 @@
 	p.router.admissions.hear(digest.Admitted, "peer "+string(digest.Box))
 	p.router.hearLeaving(digest.Leaving, "peer "+string(digest.Box))
 	p.router.releases.hearEnded(digest.Verdicts)
-	p.router.pool.HearSpeeds(digest.Speeds)
+	p.router.pool.MergeSpeeds(digest.Speeds)
 	for _, row := range digest.Progress {
 		p.router.releases.begin(row.Order, time.Duration(row.AgeMs)*time.Millisecond, now)
 		p.router.releases.settle(row.Status, false, "peer "+string(digest.Box))
--- a/exchange/send.go
+++ b/exchange/send.go
@@ -298,7 +298,7 @@
 		var usual time.Duration
 		usual, lateness = s.router.releases.usual(s.route.Name, s.model)
 		if usual == 0 && s.route.Stream {
-			lateness = route.UnknownPatience
+			lateness = route.DefaultAnswerTimeout
 		}
 		due = s.sentAt.Add(usual)
 	}
--- a/exchange/silence_test.go
+++ b/exchange/silence_test.go
@@ -96,7 +96,7 @@
 	stream, now := streamRoute(), time.Now()
 	sending := sendingOn(x, sendWork(t, x.pool, now, readingWork(20000)), &stream, now)
 	assert.False(t, sending.isLost(now.Add(2*time.Second)))
-	assert.True(t, sending.isLost(now.Add(route.UnknownPatience+2*quietAfter)))
+	assert.True(t, sending.isLost(now.Add(route.DefaultAnswerTimeout+2*quietAfter)))
 }
 
 func TestLargeModelIsAskedLessTheLongerEndpointsWillBeReading(t *testing.T) {
--- a/route/bench_test.go
+++ b/route/bench_test.go
@@ -104,7 +104,7 @@
 				})
 			}
 			pool.Update(endpoints)
-			pool.speeds[speedKey{"s", "m"}] = &speed{seconds: 0.1, tokens: 1000}
+			pool.speeds[speedKey{"s", "m"}] = &prefillSpeed{seconds: 0.1, tokens: 1000}
 			now := noon
 			b.ReportAllocs()
 			b.ResetTimer()
--- a/route/forecast_test.go
+++ b/route/forecast_test.go
@@ -26,14 +26,14 @@
 		list = append(list, willowwick.Endpoint{ID: name, Service: "s", Hall: "h"})
 	}
 	pool.Update(list)
-	pool.speeds[speedKey{"s", "m"}] = &speed{seconds: testReading.Seconds() * 1000, tokens: 1000}
+	pool.speeds[speedKey{"s", "m"}] = &prefillSpeed{seconds: testReading.Seconds() * 1000, tokens: 1000}
 	return pool
 }
 
 func all(willowwick.Endpoint) bool { return true }
 
 // sendTo takes a place for the work and sends it.
-func sendTo(t *testing.T, pool *Pool, now time.Time, work Work) (*Slot, Reading) {
+func sendTo(t *testing.T, pool *Pool, now time.Time, work Work) (*Slot, PrefillUpdate) {
 	t.Helper()
 	place, _ := pool.AcquireAllowed(now, "s", work, nil, all)
 	require.NotNil(t, place)
@@ -44,7 +44,7 @@
 
 // unreadAt is how much of the work's prompt the endpoint has to read.
 func unreadAt(pool *Pool, now time.Time, name willowwick.EndpointID, work Work) willowwick.Tokens {
-	return pool.endpoints[name].reader.unread(now, work.Prompt, work.parts())
+	return pool.endpoints[name].prefills.uncachedTokens(now, work.Prompt, work.partHashes())
 }
 
 func aheadOf(pool *Pool, now time.Time, name willowwick.EndpointID) time.Duration {
@@ -87,7 +87,7 @@
 	other := promptOf("x", "3", 8000)
 	other.Model = "n"
 	assert.EqualValues(t, 9000, unreadAt(pool, now, holder, other), "another model reads it anew")
-	assert.EqualValues(t, 9000, unreadAt(pool, now.Add(keptFor), holder, promptOf("x", "4", 8000)))
+	assert.EqualValues(t, 9000, unreadAt(pool, now.Add(prefixCacheTTL), holder, promptOf("x", "4", 8000)))
 }
 
 // Reading anew was once weighed by its own time alone; each part of a prompt then ended up at every endpoint.
@@ -95,7 +95,7 @@
 	for ahead, leaves := range map[willowwick.Tokens]bool{3000: false, 30000: true} {
 		pool, now := readers(t, "a", "b"), noon
 		first, _ := sendTo(t, pool, now, promptOf("x", "1", 2000))
-		pool.ApplyPrefillUpdate(now, Reading{Endpoint: uint32(first.member.hash), Length: time.Duration(ahead) * testReading})
+		pool.ApplyPrefillUpdate(now, PrefillUpdate{Endpoint: uint32(first.member.hash), Duration: time.Duration(ahead) * testReading})
 		second, _ := sendTo(t, pool, now, promptOf("x", "2", 2000))
 		assert.Equal(t, leaves, first.Endpoint.ID != second.Endpoint.ID, "%d tokens ahead", ahead)
 	}
@@ -110,7 +110,7 @@
 	assert.NotEqual(t, place.Endpoint.ID, next.Endpoint.ID)
 	later := noon.Add(time.Second)
 	assert.EqualValues(t, 1000, unreadAt(other, later, place.Endpoint.ID, promptOf("x", "3", 8000)))
-	assert.NotPanics(t, func() { other.ApplyPrefillUpdate(noon, Reading{Endpoint: 1, Length: time.Second}) })
+	assert.NotPanics(t, func() { other.ApplyPrefillUpdate(noon, PrefillUpdate{Endpoint: 1, Duration: time.Second}) })
 }
 
 // Speeds were once learnt only where nothing was ahead: taken for too slow after a restart, a model always had some.
@@ -119,7 +119,7 @@
 	const tokens, truth = 4000, 100 * time.Microsecond
 	for name, first := range map[string]time.Duration{"unknown": 0, "slow": 10 * truth, "fast": truth / 10} {
 		pool, now := readers(t, "a"), noon
-		pool.speeds[key] = &speed{seconds: first.Seconds() * 1000, tokens: 1000}
+		pool.speeds[key] = &prefillSpeed{seconds: first.Seconds() * 1000, tokens: 1000}
 		if first == 0 {
 			delete(pool.speeds, key)
 		}
@@ -135,7 +135,7 @@
 			queue[0].Release(now, OutcomeGood)
 			queue = queue[1:]
 		}
-		assert.InEpsilon(t, truth.Seconds(), pool.speeds[key].perToken(), 0.1, name)
+		assert.InEpsilon(t, truth.Seconds(), pool.speeds[key].secondsPerToken(), 0.1, name)
 		assert.InDelta(t, (2 * tokens * truth).Seconds(), pool.PrefillBacklog(now, "a").Seconds(), 0.1, name)
 	}
 }
@@ -147,7 +147,7 @@
 		known.learn(time.Second, 5000)
 	}
 	known.learn(time.Minute, 5000)
-	assert.Less(t, known.perToken(), 1.2/5000)
+	assert.Less(t, known.secondsPerToken(), 1.2/5000)
 }
 
 // With 91 boxes, forecasts once grew and grew: each box heard of the others' readings, and of none that was done sooner.
@@ -159,13 +159,13 @@
 	now := noon.Add(200 * time.Millisecond)
 	shift, isShift := place.AnswerStarted(now)
 	require.True(t, isShift)
-	assert.Equal(t, -800*time.Millisecond, shift.Length)
+	assert.Equal(t, -800*time.Millisecond, shift.Duration)
 	other.ApplyPrefillUpdate(now, shift)
 	assert.Equal(t, now.Add(500*time.Millisecond), held.due)
 	assert.Equal(t, 500*time.Millisecond, other.PrefillBacklog(now, "a"))
 	shift, isShift = held.Cancelled(now)
 	require.True(t, isShift)
-	assert.Equal(t, -500*time.Millisecond, shift.Length)
+	assert.Equal(t, -500*time.Millisecond, shift.Duration)
 	assert.Zero(t, other.PrefillBacklog(now, "a"))
 	_, isShift = held.Cancelled(now)
 	assert.False(t, isShift)
@@ -173,13 +173,13 @@
 
 func TestBoxThatHasJustStartedTakesTheSpeedsOfOthers(t *testing.T) {
 	known, fresh := readers(t, "a"), readers(t, "a")
-	fresh.speeds = map[speedKey]*speed{}
-	fresh.HearSpeeds([]SpeedRow{{Service: "s", Model: "n"}})
-	fresh.HearSpeeds(known.Speeds())
-	assert.InDelta(t, testReading.Seconds(), fresh.speeds[speedKey{"s", "m"}].perToken(), 1e-9)
+	fresh.speeds = map[speedKey]*prefillSpeed{}
+	fresh.MergeSpeeds([]SpeedRow{{Service: "s", Model: "n"}})
+	fresh.MergeSpeeds(known.Speeds())
+	assert.InDelta(t, testReading.Seconds(), fresh.speeds[speedKey{"s", "m"}].secondsPerToken(), 1e-9)
 	assert.Len(t, fresh.speeds, 1, "a speed that is not known is no news")
-	known.HearSpeeds([]SpeedRow{{Service: "s", Model: "m", PerToken: time.Second}})
-	assert.InDelta(t, testReading.Seconds(), known.speeds[speedKey{"s", "m"}].perToken(), 1e-9, "its own goes first")
+	known.MergeSpeeds([]SpeedRow{{Service: "s", Model: "m", PerToken: time.Second}})
+	assert.InDelta(t, testReading.Seconds(), known.speeds[speedKey{"s", "m"}].secondsPerToken(), 1e-9, "its own goes first")
 }
 
 func TestEndpointThatSaysNothingIsAvoidedByOtherBoxes(t *testing.T) {
@@ -196,5 +196,5 @@
 	for range 100 {
 		one.learnLateness(now.Add(time.Hour), place)
 	}
-	assert.Equal(t, mostLateness, one.lateness[place.speedKey()].Value())
+	assert.Equal(t, maxLateness, one.lateness[place.speedKey()].Value())
 }
--- a/route/lateness_test.go
+++ b/route/lateness_test.go
@@ -11,7 +11,7 @@
 func TestLatenessIsExceededByFewAnswers(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	var l Lateness
-	assert.Equal(t, firstLateness, l.Value())
+	assert.Equal(t, initialLateness, l.Value())
 	draw := func() time.Duration { return time.Duration(random.ExpFloat64() * float64(50*time.Millisecond)) }
 	for range 2000 {
 		l.Learn(draw())
@@ -24,7 +24,7 @@
 		}
 		l.Learn(late)
 	}
-	assert.InDelta(t, 1-latenessShare, float64(beyond)/10000, 0.01)
+	assert.InDelta(t, 1-latenessQuantile, float64(beyond)/10000, 0.01)
 }
 
 func TestLatenessDoesNotFallToNothing(t *testing.T) {
@@ -32,5 +32,5 @@
 	for range 5000 {
 		l.Learn(-time.Second)
 	}
-	assert.Equal(t, leastLateness, l.Value())
+	assert.Equal(t, minLateness, l.Value())
 }
--- a/route/place.go
+++ b/route/place.go
@@ -35,7 +35,7 @@
 		pool       *Pool
 		member     *member
 		work       Work
-		estimator  reading
+		estimator  prefillEstimator
 		acquiredAt time.Time
 		released   bool
 		permission willowwick.Permission // what it needs to be sent
@@ -86,63 +86,63 @@
 }
 
 // Sent notes that the endpoint has the request's prompt to read, and returns what is to be told to other boxes of it.
-func (s *Slot) Sent(now time.Time) (reading Reading, isReading bool) {
+func (s *Slot) Sent(now time.Time) (reading PrefillUpdate, isReading bool) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
 	if len(s.work.Prompt) == 0 {
-		return Reading{}, false
+		return PrefillUpdate{}, false
 	}
-	reader := &s.member.reader
-	s.sentAt, s.backlog = now, reader.ahead(now)
+	reader := &s.member.prefills
+	s.sentAt, s.backlog = now, reader.backlog(now)
 	var length time.Duration
-	length, s.uncached = s.estimator.at(now, s.member)
+	length, s.uncached = s.estimator.estimate(now, s.member)
 	s.hasForecast = length > 0 || s.uncached == 0
-	reader.push(now, s, length)
-	parts := s.estimator.names[:len(s.estimator.names)-1] // the last one is the request's own
-	reader.keep(now, parts)
-	return Reading{Endpoint: uint32(s.member.hash), Length: length, Parts: parts}, true
+	reader.enqueue(now, s, length)
+	parts := s.estimator.hashes[:len(s.estimator.hashes)-1] // the last one is the request's own
+	reader.markCached(now, parts)
+	return PrefillUpdate{Endpoint: uint32(s.member.hash), Duration: length, Parts: parts}, true
 }
 
 // AnswerStarted notes that the answer has begun: the prompt is read. It returns what is to be told to other boxes of it.
-func (s *Slot) AnswerStarted(now time.Time) (shift Reading, isShift bool) {
+func (s *Slot) AnswerStarted(now time.Time) (shift PrefillUpdate, isShift bool) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
 	s.member.lastAliveAt = now
 	if !s.sentAt.IsZero() {
 		s.pool.learnSpeed(now, s)
 		s.pool.learnLateness(now, s)
-		return s.shift(s.member.reader.begun(now, s))
+		return s.shift(s.member.prefills.complete(now, s))
 	}
-	return Reading{}, false
+	return PrefillUpdate{}, false
 }
 
 // Cancelled notes that the request is taken back from the endpoint, if its answer has not begun, and returns what is to be
 // told to other boxes of it.
-func (s *Slot) Cancelled(now time.Time) (shift Reading, isShift bool) {
+func (s *Slot) Cancelled(now time.Time) (shift PrefillUpdate, isShift bool) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	return s.shift(s.member.reader.drop(now, s))
+	return s.shift(s.member.prefills.remove(now, s))
 }
 
 // TimedOut notes that the request is taken back from an endpoint that says nothing, and returns what is to be told to other
 // boxes of it: that its answers come later by as much as this one would have, so that they try others meanwhile.
-func (s *Slot) TimedOut(now time.Time) (shift Reading, isShift bool) {
+func (s *Slot) TimedOut(now time.Time) (shift PrefillUpdate, isShift bool) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
 	if !s.hasForecast {
-		return Reading{}, false
+		return PrefillUpdate{}, false
 	}
-	s.pool.learnLateness(now.Add(mostLateness), s)
-	s.member.reader.drop(now, s)
+	s.pool.learnLateness(now.Add(maxLateness), s)
+	s.member.prefills.remove(now, s)
 	return s.shift(max(now.Sub(s.due), 0))
 }
 
 // shift is what is told of a forecast that has moved by more than others would notice.
-func (s *Slot) shift(by time.Duration) (shift Reading, isShift bool) {
+func (s *Slot) shift(by time.Duration) (shift PrefillUpdate, isShift bool) {
 	if by.Abs() < minReportedShift {
-		return Reading{}, false
+		return PrefillUpdate{}, false
 	}
-	return Reading{Endpoint: uint32(s.member.hash), Length: by, IsShift: true}, true
+	return PrefillUpdate{Endpoint: uint32(s.member.hash), Duration: by, IsShift: true}, true
 }
 
 // MarkAlive notes a sign of life of the endpoint.
@@ -189,7 +189,7 @@
 	if s.permission == willowwick.PermissionToAsk {
 		s.pool.options.Limits.Unasked(s.Endpoint.ID)
 	}
-	s.member.reader.drop(now, s)
+	s.member.prefills.remove(now, s)
 	s.pool.inFlight--
 	if s.member.inFlight--; s.member.inFlight == 0 {
 		delete(s.pool.occupied, s.member)
--- a/route/pool.go
+++ b/route/pool.go
@@ -32,7 +32,7 @@
 		candidates map[workKey]*candidateSet
 		inFlight   int
 		occupied   map[*member]bool // endpoints with places taken, those gone from the list among them
-		speeds     map[speedKey]*speed
+		speeds     map[speedKey]*prefillSpeed
 		lateness   map[speedKey]*Lateness // of first events against their forecasts
 		evacuated  map[willowwick.HallID]bool
 		said       map[willowwick.EndpointID]*said
@@ -72,7 +72,7 @@
 		lastAliveAt     time.Time // last sign of life, or when it was given work after having none
 		nextColdSendAt  time.Time // while it is cold, when this box may send it its next request; zero if not chosen yet
 		isProbing       bool      // the suspicion has run out, and one request is to show whether it was right
-		reader          reader
+		prefills        prefillQueue
 	}
 )
 
@@ -95,7 +95,7 @@
 	return &Pool{
 		picker: picker, options: options,
 		endpoints: map[willowwick.EndpointID]*member{}, candidates: map[workKey]*candidateSet{}, occupied: map[*member]bool{},
-		said: map[willowwick.EndpointID]*said{}, speeds: map[speedKey]*speed{}, lateness: map[speedKey]*Lateness{},
+		said: map[willowwick.EndpointID]*said{}, speeds: map[speedKey]*prefillSpeed{}, lateness: map[speedKey]*Lateness{},
 	}
 }
 
@@ -177,15 +177,15 @@
 }
 
 // ApplyPrefillUpdate takes what another box has sent to an endpoint.
-func (p *Pool) ApplyPrefillUpdate(now time.Time, reading Reading) {
+func (p *Pool) ApplyPrefillUpdate(now time.Time, reading PrefillUpdate) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	m := p.byHash[reading.Endpoint]
 	if m == nil {
 		return
 	}
-	m.reader.note(now, reading)
-	m.reader.keep(now, reading.Parts)
+	m.prefills.applyUpdate(now, reading)
+	m.prefills.markCached(now, reading.Parts)
 }
 
 // PrefillBacklog is how long the endpoint will be reading what it was sent, as forecast; 0 if it is not known.
@@ -193,7 +193,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if m := p.endpoints[id]; m != nil {
-		return m.reader.ahead(now)
+		return m.prefills.backlog(now)
 	}
 	return 0
 }
@@ -282,7 +282,7 @@
 // isSilent reports whether the endpoint has said nothing for long, and is not reading what it was sent.
 func (m *member) isSilent(now time.Time, options PoolOptions) bool {
 	heardAt := m.lastAliveAt
-	if until := m.reader.busyUntil(); until.After(heardAt) {
+	if until := m.prefills.busyUntil(); until.After(heardAt) {
 		heardAt = until
 	}
 	return now.Sub(heardAt) > options.SilentAfter
@@ -346,11 +346,11 @@
 }
 
 // estimatorFor is what the work's prompt asks of any of the service's endpoints.
-func (p *Pool) estimatorFor(service willowwick.ServiceID, work Work) reading {
+func (p *Pool) estimatorFor(service willowwick.ServiceID, work Work) prefillEstimator {
 	if len(work.Prompt) == 0 {
-		return reading{}
+		return prefillEstimator{}
 	}
-	return reading{work.Prompt, work.parts(), p.speeds[speedKey{service, work.Model}].perToken()}
+	return prefillEstimator{work.Prompt, work.partHashes(), p.speeds[speedKey{service, work.Model}].secondsPerToken()}
 }
 
 // HasOpen reports whether one of the service's endpoints that are allowed may be given work; those that name limits do not
--- a/route/pressure.go
+++ b/route/pressure.go
@@ -29,7 +29,7 @@
 		}
 		load := m.knownLoad(now, p.options)
 		requests += max(load.Running+load.Waiting, m.inFlight)
-		backlog += m.reader.ahead(now)
+		backlog += m.prefills.backlog(now)
 		endpoints++
 	}
 	if endpoints == 0 {
--- a/route/row.go
+++ b/route/row.go
@@ -22,7 +22,7 @@
 		exclude      map[willowwick.EndpointID]bool
 		allow        func(willowwick.Endpoint) bool
 		pool         *Pool
-		estimator    reading
+		estimator    prefillEstimator
 		allowEjected bool // endpoints under suspicion count as open
 	}
 
@@ -40,7 +40,7 @@
 // At implements willowwick.CandidateSet.
 func (s *candidateSet) At(index int) willowwick.Candidate {
 	m := s.members[index]
-	reading, _ := s.estimator.at(s.now, m)
+	reading, _ := s.estimator.estimate(s.now, m)
 	return willowwick.Candidate{
 		Endpoint: m.endpoint.ID,
 		Hall:     m.endpoint.Hall,
@@ -49,7 +49,7 @@
 		Recent:   m.sentSinceReport,
 		Open: !s.exclude[m.endpoint.ID] && s.allows(m) && !s.pool.isColdPaused(s.now, m) && m.isOpen(s.now, s.pool.options, s.allowEjected) &&
 			s.pool.options.Limits.MayUse(s.now, m.endpoint.ID),
-		Ahead:   m.reader.ahead(s.now),
+		Ahead:   m.prefills.backlog(s.now),
 		Reading: reading,
 		Failing: m.failureRate(s.now),
 	}
