--- a/exchange/notices.go
+++ b/exchange/notices.go
@@ -28,11 +28,11 @@
 		return
 	}
 	x, endpoint, now := s.router, s.ticket.Endpoint, clock.Now()
-	news := x.pool.Hear(now, sentAt, endpoint, notice)
+	news := x.pool.ApplyNotice(now, sentAt, endpoint, notice)
 	if news.Leaving {
 		slog.Info("endpoint says that it leaves", "endpoint", endpoint.ID, "source", "answer", "request", s.call.head.ID)
 	}
-	if news.Rest {
+	if news.Backoff {
 		slog.Info("endpoint asks for rest", "endpoint", endpoint.ID, "request", s.call.head.ID,
 			"ms", notice.RestUntil.Sub(now).Milliseconds())
 	}
@@ -44,7 +44,7 @@
 // hearLeaving takes from another box which endpoints leave: an endpoint ends some time after its answers have begun to say so, and what
 // is sent there late may be cut.
 func (x *Router) hearLeaving(rows []route.LeavingRow, source string) {
-	for _, endpoint := range x.pool.HearLeaving(rows) {
+	for _, endpoint := range x.pool.MergeLeaving(rows) {
 		slog.Info("endpoint says that it leaves", "endpoint", endpoint, "source", source)
 	}
 }
--- a/route/availability.go
+++ b/route/availability.go
@@ -40,8 +40,8 @@
 	switch {
 	case !m.isInService():
 		return availability{reason: reasonOutOfService}
-	case m.said.isResting(now):
-		return availability{reasonBackoff, m.said.restUntil}
+	case m.reported.isInBackoff(now):
+		return availability{reasonBackoff, m.reported.backoffUntil}
 	}
 	if nextAt, limited := p.options.Limits.Limited(now, m.endpoint.ID); limited {
 		return availability{reasonRateLimit, nextAt}
--- a/route/notice_test.go
+++ b/route/notice_test.go
@@ -42,9 +42,9 @@
 func TestAnEndpointThatRestsGetsNothingUntilItsRestEnds(t *testing.T) {
 	now := time.Now()
 	pool, first := newNoticePool(1, "e1", "e2")
-	news := pool.Hear(now, now, first, rest(now.Add(3*time.Second)))
-	assert.Equal(t, News{Rest: true}, news)
-	assert.Equal(t, News{}, pool.Hear(now, now, first, rest(now.Add(time.Second))), "it rests already")
+	news := pool.ApplyNotice(now, now, first, rest(now.Add(3*time.Second)))
+	assert.Equal(t, NoticeChanges{Backoff: true}, news)
+	assert.Equal(t, NoticeChanges{}, pool.ApplyNotice(now, now, first, rest(now.Add(time.Second))), "it rests already")
 	for range 20 {
 		place, _ := pool.AcquireAllowed(now, "work", Work{}, nil, anyEndpoint)
 		require.NotNil(t, place)
@@ -52,35 +52,35 @@
 		place.Release(now, OutcomeGood)
 	}
 	assert.Equal(t, []willowwick.EndpointID{"e2"}, usable(pool, now.Add(3*time.Second-time.Millisecond)), "a shorter rest takes nothing back")
-	assert.Equal(t, []willowwick.EndpointID{"e1", "e2"}, usable(pool, now.Add(3*time.Second+restSpread)))
+	assert.Equal(t, []willowwick.EndpointID{"e1", "e2"}, usable(pool, now.Add(3*time.Second+maxBackoffJitter)))
 }
 
 func TestARestHoldsForOneLifeAndThroughTheList(t *testing.T) {
 	now := time.Now()
 	pool, first := newNoticePool(1, "e1", "e2")
-	pool.Hear(now, now, first, rest(now.Add(time.Minute)))
+	pool.ApplyNotice(now, now, first, rest(now.Add(time.Minute)))
 	other := noticeEndpoint("e2", 1)
 	pool.Update([]willowwick.Endpoint{other})
 	pool.Update([]willowwick.Endpoint{first, other})
 	assert.Equal(t, []willowwick.EndpointID{"e2"}, usable(pool, now), "its entry went and came back")
 	pool.Update([]willowwick.Endpoint{noticeEndpoint("e1", 2), other})
 	assert.Equal(t, []willowwick.EndpointID{"e1", "e2"}, usable(pool, now), "its next life has asked for nothing")
-	pool.Hear(now, now, first, willowwick.Notice{Leaving: true, RestUntil: now.Add(time.Minute)})
+	pool.ApplyNotice(now, now, first, willowwick.Notice{Leaving: true, RestUntil: now.Add(time.Minute)})
 	assert.Equal(t, []willowwick.EndpointID{"e1", "e2"}, usable(pool, now), "an answer of the life before")
 }
 
 func TestWhereAllEndpointsRestThatShowsWithTheFirstEnd(t *testing.T) {
 	now := time.Now()
 	pool, first := newNoticePool(1, "e1", "e2")
-	pool.Hear(now, now, first, rest(now.Add(9*time.Second)))
+	pool.ApplyNotice(now, now, first, rest(now.Add(9*time.Second)))
 	_, all := pool.AllUnavailable(now, "work", anyEndpoint)
 	assert.False(t, all)
 	assert.True(t, pool.RemainingUnavailable(now, "work", map[willowwick.EndpointID]bool{"e2": true}, anyEndpoint))
-	pool.Hear(now, now, noticeEndpoint("e2", 1), rest(now.Add(3*time.Second)))
+	pool.ApplyNotice(now, now, noticeEndpoint("e2", 1), rest(now.Add(3*time.Second)))
 	shortage, all := pool.AllUnavailable(now, "work", anyEndpoint)
 	require.True(t, all)
 	assert.True(t, shortage.IsCertain)
-	assert.WithinRange(t, shortage.Until, now.Add(3*time.Second), now.Add(3*time.Second+restSpread))
+	assert.WithinRange(t, shortage.Until, now.Add(3*time.Second), now.Add(3*time.Second+maxBackoffJitter))
 	assert.False(t, pool.HasAvailable(now, "work", anyEndpoint))
 	place, known := pool.AcquireAllowed(now, "work", Work{}, nil, anyEndpoint)
 	assert.Nil(t, place)
@@ -92,7 +92,7 @@
 	now := time.Now()
 	pool, first := newNoticePool(1, "e1", "e2")
 	pool.Report(willowwick.EndpointLoad{Endpoint: "e2", Running: 12, Slots: 16, At: now})
-	pool.Hear(now, now, first, rest(now.Add(time.Second)))
+	pool.ApplyNotice(now, now, first, rest(now.Add(time.Second)))
 	assert.InDelta(t, 12, pool.Pressure(now, "work", anyEndpoint).Requests, 0.01)
 }
 
@@ -132,7 +132,7 @@
 			r.waiting[i]--
 			if len(r.atWork) >= 2*slots {
 				r.turnedTo++
-				box.Hear(now, now, r.endpoint, rest(now.Add(2*time.Second)))
+				box.ApplyNotice(now, now, r.endpoint, rest(now.Add(2*time.Second)))
 				place.Release(now, OutcomeBusy)
 				continue
 			}
@@ -154,7 +154,7 @@
 		r := &restEnd{waiting: make([]int, boxes)}
 		for i := range boxes {
 			pool, endpoint := newNoticePool(seed*boxes+uint64(i), "e1")
-			pool.Hear(now, now, endpoint, rest(now.Add(2*time.Second)))
+			pool.ApplyNotice(now, now, endpoint, rest(now.Add(2*time.Second)))
 			r.endpoint, r.boxes, r.waiting[i] = endpoint, append(r.boxes, pool), waiting
 		}
 		begin := now
--- a/route/place.go
+++ b/route/place.go
@@ -75,7 +75,7 @@
 func (s *Slot) ReportedState(now time.Time) (leaves, rests bool) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	return s.member.said.leaving, s.member.said.isResting(now)
+	return s.member.reported.leaving, s.member.reported.isInBackoff(now)
 }
 
 // EndpointRefusesWork reports whether the endpoint takes no requests since the place was taken: it leaves by now, or rests.
--- a/route/pool.go
+++ b/route/pool.go
@@ -35,7 +35,7 @@
 		speeds     map[speedKey]*prefillSpeed
 		lateness   map[speedKey]*Lateness // of first events against their forecasts
 		evacuated  map[willowwick.HallID]bool
-		said       map[willowwick.EndpointID]*said
+		reported   map[willowwick.EndpointID]*reportedState
 		// coldPauses are lengths: between this box's requests to one cold endpoint of a service.
 		coldPauses map[willowwick.ServiceID]time.Duration // setting
 	}
@@ -58,7 +58,7 @@
 	// member is an endpoint with what the box knows of it.
 	member struct {
 		endpoint        willowwick.Endpoint
-		said            *said
+		reported        *reportedState
 		load            willowwick.EndpointLoad
 		inFlight        int
 		sentSinceReport int
@@ -95,7 +95,7 @@
 	return &Pool{
 		picker: picker, options: options,
 		endpoints: map[willowwick.EndpointID]*member{}, candidates: map[workKey]*candidateSet{}, occupied: map[*member]bool{},
-		said: map[willowwick.EndpointID]*said{}, speeds: map[speedKey]*prefillSpeed{}, lateness: map[speedKey]*Lateness{},
+		reported: map[willowwick.EndpointID]*reportedState{}, speeds: map[speedKey]*prefillSpeed{}, lateness: map[speedKey]*Lateness{},
 	}
 }
 
@@ -114,12 +114,12 @@
 		if IsColdAgain(m.endpoint.ColdUntil, endpoint.ColdUntil) {
 			m.nextColdSendAt = time.Time{}
 		}
-		m.endpoint, m.said = endpoint, p.saidBy(endpoint)
+		m.endpoint, m.reported = endpoint, p.reportedStateOf(endpoint)
 		m.evacuated = p.evacuated[endpoint.Hall]
 		known[endpoint.ID] = m
 		byHash[uint32(m.hash)] = m
 	}
-	p.forgetSaid(clock.Now(), known)
+	p.expireReportedStates(clock.Now(), known)
 	p.endpoints, p.byHash = known, byHash
 	p.rebuild()
 }
@@ -173,7 +173,7 @@
 	}
 	m.load = load
 	m.sentSinceReport = 0
-	m.said.leaving = m.said.leaving || load.Leaving
+	m.reported.leaving = m.reported.leaving || load.Leaving
 }
 
 // ApplyPrefillUpdate takes what another box has sent to an endpoint.
@@ -238,7 +238,7 @@
 	list := make([]willowwick.Endpoint, 0, len(p.endpoints))
 	for _, m := range p.endpoints {
 		endpoint := m.endpoint
-		endpoint.Leaving = m.said.leaving
+		endpoint.Leaving = m.reported.leaving
 		list = append(list, endpoint)
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
@@ -263,12 +263,12 @@
 // isInService reports whether the endpoint may be given new work at all: it is where its entry says and not leaving, and its hall is
 // not evacuated.
 func (m *member) isInService() bool {
-	return !m.said.leaving && !m.said.misplaced && !m.evacuated
+	return !m.reported.leaving && !m.reported.misplaced && !m.evacuated
 }
 
 // refusesWork reports whether the endpoint takes no work now, whatever it has to do: it does not stay, or rests.
 func (m *member) refusesWork(now time.Time) bool {
-	return !m.isInService() || m.said.isResting(now)
+	return !m.isInService() || m.reported.isInBackoff(now)
 }
 
 // isSilentOrProbing reports whether the endpoint owes an answer for long, or is on trial after a suspicion.
--- a/serve/notices.go
+++ b/serve/notices.go
@@ -12,11 +12,11 @@
 	sentAt := clock.Now()
 	return func(notice willowwick.Notice) {
 		now := clock.Now()
-		news := d.pool.Hear(now, sentAt, endpoint, notice)
+		news := d.pool.ApplyNotice(now, sentAt, endpoint, notice)
 		if news.Leaving {
 			slog.Info("endpoint says that it leaves", "endpoint", endpoint.ID, "source", "answer", "request", request)
 		}
-		if news.Rest {
+		if news.Backoff {
 			slog.Info("endpoint asks for rest", "endpoint", endpoint.ID, "request", request, "ms", notice.RestUntil.Sub(now).Milliseconds())
 		}
 	}
