--- a/cmd/willowwickd/node.go
+++ b/cmd/willowwickd/node.go
@@ -107,7 +107,7 @@
 	return exchange.Settings{
 		Box: settings.Box, Hall: settings.Hall, Boot: newBoot(), Peers: settings.Peers, LinkMbps: settings.LinkMbps, Key: []byte(o.key),
 		Seeds: settings.Seeds, Seed: binary.BigEndian.Uint64(seed[:]), Confidence: o.confidence, LateConfidence: o.lateConfidence,
-		Repeats:  route.RepeatLimits{Ratio: bounds.RepeatRatio, Slack: bounds.RepeatSlack, Window: bounds.RepeatWindow},
+		Repeats:  route.RetryLimits{Ratio: bounds.RepeatRatio, Slack: bounds.RepeatSlack, Window: bounds.RepeatWindow},
 		Releases: exchange.ReleaseSettings{Session: bounds.Session, Exposure: bounds.ExposeShare},
 		Grace:    bounds.Grace, Drain: bounds.Drain, InForce: bounds.InForce, TurnAway: exchange.DefaultTurnAway,
 	}
--- a/exchange/call.go
+++ b/exchange/call.go
@@ -357,9 +357,9 @@
 	case notSent, unreached, escalated, withheld:
 		return true // for an escalation the budget was asked before the answer was dropped
 	case notRun:
-		return c.mayAwaitRoom(now) && c.router.takeRepeat(c, route.RepeatFailover, now)
+		return c.mayAwaitRoom(now) && c.router.takeRepeat(c, route.RetryFailover, now)
 	default:
-		return c.trial == "" && c.mayRunAgain() && c.router.takeRepeat(c, route.RepeatFailover, now)
+		return c.trial == "" && c.mayRunAgain() && c.router.takeRepeat(c, route.RetryFailover, now)
 	}
 }
 
--- a/exchange/peers.go
+++ b/exchange/peers.go
@@ -103,8 +103,8 @@
 
 // sharers is the number of boxes that the fleet's slack of repeats is divided by. Escalations are many and can wait
 // until a new box has counted its fleet; failovers are few, and without one a caller's answer is cut.
-func (p *peers) sharers(kind route.RepeatKind, now time.Time) int {
-	if kind == route.RepeatEscalation && now.Sub(p.began) < countAfter {
+func (p *peers) sharers(kind route.RetryKind, now time.Time) int {
+	if kind == route.RetryEscalation && now.Sub(p.began) < countAfter {
 		return max(p.boxes(), youngFleet)
 	}
 	return p.boxes()
--- a/exchange/router.go
+++ b/exchange/router.go
@@ -51,7 +51,7 @@
 		Confidence int // a small model's answer below this is given up for the largest model's
 		// LateConfidence takes the place of Confidence where the largest model's answer would come after the goal.
 		LateConfidence int
-		Repeats        route.RepeatLimits
+		Repeats        route.RetryLimits
 		Releases       ReleaseSettings
 		Grace          time.Duration // setting: from the signal to stop until the process is killed
 		TurnAway       time.Duration // setting: how long a stopping box waits for the entry to send callers elsewhere
@@ -88,7 +88,7 @@
 		stopAt   atomic.Int64 // nanoseconds since 1970
 
 		mu      sync.Mutex
-		budgets map[willowwick.ServiceID]*route.RepeatBudget
+		budgets map[willowwick.ServiceID]*route.WindowedRetryBudget
 	}
 )
 
@@ -103,7 +103,7 @@
 			StartLimit: startLimit, LoadMaxAge: loadFresh, FallBackToEjected: true, SilentAfter: quietAfter, QueueShare: queueAtEndpoint,
 			Limits: limits,
 		}),
-		budgets: map[willowwick.ServiceID]*route.RepeatBudget{},
+		budgets: map[willowwick.ServiceID]*route.WindowedRetryBudget{},
 	}
 	x.evacuations = newEvacuations(x.pool)
 	x.admissions = newAdmissions(x.harm)
@@ -200,19 +200,19 @@
 	}
 }
 
-func (x *Router) budget(service willowwick.ServiceID) *route.RepeatBudget {
+func (x *Router) budget(service willowwick.ServiceID) *route.WindowedRetryBudget {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	b := x.budgets[service]
 	if b == nil {
-		b = route.NewRepeatBudget(x.settings.Repeats)
+		b = route.NewWindowedRetryBudget(x.settings.Repeats)
 		x.budgets[service] = b
 	}
 	return b
 }
 
 // takeRepeat draws on the budget of repeats.
-func (x *Router) takeRepeat(c *call, kind route.RepeatKind, now time.Time) bool {
+func (x *Router) takeRepeat(c *call, kind route.RetryKind, now time.Time) bool {
 	taken := x.budget(c.service).Take(now, kind, x.peers.sharers(kind, now))
 	if !taken {
 		x.metrics.repeatDenied()
@@ -223,7 +223,7 @@
 
 // hasRepeat reports whether the budget would allow a failover.
 func (x *Router) hasRepeat(c *call, now time.Time) bool {
-	return x.budget(c.service).Allows(now, route.RepeatFailover, x.peers.sharers(route.RepeatFailover, now))
+	return x.budget(c.service).Allows(now, route.RetryFailover, x.peers.sharers(route.RetryFailover, now))
 }
 
 // hasOther reports whether another endpoint of the service than the given one may be tried.
--- a/exchange/send.go
+++ b/exchange/send.go
@@ -389,7 +389,7 @@
 	if !c.router.pool.HasAvailable(now, c.service, c.allowed()) {
 		return false // the answer that is there is worth more than a refusal
 	}
-	return c.runs < c.route.MaxRuns && s.hasTimeFor(c.route.Models[len(c.route.Models)-1], now) && s.router.takeRepeat(c, route.RepeatEscalation, now)
+	return c.runs < c.route.MaxRuns && s.hasTimeFor(c.route.Models[len(c.route.Models)-1], now) && s.router.takeRepeat(c, route.RetryEscalation, now)
 }
 
 // hasTimeFor reports whether a model's answer, begun now, usually begins before the request's time is up; where it does not,
--- a/exchange/site_test.go
+++ b/exchange/site_test.go
@@ -389,7 +389,7 @@
 func testSettings() Settings {
 	return Settings{
 		Box: "box-1", Hall: "hall-a", Boot: "boot-1", Key: []byte("0123456789abcdef"), Confidence: 50,
-		Repeats:  route.RepeatLimits{Ratio: 0.9, Slack: 50, Window: 10 * time.Second},
+		Repeats:  route.RetryLimits{Ratio: 0.9, Slack: 50, Window: 10 * time.Second},
 		Releases: ReleaseSettings{Session: 5 * time.Second},
 		Grace:    3 * time.Second, TurnAway: 300 * time.Millisecond, Drain: 250 * time.Millisecond, InForce: inForceWithin,
 	}
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -173,12 +173,12 @@
 func (g *Gate) took(w *waiting, place *route.Slot) {
 	w.place = place
 	g.taken[w.Work]++
-	g.queue(w.Work).SetPlaces(g.taken[w.Work])
+	g.queue(w.Work).SetInFlight(g.taken[w.Work])
 }
 
 func (g *Gate) gave(work string) {
 	g.taken[work]--
-	g.queue(work).SetPlaces(g.taken[work])
+	g.queue(work).SetInFlight(g.taken[work])
 }
 
 // dispatch gives free places to the requests whose turn it is.
@@ -271,7 +271,7 @@
 	t.gate.gave(t.work)
 	q := t.gate.queue(t.work)
 	if outcome == route.OutcomeGood || outcome == route.OutcomeSlow {
-		q.Served(t.cost, now.Sub(t.taken))
+		q.RecordServed(t.cost, now.Sub(t.taken))
 	}
 	t.gate.dispatch(t.work, now)
 }
--- a/replay/simulate.go
+++ b/replay/simulate.go
@@ -197,9 +197,9 @@
 	}
 	strong := s.trace.Strong
 	verdict := s.learner.Choose(route.StageChoice{
-		Subject: t.subject, StrongOf: route.Subject{Account: t.Account, Class: t.Class, Version: strong.ID},
+		Subject: t.subject, StrongSubject: route.Subject{Account: t.Account, Class: t.Class, Version: strong.ID},
 		Cheap: cheap.Price.Cost(t.Prompt, t.Output), Strong: strong.Price.Cost(t.Prompt, t.Output),
-		Judged: true, Quality: willowwick.Score(s.trace.Quality), Now: s.now, Deadline: t.deadline, CanExplore: true,
+		HasJudge: true, Quality: willowwick.Score(s.trace.Quality), Now: s.now, Deadline: t.deadline, CanExplore: true,
 	})
 	if verdict == route.SkipStage {
 		return strong
@@ -271,7 +271,7 @@
 	}
 	t.place, t.started = place, s.now
 	t.router.taken[t.version.ID]++
-	t.router.queueOf(t.version.ID).SetPlaces(t.router.taken[t.version.ID])
+	t.router.queueOf(t.version.ID).SetInFlight(t.router.taken[t.version.ID])
 	r := s.runners[place.Endpoint.ID]
 	bad := t.version.ID == s.trace.New.ID && s.trace.Rollout.How != "" && s.since(s.trace.Rollout.BadMs) >= 0
 	if bad {
@@ -303,9 +303,9 @@
 	box, version := t.router, t.version.ID
 	box.taken[version]--
 	q := box.queueOf(version)
-	q.SetPlaces(box.taken[version])
+	q.SetInFlight(box.taken[version])
 	if !failed {
-		q.Served(t.Prompt+t.Output, s.now.Sub(t.started))
+		q.RecordServed(t.Prompt+t.Output, s.now.Sub(t.started))
 	}
 	s.next(box)
 	seen := rollout.Evidence{Requests: 1}
@@ -320,7 +320,7 @@
 		return
 	}
 	t.cost += t.version.Price.Cost(t.Prompt, t.Output)
-	s.learner.Took(route.Subject{Account: t.Account, Class: t.Class, Version: version}, s.now.Sub(t.started))
+	s.learner.RecordDuration(route.Subject{Account: t.Account, Class: t.Class, Version: version}, s.now.Sub(t.started))
 	s.answered(t, first)
 }
 
@@ -373,8 +373,8 @@
 			t.subject.Version = t.version.ID
 			s.rated(t, rated)
 		}
-		if expected, known := s.learner.Expected(route.Subject{Account: t.Account, Class: t.Class, Version: t.version.ID}); known {
-			s.learner.Gave(t.Account, expected)
+		if expected, known := s.learner.ExpectedPassRate(route.Subject{Account: t.Account, Class: t.Class, Version: t.version.ID}); known {
+			s.learner.RecordQuality(t.Account, expected)
 		}
 		s.result.add(t, first.Sub(t.arrived), s.now, good)
 		return
@@ -382,7 +382,7 @@
 	s.at(s.now.Add(raterDelay), func() {
 		s.rated(t, rated)
 		if rated {
-			s.learner.Gave(t.Account, 1)
+			s.learner.RecordQuality(t.Account, 1)
 			// A judged answer is let go all at once.
 			s.result.add(t, s.now.Sub(t.arrived), s.now, good)
 			return
@@ -407,7 +407,7 @@
 // rated takes a rating: the learner wants all, the evidence on versions only a
 // sample that does not depend on why the answer was rated.
 func (s *simulation) rated(t *task, passed bool) {
-	s.learner.Rated(t.subject, passed)
+	s.learner.RecordRating(t.subject, passed)
 	if t.Lot >= sampledLot {
 		return
 	}
--- a/route/hall_test.go
+++ b/route/hall_test.go
@@ -33,10 +33,10 @@
 
 func TestPendingWorkAndFailuresWeigh(t *testing.T) {
 	pending := candidate("here", 0)
-	pending.Ahead = 8 * slotTime
+	pending.Ahead = 8 * delayPerRequest
 	assert.Equal(t, 1, pickOf(fixedSet{pending, candidate("here", 5)}))
 	long := candidate("here", 0)
-	long.Reading = 8 * slotTime / readingWeight
+	long.Reading = 8 * delayPerRequest / prefillWeight
 	assert.Equal(t, 1, pickOf(fixedSet{long, candidate("here", 5)}))
 	failing := candidate("here", 0)
 	failing.Failing = 0.4
@@ -47,6 +47,6 @@
 	closed := candidate("here", 0)
 	closed.Open = false
 	assert.Equal(t, 1, pickOf(fixedSet{closed, candidate("there", 20)}))
-	assert.Equal(t, noneOpen, pickOf(fixedSet{closed}))
-	assert.Equal(t, noneOpen, pickOf(nil))
+	assert.Equal(t, noCandidate, pickOf(fixedSet{closed}))
+	assert.Equal(t, noCandidate, pickOf(nil))
 }
--- a/route/learner.go
+++ b/route/learner.go
@@ -11,17 +11,17 @@
 const (
 	// wilsonZ is the normal quantile of the one-sided 95% confidence bound.
 	wilsonZ = 1.645
-	// memory is the number of ratings after which older ones fade.
-	memory         = 400
-	smoothing      = 0.1
-	priorPassRate  = 0.6
-	priorStrength  = 4
-	exploreEvery   = 50
-	accountMinimum = 20
-	// slackMinimum is how many answers an account was given before its average says something.
-	slackMinimum = 40
-	// slackDepth is how far below the target the pass rate of a trusted answer may lie.
-	slackDepth = 0.2
+	// ratingWindow is the number of ratings after which older ones fade.
+	ratingWindow      = 400
+	durationSmoothing = 0.1
+	priorPassRate     = 0.6
+	priorStrength     = 4
+	exploreEvery      = 50
+	minRatings        = 20
+	// minAnswersForSlack is how many answers an account was given before its average says something.
+	minAnswersForSlack = 40
+	// maxTrustDeficit is how far below the target the pass rate of a trusted answer may lie.
+	maxTrustDeficit = 0.2
 	// slackMargin keeps the average above the target, whatever the rater's own mistakes.
 	slackMargin = 0.02
 )
@@ -42,24 +42,24 @@
 
 	// Learner learns how often the answers of a version pass, and how long they take.
 	Learner struct {
-		mu      sync.Mutex
-		counts  map[Subject]*passCount
-		seconds map[Subject]float64 // smoothed length of a whole answer
-		skipped map[Subject]int
-		given   map[willowwick.AccountID]*passCount // expected quality of the answers given
+		mu        sync.Mutex
+		counts    map[Subject]*passCount
+		seconds   map[Subject]float64 // smoothed length of a whole answer
+		skipped   map[Subject]int
+		delivered map[willowwick.AccountID]*passCount // expected quality of the answers given
 	}
 
 	// StageChoice is what the first stages of a cascade are worth to a request.
 	StageChoice struct {
-		Subject    Subject
-		Cheap      willowwick.MicroUnits // expected cost of the cheap answer
-		Strong     willowwick.MicroUnits // expected cost of the answer after it
-		StrongOf   Subject
-		Judged     bool // a judge will look at the cheap answer
-		Quality    willowwick.Score
-		Now        time.Time
-		Deadline   time.Time
-		CanExplore bool
+		Subject       Subject
+		Cheap         willowwick.MicroUnits // expected cost of the cheap answer
+		Strong        willowwick.MicroUnits // expected cost of the answer after it
+		StrongSubject Subject
+		HasJudge      bool // a judge will look at the cheap answer
+		Quality       willowwick.Score
+		Now           time.Time
+		Deadline      time.Time
+		CanExplore    bool
 	}
 
 	// Verdict says what to do with a cheap stage.
@@ -79,30 +79,30 @@
 // NewLearner returns a learner that knows nothing.
 func NewLearner() *Learner {
 	return &Learner{
-		counts:  map[Subject]*passCount{},
-		seconds: map[Subject]float64{},
-		skipped: map[Subject]int{},
-		given:   map[willowwick.AccountID]*passCount{},
+		counts:    map[Subject]*passCount{},
+		seconds:   map[Subject]float64{},
+		skipped:   map[Subject]int{},
+		delivered: map[willowwick.AccountID]*passCount{},
 	}
 }
 
-// Rated notes whether an answer passed.
-func (l *Learner) Rated(subject Subject, passed bool) {
+// RecordRating notes whether an answer passed.
+func (l *Learner) RecordRating(subject Subject, passed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.count(subject).add(passed)
-	l.count(subject.ofAll()).add(passed)
+	l.count(subject.forAllAccounts()).add(passed)
 }
 
-// Took notes how long a whole answer took.
-func (l *Learner) Took(subject Subject, length time.Duration) {
+// RecordDuration notes how long a whole answer took.
+func (l *Learner) RecordDuration(subject Subject, length time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	before, known := l.seconds[subject.ofAll()]
+	before, known := l.seconds[subject.forAllAccounts()]
 	if !known {
 		before = length.Seconds()
 	}
-	l.seconds[subject.ofAll()] = before + smoothing*(length.Seconds()-before)
+	l.seconds[subject.forAllAccounts()] = before + durationSmoothing*(length.Seconds()-before)
 }
 
 // PassRate returns the expected pass rate of a subject and its lower confidence bound.
@@ -116,7 +116,7 @@
 func (l *Learner) Choose(c StageChoice) Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	needed := l.seconds[c.Subject.ofAll()] + l.seconds[c.StrongOf.ofAll()]
+	needed := l.seconds[c.Subject.forAllAccounts()] + l.seconds[c.StrongSubject.forAllAccounts()]
 	if c.Now.Add(time.Duration(needed * float64(time.Second))).After(c.Deadline) {
 		return SkipStage
 	}
@@ -125,7 +125,7 @@
 		// Nothing is gained by waiting for the judge.
 		return TrustStage
 	}
-	if !c.Judged {
+	if !c.HasJudge {
 		return SkipStage
 	}
 	if float64(c.Cheap) < mean*float64(c.Strong) {
@@ -142,33 +142,33 @@
 // that an unjudged answer of this kind leaves them above it. Kinds that fail
 // much more often than the target allows are never trusted.
 func (l *Learner) hasSlack(c StageChoice, lower float64) bool {
-	given := l.given[c.Subject.Account]
-	if given == nil || given.rated < slackMinimum || lower < float64(c.Quality)-slackDepth {
+	given := l.delivered[c.Subject.Account]
+	if given == nil || given.rated < minAnswersForSlack || lower < float64(c.Quality)-maxTrustDeficit {
 		return false
 	}
 	after := (given.passed + lower) / (given.rated + 1)
 	return after >= float64(c.Quality)+slackMargin
 }
 
-// Gave notes the expected quality of an answer that the account was given.
-func (l *Learner) Gave(account willowwick.AccountID, quality float64) {
+// RecordQuality notes the expected quality of an answer that the account was given.
+func (l *Learner) RecordQuality(account willowwick.AccountID, quality float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	given := l.given[account]
+	given := l.delivered[account]
 	if given == nil {
 		given = &passCount{}
-		l.given[account] = given
+		l.delivered[account] = given
 	}
-	given.fade()
+	given.decay()
 	given.rated++
 	given.passed += quality
 }
 
-// Expected returns the pass rate of a subject, if enough is known of it.
-func (l *Learner) Expected(subject Subject) (mean float64, known bool) {
+// ExpectedPassRate returns the pass rate of a subject, if enough is known of it.
+func (l *Learner) ExpectedPassRate(subject Subject) (mean float64, known bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if count := l.counts[subject.ofAll()]; count == nil || count.rated < accountMinimum {
+	if count := l.counts[subject.forAllAccounts()]; count == nil || count.rated < minRatings {
 		return 0, false
 	}
 	mean, _ = l.passRate(subject)
@@ -177,8 +177,8 @@
 
 func (l *Learner) passRate(subject Subject) (mean, lower float64) {
 	count := l.counts[subject]
-	if count == nil || count.rated < accountMinimum {
-		if all := l.counts[subject.ofAll()]; all != nil {
+	if count == nil || count.rated < minRatings {
+		if all := l.counts[subject.forAllAccounts()]; all != nil {
 			count = all
 		}
 	}
@@ -199,23 +199,23 @@
 }
 
 func (c *passCount) add(passed bool) {
-	c.fade()
+	c.decay()
 	c.rated++
 	if passed {
 		c.passed++
 	}
 }
 
-// fade makes room for one more rating once the memory is full.
-func (c *passCount) fade() {
-	if c.rated >= memory {
-		c.rated *= 1 - 1.0/memory
-		c.passed *= 1 - 1.0/memory
+// decay makes room for one more rating once the memory is full.
+func (c *passCount) decay() {
+	if c.rated >= ratingWindow {
+		c.rated *= 1 - 1.0/ratingWindow
+		c.passed *= 1 - 1.0/ratingWindow
 	}
 }
 
-// ofAll is the same class and version over all client accounts.
-func (s Subject) ofAll() Subject {
+// forAllAccounts is the same class and version over all client accounts.
+func (s Subject) forAllAccounts() Subject {
 	return Subject{Class: s.Class, Version: s.Version}
 }
 
--- a/route/limits.go
+++ b/route/limits.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	retryShare   = 0.1 // retries allowed for each success
-	retryReserve = 10
-	demandFade   = 0.3
-	shortestWait = time.Millisecond
-	// demandSettle is how long demand must have lasted before it claims a part of the limit: by then all boxes know
+	retryShare      = 0.1 // retries allowed for each success
+	retryReserve    = 10
+	demandSmoothing = 0.3
+	minRetryWait    = time.Millisecond
+	// demandSettleTime is how long demand must have lasted before it claims a part of the limit: by then all boxes know
 	// of it, since digests of halls are renewed every 5 s and reach the last box some ticks of a second later.
-	demandSettle = 8 * time.Second
+	demandSettleTime = 8 * time.Second
 )
 
 type (
@@ -49,15 +49,15 @@
 	// demand that it had of late, which the others know of, and leaves them what
 	// they last told. So the shares never add up to more than the limit.
 	AccountLimiter struct {
-		mu       sync.Mutex
-		buckets  map[willowwick.AccountID]*accountBuckets
-		asked    map[willowwick.AccountID]float64
-		demand   Demand
-		history  []measuredDemand // of the last demandSettle, the oldest first
-		settled  Demand           // the least of the history once it is as long
-		measured time.Time
-		shares   map[willowwick.AccountID]float64
-		equal    float64
+		mu         sync.Mutex
+		buckets    map[willowwick.AccountID]*accountBuckets
+		requested  map[willowwick.AccountID]float64
+		demand     Demand
+		history    []measuredDemand // of the last demandSettle, the oldest first
+		settled    Demand           // the least of the history once it is as long
+		measured   time.Time
+		shares     map[willowwick.AccountID]float64
+		equalShare float64
 	}
 
 	// measuredDemand is the demand as it was measured at a time.
@@ -82,7 +82,7 @@
 	}
 	missing := min(amount, burst) - b.level
 	wait := time.Duration(missing / rate * float64(time.Second))
-	return now.Add(max(wait, shortestWait)), false
+	return now.Add(max(wait, minRetryWait)), false
 }
 
 func (b *Bucket) fill(now time.Time, rate, burst float64) {
@@ -120,12 +120,12 @@
 // NewAccountLimiter returns a limiter that takes itself to be alone.
 func NewAccountLimiter() *AccountLimiter {
 	return &AccountLimiter{
-		buckets: map[willowwick.AccountID]*accountBuckets{},
-		asked:   map[willowwick.AccountID]float64{},
-		demand:  Demand{},
-		settled: Demand{},
-		shares:  map[willowwick.AccountID]float64{},
-		equal:   1,
+		buckets:    map[willowwick.AccountID]*accountBuckets{},
+		requested:  map[willowwick.AccountID]float64{},
+		demand:     Demand{},
+		settled:    Demand{},
+		shares:     map[willowwick.AccountID]float64{},
+		equalShare: 1,
 	}
 }
 
@@ -133,7 +133,7 @@
 func (l *AccountLimiter) Take(now time.Time, account willowwick.AccountID, limit config.Limit, tokens willowwick.Tokens) (retryAt time.Time, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.asked[account] += float64(tokens)
+	l.requested[account] += float64(tokens)
 	b := l.buckets[account]
 	if b == nil {
 		b = &accountBuckets{}
@@ -141,7 +141,7 @@
 	}
 	share, known := l.shares[account]
 	if !known {
-		share = l.equal
+		share = l.equalShare
 	}
 	if limit.RequestsPerSecond > 0 {
 		rate := limit.RequestsPerSecond * share
@@ -177,35 +177,35 @@
 	if seconds <= 0 {
 		return maps.Clone(l.demand)
 	}
-	for account := range l.asked {
+	for account := range l.requested {
 		if _, known := l.demand[account]; !known {
 			l.demand[account] = 0
 		}
 	}
 	for account, before := range l.demand {
 		// Demand that rises is told at once: until the others know of it, it claims nothing.
-		measured := l.asked[account] / seconds
-		rate := max(measured, before+demandFade*(measured-before))
-		if rate < 1 && l.asked[account] == 0 {
+		measured := l.requested[account] / seconds
+		rate := max(measured, before+demandSmoothing*(measured-before))
+		if rate < 1 && l.requested[account] == 0 {
 			delete(l.demand, account)
 			continue
 		}
 		l.demand[account] = rate
 	}
-	clear(l.asked)
+	clear(l.requested)
 	l.measured = now
-	l.settle(now)
+	l.updateSettled(now)
 	return maps.Clone(l.demand)
 }
 
-// settle keeps the least demand since the newest measure that is at least demandSettle old; there is none before.
-func (l *AccountLimiter) settle(now time.Time) {
+// updateSettled keeps the least demand since the newest measure that is at least demandSettle old; there is none before.
+func (l *AccountLimiter) updateSettled(now time.Time) {
 	l.history = append(l.history, measuredDemand{at: now, demand: maps.Clone(l.demand)})
-	for len(l.history) > 1 && now.Sub(l.history[1].at) >= demandSettle {
+	for len(l.history) > 1 && now.Sub(l.history[1].at) >= demandSettleTime {
 		l.history = l.history[1:]
 	}
 	clear(l.settled)
-	if now.Sub(l.history[0].at) < demandSettle {
+	if now.Sub(l.history[0].at) < demandSettleTime {
 		return
 	}
 	for account := range l.demand {
@@ -223,7 +223,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	boxes := float64(len(peers) + 1)
-	l.equal = 1 / boxes
+	l.equalShare = 1 / boxes
 	clear(l.shares)
 	if !connected {
 		return
@@ -234,7 +234,7 @@
 			fresh++
 		}
 	}
-	pot := fresh / boxes
+	available := fresh / boxes
 	for account := range l.demand {
 		own := l.settled[account]
 		total := own
@@ -244,11 +244,11 @@
 			}
 		}
 		// Half is divided equally, so that a box that was idle can start at once.
-		even := pot / fresh / 2
-		l.shares[account] = even + pot/2*ratio(own, total, 1/fresh)
+		even := available / fresh / 2
+		l.shares[account] = even + available/2*ratio(own, total, 1/fresh)
 	}
 	// An account without demand here takes only the even half of its share.
-	l.equal = pot / fresh / 2
+	l.equalShare = available / fresh / 2
 }
 
 func ratio(part, whole, otherwise float64) float64 {
--- a/route/picker.go
+++ b/route/picker.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	sampleTries     = 4
-	hallPenalty     = 0.05 // of a slot's worth of load
-	prefixBonus     = 0.1
-	ownerLoadLimit  = 0.9
-	defaultSlots    = 8
-	noneOpen        = -1
-	unknownLoadHalf = 0.5
+	sampleTries    = 4
+	hallPenalty    = 0.05 // of a slot's worth of load
+	prefixBonus    = 0.1
+	ownerLoadLimit = 0.9
+	defaultSlots   = 8
+	noCandidate    = -1
+	unknownLoad    = 0.5
 )
 
 type (
@@ -60,9 +60,9 @@
 func (p *PowerOfTwo) Pick(_ time.Time, set willowwick.CandidateSet, prefix uint64) int {
 	n := set.Len()
 	if n == 0 {
-		return noneOpen
+		return noCandidate
 	}
-	best, bestScore := noneOpen, 0.0
+	best, bestScore := noCandidate, 0.0
 	consider := func(index int, bonus float64) {
 		candidate := set.At(index)
 		if !candidate.Open {
@@ -72,7 +72,7 @@
 		if candidate.Hall != p.Hall {
 			score += hallPenalty
 		}
-		if best == noneOpen || score < bestScore {
+		if best == noCandidate || score < bestScore {
 			best, bestScore = index, score
 		}
 	}
@@ -89,7 +89,7 @@
 		}
 		consider(index, 0)
 	}
-	if best == noneOpen {
+	if best == noCandidate {
 		best = firstOpen(set, p.random.intN(n))
 	}
 	return best
@@ -97,11 +97,11 @@
 
 // Pick implements willowwick.Picker.
 func (LeastLoaded) Pick(_ time.Time, set willowwick.CandidateSet, _ uint64) int {
-	best, bestLoad := noneOpen, 0
+	best, bestLoad := noCandidate, 0
 	for i := range set.Len() {
 		candidate := set.At(i)
 		load := candidate.Load.Running + candidate.Load.Waiting
-		if candidate.Open && (best == noneOpen || load < bestLoad) {
+		if candidate.Open && (best == noCandidate || load < bestLoad) {
 			best, bestLoad = i, load
 		}
 	}
@@ -111,7 +111,7 @@
 // Pick implements willowwick.Picker.
 func (r *RoundRobin) Pick(_ time.Time, set willowwick.CandidateSet, _ uint64) int {
 	if set.Len() == 0 {
-		return noneOpen
+		return noCandidate
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -127,14 +127,14 @@
 			return index
 		}
 	}
-	return noneOpen
+	return noCandidate
 }
 
 // loadOf is the share of an endpoint's slots that is taken, by its last report and what was sent since.
 func loadOf(c willowwick.Candidate) float64 {
 	slots := c.Load.Slots
 	if slots == 0 {
-		return float64(c.InFlight)/defaultSlots + unknownLoadHalf
+		return float64(c.InFlight)/defaultSlots + unknownLoad
 	}
 	taken := max(c.Load.Running+c.Load.Waiting+c.Recent, c.InFlight)
 	return float64(taken) / float64(slots)
--- a/route/plan.go
+++ b/route/plan.go
@@ -31,12 +31,12 @@
 		return Plan{}, willowwick.Invalid(willowwick.CodeBadKey, "Authorization", "client account %q is not declared", request.Account)
 	}
 	plan := Plan{}
-	decision, err := decide(r, account, request, now)
+	decision, err := evaluatePolicy(r, account, request, now)
 	plan.Failure, plan.Rule, plan.Exclude = err, decision.Rule, decision.Exclude
 	if decision.Deny != "" {
 		return plan, &willowwick.Refusal{Kind: willowwick.KindNotRun, Code: willowwick.CodeDenied, Message: decision.Deny}
 	}
-	if refusal := plan.aim(r, account, request, decision); refusal != nil {
+	if refusal := plan.setStages(r, account, request, decision); refusal != nil {
 		return plan, refusal
 	}
 	plan.Stages = allowedStages(r, account, plan.Stages)
@@ -47,7 +47,7 @@
 	return plan, nil
 }
 
-func decide(r *config.Revision, account *config.ClientAccount, request *willowwick.Request, now time.Time) (policy.Decision, error) {
+func evaluatePolicy(r *config.Revision, account *config.ClientAccount, request *willowwick.Request, now time.Time) (policy.Decision, error) {
 	declared, ok := r.Policy(account.Policy)
 	if !ok {
 		return policy.Decision{}, nil
@@ -64,9 +64,9 @@
 	})
 }
 
-// aim sets the plan's stages: the caller's own choice of a model or cascade
+// setStages sets the plan's stages: the caller's own choice of a model or cascade
 // stands, unless the policy names another; auto goes by policy or default.
-func (p *Plan) aim(r *config.Revision, account *config.ClientAccount, request *willowwick.Request, decision policy.Decision) *willowwick.Refusal {
+func (p *Plan) setStages(r *config.Revision, account *config.ClientAccount, request *willowwick.Request, decision policy.Decision) *willowwick.Refusal {
 	switch {
 	case decision.Model != "":
 		p.Stages = []willowwick.ModelID{decision.Model}
--- a/route/pool.go
+++ b/route/pool.go
@@ -324,12 +324,12 @@
 		r.exclude = nil
 	}
 	index := p.picker.Pick(now, r, prefix)
-	if index == noneOpen && p.options.FallBackToEjected {
+	if index == noCandidate && p.options.FallBackToEjected {
 		r.allowEjected = true
 		index = p.picker.Pick(now, r, prefix)
 		r.allowEjected = false
 	}
-	if index == noneOpen {
+	if index == noCandidate {
 		return nil, r.hasServing()
 	}
 	m := r.members[index]
--- a/route/queue.go
+++ b/route/queue.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	quantum         = 512 // tokens that an account of weight 1 is given each round
-	speedSmoothing  = 0.05
-	shortestService = 0.001 // seconds
-	unknownBacklog  = 64    // requests taken in before the rate of service is known
+	quantumTokens        = 512 // tokens that an account of weight 1 is given each round
+	speedSmoothing       = 0.05
+	minServiceSeconds    = 0.001 // seconds
+	maxUnmeasuredBacklog = 64    // requests taken in before the rate of service is known
 )
 
 type (
@@ -25,12 +25,12 @@
 
 	// Queue gives client accounts their turns by deficit round robin in estimated tokens.
 	Queue struct {
-		flows   map[willowwick.AccountID]*flow
-		ring    []*flow
-		length  int
-		backlog willowwick.Tokens
-		speed   float64 // tokens a second that one place works off, smoothed
-		places  int
+		flows    map[willowwick.AccountID]*flow
+		ring     []*flow
+		length   int
+		backlog  willowwick.Tokens
+		speed    float64 // tokens a second that one place works off, smoothed
+		inFlight int
 	}
 
 	flow struct {
@@ -52,10 +52,10 @@
 	return q.length
 }
 
-// Wait estimates when a request of the account would get its turn.
+// EstimateDispatch estimates when a request of the account would get its turn.
 //
 // An account waits behind its own backlog and the share of the others'.
-func (q *Queue) Wait(now time.Time, account willowwick.AccountID, weight int, cost willowwick.Tokens) time.Time {
+func (q *Queue) EstimateDispatch(now time.Time, account willowwick.AccountID, weight int, cost willowwick.Tokens) time.Time {
 	rate := q.rate()
 	if rate <= 0 {
 		return now
@@ -78,8 +78,8 @@
 
 // Push adds a request, or says when its account should come back if it could not make its deadline.
 func (q *Queue) Push(now time.Time, w *Waiter) (retryAt time.Time, ok bool) {
-	turn := q.Wait(now, w.Account, w.Weight, w.Cost)
-	unknown := q.rate() <= 0 && q.length >= unknownBacklog
+	turn := q.EstimateDispatch(now, w.Account, w.Weight, w.Cost)
+	unknown := q.rate() <= 0 && q.length >= maxUnmeasuredBacklog
 	if turn.After(w.Deadline) || unknown || !now.Before(w.Deadline) {
 		return turn, false
 	}
@@ -107,7 +107,7 @@
 		if head := f.waiting[0]; f.deficit >= head.Cost {
 			return head
 		}
-		f.deficit += quantum * willowwick.Tokens(f.weight)
+		f.deficit += quantumTokens * willowwick.Tokens(f.weight)
 		q.ring = append(q.ring[1:], f)
 	}
 	return nil
@@ -140,7 +140,7 @@
 		}
 		q.drop(f, i)
 		if len(f.waiting) == 0 {
-			q.leaveRing(f)
+			q.removeFlow(f)
 		}
 		return true
 	}
@@ -177,23 +177,23 @@
 	return expired
 }
 
-// Served notes that one place worked off a request of the given size in the given time.
-func (q *Queue) Served(cost willowwick.Tokens, took time.Duration) {
-	speed := float64(cost) / max(took.Seconds(), shortestService)
+// RecordServed notes that one place worked off a request of the given size in the given time.
+func (q *Queue) RecordServed(cost willowwick.Tokens, took time.Duration) {
+	speed := float64(cost) / max(took.Seconds(), minServiceSeconds)
 	if q.speed == 0 {
 		q.speed = speed
 	}
 	q.speed += speedSmoothing * (speed - q.speed)
 }
 
-// SetPlaces tells how many requests are being worked on.
-func (q *Queue) SetPlaces(places int) {
-	q.places = places
+// SetInFlight tells how many requests are being worked on.
+func (q *Queue) SetInFlight(places int) {
+	q.inFlight = places
 }
 
 // rate is the speed of the whole pool in tokens a second, or 0 if it is not known yet.
 func (q *Queue) rate() float64 {
-	return q.speed * float64(max(q.places, 1))
+	return q.speed * float64(max(q.inFlight, 1))
 }
 
 func (q *Queue) drop(f *flow, i int) {
@@ -204,7 +204,7 @@
 	q.length--
 }
 
-func (q *Queue) leaveRing(f *flow) {
+func (q *Queue) removeFlow(f *flow) {
 	for i, other := range q.ring {
 		if other == f {
 			q.ring = append(q.ring[:i], q.ring[i+1:]...)
--- a/route/repeats.go
+++ b/route/repeats.go
@@ -5,108 +5,108 @@
 	"time"
 )
 
-// RepeatKind orders repeats by what is lost without them.
-type RepeatKind int
+// RetryKind orders repeats by what is lost without them.
+type RetryKind int
 
 // Kinds of repeat.
 const (
-	// RepeatFailover sends a request again that would otherwise fail.
-	RepeatFailover RepeatKind = iota
-	// RepeatEscalation asks a larger model after an answer of low confidence.
-	RepeatEscalation
+	// RetryFailover sends a request again that would otherwise fail.
+	RetryFailover RetryKind = iota
+	// RetryEscalation asks a larger model after an answer of low confidence.
+	RetryEscalation
 )
 
 const (
-	// windowParts is the number of parts of the window; one part is the error of the count.
-	windowParts = 10
-	// repeatMargin is the share of the operator's allowance that is used: boxes count by clocks of their own,
+	// windowBuckets is the number of parts of the window; one part is the error of the count.
+	windowBuckets = 10
+	// retryMargin is the share of the operator's allowance that is used: boxes count by clocks of their own,
 	// and a request may arrive in another part of the window than it was counted in.
-	repeatMargin = 0.85
-	// escalationMargin is the share of it that escalations may use up; the rest stays for failover.
-	escalationMargin = 0.8
+	retryMargin = 0.85
+	// escalationShare is the share of it that escalations may use up; the rest stays for failover.
+	escalationShare = 0.8
 )
 
 type (
-	// RepeatLimits are the operator's bound on arrivals beyond the first of each request.
-	RepeatLimits struct {
+	// RetryLimits are the operator's bound on arrivals beyond the first of each request.
+	RetryLimits struct {
 		Ratio  float64       // repeats allowed for each request of the window
 		Slack  int           // repeats allowed beyond that, for all boxes together
 		Window time.Duration // setting: window in which they are counted
 	}
 
-	// RepeatBudget holds one box to its part of the bound, for one service.
-	RepeatBudget struct {
-		mu     sync.Mutex
-		limits RepeatLimits
-		parts  [windowParts]repeatPart
+	// WindowedRetryBudget holds one box to its part of the bound, for one service.
+	WindowedRetryBudget struct {
+		mu      sync.Mutex
+		limits  RetryLimits
+		buckets [windowBuckets]retryBucket
 	}
 
-	// repeatPart counts one part of the window.
-	repeatPart struct {
-		turn     int64 // which part of time it counts
+	// retryBucket counts one part of the window.
+	retryBucket struct {
+		index    int64 // which part of time it counts
 		requests int
-		repeats  int
+		retries  int
 	}
 )
 
-// NewRepeatBudget returns a budget with nothing counted.
-func NewRepeatBudget(limits RepeatLimits) *RepeatBudget {
-	return &RepeatBudget{limits: limits}
+// NewWindowedRetryBudget returns a budget with nothing counted.
+func NewWindowedRetryBudget(limits RetryLimits) *WindowedRetryBudget {
+	return &WindowedRetryBudget{limits: limits}
 }
 
 // Request counts a request of a caller.
-func (b *RepeatBudget) Request(now time.Time) {
+func (b *WindowedRetryBudget) Request(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.part(now).requests++
+	b.bucket(now).requests++
 }
 
 // Take counts a repeat if this box's part of the bound allows it.
-func (b *RepeatBudget) Take(now time.Time, kind RepeatKind, boxes int) bool {
+func (b *WindowedRetryBudget) Take(now time.Time, kind RetryKind, boxes int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.allows(now, kind, boxes) {
 		return false
 	}
-	b.part(now).repeats++
+	b.bucket(now).retries++
 	return true
 }
 
 // Allows reports whether Take would allow a repeat.
-func (b *RepeatBudget) Allows(now time.Time, kind RepeatKind, boxes int) bool {
+func (b *WindowedRetryBudget) Allows(now time.Time, kind RetryKind, boxes int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.allows(now, kind, boxes)
 }
 
-func (b *RepeatBudget) allows(now time.Time, kind RepeatKind, boxes int) bool {
+func (b *WindowedRetryBudget) allows(now time.Time, kind RetryKind, boxes int) bool {
 	requests, repeats := b.sums(now)
-	allowed := repeatMargin * (b.limits.Ratio*float64(requests) + float64(b.limits.Slack)/float64(max(boxes, 1)))
-	if kind == RepeatEscalation {
-		allowed *= escalationMargin
+	allowed := retryMargin * (b.limits.Ratio*float64(requests) + float64(b.limits.Slack)/float64(max(boxes, 1)))
+	if kind == RetryEscalation {
+		allowed *= escalationShare
 	}
 	return float64(repeats+1) <= allowed
 }
 
-func (b *RepeatBudget) turn(now time.Time) int64 {
-	return now.UnixNano() / (int64(b.limits.Window) / windowParts)
+func (b *WindowedRetryBudget) bucketIndex(now time.Time) int64 {
+	return now.UnixNano() / (int64(b.limits.Window) / windowBuckets)
 }
 
-func (b *RepeatBudget) part(now time.Time) *repeatPart {
-	turn := b.turn(now)
-	part := &b.parts[turn%windowParts]
-	if part.turn != turn {
-		*part = repeatPart{turn: turn}
+func (b *WindowedRetryBudget) bucket(now time.Time) *retryBucket {
+	turn := b.bucketIndex(now)
+	part := &b.buckets[turn%windowBuckets]
+	if part.index != turn {
+		*part = retryBucket{index: turn}
 	}
 	return part
 }
 
-func (b *RepeatBudget) sums(now time.Time) (requests, repeats int) {
-	turn := b.turn(now)
-	for _, part := range b.parts {
-		if turn-part.turn < windowParts {
+func (b *WindowedRetryBudget) sums(now time.Time) (requests, repeats int) {
+	turn := b.bucketIndex(now)
+	for _, part := range b.buckets {
+		if turn-part.index < windowBuckets {
 			requests += part.requests
-			repeats += part.repeats
+			repeats += part.retries
 		}
 	}
 	return requests, repeats
--- a/route/repeats_test.go
+++ b/route/repeats_test.go
@@ -8,14 +8,14 @@
 	"pgregory.net/rapid"
 )
 
-var testLimits = RepeatLimits{Ratio: 0.5, Slack: 40, Window: 10 * time.Second}
+var testLimits = RetryLimits{Ratio: 0.5, Slack: 40, Window: 10 * time.Second}
 
 func TestRepeatsOfAllBoxesStayWithinTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		boxes := rapid.IntRange(1, 9).Draw(t, "boxes")
-		budgets := make([]*RepeatBudget, boxes)
+		budgets := make([]*WindowedRetryBudget, boxes)
 		for i := range budgets {
-			budgets[i] = NewRepeatBudget(testLimits)
+			budgets[i] = NewWindowedRetryBudget(testLimits)
 		}
 		now := time.Unix(1000, 0)
 		var requests, repeats []time.Time
@@ -27,7 +27,7 @@
 				requests = append(requests, now)
 				continue
 			}
-			kind := RepeatKind(rapid.IntRange(0, 1).Draw(t, "kind"))
+			kind := RetryKind(rapid.IntRange(0, 1).Draw(t, "kind"))
 			allowed := budget.Allows(now, kind, boxes)
 			if taken := budget.Take(now, kind, boxes); taken != allowed {
 				t.Fatalf("Take says %v after Allows said %v", taken, allowed)
@@ -55,17 +55,17 @@
 }
 
 func TestEscalationsLeaveRoomForFailover(t *testing.T) {
-	budget := NewRepeatBudget(testLimits)
+	budget := NewWindowedRetryBudget(testLimits)
 	now := time.Unix(1000, 0)
-	for budget.Take(now, RepeatEscalation, 1) {
+	for budget.Take(now, RetryEscalation, 1) {
 	}
-	assert.True(t, budget.Take(now, RepeatFailover, 1))
+	assert.True(t, budget.Take(now, RetryFailover, 1))
 }
 
 func TestRepeatsOfAnEarlierWindowAreForgotten(t *testing.T) {
-	budget := NewRepeatBudget(testLimits)
+	budget := NewWindowedRetryBudget(testLimits)
 	now := time.Unix(1000, 0)
-	for budget.Take(now, RepeatFailover, 1) {
+	for budget.Take(now, RetryFailover, 1) {
 	}
-	assert.True(t, budget.Take(now.Add(testLimits.Window+testLimits.Window/windowParts), RepeatFailover, 1))
+	assert.True(t, budget.Take(now.Add(testLimits.Window+testLimits.Window/windowBuckets), RetryFailover, 1))
 }
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -43,7 +43,7 @@
 			limiter.Divide(peers, connected)
 			share, known := limiter.shares["a"]
 			if !known {
-				share = limiter.equal
+				share = limiter.equalShare
 			}
 			total += share
 		}
@@ -70,7 +70,7 @@
 					asked[i] = rapid.SampledFrom([]int{0, 10, 1000}).Draw(rt, "asked")
 				}
 				if asked[i] > 0 {
-					limiter.asked["a"] += float64(asked[i])
+					limiter.requested["a"] += float64(asked[i])
 				}
 				told[i] = append(told[i], limiter.Measure(now))
 			}
@@ -85,7 +85,7 @@
 				limiter.Divide(peers, true)
 				share, known := limiter.shares["a"]
 				if !known {
-					share = limiter.equal
+					share = limiter.equalShare
 				}
 				total += share
 			}
@@ -101,7 +101,7 @@
 		for account, cost := range map[willowwick.AccountID]willowwick.Tokens{"heavy": 4000, "light": 200} {
 			_, ok := q.Push(noon, &Waiter{Account: account, Weight: 1, Cost: cost, Deadline: noon.Add(time.Hour)})
 			if !ok {
-				q.Served(4000, time.Second)
+				q.RecordServed(4000, time.Second)
 			}
 		}
 	}
@@ -136,25 +136,25 @@
 func TestCascadeChoices(t *testing.T) {
 	subject := Subject{Account: "a", Class: "c", Version: "small"}
 	choice := StageChoice{
-		Subject: subject, StrongOf: Subject{Account: "a", Class: "c", Version: "large"}, Cheap: 10, Strong: 100,
-		Judged: true, Quality: 0.9, Now: noon, Deadline: noon.Add(time.Minute),
+		Subject: subject, StrongSubject: Subject{Account: "a", Class: "c", Version: "large"}, Cheap: 10, Strong: 100,
+		HasJudge: true, Quality: 0.9, Now: noon, Deadline: noon.Add(time.Minute),
 	}
 	l := NewLearner()
 	require.Equal(t, TryStage, l.Choose(choice), "nothing is known")
 	unjudged := choice
-	unjudged.Judged = false
+	unjudged.HasJudge = false
 	require.Equal(t, SkipStage, l.Choose(unjudged), "nothing is known, and nobody judges")
 	for range 300 {
-		l.Rated(subject, true)
+		l.RecordRating(subject, true)
 	}
 	require.Equal(t, TrustStage, l.Choose(unjudged), "it always passes")
 	for range 1500 {
-		l.Rated(subject, false)
+		l.RecordRating(subject, false)
 	}
 	require.Equal(t, SkipStage, l.Choose(choice), "it hardly ever passes")
 	l = NewLearner()
-	l.Took(subject, 40*time.Second)
-	l.Took(choice.StrongOf, 40*time.Second)
+	l.RecordDuration(subject, 40*time.Second)
+	l.RecordDuration(choice.StrongSubject, 40*time.Second)
 	require.Equal(t, SkipStage, l.Choose(choice), "there is no time for both")
 }
 
@@ -163,11 +163,11 @@
 	l := NewLearner()
 	subject := Subject{Account: "a", Class: "c", Version: "small"}
 	for n := range 200 {
-		l.Rated(subject, n%5 != 0)
+		l.RecordRating(subject, n%5 != 0)
 	}
 	choice := StageChoice{
-		Subject: subject, StrongOf: Subject{Account: "a", Class: "c", Version: "large"}, Cheap: 10, Strong: 100,
-		Judged: true, Quality: 0.9, Now: noon, Deadline: noon.Add(time.Minute),
+		Subject: subject, StrongSubject: Subject{Account: "a", Class: "c", Version: "large"}, Cheap: 10, Strong: 100,
+		HasJudge: true, Quality: 0.9, Now: noon, Deadline: noon.Add(time.Minute),
 	}
 	given, trusted := 0.0, 0
 	const requests = 2000
@@ -177,7 +177,7 @@
 			trusted++
 			quality = 0.8
 		}
-		l.Gave("a", quality)
+		l.RecordQuality("a", quality)
 		given += quality
 	}
 	require.Greater(t, trusted, requests/10)
--- a/route/version.go
+++ b/route/version.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	shareScale    = 10_000
-	percent       = 100
-	staleRetryGap = 2 * time.Second
+	shareScale      = 10_000
+	percent         = 100
+	staleRetryDelay = 2 * time.Second
 )
 
 type (
@@ -24,7 +24,7 @@
 		Pinned    willowwick.VersionID            // version of the session, if it has one
 		Confirmed bool                            // the configuration is known to be current
 		Stopped   func(willowwick.VersionID) bool // found bad here: not for anyone
-		Held      func(willowwick.VersionID) bool // not for new sessions
+		HeldBack  func(willowwick.VersionID) bool // not for new sessions
 		Exclude   []willowwick.VersionID
 		Now       time.Time
 	}
@@ -35,16 +35,16 @@
 // A session keeps its version while the account may use it. New sessions are
 // spread over a roll-out by the hash of their seed.
 func ChooseVersion(r *config.Revision, q VersionQuery) (willowwick.VersionID, *willowwick.Refusal) {
-	if q.Pinned != "" && q.keeps(r, q.Pinned) {
+	if q.Pinned != "" && q.mayKeep(r, q.Pinned) {
 		if r.IsRollingOut(q.Pinned) && !q.Confirmed {
-			return "", willowwick.NotRun(willowwick.CodeStale, q.Now.Add(staleRetryGap),
+			return "", willowwick.NotRun(willowwick.CodeStale, q.Now.Add(staleRetryDelay),
 				"this box cannot confirm its configuration, and the session is on a version that is rolling out")
 		}
 		return q.Pinned, nil
 	}
 	if rollout, ok := r.Rollout(q.Model); ok {
-		held := q.Held != nil && q.Held(rollout.To)
-		if q.Confirmed && !held && inShare(q.Seed, rollout) && q.mayUse(r, rollout.To) {
+		held := q.HeldBack != nil && q.HeldBack(rollout.To)
+		if q.Confirmed && !held && inRolloutShare(q.Seed, rollout) && q.mayUse(r, rollout.To) {
 			return rollout.To, nil
 		}
 		if q.mayUse(r, rollout.From) {
@@ -58,8 +58,8 @@
 		"no version of model %q may answer client account %q", q.Model, q.Account)
 }
 
-// keeps reports whether a session may stay on its version.
-func (q VersionQuery) keeps(r *config.Revision, version willowwick.VersionID) bool {
+// mayKeep reports whether a session may stay on its version.
+func (q VersionQuery) mayKeep(r *config.Revision, version willowwick.VersionID) bool {
 	declared, ok := r.Version(version)
 	return ok && declared.Model == q.Model && q.mayUse(r, version)
 }
@@ -71,7 +71,7 @@
 	return q.Stopped == nil || !q.Stopped(version)
 }
 
-func inShare(seed string, rollout config.ActiveRollout) bool {
+func inRolloutShare(seed string, rollout config.ActiveRollout) bool {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(string(rollout.ID))
 	_, _ = digest.WriteString(seed)
--- a/serve/call.go
+++ b/serve/call.go
@@ -314,7 +314,7 @@
 	r.daemon.watch.add(c.version, seen)
 	r.daemon.noteHarmless(r.content)
 	r.daemon.retries.Succeeded()
-	r.daemon.learner.Took(r.subject(c.version), now.Sub(c.begun))
+	r.daemon.learner.RecordDuration(r.subject(c.version), now.Sub(c.begun))
 	r.daemon.metrics.wholeAnswer.UpdateDuration(c.begun)
 	c.detach(outcome)
 	r.daemon.sampleRating(r, c.version, c.text.String())
--- a/serve/cascade.go
+++ b/serve/cascade.go
@@ -75,7 +75,7 @@
 	query := route.VersionQuery{
 		Account: r.request.Account, Model: model, Seed: string(r.request.ID), Pinned: r.token.Versions[model],
 		Confirmed: r.daemon.node.Confirmed(now), Exclude: r.plan.Exclude, Now: now,
-		Stopped: r.daemon.watch.isBad, Held: r.daemon.watch.isStopped,
+		Stopped: r.daemon.watch.isBad, HeldBack: r.daemon.watch.isStopped,
 	}
 	// The newest configuration counts, also for a request that has waited.
 	revision := r.daemon.node.Follower.Revision()
@@ -117,15 +117,15 @@
 	}
 	judged := r.plan.Judge == config.JudgeRater && r.daemon.rater.isUp(clock.Now())
 	return r.daemon.learner.Choose(route.StageChoice{
-		Subject:    r.subject(version),
-		StrongOf:   r.subject(strong),
-		Cheap:      r.expectedCost(version),
-		Strong:     r.expectedCost(strong),
-		Judged:     judged,
-		Quality:    r.plan.Quality,
-		Now:        clock.Now(),
-		Deadline:   r.request.Deadline,
-		CanExplore: true,
+		Subject:       r.subject(version),
+		StrongSubject: r.subject(strong),
+		Cheap:         r.expectedCost(version),
+		Strong:        r.expectedCost(strong),
+		HasJudge:      judged,
+		Quality:       r.plan.Quality,
+		Now:           clock.Now(),
+		Deadline:      r.request.Deadline,
+		CanExplore:    true,
 	})
 }
 
@@ -197,7 +197,7 @@
 // learn takes a rating: the learner wants all, the evidence on versions only a
 // sample that does not depend on why the answer was rated.
 func (r *run) learn(version willowwick.VersionID, passed bool) {
-	r.daemon.learner.Rated(r.subject(version), passed)
+	r.daemon.learner.RecordRating(r.subject(version), passed)
 	if !r.daemon.isSampled(r.request.ID, version) {
 		return
 	}
--- a/serve/run.go
+++ b/serve/run.go
@@ -294,10 +294,10 @@
 // noteQuality tells the learner how good the answer is expected to be.
 func (r *run) noteQuality(version willowwick.VersionID) {
 	if !r.rated {
-		r.quality, r.rated = r.daemon.learner.Expected(r.subject(version))
+		r.quality, r.rated = r.daemon.learner.ExpectedPassRate(r.subject(version))
 	}
 	if r.rated {
-		r.daemon.learner.Gave(r.request.Account, r.quality)
+		r.daemon.learner.RecordQuality(r.request.Account, r.quality)
 	}
 }
 
