--- a/exchange/call.go
+++ b/exchange/call.go
@@ -266,7 +266,7 @@
 		until = earliest(until, now.Add(scale(c.route.Goal, queueShare)))
 	}
 	work := c.work()
-	return c.router.gate.Enter(c.ctx, gate.Wish{
+	return c.router.gate.Enter(c.ctx, gate.Request{
 		Work: string(c.service), Account: c.accountName(), Weight: 1, Cost: c.cost(), Deadline: until,
 		Acquire: func(now time.Time) (*route.Slot, bool) {
 			place, known := c.acquire(now, work, c.choice.allows)
@@ -275,7 +275,7 @@
 			}
 			return place, known
 		},
-		Hopeless: c.isHopeless,
+		Shortage: c.isHopeless,
 	})
 }
 
--- a/exchange/evacuation_test.go
+++ b/exchange/evacuation_test.go
@@ -167,7 +167,7 @@
 	free := s.fill(t)
 	replies := make(chan siteReply, 1)
 	go func() { replies <- s.do(t, http.MethodPost, "/once/", "id", "x", "T-Left", "4000") }()
-	require.Eventually(t, func() bool { return s.daemon.router.gate.WaitingNow() == 1 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return s.daemon.router.gate.WaitingCount() == 1 }, patience, time.Millisecond)
 	began := time.Now()
 	s.control.evacuate("hall-a")
 	assert.Equal(t, http.StatusServiceUnavailable, (<-replies).status)
--- a/exchange/leave_test.go
+++ b/exchange/leave_test.go
@@ -39,10 +39,10 @@
 		}
 		left <- err
 	}()
-	require.Eventually(t, func() bool { return s.daemon.router.gate.WaitingNow() == 1 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return s.daemon.router.gate.WaitingCount() == 1 }, patience, time.Millisecond)
 	leave()
 	require.Error(t, <-left)
-	require.Eventually(t, func() bool { return s.daemon.router.gate.WaitingNow() == 0 }, leftWithin, time.Millisecond)
+	require.Eventually(t, func() bool { return s.daemon.router.gate.WaitingCount() == 0 }, leftWithin, time.Millisecond)
 	close(goOn)
 	for range places {
 		assert.Equal(t, http.StatusOK, <-answered)
--- a/exchange/metrics.go
+++ b/exchange/metrics.go
@@ -26,7 +26,7 @@
 		hintsSent: set.NewCounter("willowwick_hint_datagrams_total"),
 	}
 	set.NewGauge("willowwick_requests_in_flight", func() float64 { return float64(x.inFlight.Load()) })
-	set.NewGauge("willowwick_requests_waiting", func() float64 { return float64(x.gate.WaitingNow()) })
+	set.NewGauge("willowwick_requests_waiting", func() float64 { return float64(x.gate.WaitingCount()) })
 	set.NewGauge("willowwick_config_version", func() float64 { return float64(x.configVersion()) })
 	set.NewGauge("willowwick_halls_evacuated", func() float64 { return float64(x.evacuations.count()) })
 	set.NewGauge("willowwick_connections_dialed", func() float64 { return float64(x.conns.Stats().Dialed) })
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// gateTick is how often the queues are looked through for expired requests and free places.
-	gateTick = 20 * time.Millisecond
-	// OverloadRetry is when a request refused for lack of places should come back at the earliest.
-	OverloadRetry = time.Second
-	// noEndpointRetry is when a request that no endpoint serves should come back.
-	noEndpointRetry = 2 * time.Second
-	// shortageRetry is when a request that no endpoint takes now should come back at the earliest.
-	shortageRetry = 300 * time.Millisecond
-	// shortageRetryMost is when it should at the latest: it is likely to come to another box, which may have its turn sooner.
-	shortageRetryMost = 3 * time.Second
-	// waitPart is the part of the time that a request may wait within which endpoints must take requests again for it to do so: at
+	// tickInterval is how often the queues are looked through for expired requests and free places.
+	tickInterval = 20 * time.Millisecond
+	// OverloadRetryDelay is when a request refused for lack of places should come back at the earliest.
+	OverloadRetryDelay = time.Second
+	// noEndpointRetryDelay is when a request that no endpoint serves should come back.
+	noEndpointRetryDelay = 2 * time.Second
+	// minShortageRetryDelay is when a request that no endpoint takes now should come back at the earliest.
+	minShortageRetryDelay = 300 * time.Millisecond
+	// maxShortageRetryDelay is when it should at the latest: it is likely to come to another box, which may have its turn sooner.
+	maxShortageRetryDelay = 3 * time.Second
+	// shortageWaitDivisor is the part of the time that a request may wait within which endpoints must take requests again for it to do so: at
 	// the end of their rest they take few at first, and others wait, too.
-	waitPart = 2
+	shortageWaitDivisor = 2
 )
 
 type (
@@ -32,11 +32,11 @@
 	Gate struct {
 		mu     sync.Mutex
 		queues map[string]*route.Queue
-		taken  map[string]int
+		inUse  map[string]int
 	}
 
-	// Wish is one request's wish for a place.
-	Wish struct {
+	// Request is one request's wish for a place.
+	Request struct {
 		Work     string // the version or service
 		Account  willowwick.AccountID
 		Weight   int
@@ -44,37 +44,37 @@
 		Deadline time.Time
 		// Acquire takes a place if there is one; known is false if nothing serves the work.
 		Acquire func(now time.Time) (place *route.Slot, known bool)
-		// Hopeless reports whether no place can come before a time, though some endpoint serves the work; nil if it always may.
-		Hopeless func(now time.Time) (shortage route.Shortage, isHopeless bool)
+		// Shortage reports whether no place can come before a time, though some endpoint serves the work; nil if it always may.
+		Shortage func(now time.Time) (shortage route.Shortage, isHopeless bool)
 	}
 
-	// waiting is a wish with what came of it.
-	waiting struct {
-		Wish
-		place  *route.Slot
+	// waiter is a wish with what came of it.
+	waiter struct {
+		Request
+		slot   *route.Slot
 		result chan *willowwick.Refusal
 	}
 
 	// Ticket is a place with what is needed to give it back.
 	Ticket struct {
 		*route.Slot
-		gate  *Gate
-		work  string
-		cost  willowwick.Tokens
-		taken time.Time
+		gate       *Gate
+		work       string
+		cost       willowwick.Tokens
+		acquiredAt time.Time
 	}
 )
 
 // New returns a gate that nothing waits at.
 func New() *Gate {
-	return &Gate{queues: map[string]*route.Queue{}, taken: map[string]int{}}
+	return &Gate{queues: map[string]*route.Queue{}, inUse: map[string]int{}}
 }
 
 // Enter returns a place, at once or after the request's turn has come.
 //
 // A request that cannot make its deadline is refused at once.
-func (g *Gate) Enter(ctx context.Context, wish Wish) (*Ticket, *willowwick.Refusal) {
-	w, placed, refusal := g.join(wish)
+func (g *Gate) Enter(ctx context.Context, request Request) (*Ticket, *willowwick.Refusal) {
+	w, placed, refusal := g.acquireOrQueue(request)
 	if refusal != nil {
 		return nil, refusal
 	}
@@ -85,51 +85,51 @@
 				return nil, refusal
 			}
 		case <-ctx.Done():
-			return nil, g.leave(w)
+			return nil, g.cancel(w)
 		}
 	}
-	return &Ticket{Slot: w.place, gate: g, work: wish.Work, cost: wish.Cost, taken: clock.Now()}, nil
+	return &Ticket{Slot: w.slot, gate: g, work: request.Work, cost: request.Cost, acquiredAt: clock.Now()}, nil
 }
 
-// join takes a place if there is one, and otherwise a turn in the queue.
-func (g *Gate) join(wish Wish) (w *waiting, placed bool, refusal *willowwick.Refusal) {
+// acquireOrQueue takes a place if there is one, and otherwise a turn in the queue.
+func (g *Gate) acquireOrQueue(request Request) (w *waiter, acquired bool, refusal *willowwick.Refusal) {
 	now := clock.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	q := g.queue(wish.Work)
-	w = &waiting{Wish: wish, result: make(chan *willowwick.Refusal, 1)}
+	q := g.queue(request.Work)
+	w = &waiter{Request: request, result: make(chan *willowwick.Refusal, 1)}
 	if q.Len() == 0 {
-		place, known := wish.Acquire(now)
+		place, known := request.Acquire(now)
 		if !known {
-			return nil, false, willowwick.NotRun(willowwick.CodeNoEndpoint, now.Add(noEndpointRetry), "no endpoint serves %q", wish.Work)
+			return nil, false, willowwick.NotRun(willowwick.CodeNoEndpoint, now.Add(noEndpointRetryDelay), "no endpoint serves %q", request.Work)
 		}
 		if place != nil {
-			g.took(w, place)
+			g.assign(w, place)
 			return w, true, nil
 		}
 	}
-	if shortage, isHopeless := wish.isHopeless(now); isHopeless {
-		return nil, false, shortageRefusal(now, shortage, wish.Work)
+	if shortage, isHopeless := request.mustRefuse(now); isHopeless {
+		return nil, false, shortageRefusal(now, shortage, request.Work)
 	}
-	retryAt, ok := q.Push(now, &route.Waiter{Account: wish.Account, Weight: wish.Weight, Cost: wish.Cost, Deadline: wish.Deadline, Value: w})
+	retryAt, ok := q.Push(now, &route.Waiter{Account: request.Account, Weight: request.Weight, Cost: request.Cost, Deadline: request.Deadline, Value: w})
 	if !ok {
-		if retryAt.Before(now.Add(OverloadRetry)) {
-			retryAt = now.Add(OverloadRetry)
+		if retryAt.Before(now.Add(OverloadRetryDelay)) {
+			retryAt = now.Add(OverloadRetryDelay)
 		}
 		return nil, false, willowwick.NotRun(willowwick.CodeOverloaded, retryAt, "the turn of this request would come after its deadline")
 	}
 	return w, false, nil
 }
 
-// isHopeless reports whether no place can come in time for the request to wait for it.
-func (w *Wish) isHopeless(now time.Time) (shortage route.Shortage, isHopeless bool) {
-	if w.Hopeless == nil {
+// mustRefuse reports whether no place can come in time for the request to wait for it.
+func (w *Request) mustRefuse(now time.Time) (shortage route.Shortage, isHopeless bool) {
+	if w.Shortage == nil {
 		return route.Shortage{}, false
 	}
-	if shortage, isHopeless = w.Hopeless(now); !isHopeless {
+	if shortage, isHopeless = w.Shortage(now); !isHopeless {
 		return shortage, false
 	}
-	mayWait := shortage.IsCertain && shortage.Until.Sub(now) < w.Deadline.Sub(now)/waitPart
+	mayWait := shortage.IsCertain && shortage.Until.Sub(now) < w.Deadline.Sub(now)/shortageWaitDivisor
 	return shortage, !mayWait
 }
 
@@ -138,23 +138,23 @@
 func shortageRefusal(now time.Time, shortage route.Shortage, work string) *willowwick.Refusal {
 	after := shortage.Until.Sub(now)
 	if shortage.IsCertain {
-		after += time.Duration(rand.Int64N(int64(max(after/2, shortageRetry))))
+		after += time.Duration(rand.Int64N(int64(max(after/2, minShortageRetryDelay))))
 	}
-	until := now.Add(min(max(after, shortageRetry), shortageRetryMost))
+	until := now.Add(min(max(after, minShortageRetryDelay), maxShortageRetryDelay))
 	if shortage.IsCertain {
 		return willowwick.NotRun(willowwick.CodeOverloaded, until, "every endpoint that serves %q has asked for rest", work)
 	}
 	return willowwick.NotRun(willowwick.CodeRateLimited, until, "every endpoint that serves %q names a limit, and takes no more now", work)
 }
 
-// leave takes back a wish whose caller is gone.
-func (g *Gate) leave(w *waiting) *willowwick.Refusal {
+// cancel takes back a wish whose caller is gone.
+func (g *Gate) cancel(w *waiter) *willowwick.Refusal {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	q := g.queue(w.Work)
-	if w.place != nil {
-		w.place.Release(clock.Now(), route.OutcomeCancelled)
-		g.gave(w.Work)
+	if w.slot != nil {
+		w.slot.Release(clock.Now(), route.OutcomeCancelled)
+		g.unassign(w.Work)
 	} else {
 		q.RemoveValue(w.Account, w)
 	}
@@ -170,15 +170,15 @@
 	return q
 }
 
-func (g *Gate) took(w *waiting, place *route.Slot) {
-	w.place = place
-	g.taken[w.Work]++
-	g.queue(w.Work).SetInFlight(g.taken[w.Work])
+func (g *Gate) assign(w *waiter, slot *route.Slot) {
+	w.slot = slot
+	g.inUse[w.Work]++
+	g.queue(w.Work).SetInFlight(g.inUse[w.Work])
 }
 
-func (g *Gate) gave(work string) {
-	g.taken[work]--
-	g.queue(work).SetInFlight(g.taken[work])
+func (g *Gate) unassign(work string) {
+	g.inUse[work]--
+	g.queue(work).SetInFlight(g.inUse[work])
 }
 
 // dispatch gives free places to the requests whose turn it is.
@@ -189,30 +189,30 @@
 		if head == nil {
 			return
 		}
-		w, ok := head.Value.(*waiting)
+		w, ok := head.Value.(*waiter)
 		if !ok {
 			return
 		}
 		place, known := w.Acquire(now)
 		if place == nil && known {
-			if !w.refuseHopeless(q, now) {
+			if !w.refuseInShortage(q, now) {
 				return
 			}
 			continue
 		}
 		q.Pop()
 		if !known {
-			w.result <- willowwick.NotRun(willowwick.CodeNoEndpoint, now.Add(noEndpointRetry), "no endpoint serves %q any more", work)
+			w.result <- willowwick.NotRun(willowwick.CodeNoEndpoint, now.Add(noEndpointRetryDelay), "no endpoint serves %q any more", work)
 			continue
 		}
-		g.took(w, place)
+		g.assign(w, place)
 		w.result <- nil
 	}
 }
 
-// refuseHopeless refuses a request at the head of its queue for which no place can come, and reports whether it did.
-func (w *waiting) refuseHopeless(q *route.Queue, now time.Time) bool {
-	shortage, isHopeless := w.isHopeless(now)
+// refuseInShortage refuses a request at the head of its queue for which no place can come, and reports whether it did.
+func (w *waiter) refuseInShortage(q *route.Queue, now time.Time) bool {
+	shortage, isHopeless := w.mustRefuse(now)
 	if !isHopeless {
 		return false
 	}
@@ -221,14 +221,14 @@
 	return true
 }
 
-// tick refuses what has run out of time and looks for free places.
-func (g *Gate) tick(now time.Time) {
+// sweep refuses what has run out of time and looks for free places.
+func (g *Gate) sweep(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for work, q := range g.queues {
 		for _, expired := range q.Expired(now) {
-			if w, ok := expired.Value.(*waiting); ok {
-				w.result <- willowwick.NotRun(willowwick.CodeDeadline, now.Add(OverloadRetry), "the deadline passed before a place was free")
+			if w, ok := expired.Value.(*waiter); ok {
+				w.result <- willowwick.NotRun(willowwick.CodeDeadline, now.Add(OverloadRetryDelay), "the deadline passed before a place was free")
 			}
 		}
 		if q.Len() > 0 {
@@ -239,20 +239,20 @@
 
 // Run keeps the queues moving until the context ends.
 func (g *Gate) Run(ctx context.Context) {
-	ticker := time.NewTicker(gateTick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			g.tick(now)
+			g.sweep(now)
 		}
 	}
 }
 
-// WaitingNow counts the requests in all queues.
-func (g *Gate) WaitingNow() int {
+// WaitingCount counts the requests in all queues.
+func (g *Gate) WaitingCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	total := 0
@@ -268,10 +268,10 @@
 	t.Release(now, outcome)
 	t.gate.mu.Lock()
 	defer t.gate.mu.Unlock()
-	t.gate.gave(t.work)
+	t.gate.unassign(t.work)
 	q := t.gate.queue(t.work)
 	if outcome == route.OutcomeGood || outcome == route.OutcomeSlow {
-		q.RecordServed(t.cost, now.Sub(t.taken))
+		q.RecordServed(t.cost, now.Sub(t.acquiredAt))
 	}
 	t.gate.dispatch(t.work, now)
 }
--- a/serve/api.go
+++ b/serve/api.go
@@ -82,7 +82,7 @@
 		select {
 		case d.places <- struct{}{}:
 		default:
-			writeRefusal(w, d.refuse(willowwick.NotRun(willowwick.CodeOverloaded, clock.Now().Add(gate.OverloadRetry),
+			writeRefusal(w, d.refuse(willowwick.NotRun(willowwick.CodeOverloaded, clock.Now().Add(gate.OverloadRetryDelay),
 				"this box serves %d requests already", d.settings.MaxRequests)), "")
 			return
 		}
--- a/serve/call.go
+++ b/serve/call.go
@@ -111,18 +111,18 @@
 	if c.position > 0 {
 		return willowwick.Failed(willowwick.CodeNoVersion, "version %q was withdrawn while its answer was being resumed", c.version)
 	}
-	return willowwick.NotRun(willowwick.CodeNoVersion, clock.Now().Add(gate.OverloadRetry), "version %q is not to be used any more", c.version)
+	return willowwick.NotRun(willowwick.CodeNoVersion, clock.Now().Add(gate.OverloadRetryDelay), "version %q is not to be used any more", c.version)
 }
 
 func (c *call) enter() (*gate.Ticket, *willowwick.Refusal) {
 	r := c.run
-	return r.daemon.gate.Enter(c.ctx, gate.Wish{
+	return r.daemon.gate.Enter(c.ctx, gate.Request{
 		Work: string(c.version), Account: r.request.Account, Weight: r.account.FairWeight(),
 		Cost: r.request.EstimatedTokens(), Deadline: r.request.Deadline,
 		Acquire: func(now time.Time) (*route.Slot, bool) {
 			return r.daemon.pool.AcquireVersion(now, c.version, r.prefix, c.exclude)
 		},
-		Hopeless: func(now time.Time) (route.Shortage, bool) {
+		Shortage: func(now time.Time) (route.Shortage, bool) {
 			return r.daemon.pool.AllUnavailableForVersion(now, c.version)
 		},
 	})
@@ -192,7 +192,7 @@
 	if r.sent {
 		return willowwick.Failed(willowwick.CodeEndpoint, "no endpoint gave a whole answer of version %q", c.version)
 	}
-	return willowwick.NotRun(willowwick.CodeNoEndpoint, clock.Now().Add(gate.OverloadRetry), "no endpoint took the request")
+	return willowwick.NotRun(willowwick.CodeNoEndpoint, clock.Now().Add(gate.OverloadRetryDelay), "no endpoint took the request")
 }
 
 func (c *call) timedOut() *willowwick.Refusal {
--- a/serve/metrics.go
+++ b/serve/metrics.go
@@ -50,7 +50,7 @@
 	}
 	gauge("willowwick_config_offset", func() float64 { return float64(d.node.Follower.Revision().Offset) })
 	gauge("willowwick_requests_in_flight", func() float64 { return float64(d.inFlight.Load()) })
-	gauge("willowwick_requests_waiting", func() float64 { return float64(d.gate.WaitingNow()) })
+	gauge("willowwick_requests_waiting", func() float64 { return float64(d.gate.WaitingCount()) })
 	gauge("willowwick_registry_entries", func() float64 { return float64(d.node.Registry.Len()) })
 	gauge("willowwick_usage_backlog_own", func() float64 { own, _ := d.node.Usage.Backlog(); return float64(own) })
 	gauge("willowwick_usage_backlog_held", func() float64 { _, held := d.node.Usage.Backlog(); return float64(held) })
--- a/serve/services.go
+++ b/serve/services.go
@@ -214,14 +214,14 @@
 	}
 }
 
-func (s *serviceRun) admission() gate.Wish {
-	return gate.Wish{
+func (s *serviceRun) admission() gate.Request {
+	return gate.Request{
 		Work: servicePrefix + string(s.service), Account: s.request.Account, Weight: s.account.FairWeight(),
 		Cost: serviceCost, Deadline: s.request.Deadline,
 		Acquire: func(now time.Time) (*route.Slot, bool) {
 			return s.daemon.pool.AcquireService(now, s.service, s.exclude)
 		},
-		Hopeless: func(now time.Time) (route.Shortage, bool) {
+		Shortage: func(now time.Time) (route.Shortage, bool) {
 			return s.daemon.pool.AllUnavailable(now, s.service, nil)
 		},
 	}
@@ -269,6 +269,6 @@
 	case s.sent:
 		return willowwick.Failed(willowwick.CodeEndpoint, "no instance answered")
 	default:
-		return willowwick.NotRun(willowwick.CodeNoEndpoint, clock.Now().Add(gate.OverloadRetry), "no instance took the call")
+		return willowwick.NotRun(willowwick.CodeNoEndpoint, clock.Now().Add(gate.OverloadRetryDelay), "no instance took the call")
 	}
 }
