--- a/exchange/evidence.go
+++ b/exchange/evidence.go
@@ -139,8 +139,8 @@
 // news sorts what is new in the evidence by route, and sums that on other releases over all routes.
 func (m *move) news(
 	service willowwick.ServiceID, fleet map[evidenceKey]rollout.Evidence,
-) (routes map[rollout.Kind]rollout.News, others rollout.Evidence) {
-	routes = map[rollout.Kind]rollout.News{}
+) (routes map[rollout.Kind]rollout.KindEvidence, others rollout.Evidence) {
+	routes = map[rollout.Kind]rollout.KindEvidence{}
 	for key, total := range fleet {
 		if key.Service != service {
 			continue
--- a/exchange/release.go
+++ b/exchange/release.go
@@ -52,7 +52,7 @@
 		began    time.Time
 		state    willowwick.ReleaseState
 		written  bool // the state is in the store
-		panel    *rollout.Panel
+		panel    *rollout.KindMonitor
 		seen     map[evidenceKey]rollout.Evidence
 		requests uint64 // answers known of the target
 	}
@@ -113,7 +113,7 @@
 	delete(r.verdicts, releaseKey{order.Service, order.Target})
 	r.moves[order.Service] = &move{
 		order: order, began: now.Add(-age), state: willowwick.ReleaseRunning,
-		panel: rollout.NewPanel(willowwick.VersionID(order.Target)), seen: map[evidenceKey]rollout.Evidence{},
+		panel: rollout.NewKindMonitor(willowwick.VersionID(order.Target)), seen: map[evidenceKey]rollout.Evidence{},
 	}
 	slog.Info("roll-out ordered", "service", order.Service, "release", order.Target,
 		"period_ms", order.Period.Milliseconds(), "age_ms", age.Milliseconds())
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -17,7 +17,7 @@
 	// MaxRules bounds the rules of one policy.
 	MaxRules = 64
 
-	maxTextLength = 256
+	maxInputTextLength = 256
 )
 
 // Names of the variables that an expression may use.
@@ -101,7 +101,7 @@
 		program cel.Program
 	}
 
-	inputSizes struct{}
+	sizeEstimator struct{}
 
 	compiler struct {
 		env      *cel.Env
@@ -128,20 +128,20 @@
 	c.env = env
 	program := &Program{}
 	if len(spec.Rules) == 0 {
-		c.report("rules", "a policy needs at least one rule")
+		c.addProblem("rules", "a policy needs at least one rule")
 	}
 	if len(spec.Rules) > MaxRules {
-		c.report("rules", "a policy has at most %d rules, this one has %d", MaxRules, len(spec.Rules))
+		c.addProblem("rules", "a policy has at most %d rules, this one has %d", MaxRules, len(spec.Rules))
 	}
 	for i, b := range spec.Let {
-		if compiled, ok := c.binding(fmt.Sprintf("let[%d]", i), b); ok {
+		if compiled, ok := c.compileBinding(fmt.Sprintf("let[%d]", i), b); ok {
 			program.bindings = append(program.bindings, compiled)
 		}
 	}
 	for i, r := range spec.Rules {
 		path := fmt.Sprintf("rules[%d]", i)
-		c.action(path+".then", r.Then)
-		compiled, _, ok := c.expression(path+".when", r.When, cel.BoolType)
+		c.checkAction(path+".then", r.Then)
+		compiled, _, ok := c.compileExpression(path+".when", r.When, cel.BoolType)
 		if ok {
 			program.rules = append(program.rules, compiledRule{rule: r, program: compiled})
 		}
@@ -152,25 +152,25 @@
 	return program, nil
 }
 
-func (c *compiler) report(path, format string, args ...any) {
+func (c *compiler) addProblem(path, format string, args ...any) {
 	c.problems = append(c.problems, Problem{Path: path, Message: fmt.Sprintf(format, args...)})
 }
 
-func (c *compiler) binding(path string, b Binding) (compiledBinding, bool) {
-	program, kind, ok := c.expression(path+".value", b.Value, nil)
+func (c *compiler) compileBinding(path string, b Binding) (compiledBinding, bool) {
+	program, kind, ok := c.compileExpression(path+".value", b.Value, nil)
 	if !ok {
 		return compiledBinding{}, false
 	}
 	env, err := c.env.Extend(cel.Variable(b.Name, kind))
 	if err != nil {
-		c.report(path+".name", "%q cannot be used as a name: %v", b.Name, err)
+		c.addProblem(path+".name", "%q cannot be used as a name: %v", b.Name, err)
 		return compiledBinding{}, false
 	}
 	c.env = env
 	return compiledBinding{name: b.Name, program: program}, true
 }
 
-func (c *compiler) action(path string, a Action) {
+func (c *compiler) checkAction(path string, a Action) {
 	set := 0
 	for _, given := range []bool{a.Cascade != "", a.Model != "", a.Deny != ""} {
 		if given {
@@ -178,47 +178,47 @@
 		}
 	}
 	if set != 1 {
-		c.report(path, "set exactly one of cascade, model and deny")
+		c.addProblem(path, "set exactly one of cascade, model and deny")
 	}
 }
 
-func (c *compiler) expression(path, text string, want *cel.Type) (cel.Program, *cel.Type, bool) {
+func (c *compiler) compileExpression(path, text string, want *cel.Type) (cel.Program, *cel.Type, bool) {
 	ast, issues := c.env.Compile(text)
 	if issues.Err() != nil {
-		c.report(path, "%v", issues.Err())
+		c.addProblem(path, "%v", issues.Err())
 		return nil, nil, false
 	}
 	if want != nil && !ast.OutputType().IsExactType(want) {
-		c.report(path, "must be of type %s, is %s", want, ast.OutputType())
+		c.addProblem(path, "must be of type %s, is %s", want, ast.OutputType())
 		return nil, nil, false
 	}
-	cost, err := c.env.EstimateCost(ast, inputSizes{})
+	cost, err := c.env.EstimateCost(ast, sizeEstimator{})
 	if err != nil {
-		c.report(path, "cost cannot be bounded: %v", err)
+		c.addProblem(path, "cost cannot be bounded: %v", err)
 		return nil, nil, false
 	}
 	if cost.Max > CostLimit {
-		c.report(path, "may cost %d units, the limit is %d", cost.Max, CostLimit)
+		c.addProblem(path, "may cost %d units, the limit is %d", cost.Max, CostLimit)
 		return nil, nil, false
 	}
 	program, err := c.env.Program(ast, cel.CostLimit(CostLimit), cel.EvalOptions(cel.OptOptimize))
 	if err != nil {
-		c.report(path, "%v", err)
+		c.addProblem(path, "%v", err)
 		return nil, nil, false
 	}
 	return program, ast.OutputType(), true
 }
 
 // EstimateSize implements checker.CostEstimator: texts of a request are short.
-func (inputSizes) EstimateSize(element checker.AstNode) *checker.SizeEstimate {
+func (sizeEstimator) EstimateSize(element checker.AstNode) *checker.SizeEstimate {
 	if element.Type().Kind() == types.StringKind {
-		return &checker.SizeEstimate{Min: 0, Max: maxTextLength}
+		return &checker.SizeEstimate{Min: 0, Max: maxInputTextLength}
 	}
 	return nil
 }
 
 // EstimateCallCost implements checker.CostEstimator with the language's own costs.
-func (inputSizes) EstimateCallCost(string, string, *checker.AstNode, []checker.AstNode) *checker.CallEstimate {
+func (sizeEstimator) EstimateCallCost(string, string, *checker.AstNode, []checker.AstNode) *checker.CallEstimate {
 	return nil
 }
 
@@ -235,14 +235,14 @@
 		varSecondsLeft:  in.SecondsLeft,
 	}
 	for _, b := range p.bindings {
-		value, err := run(b.program, vars)
+		value, err := evaluate(b.program, vars)
 		if err != nil {
 			return Decision{}, errors.Wrapf(err, "let %s", b.name)
 		}
 		vars[b.name] = value
 	}
 	for _, r := range p.rules {
-		value, err := run(r.program, vars)
+		value, err := evaluate(r.program, vars)
 		if err != nil {
 			return Decision{}, errors.Wrapf(err, "rule %s", r.rule.Name)
 		}
@@ -253,7 +253,7 @@
 	return Decision{}, nil
 }
 
-func run(program cel.Program, vars map[string]any) (ref.Val, error) {
+func evaluate(program cel.Program, vars map[string]any) (ref.Val, error) {
 	value, _, err := program.Eval(vars)
 	return value, err
 }
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -31,10 +31,10 @@
 	SignalErrors Signal = iota
 	SignalSlow
 	SignalLow
-	signals
+	signalCount
 )
 
-var signalNames = [signals]string{"errors", "slow answers", "low ratings"}
+var signalNames = [signalCount]string{"errors", "slow answers", "low ratings"}
 
 // String returns the name of the signal.
 func (s Signal) String() string {
@@ -59,22 +59,22 @@
 	}
 	return Evidence{
 		Requests: e.Requests - earlier.Requests,
-		Errors:   sub(e.Errors, earlier.Errors),
-		Slow:     sub(e.Slow, earlier.Slow),
-		Rated:    sub(e.Rated, earlier.Rated),
-		Low:      sub(e.Low, earlier.Low),
+		Errors:   subtractFloor(e.Errors, earlier.Errors),
+		Slow:     subtractFloor(e.Slow, earlier.Slow),
+		Rated:    subtractFloor(e.Rated, earlier.Rated),
+		Low:      subtractFloor(e.Low, earlier.Low),
 	}
 }
 
-func sub(a, b uint64) uint64 {
+func subtractFloor(a, b uint64) uint64 {
 	if a < b {
 		return 0
 	}
 	return a - b
 }
 
-// Of returns the counts of one signal.
-func (e Evidence) Of(signal Signal) Counts {
+// CountsOf returns the counts of one signal.
+func (e Evidence) CountsOf(signal Signal) Counts {
 	switch signal {
 	case SignalErrors:
 		return Counts{Total: e.Requests, Bad: e.Errors}
@@ -91,22 +91,22 @@
 }
 
 const (
-	// alarm is the height at which the cumulated log likelihood ratio withdraws a version.
-	alarm = 11.0
-	// acquit is the depth at which a signal is taken to be as good as the baseline.
-	acquit = -3.0
-
-	lowestRate = 0.01
-	// lowestSlow is the share of slow answers that the promised latency allows: 5 in 100.
-	lowestSlow = 0.05
-	// ambientFade forgets how slow all other versions were within some observations.
-	ambientFade  = 0.7
-	highestRate  = 0.6
-	badFactor    = 2.0
-	badAddend    = 0.08
-	baselineFade = 0.995
-	// baselineNeeded is how much must be known of the others before a version is compared with them.
-	baselineNeeded = 40
+	// withdrawThreshold is the height at which the cumulated log likelihood ratio withdraws a version.
+	withdrawThreshold = 11.0
+	// acceptThreshold is the depth at which a signal is taken to be as good as the baseline.
+	acceptThreshold = -3.0
+
+	minBadRate = 0.01
+	// minSlowRate is the share of slow answers that the promised latency allows: 5 in 100.
+	minSlowRate = 0.05
+	// fleetSlowDecay forgets how slow all other versions were within some observations.
+	fleetSlowDecay = 0.7
+	maxBadRate     = 0.6
+	badFactor      = 2.0
+	badAddend      = 0.08
+	baselineDecay  = 0.995
+	// minBaselineSamples is how much must be known of the others before a version is compared with them.
+	minBaselineSamples = 40
 	// baselineDeviations is by how many standard deviations the baseline is taken to be worse than it looks.
 	baselineDeviations = 1.0
 )
@@ -122,21 +122,21 @@
 // Monitor watches one version against a baseline, by a cumulated-sum test for
 // turning bad and a sequential test for being good.
 type Monitor struct {
-	version  willowwick.VersionID
-	sums     ratios // against turning bad; never below zero
-	ratios   ratios // since the step began
-	seen     [signals]bool
-	requests uint64
-	rated    bool // ratings are to be had, so a version is not good without them
-	baseline [signals]baselineRate
-	ambient  baselineRate    // slow answers of all other versions of late
-	held     [signals]Counts // seen of the version before enough was known to compare it with
+	version    willowwick.VersionID
+	cusums     logRatios // against turning bad; never below zero
+	stepRatios logRatios // since the step began
+	seen       [signalCount]bool
+	requests   uint64
+	hasRatings bool // ratings are to be had, so a version is not good without them
+	baselines  [signalCount]decayingRate
+	fleetSlow  decayingRate        // slow answers of all other versions of late
+	pending    [signalCount]Counts // seen of the version before enough was known to compare it with
 }
 
-// ratios are log likelihood ratios of "bad" against "as the baseline", by signal.
-type ratios [signals]float64
+// logRatios are log likelihood logRatios of "bad" against "as the baseline", by signal.
+type logRatios [signalCount]float64
 
-type baselineRate struct {
+type decayingRate struct {
 	total float64
 	bad   float64
 }
@@ -149,8 +149,8 @@
 // BeginStep forgets what was seen on the step before, but not the suspicion.
 func (m *Monitor) BeginStep() {
 	m.requests = 0
-	m.ratios = ratios{}
-	m.seen = [signals]bool{}
+	m.stepRatios = logRatios{}
+	m.seen = [signalCount]bool{}
 }
 
 // Observe adds new evidence on the version and, from the same time, on what it
@@ -161,48 +161,48 @@
 }
 
 // add weighs new evidence and returns what it adds for each signal.
-func (m *Monitor) add(version, others, all Evidence) ratios {
+func (m *Monitor) add(version, others, all Evidence) logRatios {
 	m.requests += version.Requests
-	m.ambient.learn(all.Of(SignalSlow), ambientFade)
-	var steps ratios
-	for signal := range signals {
-		m.learnBaseline(signal, others.Of(signal))
-		counts := version.Of(signal)
-		m.rated = m.rated || (signal == SignalLow && counts.Total > 0)
-		counts = counts.add(m.held[signal])
+	m.fleetSlow.add(all.CountsOf(SignalSlow), fleetSlowDecay)
+	var steps logRatios
+	for signal := range signalCount {
+		m.updateBaseline(signal, others.CountsOf(signal))
+		counts := version.CountsOf(signal)
+		m.hasRatings = m.hasRatings || (signal == SignalLow && counts.Total > 0)
+		counts = counts.add(m.pending[signal])
 		if counts.Total == 0 {
 			continue
 		}
-		if m.baseline[signal].total < baselineNeeded {
-			m.held[signal] = counts
+		if m.baselines[signal].total < minBaselineSamples {
+			m.pending[signal] = counts
 			continue
 		}
-		m.held[signal] = Counts{}
+		m.pending[signal] = Counts{}
 		m.seen[signal] = true
-		steps[signal] = m.ratio(signal, counts)
-		m.sums[signal] = max(0, m.sums[signal]+steps[signal])
-		m.ratios[signal] += steps[signal]
+		steps[signal] = m.logRatio(signal, counts)
+		m.cusums[signal] = max(0, m.cusums[signal]+steps[signal])
+		m.stepRatios[signal] += steps[signal]
 	}
 	return steps
 }
 
-func (m *Monitor) learnBaseline(signal Signal, counts Counts) {
+func (m *Monitor) updateBaseline(signal Signal, counts Counts) {
 	if counts.Total > 0 {
-		m.baseline[signal].learn(counts, baselineFade)
+		m.baselines[signal].add(counts, baselineDecay)
 	}
 }
 
-func (b *baselineRate) learn(counts Counts, fade float64) {
+func (b *decayingRate) add(counts Counts, fade float64) {
 	b.total = b.total*fade + float64(counts.Total)
 	b.bad = b.bad*fade + float64(counts.Bad)
 }
 
-// ratio is the log likelihood ratio of "bad" against "as the baseline".
-func (m *Monitor) ratio(signal Signal, counts Counts) float64 {
-	good := m.baseline[signal].upper()
+// logRatio is the log likelihood logRatio of "bad" against "as the baseline".
+func (m *Monitor) logRatio(signal Signal, counts Counts) float64 {
+	good := m.baselines[signal].upperBound()
 	if signal == SignalSlow {
 		// Load slows all versions at once; only a version that is slower than all others is at fault.
-		good = min(max(good, lowestSlow, m.ambient.upper()), highestRate)
+		good = min(max(good, minSlowRate, m.fleetSlow.upperBound()), maxBadRate)
 	}
 	bad := min(good*badFactor+badAddend, (1+good)/2)
 	failures := float64(min(counts.Bad, counts.Total))
@@ -210,23 +210,23 @@
 	return failures*math.Log(bad/good) + passes*math.Log((1-bad)/(1-good))
 }
 
-// upper is the rate of bad answers that the others may well have.
-func (b baselineRate) upper() float64 {
+// upperBound is the rate of bad answers that the others may well have.
+func (b decayingRate) upperBound() float64 {
 	if b.total == 0 {
 		return 0
 	}
 	rate := (b.bad + 1) / (b.total + 2)
 	deviation := math.Sqrt(rate * (1 - rate) / (b.total + 2))
-	return min(max(rate+baselineDeviations*deviation, lowestRate), highestRate)
+	return min(max(rate+baselineDeviations*deviation, minBadRate), maxBadRate)
 }
 
 func (m *Monitor) finding() Finding {
-	f := Finding{Good: m.seen[SignalErrors] && (m.seen[SignalLow] || !m.rated), Requests: m.requests}
-	for signal := range signals {
-		if m.sums[signal] >= alarm {
+	f := Finding{Good: m.seen[SignalErrors] && (m.seen[SignalLow] || !m.hasRatings), Requests: m.requests}
+	for signal := range signalCount {
+		if m.cusums[signal] >= withdrawThreshold {
 			return Finding{Bad: true, Signal: signal, Requests: m.requests}
 		}
-		if m.seen[signal] && m.ratios[signal] > acquit {
+		if m.seen[signal] && m.stepRatios[signal] > acceptThreshold {
 			f.Good = false
 		}
 	}
--- a/rollout/evidence_test.go
+++ b/rollout/evidence_test.go
@@ -16,7 +16,7 @@
 )
 
 // rates are the true shares of bad answers.
-type rates [signals]float64
+type rates [signalCount]float64
 
 var usual = rates{SignalErrors: 0.01, SignalSlow: 0.03, SignalLow: 0.3}
 
--- a/rollout/panel_test.go
+++ b/rollout/panel_test.go
@@ -12,13 +12,13 @@
 // playPanel shows a panel one new answer of each kind and tick, and returns how many it took to find the version bad.
 func playPanel(seed uint64, version rates, ticks int) (answers int, found bool) {
 	random := rand.New(rand.NewPCG(seed, seed))
-	p := NewPanel("new")
+	p := NewKindMonitor("new")
 	for range ticks {
-		news := map[Kind]News{}
+		news := map[Kind]KindEvidence{}
 		var all Evidence
 		for _, kind := range testKinds {
 			others := sample(random, oldATick, usual, ratedEvery)
-			news[kind] = News{Version: sample(random, 1, version, 1), Others: others}
+			news[kind] = KindEvidence{Version: sample(random, 1, version, 1), Others: others}
 			all = all.Add(others)
 		}
 		answers += len(testKinds)
@@ -53,13 +53,13 @@
 
 // A version may be bad for one kind of request alone; the others must not hide it.
 func TestPanelFindsAVersionThatIsBadForOneKind(t *testing.T) {
-	p := NewPanel("new")
+	p := NewKindMonitor("new")
 	good := Evidence{Requests: 300}
-	news := map[Kind]News{}
+	news := map[Kind]KindEvidence{}
 	for _, kind := range testKinds {
-		news[kind] = News{Version: Evidence{Requests: 50}, Others: good}
+		news[kind] = KindEvidence{Version: Evidence{Requests: 50}, Others: good}
 	}
-	news["short"] = News{Version: Evidence{Requests: 20, Errors: 10}, Others: good}
+	news["short"] = KindEvidence{Version: Evidence{Requests: 20, Errors: 10}, Others: good}
 	finding, kind := p.Observe(news, good)
 	assert.True(t, finding.Bad)
 	assert.Equal(t, Kind("short"), kind)
