--- a/rollout/evidence_test.go
+++ b/rollout/evidence_test.go
@@ -79,7 +79,7 @@
 	require.Greater(t, cleared, trials*9/10)
 }
 
-func TestBadVersionIsFoundWithinFewRequests(t *testing.T) {
+func TestBadVersionIsFoundSoon(t *testing.T) {
 	for name, bad := range map[string]rates{
 		"errors":      {SignalErrors: 0.2, SignalSlow: 0.03, SignalLow: 0.3},
 		"slow":        {SignalErrors: 0.01, SignalSlow: 0.5, SignalLow: 0.3},
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestFallingCountsAddNothing(t *testing.T) {
+func TestFallingCountsAddNoEvidence(t *testing.T) {
 	before := Evidence{Requests: 10, Errors: 2}
 	require.Equal(t, Evidence{Requests: 3, Errors: 1}, Evidence{Requests: 13, Errors: 3}.Since(before))
 	require.Equal(t, Evidence{}, Evidence{Requests: 4}.Since(before))
--- a/route/lateness_test.go
+++ b/route/lateness_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestLatenessIsExceededByFewAnswers(t *testing.T) {
+func TestFewAnswersExceedTheLateness(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	var l Lateness
 	assert.Equal(t, initialLateness, l.Value())
--- a/route/prefill_test.go
+++ b/route/prefill_test.go
@@ -114,7 +114,7 @@
 }
 
 // Speeds were once learnt only where nothing was ahead: taken for too slow after a restart, a model always had some.
-func TestSpeedIsLearntWhateverItIsTakenForAndHoweverBusyTheEndpointIs(t *testing.T) {
+func TestPrefillSpeedIsLearntUnderLoadFromAnyStart(t *testing.T) {
 	key := speedKey{"s", "m"}
 	const tokens, truth = 4000, 100 * time.Microsecond
 	for name, first := range map[string]time.Duration{"unknown": 0, "slow": 10 * truth, "fast": truth / 10} {
