--- a/gate/gate.go
+++ b/gate/gate.go
@@ -43,9 +43,9 @@
 		Cost     willowwick.Tokens
 		Deadline time.Time
 		// Acquire takes a place if there is one; known is false if nothing serves the work.
-		Acquire func(now time.Time) (place *route.Slot, known bool)
+		Acquire func(now time.Time) (slot *route.Slot, known bool)
 		// Shortage reports whether no place can come before a time, though some endpoint serves the work; nil if it always may.
-		Shortage func(now time.Time) (shortage route.Shortage, isHopeless bool)
+		Shortage func(now time.Time) (shortage route.Shortage, isShort bool)
 	}
 
 	// waiter is a wish with what came of it.
@@ -99,16 +99,16 @@
 	q := g.queue(request.Work)
 	w = &waiter{Request: request, result: make(chan *willowwick.Refusal, 1)}
 	if q.Len() == 0 {
-		place, known := request.Acquire(now)
+		slot, known := request.Acquire(now)
 		if !known {
 			return nil, false, willowwick.NotRun(willowwick.CodeNoEndpoint, now.Add(noEndpointRetryDelay), "no endpoint serves %q", request.Work)
 		}
-		if place != nil {
-			g.assign(w, place)
+		if slot != nil {
+			g.assign(w, slot)
 			return w, true, nil
 		}
 	}
-	if shortage, isHopeless := request.mustRefuse(now); isHopeless {
+	if shortage, refuse := request.mustRefuse(now); refuse {
 		return nil, false, shortageRefusal(now, shortage, request.Work)
 	}
 	retryAt, ok := q.Push(now, &route.Waiter{Account: request.Account, Weight: request.Weight, Cost: request.Cost, Deadline: request.Deadline, Value: w})
@@ -122,11 +122,11 @@
 }
 
 // mustRefuse reports whether no place can come in time for the request to wait for it.
-func (w *Request) mustRefuse(now time.Time) (shortage route.Shortage, isHopeless bool) {
+func (w *Request) mustRefuse(now time.Time) (shortage route.Shortage, refuse bool) {
 	if w.Shortage == nil {
 		return route.Shortage{}, false
 	}
-	if shortage, isHopeless = w.Shortage(now); !isHopeless {
+	if shortage, refuse = w.Shortage(now); !refuse {
 		return shortage, false
 	}
 	mayWait := shortage.IsCertain && shortage.Until.Sub(now) < w.Deadline.Sub(now)/shortageWaitDivisor
@@ -154,7 +154,7 @@
 	q := g.queue(w.Work)
 	if w.slot != nil {
 		w.slot.Release(clock.Now(), route.OutcomeCancelled)
-		g.unassign(w.Work)
+		g.free(w.Work)
 	} else {
 		q.RemoveValue(w.Account, w)
 	}
@@ -176,7 +176,7 @@
 	g.queue(w.Work).SetInFlight(g.inUse[w.Work])
 }
 
-func (g *Gate) unassign(work string) {
+func (g *Gate) free(work string) {
 	g.inUse[work]--
 	g.queue(work).SetInFlight(g.inUse[work])
 }
@@ -193,8 +193,8 @@
 		if !ok {
 			return
 		}
-		place, known := w.Acquire(now)
-		if place == nil && known {
+		slot, known := w.Acquire(now)
+		if slot == nil && known {
 			if !w.refuseInShortage(q, now) {
 				return
 			}
@@ -205,15 +205,15 @@
 			w.result <- willowwick.NotRun(willowwick.CodeNoEndpoint, now.Add(noEndpointRetryDelay), "no endpoint serves %q any more", work)
 			continue
 		}
-		g.assign(w, place)
+		g.assign(w, slot)
 		w.result <- nil
 	}
 }
 
 // refuseInShortage refuses a request at the head of its queue for which no place can come, and reports whether it did.
 func (w *waiter) refuseInShortage(q *route.Queue, now time.Time) bool {
-	shortage, isHopeless := w.mustRefuse(now)
-	if !isHopeless {
+	shortage, refuse := w.mustRefuse(now)
+	if !refuse {
 		return false
 	}
 	q.Pop()
@@ -268,7 +268,7 @@
 	t.Release(now, outcome)
 	t.gate.mu.Lock()
 	defer t.gate.mu.Unlock()
-	t.gate.unassign(t.work)
+	t.gate.free(t.work)
 	q := t.gate.queue(t.work)
 	if outcome == route.OutcomeGood || outcome == route.OutcomeSlow {
 		q.RecordServed(t.cost, now.Sub(t.acquiredAt))
--- a/rollout/kindmonitor.go
+++ b/rollout/kindmonitor.go
@@ -28,9 +28,9 @@
 }
 
 // Observe adds new evidence; all is that on all other versions. Kind is empty where the kinds show it together only.
-func (k *KindMonitor) Observe(news map[Kind]KindEvidence, all Evidence) (finding Finding, kind Kind) {
+func (k *KindMonitor) Observe(evidence map[Kind]KindEvidence, all Evidence) (finding Finding, kind Kind) {
 	var steps logRatios
-	for name, n := range news {
+	for name, n := range evidence {
 		monitor := k.monitor(name)
 		for signal, step := range monitor.add(n.Version, n.Others, all) {
 			steps[signal] += step
--- a/route/availability.go
+++ b/route/availability.go
@@ -79,14 +79,14 @@
 	return all
 }
 
-func (p *Pool) allUnavailable(now time.Time, name workKey, allow func(willowwick.Endpoint) bool) (first Shortage, all bool) {
+func (p *Pool) allUnavailable(now time.Time, key workKey, allow func(willowwick.Endpoint) bool) (first Shortage, all bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r := p.candidates[name]
-	if r == nil {
+	set := p.candidates[key]
+	if set == nil {
 		return Shortage{}, false
 	}
-	for _, m := range r.members {
+	for _, m := range set.members {
 		if allow != nil && !allow(m.endpoint) {
 			continue
 		}
@@ -111,9 +111,9 @@
 
 // pressureFilter returns which members show how much a service has to do: one that rests or names a limit has little to do because it
 // takes little, so that it counts only where there is no other.
-func (p *Pool) pressureFilter(now time.Time, r *candidateSet) func(m *member) bool {
+func (p *Pool) pressureFilter(now time.Time, set *candidateSet) func(m *member) bool {
 	isFree := func(m *member) bool { return p.availability(now, m).reason == reasonNone }
-	for _, m := range r.members {
+	for _, m := range set.members {
 		if isFree(m) {
 			return isFree
 		}
--- a/route/candidates.go
+++ b/route/candidates.go
@@ -40,7 +40,7 @@
 // At implements willowwick.CandidateSet.
 func (s *candidateSet) At(index int) willowwick.Candidate {
 	m := s.members[index]
-	reading, _ := s.estimator.estimate(s.now, m)
+	prefillTime, _ := s.estimator.estimate(s.now, m)
 	return willowwick.Candidate{
 		Endpoint: m.endpoint.ID,
 		Hall:     m.endpoint.Hall,
@@ -50,7 +50,7 @@
 		Open: !s.exclude[m.endpoint.ID] && s.allows(m) && !s.pool.isColdPaused(s.now, m) && m.isOpen(s.now, s.pool.options, s.allowEjected) &&
 			s.pool.options.Limits.MayUse(s.now, m.endpoint.ID),
 		Ahead:   m.prefills.backlog(s.now),
-		Reading: reading,
+		Reading: prefillTime,
 		Failing: m.failureRate(s.now),
 	}
 }
@@ -78,7 +78,7 @@
 	return true
 }
 
-func (s *candidateSet) hasServing() bool {
+func (s *candidateSet) hasInService() bool {
 	for _, m := range s.members {
 		if m.isInService() && s.allows(m) {
 			return true
--- a/route/learner.go
+++ b/route/learner.go
@@ -95,14 +95,14 @@
 }
 
 // RecordDuration notes how long a whole answer took.
-func (l *Learner) RecordDuration(subject Subject, length time.Duration) {
+func (l *Learner) RecordDuration(subject Subject, duration time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	before, known := l.seconds[subject.forAllAccounts()]
 	if !known {
-		before = length.Seconds()
+		before = duration.Seconds()
 	}
-	l.seconds[subject.forAllAccounts()] = before + durationSmoothing*(length.Seconds()-before)
+	l.seconds[subject.forAllAccounts()] = before + durationSmoothing*(duration.Seconds()-before)
 }
 
 // PassRate returns the expected pass rate of a subject and its lower confidence bound.
--- a/route/notice.go
+++ b/route/notice.go
@@ -48,20 +48,20 @@
 // ApplyNotice takes what an answer says of the endpoint that gave it, to a request that was sent at the given time, and returns what of
 // it is news. What an earlier life of the endpoint said holds no more.
 func (p *Pool) ApplyNotice(now, sentAt time.Time, endpoint willowwick.Endpoint, notice willowwick.Notice) NoticeChanges {
-	news := NoticeChanges{Limit: p.options.Limits.Heard(now, sentAt, endpoint, notice.RateLimit)}
+	changes := NoticeChanges{Limit: p.options.Limits.Heard(now, sentAt, endpoint, notice.RateLimit)}
 	if !notice.Leaving && notice.RestUntil.IsZero() {
-		return news
+		return changes
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.reported[endpoint.ID]
 	if s == nil || !s.matches(endpoint) {
-		return news
+		return changes
 	}
-	news.Leaving = notice.Leaving && !s.leaving
-	news.Backoff = notice.RestUntil.After(now) && !s.isInBackoff(now)
+	changes.Leaving = notice.Leaving && !s.leaving
+	changes.Backoff = notice.RestUntil.After(now) && !s.isInBackoff(now)
 	s.leaving = s.leaving || notice.Leaving
-	if news.Backoff {
+	if changes.Backoff {
 		s.backoffJitter = time.Duration(rand.Float64() * float64(min(maxBackoffJitter, notice.RestUntil.Sub(now)/backoffJitterDivisor)))
 	}
 	// A shorter rest that is asked for later takes nothing back: each answer binds by itself.
@@ -71,7 +71,7 @@
 	if m := p.endpoints[endpoint.ID]; m != nil && s.isInBackoff(now) {
 		m.limit = 1 // by the end of its rest its load is not known, and it gets one request of this box first
 	}
-	return news
+	return changes
 }
 
 // MarkLeaving notes that an endpoint is leaving, whoever said so.
@@ -96,15 +96,15 @@
 func (p *Pool) MergeLeaving(rows []LeavingRow) []willowwick.EndpointID {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var news []willowwick.EndpointID
+	var added []willowwick.EndpointID
 	for _, row := range rows {
 		s := p.reported[row.Endpoint]
 		if s != nil && s.incarnation == row.Incarnation && !s.leaving {
 			s.leaving = true
-			news = append(news, row.Endpoint)
+			added = append(added, row.Endpoint)
 		}
 	}
-	return news
+	return added
 }
 
 // LeavingUnlisted lists the endpoints that leave though the list does not say so yet: what other boxes do not know from it.
--- a/route/pool.go
+++ b/route/pool.go
@@ -145,22 +145,22 @@
 			p.addCandidate(workKey{version: version}, m)
 		}
 	}
-	for _, r := range p.candidates {
-		sort.Slice(r.ring, func(i, j int) bool { return r.ring[i].hash < r.ring[j].hash })
+	for _, set := range p.candidates {
+		sort.Slice(set.ring, func(i, j int) bool { return set.ring[i].hash < set.ring[j].hash })
 	}
 }
 
-func (p *Pool) addCandidate(name workKey, m *member) {
-	r := p.candidates[name]
-	if r == nil {
-		r = &candidateSet{pool: p}
-		p.candidates[name] = r
+func (p *Pool) addCandidate(key workKey, m *member) {
+	set := p.candidates[key]
+	if set == nil {
+		set = &candidateSet{pool: p}
+		p.candidates[key] = set
 	}
 	for point := range ringPoints {
 		hash := xxhash.Sum64String(string(m.endpoint.ID) + "#" + strconv.Itoa(point))
-		r.ring = append(r.ring, ringPoint{hash: hash, index: len(r.members)})
+		set.ring = append(set.ring, ringPoint{hash: hash, index: len(set.members)})
 	}
-	r.members = append(r.members, m)
+	set.members = append(set.members, m)
 }
 
 // Report takes a load report; older reports than the one known change nothing.
@@ -177,15 +177,15 @@
 }
 
 // ApplyPrefillUpdate takes what another box has sent to an endpoint.
-func (p *Pool) ApplyPrefillUpdate(now time.Time, reading PrefillUpdate) {
+func (p *Pool) ApplyPrefillUpdate(now time.Time, update PrefillUpdate) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m := p.byHash[reading.Endpoint]
+	m := p.byHash[update.Endpoint]
 	if m == nil {
 		return
 	}
-	m.prefills.applyUpdate(now, reading)
-	m.prefills.markCached(now, reading.Parts)
+	m.prefills.applyUpdate(now, update)
+	m.prefills.markCached(now, update.Parts)
 }
 
 // PrefillBacklog is how long the endpoint will be reading what it was sent, as forecast; 0 if it is not known.
@@ -290,12 +290,12 @@
 
 // AcquireVersion takes a place at a runner that serves the version; known tells
 // whether any runner serves it at all.
-func (p *Pool) AcquireVersion(now time.Time, version willowwick.VersionID, prefix uint64, exclude map[willowwick.EndpointID]bool) (place *Slot, known bool) {
+func (p *Pool) AcquireVersion(now time.Time, version willowwick.VersionID, prefix uint64, exclude map[willowwick.EndpointID]bool) (slot *Slot, known bool) {
 	return p.acquire(now, workKey{version: version}, Work{}, prefix, exclude, nil)
 }
 
 // AcquireService takes a place at an instance of a plain service.
-func (p *Pool) AcquireService(now time.Time, service willowwick.ServiceID, exclude map[willowwick.EndpointID]bool) (place *Slot, known bool) {
+func (p *Pool) AcquireService(now time.Time, service willowwick.ServiceID, exclude map[willowwick.EndpointID]bool) (slot *Slot, known bool) {
 	return p.acquire(now, workKey{service: service}, Work{}, 0, exclude, nil)
 }
 
@@ -304,35 +304,35 @@
 func (p *Pool) AcquireAllowed(
 	now time.Time, service willowwick.ServiceID, work Work,
 	exclude map[willowwick.EndpointID]bool, allow func(willowwick.Endpoint) bool,
-) (place *Slot, known bool) {
+) (slot *Slot, known bool) {
 	return p.acquire(now, workKey{service: service}, work, 0, exclude, allow)
 }
 
 func (p *Pool) acquire(
-	now time.Time, name workKey, work Work, prefix uint64,
+	now time.Time, key workKey, work Work, prefix uint64,
 	exclude map[willowwick.EndpointID]bool, allow func(willowwick.Endpoint) bool,
 ) (*Slot, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r := p.candidates[name]
-	if r == nil {
+	set := p.candidates[key]
+	if set == nil {
 		return nil, false
 	}
-	r.now, r.estimator, r.exclude, r.allow = now, p.estimatorFor(name.service, work), exclude, allow
-	if len(exclude) > 0 && r.allExcluded() {
+	set.now, set.estimator, set.exclude, set.allow = now, p.estimatorFor(key.service, work), exclude, allow
+	if len(exclude) > 0 && set.allExcluded() {
 		// Every endpoint failed this request once; a second try beats none.
-		r.exclude = nil
+		set.exclude = nil
 	}
-	index := p.picker.Pick(now, r, prefix)
+	index := p.picker.Pick(now, set, prefix)
 	if index == noCandidate && p.options.FallBackToEjected {
-		r.allowEjected = true
-		index = p.picker.Pick(now, r, prefix)
-		r.allowEjected = false
+		set.allowEjected = true
+		index = p.picker.Pick(now, set, prefix)
+		set.allowEjected = false
 	}
 	if index == noCandidate {
-		return nil, r.hasServing()
+		return nil, set.hasInService()
 	}
-	m := r.members[index]
+	m := set.members[index]
 	if m.inFlight == 0 {
 		m.lastAliveAt = now
 	}
@@ -342,7 +342,7 @@
 	m.sentSinceReport++
 	p.occupied[m] = true
 	p.inFlight++
-	return &Slot{Endpoint: m.endpoint, pool: p, member: m, work: work, estimator: r.estimator, acquiredAt: now, permission: permission}, true
+	return &Slot{Endpoint: m.endpoint, pool: p, member: m, work: work, estimator: set.estimator, acquiredAt: now, permission: permission}, true
 }
 
 // estimatorFor is what the work's prompt asks of any of the service's endpoints.
@@ -362,11 +362,11 @@
 }
 
 // anyMember reports whether one of the service's endpoints is as asked.
-func (p *Pool) anyMember(service willowwick.ServiceID, is func(m *member) bool) bool {
+func (p *Pool) anyMember(service willowwick.ServiceID, matches func(m *member) bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r := p.candidates[workKey{service: service}]
-	return r != nil && slices.ContainsFunc(r.members, is)
+	set := p.candidates[workKey{service: service}]
+	return set != nil && slices.ContainsFunc(set.members, matches)
 }
 
 // HasInService reports whether one of the service's endpoints that are allowed is not leaving, in a hall that is not evacuated.
--- a/route/prefill.go
+++ b/route/prefill.go
@@ -108,13 +108,13 @@
 // uncachedTokens is the part of the prompt that the endpoint has not kept: an endpoint uses a kept part if it has all before it.
 func (q *prefillQueue) uncachedTokens(now time.Time, prompt []willowwick.PromptPart, names []PartHash) willowwick.Tokens {
 	var tokens willowwick.Tokens
-	whole := true
+	prefixCached := true
 	for i, part := range prompt {
-		if whole {
+		if prefixCached {
 			at, kept := q.cachedAt[names[i]]
-			whole = kept && now.Sub(at) < prefixCacheTTL
+			prefixCached = kept && now.Sub(at) < prefixCacheTTL
 		}
-		if !whole {
+		if !prefixCached {
 			tokens += part.Tokens
 		}
 	}
@@ -141,12 +141,12 @@
 
 // backlog is how long the endpoint will be reading what it was sent before.
 func (q *prefillQueue) backlog(now time.Time) time.Duration {
-	ahead := max(q.idleAt.Sub(now), 0)
+	backlog := max(q.idleAt.Sub(now), 0)
 	if len(q.pending) > 0 {
 		// A reading that should have ended by now has been held up, and is expected to take as long again.
-		ahead += max(now.Sub(q.pending[0].due), 0)
+		backlog += max(now.Sub(q.pending[0].due), 0)
 	}
-	return ahead
+	return backlog
 }
 
 // busyUntil is until when an endpoint may say nothing since it reads the first of what it was sent.
@@ -161,30 +161,30 @@
 }
 
 // enqueue puts a reading at the end of the queue.
-func (q *prefillQueue) enqueue(now time.Time, p *Slot, reading time.Duration) {
+func (q *prefillQueue) enqueue(now time.Time, s *Slot, prefillTime time.Duration) {
 	if q.idleAt.Before(now) {
 		q.idleAt = now
 	}
-	q.idleAt = q.idleAt.Add(reading)
-	p.due, p.prefillTime = q.idleAt, reading
-	q.pending = append(q.pending, p)
+	q.idleAt = q.idleAt.Add(prefillTime)
+	s.due, s.prefillTime = q.idleAt, prefillTime
+	q.pending = append(q.pending, s)
 }
 
 // applyUpdate takes what another box has found: a reading that was added, or that all of them are done sooner or later.
-func (q *prefillQueue) applyUpdate(now time.Time, reading PrefillUpdate) {
+func (q *prefillQueue) applyUpdate(now time.Time, update PrefillUpdate) {
 	if q.idleAt.Before(now) {
 		q.idleAt = now
 	}
-	if reading.IsShift {
-		q.shift(now, q.pending, reading.Duration)
+	if update.IsShift {
+		q.shift(now, q.pending, update.Duration)
 		return
 	}
-	q.shift(now, nil, reading.Duration)
+	q.shift(now, nil, update.Duration)
 }
 
 // complete takes a reading out of the queue whose answer has complete, and returns by how much the others move with it.
-func (q *prefillQueue) complete(now time.Time, p *Slot) time.Duration {
-	at := slices.Index(q.pending, p)
+func (q *prefillQueue) complete(now time.Time, s *Slot) time.Duration {
+	at := slices.Index(q.pending, s)
 	if at < 0 {
 		return 0
 	}
@@ -192,26 +192,26 @@
 	if at > 0 {
 		return 0
 	}
-	by := now.Sub(p.due)
+	by := now.Sub(s.due)
 	q.shift(now, q.pending, by)
 	return by
 }
 
 // remove takes a reading out of the queue that ends without an answer, and returns by how much the others move with it.
-func (q *prefillQueue) remove(now time.Time, p *Slot) time.Duration {
-	at := slices.Index(q.pending, p)
+func (q *prefillQueue) remove(now time.Time, s *Slot) time.Duration {
+	at := slices.Index(q.pending, s)
 	if at < 0 {
 		return 0
 	}
 	q.pending = slices.Delete(q.pending, at, at+1)
-	q.shift(now, q.pending[at:], -p.prefillTime)
-	return -p.prefillTime
+	q.shift(now, q.pending[at:], -s.prefillTime)
+	return -s.prefillTime
 }
 
 // shift moves the forecast from some of the readings on.
 func (q *prefillQueue) shift(now time.Time, from []*Slot, by time.Duration) {
-	for _, p := range from {
-		p.due = p.due.Add(by)
+	for _, s := range from {
+		s.due = s.due.Add(by)
 	}
 	q.idleAt = q.idleAt.Add(by)
 	if q.idleAt.Before(now) {
@@ -232,23 +232,23 @@
 //
 // What was ahead of it counts as tokens of its own, by the speed that is known: a speed that is wrong makes all forecasts
 // wrong alike, and readings that found nothing ahead are too few where it is taken for too slow.
-func (p *Pool) learnSpeed(now time.Time, place *Slot) {
-	if place.uncached == 0 {
+func (p *Pool) learnSpeed(now time.Time, slot *Slot) {
+	if slot.uncached == 0 {
 		return
 	}
-	key := place.speedKey()
+	key := slot.speedKey()
 	known := p.speeds[key]
 	if known == nil {
 		known = &prefillSpeed{}
 		p.speeds[key] = known
 	}
-	tokens := float64(place.uncached)
+	tokens := float64(slot.uncached)
 	if perToken := known.secondsPerToken(); perToken > 0 {
-		tokens += place.backlog.Seconds() / perToken
-	} else if place.backlog > 0 {
+		tokens += slot.backlog.Seconds() / perToken
+	} else if slot.backlog > 0 {
 		return
 	}
-	known.learn(now.Sub(place.sentAt), tokens)
+	known.learn(now.Sub(slot.sentAt), tokens)
 }
 
 // Speeds lists the reading speeds that are known.
@@ -275,12 +275,12 @@
 }
 
 // learnLateness takes how much later than forecast an answer began.
-func (p *Pool) learnLateness(now time.Time, place *Slot) {
-	key := place.speedKey()
+func (p *Pool) learnLateness(now time.Time, slot *Slot) {
+	key := slot.speedKey()
 	known := p.lateness[key]
 	if known == nil {
 		known = &Lateness{}
 		p.lateness[key] = known
 	}
-	known.Learn(now.Sub(place.due))
+	known.Learn(now.Sub(slot.due))
 }
--- a/route/pressure.go
+++ b/route/pressure.go
@@ -16,14 +16,14 @@
 func (p *Pool) Pressure(now time.Time, service willowwick.ServiceID, allow func(willowwick.Endpoint) bool) Pressure {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r := p.candidates[workKey{service: service}]
-	if r == nil {
+	set := p.candidates[workKey{service: service}]
+	if set == nil {
 		return Pressure{}
 	}
-	counts := p.pressureFilter(now, r)
+	counts := p.pressureFilter(now, set)
 	var backlog time.Duration
 	requests, endpoints := 0, 0
-	for _, m := range r.members {
+	for _, m := range set.members {
 		if !m.isInService() || now.Before(m.ejectedUntil) || !allow(m.endpoint) || !counts(m) {
 			continue
 		}
--- a/route/queue.go
+++ b/route/queue.go
@@ -78,10 +78,10 @@
 
 // Push adds a request, or says when its account should come back if it could not make its deadline.
 func (q *Queue) Push(now time.Time, w *Waiter) (retryAt time.Time, ok bool) {
-	turn := q.EstimateDispatch(now, w.Account, w.Weight, w.Cost)
-	unknown := q.rate() <= 0 && q.length >= maxUnmeasuredBacklog
-	if turn.After(w.Deadline) || unknown || !now.Before(w.Deadline) {
-		return turn, false
+	dispatchAt := q.EstimateDispatch(now, w.Account, w.Weight, w.Cost)
+	isUnmeasuredFull := q.rate() <= 0 && q.length >= maxUnmeasuredBacklog
+	if dispatchAt.After(w.Deadline) || isUnmeasuredFull || !now.Before(w.Deadline) {
+		return dispatchAt, false
 	}
 	f := q.flows[w.Account]
 	if f == nil {
@@ -187,8 +187,8 @@
 }
 
 // SetInFlight tells how many requests are being worked on.
-func (q *Queue) SetInFlight(places int) {
-	q.inFlight = places
+func (q *Queue) SetInFlight(inFlight int) {
+	q.inFlight = inFlight
 }
 
 // rate is the speed of the whole pool in tokens a second, or 0 if it is not known yet.
--- a/route/retries.go
+++ b/route/retries.go
@@ -80,12 +80,12 @@
 }
 
 func (b *WindowedRetryBudget) allows(now time.Time, kind RetryKind, boxes int) bool {
-	requests, repeats := b.sums(now)
+	requests, retries := b.sums(now)
 	allowed := retryMargin * (b.limits.Ratio*float64(requests) + float64(b.limits.Slack)/float64(max(boxes, 1)))
 	if kind == RetryEscalation {
 		allowed *= escalationShare
 	}
-	return float64(repeats+1) <= allowed
+	return float64(retries+1) <= allowed
 }
 
 func (b *WindowedRetryBudget) bucketIndex(now time.Time) int64 {
@@ -93,21 +93,21 @@
 }
 
 func (b *WindowedRetryBudget) bucket(now time.Time) *retryBucket {
-	turn := b.bucketIndex(now)
-	part := &b.buckets[turn%windowBuckets]
-	if part.index != turn {
-		*part = retryBucket{index: turn}
+	index := b.bucketIndex(now)
+	bucket := &b.buckets[index%windowBuckets]
+	if bucket.index != index {
+		*bucket = retryBucket{index: index}
 	}
-	return part
+	return bucket
 }
 
-func (b *WindowedRetryBudget) sums(now time.Time) (requests, repeats int) {
-	turn := b.bucketIndex(now)
-	for _, part := range b.buckets {
-		if turn-part.index < windowBuckets {
-			requests += part.requests
-			repeats += part.retries
+func (b *WindowedRetryBudget) sums(now time.Time) (requests, retries int) {
+	index := b.bucketIndex(now)
+	for _, bucket := range b.buckets {
+		if index-bucket.index < windowBuckets {
+			requests += bucket.requests
+			retries += bucket.retries
 		}
 	}
-	return requests, repeats
+	return requests, retries
 }
--- a/route/slot.go
+++ b/route/slot.go
@@ -72,7 +72,7 @@
 }
 
 // ReportedState reports whether the endpoint has said in its answers that it leaves, and whether it has asked for rest that has not ended.
-func (s *Slot) ReportedState(now time.Time) (leaves, rests bool) {
+func (s *Slot) ReportedState(now time.Time) (leaving, inBackoff bool) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
 	return s.member.reported.leaving, s.member.reported.isInBackoff(now)
@@ -86,47 +86,47 @@
 }
 
 // Sent notes that the endpoint has the request's prompt to read, and returns what is to be told to other boxes of it.
-func (s *Slot) Sent(now time.Time) (reading PrefillUpdate, isReading bool) {
+func (s *Slot) Sent(now time.Time) (update PrefillUpdate, hasUpdate bool) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
 	if len(s.work.Prompt) == 0 {
 		return PrefillUpdate{}, false
 	}
-	reader := &s.member.prefills
-	s.sentAt, s.backlog = now, reader.backlog(now)
-	var length time.Duration
-	length, s.uncached = s.estimator.estimate(now, s.member)
-	s.hasForecast = length > 0 || s.uncached == 0
-	reader.enqueue(now, s, length)
+	prefills := &s.member.prefills
+	s.sentAt, s.backlog = now, prefills.backlog(now)
+	var prefillTime time.Duration
+	prefillTime, s.uncached = s.estimator.estimate(now, s.member)
+	s.hasForecast = prefillTime > 0 || s.uncached == 0
+	prefills.enqueue(now, s, prefillTime)
 	parts := s.estimator.hashes[:len(s.estimator.hashes)-1] // the last one is the request's own
-	reader.markCached(now, parts)
-	return PrefillUpdate{Endpoint: uint32(s.member.hash), Duration: length, Parts: parts}, true
+	prefills.markCached(now, parts)
+	return PrefillUpdate{Endpoint: uint32(s.member.hash), Duration: prefillTime, Parts: parts}, true
 }
 
 // AnswerStarted notes that the answer has begun: the prompt is read. It returns what is to be told to other boxes of it.
-func (s *Slot) AnswerStarted(now time.Time) (shift PrefillUpdate, isShift bool) {
+func (s *Slot) AnswerStarted(now time.Time) (shift PrefillUpdate, hasShift bool) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
 	s.member.lastAliveAt = now
 	if !s.sentAt.IsZero() {
 		s.pool.learnSpeed(now, s)
 		s.pool.learnLateness(now, s)
-		return s.shift(s.member.prefills.complete(now, s))
+		return s.shiftUpdate(s.member.prefills.complete(now, s))
 	}
 	return PrefillUpdate{}, false
 }
 
 // Cancelled notes that the request is taken back from the endpoint, if its answer has not begun, and returns what is to be
 // told to other boxes of it.
-func (s *Slot) Cancelled(now time.Time) (shift PrefillUpdate, isShift bool) {
+func (s *Slot) Cancelled(now time.Time) (shift PrefillUpdate, hasShift bool) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	return s.shift(s.member.prefills.remove(now, s))
+	return s.shiftUpdate(s.member.prefills.remove(now, s))
 }
 
 // TimedOut notes that the request is taken back from an endpoint that says nothing, and returns what is to be told to other
 // boxes of it: that its answers come later by as much as this one would have, so that they try others meanwhile.
-func (s *Slot) TimedOut(now time.Time) (shift PrefillUpdate, isShift bool) {
+func (s *Slot) TimedOut(now time.Time) (shift PrefillUpdate, hasShift bool) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
 	if !s.hasForecast {
@@ -134,11 +134,11 @@
 	}
 	s.pool.learnLateness(now.Add(maxLateness), s)
 	s.member.prefills.remove(now, s)
-	return s.shift(max(now.Sub(s.due), 0))
+	return s.shiftUpdate(max(now.Sub(s.due), 0))
 }
 
-// shift is what is told of a forecast that has moved by more than others would notice.
-func (s *Slot) shift(by time.Duration) (shift PrefillUpdate, isShift bool) {
+// shiftUpdate is what is told of a forecast that has moved by more than others would notice.
+func (s *Slot) shiftUpdate(by time.Duration) (shift PrefillUpdate, hasShift bool) {
 	if by.Abs() < minReportedShift {
 		return PrefillUpdate{}, false
 	}
@@ -168,7 +168,7 @@
 }
 
 // Forecast is how long the endpoint was still reading when the request was sent, and then read for it, as forecast.
-func (s *Slot) Forecast() (ahead, reading time.Duration) {
+func (s *Slot) Forecast() (backlog, prefillTime time.Duration) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
 	return s.backlog, s.prefillTime
