--- a/exchange/call.go
+++ b/exchange/call.go
@@ -275,7 +275,7 @@
 			}
 			return place, known
 		},
-		Shortage: c.isHopeless,
+		Unavailable: c.isHopeless,
 	})
 }
 
--- a/exchange/hints.go
+++ b/exchange/hints.go
@@ -101,13 +101,13 @@
 	if h.conn == nil || !isReading {
 		return
 	}
-	if !h.mayTell(reading.Duration, h.router.peers.boxes(), clock.Now()) {
+	if !h.mayTell(reading.Added, h.router.peers.boxes(), clock.Now()) {
 		h.router.metrics.hintDropped()
 		return
 	}
 	row := hintRow{
 		Endpoint: reading.Endpoint, IsShift: reading.IsShift,
-		Micros: int32(min(max(reading.Duration.Microseconds(), math.MinInt32), math.MaxInt32)),
+		Micros: int32(min(max(reading.Added.Microseconds(), math.MinInt32), math.MaxInt32)),
 	}
 	copy(row.Parts[:], reading.Parts[max(len(reading.Parts)-hintParts, 0):])
 	h.enqueue(hint{row: row})
@@ -248,7 +248,7 @@
 
 func (h *hints) take(kind hintKind, rows []hintRow, now time.Time) {
 	for _, row := range rows {
-		reading := route.PrefillUpdate{Endpoint: row.Endpoint, Duration: time.Duration(row.Micros) * time.Microsecond, IsShift: row.IsShift}
+		reading := route.PrefillUpdate{Endpoint: row.Endpoint, Added: time.Duration(row.Micros) * time.Microsecond, IsShift: row.IsShift}
 		for _, part := range row.Parts {
 			if part != 0 {
 				reading.Parts = append(reading.Parts, part)
--- a/exchange/hints_test.go
+++ b/exchange/hints_test.go
@@ -58,7 +58,7 @@
 			require.NotNil(t, place)
 			reading, isReading := place.Sent(time.Now())
 			require.True(t, isReading)
-			reading.Duration = time.Minute // its speed is not known yet
+			reading.Added = time.Minute // its speed is not known yet
 			x.hints.tell(reading, true)
 			for _, s := range sites[1:] {
 				require.Eventually(t, func() bool { return aheadAt(s, "r1") > time.Second }, patience, 5*time.Millisecond, s.daemon.router.settings.Box)
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -45,8 +45,8 @@
 		Deadline time.Time
 		// Acquire acquires a slot if one is free; known is false if no endpoint serves the work.
 		Acquire func(now time.Time) (slot *route.Slot, known bool)
-		// Shortage returns the current shortage if no slot can become free before it ends; nil if that never happens.
-		Shortage func(now time.Time) (shortage route.Shortage, isShort bool)
+		// Unavailable returns the current shortage if no slot can become free before it ends; nil if that never happens.
+		Unavailable func(now time.Time) (shortage route.Shortage, isShort bool)
 	}
 
 	// waiter is a request with its result.
@@ -109,7 +109,7 @@
 			return w, true, nil
 		}
 	}
-	if shortage, refuse := request.mustRefuse(now); refuse {
+	if shortage, mustRefuse := request.mustRefuse(now); mustRefuse {
 		return nil, false, shortageRefusal(now, shortage, request.Work)
 	}
 	retryAt, ok := q.Push(now, &route.Waiter{Account: request.Account, Weight: request.Weight, Cost: request.Cost, Deadline: request.Deadline, Value: w})
@@ -123,11 +123,11 @@
 }
 
 // mustRefuse reports whether no slot can become free in time for the request to wait for it.
-func (w *Request) mustRefuse(now time.Time) (shortage route.Shortage, refuse bool) {
-	if w.Shortage == nil {
+func (w *Request) mustRefuse(now time.Time) (shortage route.Shortage, mustRefuse bool) {
+	if w.Unavailable == nil {
 		return route.Shortage{}, false
 	}
-	if shortage, refuse = w.Shortage(now); !refuse {
+	if shortage, mustRefuse = w.Unavailable(now); !mustRefuse {
 		return shortage, false
 	}
 	mayWait := shortage.IsCertain && shortage.Until.Sub(now) < w.Deadline.Sub(now)/shortageWaitDivisor
@@ -214,8 +214,8 @@
 // refuseInShortage refuses the request at the head of its queue if no slot can become free in time, and reports
 // whether it did.
 func (w *waiter) refuseInShortage(q *route.Queue, now time.Time) bool {
-	shortage, refuse := w.mustRefuse(now)
-	if !refuse {
+	shortage, mustRefuse := w.mustRefuse(now)
+	if !mustRefuse {
 		return false
 	}
 	q.Pop()
--- a/replay/simulate.go
+++ b/replay/simulate.go
@@ -407,7 +407,7 @@
 // rated takes a rating: the learner wants all, the evidence on versions only a
 // sample that does not depend on why the answer was rated.
 func (s *simulation) rated(t *task, passed bool) {
-	s.learner.RecordRating(t.subject, passed)
+	s.learner.Rated(t.subject, passed)
 	if t.Lot >= sampledLot {
 		return
 	}
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -124,7 +124,7 @@
 type Monitor struct {
 	version    willowwick.VersionID
 	cusums     logRatios // for turning bad; never below zero
-	stepRatios logRatios // since the step began
+	logRatios  logRatios // since the step began
 	seen       [signalCount]bool
 	requests   uint64
 	hasRatings bool // ratings exist, so a version is not good without them
@@ -149,7 +149,7 @@
 // BeginStep resets the test for being good at the start of a step; the test for turning bad continues.
 func (m *Monitor) BeginStep() {
 	m.requests = 0
-	m.stepRatios = logRatios{}
+	m.logRatios = logRatios{}
 	m.seen = [signalCount]bool{}
 }
 
@@ -162,7 +162,7 @@
 // add adds new evidence and returns the log-likelihood ratio it contributes for each signal.
 func (m *Monitor) add(version, others, all Evidence) logRatios {
 	m.requests += version.Requests
-	m.fleetSlow.add(all.CountsOf(SignalSlow), fleetSlowDecay)
+	m.fleetSlow.observe(all.CountsOf(SignalSlow), fleetSlowDecay)
 	var steps logRatios
 	for signal := range signalCount {
 		m.updateBaseline(signal, others.CountsOf(signal))
@@ -180,18 +180,18 @@
 		m.seen[signal] = true
 		steps[signal] = m.logRatio(signal, counts)
 		m.cusums[signal] = max(0, m.cusums[signal]+steps[signal])
-		m.stepRatios[signal] += steps[signal]
+		m.logRatios[signal] += steps[signal]
 	}
 	return steps
 }
 
 func (m *Monitor) updateBaseline(signal Signal, counts Counts) {
 	if counts.Total > 0 {
-		m.baselines[signal].add(counts, baselineDecay)
+		m.baselines[signal].observe(counts, baselineDecay)
 	}
 }
 
-func (b *decayingRate) add(counts Counts, fade float64) {
+func (b *decayingRate) observe(counts Counts, fade float64) {
 	b.total = b.total*fade + float64(counts.Total)
 	b.bad = b.bad*fade + float64(counts.Bad)
 }
@@ -225,7 +225,7 @@
 		if m.cusums[signal] >= withdrawThreshold {
 			return Finding{Bad: true, Signal: signal, Requests: m.requests}
 		}
-		if m.seen[signal] && m.stepRatios[signal] > acceptThreshold {
+		if m.seen[signal] && m.logRatios[signal] > acceptThreshold {
 			f.Good = false
 		}
 	}
--- a/route/availability.go
+++ b/route/availability.go
@@ -8,7 +8,7 @@
 
 const (
 	// reasonNone: the endpoint may be given a request if it has capacity.
-	reasonNone unavailableReason = iota
+	reasonNone reason = iota
 	// reasonOutOfService: it is shutting down, its hall is evacuated, or another endpoint answers at its address.
 	reasonOutOfService
 	// reasonBackoff: it asked for a backoff that has not ended.
@@ -18,12 +18,12 @@
 )
 
 type (
-	// unavailableReason is why an endpoint is given no request, whatever its load.
-	unavailableReason int
+	// reason is why an endpoint is given no request, whatever its load.
+	reason int
 
 	// availability is whether an endpoint may be given a request.
 	availability struct {
-		reason      unavailableReason
+		reason      reason
 		availableAt time.Time // end of the backoff or the next chance of a permit, where known
 	}
 
@@ -42,8 +42,8 @@
 	switch {
 	case !m.isInService():
 		return availability{reason: reasonOutOfService}
-	case m.reported.isInBackoff(now):
-		return availability{reasonBackoff, m.reported.backoffUntil}
+	case m.reportedState.isInBackoff(now):
+		return availability{reasonBackoff, m.reportedState.backoffUntil}
 	}
 	if nextAt, limited := p.options.Limits.Limited(now, m.endpoint.ID); limited {
 		return availability{reasonRateLimit, nextAt}
@@ -57,8 +57,8 @@
 	return p.allUnavailable(now, workKey{service: service}, allow)
 }
 
-// AllUnavailableForVersion is AllUnavailable for the runners that serve a version.
-func (p *Pool) AllUnavailableForVersion(now time.Time, version willowwick.VersionID) (Shortage, bool) {
+// VersionUnavailable is AllUnavailable for the runners that serve a version.
+func (p *Pool) VersionUnavailable(now time.Time, version willowwick.VersionID) (Shortage, bool) {
 	return p.allUnavailable(now, workKey{version: version}, nil)
 }
 
--- a/route/candidates.go
+++ b/route/candidates.go
@@ -22,7 +22,7 @@
 		exclude      map[willowwick.EndpointID]bool
 		allow        func(willowwick.Endpoint) bool
 		pool         *Pool
-		estimator    prefillEstimator
+		estimator    prefill
 		allowEjected bool // ejected, probed and silent endpoints count as open
 	}
 
@@ -49,7 +49,7 @@
 		Recent:   m.sentSinceReport,
 		Open: !s.exclude[m.endpoint.ID] && s.allows(m) && !s.pool.isColdPaused(s.now, m) && m.isOpen(s.now, s.pool.options, s.allowEjected) &&
 			s.pool.options.Limits.MayUse(s.now, m.endpoint.ID),
-		Ahead:   m.prefills.backlog(s.now),
+		Ahead:   m.prefillQueue.backlog(s.now),
 		Reading: prefillTime,
 		Failing: m.failureRate(s.now),
 	}
--- a/route/learner.go
+++ b/route/learner.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// RecordRating records whether an answer passed.
-func (l *Learner) RecordRating(subject Subject, passed bool) {
+// Rated records whether an answer passed.
+func (l *Learner) Rated(subject Subject, passed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.count(subject).add(passed)
@@ -141,11 +141,11 @@
 // hasSlack reports whether the quality of the account's answers is so far above the target that an unjudged answer of
 // this subject keeps it there. Subjects with a pass rate far below the target are never trusted.
 func (l *Learner) hasSlack(c StageChoice, lower float64) bool {
-	given := l.delivered[c.Subject.Account]
-	if given == nil || given.rated < minAnswersForSlack || lower < float64(c.Quality)-maxTrustDeficit {
+	delivered := l.delivered[c.Subject.Account]
+	if delivered == nil || delivered.rated < minAnswersForSlack || lower < float64(c.Quality)-maxTrustDeficit {
 		return false
 	}
-	after := (given.passed + lower) / (given.rated + 1)
+	after := (delivered.passed + lower) / (delivered.rated + 1)
 	return after >= float64(c.Quality)+slackMargin
 }
 
@@ -153,14 +153,14 @@
 func (l *Learner) RecordQuality(account willowwick.AccountID, quality float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	given := l.delivered[account]
-	if given == nil {
-		given = &passCount{}
-		l.delivered[account] = given
-	}
-	given.decay()
-	given.rated++
-	given.passed += quality
+	delivered := l.delivered[account]
+	if delivered == nil {
+		delivered = &passCount{}
+		l.delivered[account] = delivered
+	}
+	delivered.decay()
+	delivered.rated++
+	delivered.passed += quality
 }
 
 // ExpectedPassRate returns the pass rate of a subject; known is false with fewer than minRatings ratings.
--- a/route/notice.go
+++ b/route/notice.go
@@ -55,7 +55,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := p.reported[endpoint.ID]
+	s := p.reportedState[endpoint.ID]
 	if s == nil || !s.matches(endpoint) {
 		return changes
 	}
@@ -80,7 +80,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if m := p.endpoints[id]; m != nil {
-		m.reported.leaving = true
+		m.reportedState.leaving = true
 	}
 }
 
@@ -88,7 +88,7 @@
 func (p *Pool) MarkMisplaced(endpoint willowwick.Endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if s := p.reported[endpoint.ID]; s != nil && s.matches(endpoint) {
+	if s := p.reportedState[endpoint.ID]; s != nil && s.matches(endpoint) {
 		s.misplaced = true
 	}
 }
@@ -100,7 +100,7 @@
 	defer p.mu.Unlock()
 	var added []willowwick.EndpointID
 	for _, row := range rows {
-		s := p.reported[row.Endpoint]
+		s := p.reportedState[row.Endpoint]
 		if s != nil && s.incarnation == row.Incarnation && !s.leaving {
 			s.leaving = true
 			added = append(added, row.Endpoint)
@@ -116,8 +116,8 @@
 	defer p.mu.Unlock()
 	var rows []LeavingRow
 	for id, m := range p.endpoints {
-		if m.reported.leaving && !m.endpoint.Leaving {
-			rows = append(rows, LeavingRow{id, m.reported.incarnation})
+		if m.reportedState.leaving && !m.endpoint.Leaving {
+			rows = append(rows, LeavingRow{id, m.reportedState.incarnation})
 		}
 	}
 	sort.Slice(rows, func(i, j int) bool { return rows[i].Endpoint < rows[j].Endpoint })
@@ -130,7 +130,7 @@
 	defer p.mu.Unlock()
 	var ids []willowwick.EndpointID
 	for id, m := range p.endpoints {
-		if m.reported.leaving {
+		if m.reportedState.leaving {
 			ids = append(ids, id)
 		}
 	}
@@ -142,17 +142,17 @@
 func (p *Pool) IsLeaving(id willowwick.EndpointID) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := p.reported[id]
+	s := p.reportedState[id]
 	return s != nil && s.leaving
 }
 
 // reportedStateOf returns the reported state of the incarnation in an entry, and applies the entry's own leaving. The
 // caller holds the lock.
 func (p *Pool) reportedStateOf(entry willowwick.Endpoint) *reportedState {
-	s := p.reported[entry.ID]
+	s := p.reportedState[entry.ID]
 	if s == nil || !s.matches(entry) {
 		s = &reportedState{incarnation: entry.Incarnation, address: entry.Address}
-		p.reported[entry.ID] = s
+		p.reportedState[entry.ID] = s
 	}
 	s.leaving = s.leaving || entry.Leaving
 	s.unlistedAt = time.Time{}
@@ -162,7 +162,7 @@
 // expireReportedStates drops the state of endpoints that have been unlisted for reportedStateTTL; at once for those
 // without an incarnation, since the next one could not be told apart. The caller holds the lock.
 func (p *Pool) expireReportedStates(now time.Time, listed map[willowwick.EndpointID]*member) {
-	for id, s := range p.reported {
+	for id, s := range p.reportedState {
 		if listed[id] != nil {
 			continue
 		}
@@ -170,7 +170,7 @@
 			s.unlistedAt = now
 		}
 		if s.incarnation == 0 || now.Sub(s.unlistedAt) > reportedStateTTL {
-			delete(p.reported, id)
+			delete(p.reportedState, id)
 		}
 	}
 }
@@ -190,10 +190,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, m := range p.endpoints {
-		if m.reported.leaving {
+		if m.reportedState.leaving {
 			leaving++
 		}
-		if m.reported.isInBackoff(now) {
+		if m.reportedState.isInBackoff(now) {
 			resting++
 		}
 	}
--- a/route/notice_test.go
+++ b/route/notice_test.go
@@ -103,7 +103,7 @@
 	endpoint           willowwick.Endpoint
 	boxes              []*Pool
 	waiting            []int // requests of each box
-	running            []simulatedRequest
+	inProgress         []simulatedRequest
 	served, turnedAway int
 }
 
@@ -118,11 +118,11 @@
 // may.
 func (r *backoffSimulation) step(now time.Time, slots int) {
 	const serves = 100 * time.Millisecond
-	for len(r.running) > 0 && !now.Before(r.running[0].until) {
-		done := r.running[0]
-		r.running = r.running[1:]
-		running := min(len(r.running), slots)
-		done.box.Report(willowwick.EndpointLoad{Endpoint: r.endpoint.ID, Running: running, Waiting: len(r.running) - running, Slots: slots, At: now})
+	for len(r.inProgress) > 0 && !now.Before(r.inProgress[0].until) {
+		done := r.inProgress[0]
+		r.inProgress = r.inProgress[1:]
+		running := min(len(r.inProgress), slots)
+		done.box.Report(willowwick.EndpointLoad{Endpoint: r.endpoint.ID, Running: running, Waiting: len(r.inProgress) - running, Slots: slots, At: now})
 		done.place.Release(now, OutcomeGood)
 		r.served++
 	}
@@ -133,17 +133,17 @@
 				break
 			}
 			r.waiting[i]--
-			if len(r.running) >= 2*slots {
+			if len(r.inProgress) >= 2*slots {
 				r.turnedAway++
 				box.ApplyNotice(now, now, r.endpoint, backoffNotice(now.Add(2*time.Second)))
 				place.Release(now, OutcomeBusy)
 				continue
 			}
 			until := now.Add(serves)
-			if len(r.running) >= slots {
-				until = r.running[len(r.running)-slots].until.Add(serves)
+			if len(r.inProgress) >= slots {
+				until = r.inProgress[len(r.inProgress)-slots].until.Add(serves)
 			}
-			r.running = append(r.running, simulatedRequest{box, place, until})
+			r.inProgress = append(r.inProgress, simulatedRequest{box, place, until})
 		}
 	}
 }
--- a/route/pool.go
+++ b/route/pool.go
@@ -24,18 +24,18 @@
 type (
 	// Pool tracks the endpoints, their load and their health, and hands out slots at them.
 	Pool struct {
-		mu         sync.Mutex
-		picker     willowwick.Picker
-		options    PoolOptions
-		endpoints  map[willowwick.EndpointID]*member
-		byHash     map[uint32]*member
-		candidates map[workKey]*candidateSet
-		inFlight   int
-		occupied   map[*member]bool // endpoints with slots in use, including unlisted ones
-		speeds     map[speedKey]*prefillSpeed
-		lateness   map[speedKey]*Lateness // of first events against their forecasts
-		evacuated  map[willowwick.HallID]bool
-		reported   map[willowwick.EndpointID]*reportedState
+		mu            sync.Mutex
+		picker        willowwick.Picker
+		options       PoolOptions
+		endpoints     map[willowwick.EndpointID]*member
+		byHash        map[uint32]*member
+		candidates    map[workKey]*candidateSet
+		inFlight      int
+		occupied      map[*member]bool // endpoints with slots in use, including unlisted ones
+		speeds        map[speedKey]*prefillSpeed
+		lateness      map[speedKey]*Lateness // of first events against their forecasts
+		evacuated     map[willowwick.HallID]bool
+		reportedState map[willowwick.EndpointID]*reportedState
 		// coldPauses holds the pause between this box's requests to one cold endpoint, by service.
 		coldPauses map[willowwick.ServiceID]time.Duration
 	}
@@ -59,7 +59,7 @@
 	// member is an endpoint with what this box knows of it.
 	member struct {
 		endpoint        willowwick.Endpoint
-		reported        *reportedState
+		reportedState   *reportedState
 		load            willowwick.EndpointLoad
 		inFlight        int
 		sentSinceReport int
@@ -73,7 +73,7 @@
 		lastAliveAt     time.Time // when data last arrived, or when it got work after having none
 		nextColdSendAt  time.Time // when this box may send a cold endpoint its next request; zero if not yet chosen
 		isProbing       bool      // the ejection has run out, and one request probes the endpoint
-		prefills        prefillQueue
+		prefillQueue    prefillQueue
 	}
 )
 
@@ -96,7 +96,7 @@
 	return &Pool{
 		picker: picker, options: options,
 		endpoints: map[willowwick.EndpointID]*member{}, candidates: map[workKey]*candidateSet{}, occupied: map[*member]bool{},
-		reported: map[willowwick.EndpointID]*reportedState{}, speeds: map[speedKey]*prefillSpeed{}, lateness: map[speedKey]*Lateness{},
+		reportedState: map[willowwick.EndpointID]*reportedState{}, speeds: map[speedKey]*prefillSpeed{}, lateness: map[speedKey]*Lateness{},
 	}
 }
 
@@ -115,7 +115,7 @@
 		if IsColdAgain(m.endpoint.ColdUntil, endpoint.ColdUntil) {
 			m.nextColdSendAt = time.Time{}
 		}
-		m.endpoint, m.reported = endpoint, p.reportedStateOf(endpoint)
+		m.endpoint, m.reportedState = endpoint, p.reportedStateOf(endpoint)
 		m.evacuated = p.evacuated[endpoint.Hall]
 		known[endpoint.ID] = m
 		byHash[uint32(m.hash)] = m
@@ -174,7 +174,7 @@
 	}
 	m.load = load
 	m.sentSinceReport = 0
-	m.reported.leaving = m.reported.leaving || load.Leaving
+	m.reportedState.leaving = m.reportedState.leaving || load.Leaving
 }
 
 // ApplyPrefillUpdate applies another box's prefill update to its endpoint.
@@ -185,8 +185,8 @@
 	if m == nil {
 		return
 	}
-	m.prefills.applyUpdate(now, update)
-	m.prefills.markCached(now, update.Parts)
+	m.prefillQueue.applyUpdate(now, update)
+	m.prefillQueue.markCached(now, update.Parts)
 }
 
 // PrefillBacklog returns the forecast time until the endpoint has read all prompts sent to it; 0 if the endpoint is
@@ -195,7 +195,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if m := p.endpoints[id]; m != nil {
-		return m.prefills.backlog(now)
+		return m.prefillQueue.backlog(now)
 	}
 	return 0
 }
@@ -240,7 +240,7 @@
 	list := make([]willowwick.Endpoint, 0, len(p.endpoints))
 	for _, m := range p.endpoints {
 		endpoint := m.endpoint
-		endpoint.Leaving = m.reported.leaving
+		endpoint.Leaving = m.reportedState.leaving
 		list = append(list, endpoint)
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
@@ -265,13 +265,13 @@
 // isInService reports whether the endpoint may be given new work at all: it is not shutting down, its own process
 // answers at its address, and its hall is not evacuated.
 func (m *member) isInService() bool {
-	return !m.reported.leaving && !m.reported.misplaced && !m.evacuated
+	return !m.reportedState.leaving && !m.reportedState.misplaced && !m.evacuated
 }
 
 // refusesWork reports whether the endpoint accepts no work now, whatever its load: it is out of service or in
 // backoff.
 func (m *member) refusesWork(now time.Time) bool {
-	return !m.isInService() || m.reported.isInBackoff(now)
+	return !m.isInService() || m.reportedState.isInBackoff(now)
 }
 
 // isSilentOrProbing reports whether the endpoint has work and is silent, or is being probed after an ejection.
@@ -284,11 +284,11 @@
 
 // isSilent reports whether the endpoint has been silent for longer than SilentAfter while it is not reading a prompt.
 func (m *member) isSilent(now time.Time, options PoolOptions) bool {
-	heardAt := m.lastAliveAt
-	if until := m.prefills.busyUntil(); until.After(heardAt) {
-		heardAt = until
+	lastAliveAt := m.lastAliveAt
+	if until := m.prefillQueue.busyUntil(); until.After(lastAliveAt) {
+		lastAliveAt = until
 	}
-	return now.Sub(heardAt) > options.SilentAfter
+	return now.Sub(lastAliveAt) > options.SilentAfter
 }
 
 // AcquireVersion acquires a slot at a runner that serves the version; slot is nil if none is open, and known reports
@@ -348,11 +348,11 @@
 }
 
 // estimatorFor returns the prefill estimator for work at the endpoints of a service.
-func (p *Pool) estimatorFor(service willowwick.ServiceID, work Work) prefillEstimator {
+func (p *Pool) estimatorFor(service willowwick.ServiceID, work Work) prefill {
 	if len(work.Prompt) == 0 {
-		return prefillEstimator{}
+		return prefill{}
 	}
-	return prefillEstimator{work.Prompt, work.partHashes(), p.speeds[speedKey{service, work.Model}].secondsPerToken()}
+	return prefill{work.Prompt, work.partHashes(), p.speeds[speedKey{service, work.Model}].secondsPerToken()}
 }
 
 // HasOpen reports whether one of the service's allowed endpoints is open; those with rate limits do not count, since
--- a/route/prefill.go
+++ b/route/prefill.go
@@ -42,13 +42,13 @@
 	// it, or a shift of the forecast of all that it has to read.
 	PrefillUpdate struct {
 		Endpoint uint32        // hash of its ID
-		Duration time.Duration // prefill time added, or the shift if IsShift
+		Added    time.Duration // prefill time added, or the shift if IsShift
 		IsShift  bool          // Duration shifts the whole forecast
 		Parts    []PartHash    // shared parts that it has cached from now on
 	}
 
-	// prefillEstimator holds what the prefill time of a request depends on at every endpoint of its service.
-	prefillEstimator struct {
+	// prefill holds what the prefill time of a request depends on at every endpoint of its service.
+	prefill struct {
 		prompt          []willowwick.PromptPart
 		hashes          []PartHash
 		secondsPerToken float64 // 0 if unknown
@@ -75,9 +75,9 @@
 
 	// prefillQueue forecasts when an endpoint has read the prompts sent to it, one at a time in the order of sending.
 	prefillQueue struct {
-		idleAt   time.Time // when all prompts are read
-		pending  []*Slot   // own requests whose answer has not begun, in the order of sending
-		cachedAt map[PartHash]time.Time
+		idleAt  time.Time // when all prompts are read
+		pending []*Slot   // own requests whose answer has not begun, in the order of sending
+		cached  map[PartHash]time.Time
 	}
 )
 
@@ -115,8 +115,8 @@
 	prefixCached := true
 	for i, part := range prompt {
 		if prefixCached {
-			at, kept := q.cachedAt[names[i]]
-			prefixCached = kept && now.Sub(at) < prefixCacheTTL
+			at, cached := q.cached[names[i]]
+			prefixCached = cached && now.Sub(at) < prefixCacheTTL
 		}
 		if !prefixCached {
 			tokens += part.Tokens
@@ -127,18 +127,18 @@
 
 // markCached records that the endpoint has read these parts.
 func (q *prefillQueue) markCached(now time.Time, parts []PartHash) {
-	if q.cachedAt == nil {
-		q.cachedAt = map[PartHash]time.Time{}
+	if q.cached == nil {
+		q.cached = map[PartHash]time.Time{}
 	}
 	for _, part := range parts {
-		q.cachedAt[part] = now
+		q.cached[part] = now
 	}
-	if len(q.cachedAt) <= maxCachedParts {
+	if len(q.cached) <= maxCachedParts {
 		return
 	}
-	for part, at := range q.cachedAt {
+	for part, at := range q.cached {
 		if now.Sub(at) >= prefixCacheTTL {
-			delete(q.cachedAt, part)
+			delete(q.cached, part)
 		}
 	}
 }
@@ -166,12 +166,12 @@
 }
 
 // enqueue appends a prefill.
-func (q *prefillQueue) enqueue(now time.Time, s *Slot, prefillTime time.Duration) {
+func (q *prefillQueue) enqueue(now time.Time, s *Slot, prefill time.Duration) {
 	if q.idleAt.Before(now) {
 		q.idleAt = now
 	}
-	q.idleAt = q.idleAt.Add(prefillTime)
-	s.due, s.prefillTime = q.idleAt, prefillTime
+	q.idleAt = q.idleAt.Add(prefill)
+	s.due, s.prefill = q.idleAt, prefill
 	q.pending = append(q.pending, s)
 }
 
@@ -181,10 +181,10 @@
 		q.idleAt = now
 	}
 	if update.IsShift {
-		q.shift(now, q.pending, update.Duration)
+		q.shift(now, q.pending, update.Added)
 		return
 	}
-	q.shift(now, nil, update.Duration)
+	q.shift(now, nil, update.Added)
 }
 
 // complete removes a prefill whose answer has begun, and returns by how much the forecast of the others shifts.
@@ -209,8 +209,8 @@
 		return 0
 	}
 	q.pending = slices.Delete(q.pending, at, at+1)
-	q.shift(now, q.pending[at:], -s.prefillTime)
-	return -s.prefillTime
+	q.shift(now, q.pending[at:], -s.prefill)
+	return -s.prefill
 }
 
 // shift moves the forecast of the given prefills and of the end of the queue.
@@ -225,11 +225,11 @@
 }
 
 // estimate returns the prefill time of the request at an endpoint, and the number of tokens not cached there.
-func (e *prefillEstimator) estimate(now time.Time, m *member) (time.Duration, willowwick.Tokens) {
+func (e *prefill) estimate(now time.Time, m *member) (time.Duration, willowwick.Tokens) {
 	if len(e.prompt) == 0 {
 		return 0, 0
 	}
-	tokens := m.prefills.uncachedTokens(now, e.prompt, e.hashes)
+	tokens := m.prefillQueue.uncachedTokens(now, e.prompt, e.hashes)
 	return time.Duration(e.secondsPerToken * float64(tokens) * float64(time.Second)), tokens
 }
 
@@ -248,8 +248,8 @@
 		p.speeds[key] = known
 	}
 	tokens := float64(slot.uncached)
-	if perToken := known.secondsPerToken(); perToken > 0 {
-		tokens += slot.backlog.Seconds() / perToken
+	if secondsPerToken := known.secondsPerToken(); secondsPerToken > 0 {
+		tokens += slot.backlog.Seconds() / secondsPerToken
 	} else if slot.backlog > 0 {
 		return
 	}
--- a/route/prefill_test.go
+++ b/route/prefill_test.go
@@ -44,7 +44,7 @@
 
 // uncachedTokensAt returns how many tokens of the work's prompt the endpoint must read.
 func uncachedTokensAt(pool *Pool, now time.Time, name willowwick.EndpointID, work Work) willowwick.Tokens {
-	return pool.endpoints[name].prefills.uncachedTokens(now, work.Prompt, work.partHashes())
+	return pool.endpoints[name].prefillQueue.uncachedTokens(now, work.Prompt, work.partHashes())
 }
 
 func backlogOf(pool *Pool, now time.Time, name willowwick.EndpointID) time.Duration {
@@ -95,7 +95,7 @@
 	for ahead, leaves := range map[willowwick.Tokens]bool{3000: false, 30000: true} {
 		pool, now := newPrefillPool(t, "a", "b"), noon
 		first, _ := acquireAndSend(t, pool, now, promptOf("x", "1", 2000))
-		pool.ApplyPrefillUpdate(now, PrefillUpdate{Endpoint: uint32(first.member.hash), Duration: time.Duration(ahead) * testTimePerToken})
+		pool.ApplyPrefillUpdate(now, PrefillUpdate{Endpoint: uint32(first.member.hash), Added: time.Duration(ahead) * testTimePerToken})
 		second, _ := acquireAndSend(t, pool, now, promptOf("x", "2", 2000))
 		assert.Equal(t, leaves, first.Endpoint.ID != second.Endpoint.ID, "%d tokens ahead", ahead)
 	}
@@ -110,7 +110,7 @@
 	assert.NotEqual(t, place.Endpoint.ID, next.Endpoint.ID)
 	later := noon.Add(time.Second)
 	assert.EqualValues(t, 1000, uncachedTokensAt(other, later, place.Endpoint.ID, promptOf("x", "3", 8000)))
-	assert.NotPanics(t, func() { other.ApplyPrefillUpdate(noon, PrefillUpdate{Endpoint: 1, Duration: time.Second}) })
+	assert.NotPanics(t, func() { other.ApplyPrefillUpdate(noon, PrefillUpdate{Endpoint: 1, Added: time.Second}) })
 }
 
 // If speeds were learnt only from prefills without a backlog, a model whose speed was taken for too slow after a
@@ -161,13 +161,13 @@
 	now := noon.Add(200 * time.Millisecond)
 	shift, isShift := place.AnswerStarted(now)
 	require.True(t, isShift)
-	assert.Equal(t, -800*time.Millisecond, shift.Duration)
+	assert.Equal(t, -800*time.Millisecond, shift.Added)
 	other.ApplyPrefillUpdate(now, shift)
 	assert.Equal(t, now.Add(500*time.Millisecond), held.due)
 	assert.Equal(t, 500*time.Millisecond, other.PrefillBacklog(now, "a"))
 	shift, isShift = held.Cancelled(now)
 	require.True(t, isShift)
-	assert.Equal(t, -500*time.Millisecond, shift.Duration)
+	assert.Equal(t, -500*time.Millisecond, shift.Added)
 	assert.Zero(t, other.PrefillBacklog(now, "a"))
 	_, isShift = held.Cancelled(now)
 	assert.False(t, isShift)
--- a/route/pressure.go
+++ b/route/pressure.go
@@ -21,7 +21,7 @@
 		return Pressure{}
 	}
 	counts := p.pressureFilter(now, set)
-	var backlog time.Duration
+	var totalBacklog time.Duration
 	requests, endpoints := 0, 0
 	for _, m := range set.members {
 		if !m.isInService() || now.Before(m.ejectedUntil) || !allow(m.endpoint) || !counts(m) {
@@ -29,11 +29,11 @@
 		}
 		load := m.knownLoad(now, p.options)
 		requests += max(load.Running+load.Waiting, m.inFlight)
-		backlog += m.prefills.backlog(now)
+		totalBacklog += m.prefillQueue.backlog(now)
 		endpoints++
 	}
 	if endpoints == 0 {
 		return Pressure{}
 	}
-	return Pressure{float64(requests) / float64(endpoints), backlog / time.Duration(endpoints)}
+	return Pressure{float64(requests) / float64(endpoints), totalBacklog / time.Duration(endpoints)}
 }
--- a/route/retries.go
+++ b/route/retries.go
@@ -88,12 +88,12 @@
 	return float64(retries+1) <= allowed
 }
 
-func (b *WindowedRetryBudget) bucketIndex(now time.Time) int64 {
+func (b *WindowedRetryBudget) index(now time.Time) int64 {
 	return now.UnixNano() / (int64(b.limits.Window) / windowBuckets)
 }
 
 func (b *WindowedRetryBudget) bucket(now time.Time) *retryBucket {
-	index := b.bucketIndex(now)
+	index := b.index(now)
 	bucket := &b.buckets[index%windowBuckets]
 	if bucket.index != index {
 		*bucket = retryBucket{index: index}
@@ -102,7 +102,7 @@
 }
 
 func (b *WindowedRetryBudget) sums(now time.Time) (requests, retries int) {
-	index := b.bucketIndex(now)
+	index := b.index(now)
 	for _, bucket := range b.buckets {
 		if index-bucket.index < windowBuckets {
 			requests += bucket.requests
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -63,15 +63,15 @@
 			limiters[i] = NewAccountLimiter()
 			delay[i] = rapid.IntRange(0, 7).Draw(rt, "delay")
 		}
-		asked := make([]int, boxes)
+		requested := make([]int, boxes)
 		for tick := range ticks {
 			now := noon.Add(time.Duration(tick) * time.Second)
 			for i, limiter := range limiters {
 				if rapid.IntRange(0, 5).Draw(rt, "turn") == 0 {
-					asked[i] = rapid.SampledFrom([]int{0, 10, 1000}).Draw(rt, "asked")
+					requested[i] = rapid.SampledFrom([]int{0, 10, 1000}).Draw(rt, "asked")
 				}
-				if asked[i] > 0 {
-					limiter.requested["a"] += float64(asked[i])
+				if requested[i] > 0 {
+					limiter.requested["a"] += float64(requested[i])
 				}
 				told[i] = append(told[i], limiter.Measure(now))
 			}
@@ -146,11 +146,11 @@
 	unjudged.HasJudge = false
 	require.Equal(t, SkipStage, l.Choose(unjudged), "nothing is known, and nobody judges")
 	for range 300 {
-		l.RecordRating(subject, true)
+		l.Rated(subject, true)
 	}
 	require.Equal(t, TrustStage, l.Choose(unjudged), "it always passes")
 	for range 1500 {
-		l.RecordRating(subject, false)
+		l.Rated(subject, false)
 	}
 	require.Equal(t, SkipStage, l.Choose(choice), "it hardly ever passes")
 	l = NewLearner()
@@ -165,7 +165,7 @@
 	l := NewLearner()
 	subject := Subject{Account: "a", Class: "c", Version: "small"}
 	for n := range 200 {
-		l.RecordRating(subject, n%5 != 0)
+		l.Rated(subject, n%5 != 0)
 	}
 	choice := StageChoice{
 		Subject: subject, StrongSubject: Subject{Account: "a", Class: "c", Version: "large"}, Cheap: 10, Strong: 100,
--- a/route/slot.go
+++ b/route/slot.go
@@ -36,7 +36,7 @@
 		pool       *Pool
 		member     *member
 		work       Work
-		estimator  prefillEstimator
+		estimator  prefill
 		acquiredAt time.Time
 		released   bool
 		permission willowwick.Permission // permit that the request needs before it is sent
@@ -44,7 +44,7 @@
 		sentAt      time.Time         // when the work was sent; zero before
 		uncached    willowwick.Tokens // tokens that the endpoint must read, as forecast
 		hasForecast bool              // the model's speed was known when the work was sent
-		prefillTime time.Duration     // forecast time to read them
+		prefill     time.Duration     // forecast time to read them
 		due         time.Time         // forecast time at which they are read
 		backlog     time.Duration     // forecast of the endpoint's backlog when the work was sent
 	}
@@ -75,10 +75,10 @@
 
 // ReportedState reports whether the endpoint has said in its answers that it is shutting down, and whether it is in a
 // backoff that it asked for.
-func (s *Slot) ReportedState(now time.Time) (leaving, inBackoff bool) {
+func (s *Slot) ReportedState(now time.Time) (isLeaving, inBackoff bool) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	return s.member.reported.leaving, s.member.reported.isInBackoff(now)
+	return s.member.reportedState.leaving, s.member.reportedState.isInBackoff(now)
 }
 
 // EndpointRefusesWork reports whether the endpoint has begun to shut down or to back off since the slot was acquired.
@@ -95,57 +95,57 @@
 	if len(s.work.Prompt) == 0 {
 		return PrefillUpdate{}, false
 	}
-	prefills := &s.member.prefills
-	s.sentAt, s.backlog = now, prefills.backlog(now)
+	prefillQueue := &s.member.prefillQueue
+	s.sentAt, s.backlog = now, prefillQueue.backlog(now)
 	var prefillTime time.Duration
 	prefillTime, s.uncached = s.estimator.estimate(now, s.member)
 	s.hasForecast = prefillTime > 0 || s.uncached == 0
-	prefills.enqueue(now, s, prefillTime)
+	prefillQueue.enqueue(now, s, prefillTime)
 	parts := s.estimator.hashes[:len(s.estimator.hashes)-1] // the last one is unique to the request
-	prefills.markCached(now, parts)
-	return PrefillUpdate{Endpoint: uint32(s.member.hash), Duration: prefillTime, Parts: parts}, true
+	prefillQueue.markCached(now, parts)
+	return PrefillUpdate{Endpoint: uint32(s.member.hash), Added: prefillTime, Parts: parts}, true
 }
 
 // AnswerStarted records that the answer has begun, so the prompt is read, and returns the update for other boxes.
-func (s *Slot) AnswerStarted(now time.Time) (shift PrefillUpdate, hasShift bool) {
+func (s *Slot) AnswerStarted(now time.Time) (shiftUpdate PrefillUpdate, hasShift bool) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
 	s.member.lastAliveAt = now
 	if !s.sentAt.IsZero() {
 		s.pool.learnSpeed(now, s)
 		s.pool.learnLateness(now, s)
-		return s.shiftUpdate(s.member.prefills.complete(now, s))
+		return s.shiftUpdate(s.member.prefillQueue.complete(now, s))
 	}
 	return PrefillUpdate{}, false
 }
 
 // Cancelled records that the request was withdrawn from the endpoint. It returns the update for other boxes if the
 // answer had not begun.
-func (s *Slot) Cancelled(now time.Time) (shift PrefillUpdate, hasShift bool) {
+func (s *Slot) Cancelled(now time.Time) (shiftUpdate PrefillUpdate, hasShift bool) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	return s.shiftUpdate(s.member.prefills.remove(now, s))
+	return s.shiftUpdate(s.member.prefillQueue.remove(now, s))
 }
 
 // TimedOut records that the request was withdrawn from a silent endpoint. It returns an update that delays the
 // endpoint's forecast by as much as this answer is overdue, so that other boxes try other endpoints meanwhile.
-func (s *Slot) TimedOut(now time.Time) (shift PrefillUpdate, hasShift bool) {
+func (s *Slot) TimedOut(now time.Time) (shiftUpdate PrefillUpdate, hasShift bool) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
 	if !s.hasForecast {
 		return PrefillUpdate{}, false
 	}
 	s.pool.learnLateness(now.Add(maxLateness), s)
-	s.member.prefills.remove(now, s)
+	s.member.prefillQueue.remove(now, s)
 	return s.shiftUpdate(max(now.Sub(s.due), 0))
 }
 
 // shiftUpdate returns the update for a shift of at least minReportedShift.
-func (s *Slot) shiftUpdate(by time.Duration) (shift PrefillUpdate, hasShift bool) {
+func (s *Slot) shiftUpdate(by time.Duration) (shiftUpdate PrefillUpdate, hasShift bool) {
 	if by.Abs() < minReportedShift {
 		return PrefillUpdate{}, false
 	}
-	return PrefillUpdate{Endpoint: uint32(s.member.hash), Duration: by, IsShift: true}, true
+	return PrefillUpdate{Endpoint: uint32(s.member.hash), Added: by, IsShift: true}, true
 }
 
 // MarkAlive records that data arrived from the endpoint.
@@ -172,10 +172,10 @@
 
 // Forecast returns the endpoint's forecast backlog when the request was sent, and the forecast prefill time of the
 // request.
-func (s *Slot) Forecast() (backlog, prefillTime time.Duration) {
+func (s *Slot) Forecast() (backlog, prefill time.Duration) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	return s.backlog, s.prefillTime
+	return s.backlog, s.prefill
 }
 
 func (s *Slot) speedKey() speedKey {
@@ -193,7 +193,7 @@
 	if s.permission == willowwick.PermissionToAsk {
 		s.pool.options.Limits.Unasked(s.Endpoint.ID)
 	}
-	s.member.prefills.remove(now, s)
+	s.member.prefillQueue.remove(now, s)
 	s.pool.inFlight--
 	if s.member.inFlight--; s.member.inFlight == 0 {
 		delete(s.pool.occupied, s.member)
--- a/serve/call.go
+++ b/serve/call.go
@@ -122,9 +122,7 @@
 		Acquire: func(now time.Time) (*route.Slot, bool) {
 			return r.daemon.pool.AcquireVersion(now, c.version, r.prefix, c.exclude)
 		},
-		Shortage: func(now time.Time) (route.Shortage, bool) {
-			return r.daemon.pool.AllUnavailableForVersion(now, c.version)
-		},
+		Unavailable: func(now time.Time) (route.Shortage, bool) { return r.daemon.pool.VersionUnavailable(now, c.version) },
 	})
 }
 
--- a/serve/cascade.go
+++ b/serve/cascade.go
@@ -197,7 +197,7 @@
 // learn takes a rating: the learner wants all, the evidence on versions only a
 // sample that does not depend on why the answer was rated.
 func (r *run) learn(version willowwick.VersionID, passed bool) {
-	r.daemon.learner.RecordRating(r.subject(version), passed)
+	r.daemon.learner.Rated(r.subject(version), passed)
 	if !r.daemon.isSampled(r.request.ID, version) {
 		return
 	}
--- a/serve/services.go
+++ b/serve/services.go
@@ -221,7 +221,7 @@
 		Acquire: func(now time.Time) (*route.Slot, bool) {
 			return s.daemon.pool.AcquireService(now, s.service, s.exclude)
 		},
-		Shortage: func(now time.Time) (route.Shortage, bool) {
+		Unavailable: func(now time.Time) (route.Shortage, bool) {
 			return s.daemon.pool.AllUnavailable(now, s.service, nil)
 		},
 	}
