--- a/rollout/kindmonitor_test.go
+++ b/rollout/kindmonitor_test.go
@@ -15,15 +15,15 @@
 	random := rand.New(rand.NewPCG(seed, seed))
 	p := NewKindMonitor("new")
 	for range ticks {
-		news := map[Kind]KindEvidence{}
+		evidence := map[Kind]KindEvidence{}
 		var all Evidence
 		for _, kind := range testKinds {
 			others := sample(random, oldPerTick, baselineRates, ratedEvery)
-			news[kind] = KindEvidence{Version: sample(random, 1, version, 1), Others: others}
+			evidence[kind] = KindEvidence{Version: sample(random, 1, version, 1), Others: others}
 			all = all.Add(others)
 		}
 		answers += len(testKinds)
-		if finding, _ := p.Observe(news, all); finding.Bad {
+		if finding, _ := p.Observe(evidence, all); finding.Bad {
 			return answers, true
 		}
 	}
@@ -56,12 +56,12 @@
 func TestKindMonitorFindsVersionBadForOneKind(t *testing.T) {
 	p := NewKindMonitor("new")
 	good := Evidence{Requests: 300}
-	news := map[Kind]KindEvidence{}
+	evidence := map[Kind]KindEvidence{}
 	for _, kind := range testKinds {
-		news[kind] = KindEvidence{Version: Evidence{Requests: 50}, Others: good}
+		evidence[kind] = KindEvidence{Version: Evidence{Requests: 50}, Others: good}
 	}
-	news["short"] = KindEvidence{Version: Evidence{Requests: 20, Errors: 10}, Others: good}
-	finding, kind := p.Observe(news, good)
+	evidence["short"] = KindEvidence{Version: Evidence{Requests: 20, Errors: 10}, Others: good}
+	finding, kind := p.Observe(evidence, good)
 	assert.True(t, finding.Bad)
 	assert.Equal(t, Kind("short"), kind)
 }
--- a/route/bench_test.go
+++ b/route/bench_test.go
@@ -82,11 +82,11 @@
 				if refusal != nil {
 					b.Fatal(refusal)
 				}
-				place, _ := pool.AcquireVersion(now, version, uint64(n)<<40, nil)
-				if place == nil {
-					b.Fatal("no place")
+				slot, _ := pool.AcquireVersion(now, version, uint64(n)<<40, nil)
+				if slot == nil {
+					b.Fatal("no slot")
 				}
-				place.Release(now, OutcomeGood)
+				slot.Release(now, OutcomeGood)
 			}
 		})
 	}
@@ -112,10 +112,10 @@
 			for n := range b.N {
 				now = now.Add(time.Millisecond)
 				work := Work{Model: "m", Prompt: []willowwick.PromptPart{{ID: "common", Tokens: 2520}, {ID: fmt.Sprint("subject", n%50), Tokens: 3780}, {ID: "own", Tokens: 2890}}}
-				place, _ := pool.AcquireAllowed(now, "s", work, nil, all)
-				place.Sent(now)
-				place.AnswerStarted(now)
-				place.Release(now, OutcomeGood)
+				slot, _ := pool.AcquireAllowed(now, "s", work, nil, all)
+				slot.Sent(now)
+				slot.AnswerStarted(now)
+				slot.Release(now, OutcomeGood)
 			}
 		})
 	}
--- a/route/cold_test.go
+++ b/route/cold_test.go
@@ -58,13 +58,13 @@
 					p := newColdPool(begin, boxes)
 					// Each box has a request every 40 ms, which ends at once.
 					for now := begin.Add(time.Duration(rand.IntN(40)) * time.Millisecond); now.Before(begin.Add(coldDuration)); now = now.Add(40 * time.Millisecond) {
-						place, known := p.AcquireAllowed(now, "work", Work{}, nil, nil)
+						slot, known := p.AcquireAllowed(now, "work", Work{}, nil, nil)
 						require.True(t, known)
-						require.NotNil(t, place)
-						if place.Endpoint.ID == "cold" {
+						require.NotNil(t, slot)
+						if slot.Endpoint.ID == "cold" {
 							sent = append(sent, now)
 						}
-						place.Release(now, OutcomeGood)
+						slot.Release(now, OutcomeGood)
 					}
 				}
 				slices.SortFunc(sent, time.Time.Compare)
@@ -74,7 +74,7 @@
 			mean := float64(total) / starts / coldDuration.Seconds()
 			t.Logf("mean %.1f a second, %d in the busiest one", mean, worst)
 			assert.LessOrEqual(t, worst, int(maxColdPerSecond))
-			assert.Greater(t, mean, coldPerSecond/3, "it is given work")
+			assert.Greater(t, mean, coldPerSecond/3, "the endpoint is given work")
 		})
 	}
 }
@@ -84,8 +84,8 @@
 	p := newColdPool(begin, 1000)
 	now := begin.Add(coldDuration)
 	for range 10 {
-		place, _ := p.AcquireAllowed(now, "work", Work{}, nil, nil)
-		assert.Equal(t, willowwick.EndpointID("cold"), place.Endpoint.ID)
+		slot, _ := p.AcquireAllowed(now, "work", Work{}, nil, nil)
+		assert.Equal(t, willowwick.EndpointID("cold"), slot.Endpoint.ID)
 	}
 }
 
@@ -94,8 +94,8 @@
 	begin := time.Now()
 	p := newColdPool(begin, 20)
 	takeCold := func(now time.Time) bool {
-		place, _ := p.AcquireAllowed(now, "work", Work{}, nil, nil)
-		return place.Endpoint.ID == "cold"
+		slot, _ := p.AcquireAllowed(now, "work", Work{}, nil, nil)
+		return slot.Endpoint.ID == "cold"
 	}
 	next := func() time.Time { return p.endpoints["cold"].nextColdSendAt }
 	require.False(t, takeCold(begin))
--- a/route/hall_test.go
+++ b/route/hall_test.go
@@ -28,7 +28,7 @@
 
 func TestOtherHallIsPickedOnlyWhenOwnHallIsBusier(t *testing.T) {
 	assert.Equal(t, 0, pickOf(fixedSet{candidate("here", 6), candidate("there", 0)}))
-	assert.Equal(t, 1, pickOf(fixedSet{candidate("here", 9), candidate("there", 0)}), "half of what a runner does well, not of its slots")
+	assert.Equal(t, 1, pickOf(fixedSet{candidate("here", 9), candidate("there", 0)}), "the penalty is half of the effective slots, not of all slots")
 }
 
 func TestPendingWorkAndFailuresRaiseTheScore(t *testing.T) {
--- a/route/notice.go
+++ b/route/notice.go
@@ -186,7 +186,7 @@
 }
 
 // CountNotices counts the listed endpoints that are shutting down, and those in backoff.
-func (p *Pool) CountNotices(now time.Time) (leaving, resting int) {
+func (p *Pool) CountNotices(now time.Time) (leaving, inBackoff int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, m := range p.endpoints {
@@ -194,8 +194,8 @@
 			leaving++
 		}
 		if m.reportedState.isInBackoff(now) {
-			resting++
+			inBackoff++
 		}
 	}
-	return leaving, resting
+	return leaving, inBackoff
 }
--- a/route/notice_test.go
+++ b/route/notice_test.go
@@ -42,16 +42,16 @@
 func TestEndpointInBackoffGetsNoRequests(t *testing.T) {
 	now := time.Now()
 	pool, first := newNoticePool(1, "e1", "e2")
-	news := pool.ApplyNotice(now, now, first, backoffNotice(now.Add(3*time.Second)))
-	assert.Equal(t, NoticeChanges{Backoff: true}, news)
-	assert.Equal(t, NoticeChanges{}, pool.ApplyNotice(now, now, first, backoffNotice(now.Add(time.Second))), "it rests already")
+	changes := pool.ApplyNotice(now, now, first, backoffNotice(now.Add(3*time.Second)))
+	assert.Equal(t, NoticeChanges{Backoff: true}, changes)
+	assert.Equal(t, NoticeChanges{}, pool.ApplyNotice(now, now, first, backoffNotice(now.Add(time.Second))), "it is already in backoff")
 	for range 20 {
-		place, _ := pool.AcquireAllowed(now, "work", Work{}, nil, anyEndpoint)
-		require.NotNil(t, place)
-		assert.Equal(t, willowwick.EndpointID("e2"), place.Endpoint.ID)
-		place.Release(now, OutcomeGood)
+		slot, _ := pool.AcquireAllowed(now, "work", Work{}, nil, anyEndpoint)
+		require.NotNil(t, slot)
+		assert.Equal(t, willowwick.EndpointID("e2"), slot.Endpoint.ID)
+		slot.Release(now, OutcomeGood)
 	}
-	assert.Equal(t, []willowwick.EndpointID{"e2"}, usable(pool, now.Add(3*time.Second-time.Millisecond)), "a shorter rest takes nothing back")
+	assert.Equal(t, []willowwick.EndpointID{"e2"}, usable(pool, now.Add(3*time.Second-time.Millisecond)), "a shorter backoff does not shorten the first")
 	assert.Equal(t, []willowwick.EndpointID{"e1", "e2"}, usable(pool, now.Add(3*time.Second+maxBackoffJitter)))
 }
 
@@ -62,11 +62,11 @@
 	other := noticeEndpoint("e2", 1)
 	pool.Update([]willowwick.Endpoint{other})
 	pool.Update([]willowwick.Endpoint{first, other})
-	assert.Equal(t, []willowwick.EndpointID{"e2"}, usable(pool, now), "its entry went and came back")
+	assert.Equal(t, []willowwick.EndpointID{"e2"}, usable(pool, now), "its entry was removed and restored")
 	pool.Update([]willowwick.Endpoint{noticeEndpoint("e1", 2), other})
-	assert.Equal(t, []willowwick.EndpointID{"e1", "e2"}, usable(pool, now), "its next life has asked for nothing")
+	assert.Equal(t, []willowwick.EndpointID{"e1", "e2"}, usable(pool, now), "its next incarnation has asked for no backoff")
 	pool.ApplyNotice(now, now, first, willowwick.Notice{Leaving: true, RestUntil: now.Add(time.Minute)})
-	assert.Equal(t, []willowwick.EndpointID{"e1", "e2"}, usable(pool, now), "an answer of the life before")
+	assert.Equal(t, []willowwick.EndpointID{"e1", "e2"}, usable(pool, now), "an answer of the previous incarnation is ignored")
 }
 
 func TestAllEndpointsInBackoffReportsTheFirstToEnd(t *testing.T) {
@@ -82,8 +82,8 @@
 	assert.True(t, shortage.IsCertain)
 	assert.WithinRange(t, shortage.Until, now.Add(3*time.Second), now.Add(3*time.Second+maxBackoffJitter))
 	assert.False(t, pool.HasAvailable(now, "work", anyEndpoint))
-	place, known := pool.AcquireAllowed(now, "work", Work{}, nil, anyEndpoint)
-	assert.Nil(t, place)
+	slot, known := pool.AcquireAllowed(now, "work", Work{}, nil, anyEndpoint)
+	assert.Nil(t, slot)
 	assert.True(t, known, "they serve the work")
 }
 
@@ -110,7 +110,7 @@
 // simulatedRequest is a request running at the endpoint.
 type simulatedRequest struct {
 	box   *Pool
-	place *Slot
+	slot  *Slot
 	until time.Time
 }
 
@@ -123,27 +123,27 @@
 		r.inProgress = r.inProgress[1:]
 		running := min(len(r.inProgress), slots)
 		done.box.Report(willowwick.EndpointLoad{Endpoint: r.endpoint.ID, Running: running, Waiting: len(r.inProgress) - running, Slots: slots, At: now})
-		done.place.Release(now, OutcomeGood)
+		done.slot.Release(now, OutcomeGood)
 		r.served++
 	}
 	for i, box := range r.boxes {
 		for r.waiting[i] > 0 {
-			place, _ := box.AcquireAllowed(now, "work", Work{}, nil, anyEndpoint)
-			if place == nil {
+			slot, _ := box.AcquireAllowed(now, "work", Work{}, nil, anyEndpoint)
+			if slot == nil {
 				break
 			}
 			r.waiting[i]--
 			if len(r.inProgress) >= 2*slots {
 				r.turnedAway++
 				box.ApplyNotice(now, now, r.endpoint, backoffNotice(now.Add(2*time.Second)))
-				place.Release(now, OutcomeBusy)
+				slot.Release(now, OutcomeBusy)
 				continue
 			}
 			until := now.Add(serves)
 			if len(r.inProgress) >= slots {
 				until = r.inProgress[len(r.inProgress)-slots].until.Add(serves)
 			}
-			r.inProgress = append(r.inProgress, simulatedRequest{box, place, until})
+			r.inProgress = append(r.inProgress, simulatedRequest{box, slot, until})
 		}
 	}
 }
@@ -166,7 +166,7 @@
 			r.step(now, slots)
 			require.Less(t, now.Sub(begin), time.Minute)
 		}
-		t.Log(fmt.Sprintf("%d served and %d turned away within %s of the rest's end", r.served, r.turnedAway, now.Sub(begin)-2*time.Second))
+		t.Log(fmt.Sprintf("%d served and %d turned away within %s of the end of the backoff", r.served, r.turnedAway, now.Sub(begin)-2*time.Second))
 		assert.Zero(t, r.turnedAway)
 	}
 }
--- a/route/pool.go
+++ b/route/pool.go
@@ -58,22 +58,22 @@
 
 	// member is an endpoint with what this box knows of it.
 	member struct {
-		endpoint        willowwick.Endpoint
-		reportedState   *reportedState
-		load            willowwick.EndpointLoad
-		inFlight        int
-		sentSinceReport int
-		failures        int
-		ejectedUntil    time.Time
-		evacuated       bool // its hall is evacuated
-		limit           float64
-		hash            uint64
-		failureRateThen float64
-		failureRateAt   time.Time
-		lastAliveAt     time.Time // when data last arrived, or when it got work after having none
-		nextColdSendAt  time.Time // when this box may send a cold endpoint its next request; zero if not yet chosen
-		isProbing       bool      // the ejection has run out, and one request probes the endpoint
-		prefillQueue    prefillQueue
+		endpoint          willowwick.Endpoint
+		reportedState     *reportedState
+		load              willowwick.EndpointLoad
+		inFlight          int
+		sentSinceReport   int
+		failures          int
+		ejectedUntil      time.Time
+		evacuated         bool // its hall is evacuated
+		limit             float64
+		hash              uint64
+		lastFailureRate   float64
+		lastFailureRateAt time.Time
+		lastAliveAt       time.Time // when data last arrived, or when it got work after having none
+		nextColdSendAt    time.Time // when this box may send a cold endpoint its next request; zero if not yet chosen
+		isProbing         bool      // the ejection has run out, and one request probes the endpoint
+		prefillQueue      prefillQueue
 	}
 )
 
--- a/route/prefill_test.go
+++ b/route/prefill_test.go
@@ -35,11 +35,11 @@
 // acquireAndSend acquires a slot for the work and sends it.
 func acquireAndSend(t *testing.T, pool *Pool, now time.Time, work Work) (*Slot, PrefillUpdate) {
 	t.Helper()
-	place, _ := pool.AcquireAllowed(now, "s", work, nil, all)
-	require.NotNil(t, place)
-	reading, isReading := place.Sent(now)
-	require.True(t, isReading)
-	return place, reading
+	slot, _ := pool.AcquireAllowed(now, "s", work, nil, all)
+	require.NotNil(t, slot)
+	update, hasUpdate := slot.Sent(now)
+	require.True(t, hasUpdate)
+	return slot, update
 }
 
 // uncachedTokensAt returns how many tokens of the work's prompt the endpoint must read.
@@ -60,7 +60,7 @@
 	now = now.Add(300 * time.Millisecond)
 	assert.Equal(t, 400*time.Millisecond, backlogOf(pool, now, "a"))
 	first.AnswerStarted(now)
-	assert.Equal(t, 200*time.Millisecond, backlogOf(pool, now, "a"), "the first was read sooner than forecast")
+	assert.Equal(t, 200*time.Millisecond, backlogOf(pool, now, "a"), "the first prompt was read sooner than forecast")
 	second.Release(now, OutcomeCancelled)
 	assert.Zero(t, backlogOf(pool, now, "a"))
 }
@@ -73,15 +73,15 @@
 
 func TestPromptIsSentWhereItsSharedPartIsCached(t *testing.T) {
 	pool, now := newPrefillPool(t, "a", "b", "c", "d"), noon
-	place, _ := acquireAndSend(t, pool, now, promptOf("x", "1", 8000))
-	holder := place.Endpoint.ID
+	slot, _ := acquireAndSend(t, pool, now, promptOf("x", "1", 8000))
+	holder := slot.Endpoint.ID
 	now = now.Add(time.Second)
-	place.AnswerStarted(now)
-	place.Release(now, OutcomeGood)
+	slot.AnswerStarted(now)
+	slot.Release(now, OutcomeGood)
 	for range 10 {
 		again, _ := acquireAndSend(t, pool, now, promptOf("x", "2", 8000))
 		assert.Equal(t, holder, again.Endpoint.ID)
-		assert.EqualValues(t, 1000, again.uncached, "its own part alone is read")
+		assert.EqualValues(t, 1000, again.uncached, "only the part of its own is read")
 		again.Release(now, OutcomeGood)
 	}
 	other := promptOf("x", "3", 8000)
@@ -97,19 +97,19 @@
 		first, _ := acquireAndSend(t, pool, now, promptOf("x", "1", 2000))
 		pool.ApplyPrefillUpdate(now, PrefillUpdate{Endpoint: uint32(first.member.hash), Added: time.Duration(ahead) * testTimePerToken})
 		second, _ := acquireAndSend(t, pool, now, promptOf("x", "2", 2000))
-		assert.Equal(t, leaves, first.Endpoint.ID != second.Endpoint.ID, "%d tokens ahead", ahead)
+		assert.Equal(t, leaves, first.Endpoint.ID != second.Endpoint.ID, "backlog of %d tokens", ahead)
 	}
 }
 
 func TestPrefillUpdatesFromOtherBoxesCount(t *testing.T) {
 	one, other := newPrefillPool(t, "a", "b"), newPrefillPool(t, "a", "b")
-	place, reading := acquireAndSend(t, one, noon, promptOf("x", "1", 8000))
-	other.ApplyPrefillUpdate(noon, reading)
-	assert.Equal(t, 900*time.Millisecond, backlogOf(other, noon, place.Endpoint.ID))
+	slot, update := acquireAndSend(t, one, noon, promptOf("x", "1", 8000))
+	other.ApplyPrefillUpdate(noon, update)
+	assert.Equal(t, 900*time.Millisecond, backlogOf(other, noon, slot.Endpoint.ID))
 	next, _ := acquireAndSend(t, other, noon, promptOf("y", "2", 8000))
-	assert.NotEqual(t, place.Endpoint.ID, next.Endpoint.ID)
+	assert.NotEqual(t, slot.Endpoint.ID, next.Endpoint.ID)
 	later := noon.Add(time.Second)
-	assert.EqualValues(t, 1000, uncachedTokensAt(other, later, place.Endpoint.ID, promptOf("x", "3", 8000)))
+	assert.EqualValues(t, 1000, uncachedTokensAt(other, later, slot.Endpoint.ID, promptOf("x", "3", 8000)))
 	assert.NotPanics(t, func() { other.ApplyPrefillUpdate(noon, PrefillUpdate{Endpoint: 1, Added: time.Second}) })
 }
 
@@ -128,8 +128,8 @@
 		for n := range 300 {
 			// Three prompts are always pending, one read after the other.
 			for len(queue) < 3 {
-				place, _ := acquireAndSend(t, pool, now, promptOf(fmt.Sprint("part", n, len(queue)), "own", tokens-1000))
-				queue = append(queue, place)
+				slot, _ := acquireAndSend(t, pool, now, promptOf(fmt.Sprint("part", n, len(queue)), "own", tokens-1000))
+				queue = append(queue, slot)
 			}
 			now = now.Add(tokens * truth)
 			queue[0].AnswerStarted(now)
@@ -155,22 +155,22 @@
 // boxes.
 func TestPrefillForecastIsCorrectedAtAllBoxes(t *testing.T) {
 	one, other := newPrefillPool(t, "a"), newPrefillPool(t, "a")
-	place, reading := acquireAndSend(t, one, noon, promptOf("x", "1", 9000))
-	other.ApplyPrefillUpdate(noon, reading)
+	slot, update := acquireAndSend(t, one, noon, promptOf("x", "1", 9000))
+	other.ApplyPrefillUpdate(noon, update)
 	held, _ := acquireAndSend(t, other, noon, promptOf("y", "2", 4000))
 	now := noon.Add(200 * time.Millisecond)
-	shift, isShift := place.AnswerStarted(now)
-	require.True(t, isShift)
+	shift, hasShift := slot.AnswerStarted(now)
+	require.True(t, hasShift)
 	assert.Equal(t, -800*time.Millisecond, shift.Added)
 	other.ApplyPrefillUpdate(now, shift)
 	assert.Equal(t, now.Add(500*time.Millisecond), held.due)
 	assert.Equal(t, 500*time.Millisecond, other.PrefillBacklog(now, "a"))
-	shift, isShift = held.Cancelled(now)
-	require.True(t, isShift)
+	shift, hasShift = held.Cancelled(now)
+	require.True(t, hasShift)
 	assert.Equal(t, -500*time.Millisecond, shift.Added)
 	assert.Zero(t, other.PrefillBacklog(now, "a"))
-	_, isShift = held.Cancelled(now)
-	assert.False(t, isShift)
+	_, hasShift = held.Cancelled(now)
+	assert.False(t, hasShift)
 }
 
 func TestStartingBoxAdoptsSpeedsOfOtherBoxes(t *testing.T) {
@@ -179,24 +179,24 @@
 	fresh.MergeSpeeds([]SpeedRow{{Service: "s", Model: "n"}})
 	fresh.MergeSpeeds(known.Speeds())
 	assert.InDelta(t, testTimePerToken.Seconds(), fresh.speeds[speedKey{"s", "m"}].secondsPerToken(), 1e-9)
-	assert.Len(t, fresh.speeds, 1, "a speed that is not known is no news")
+	assert.Len(t, fresh.speeds, 1, "an unknown speed is not adopted")
 	known.MergeSpeeds([]SpeedRow{{Service: "s", Model: "m", PerToken: time.Second}})
-	assert.InDelta(t, testTimePerToken.Seconds(), known.speeds[speedKey{"s", "m"}].secondsPerToken(), 1e-9, "its own goes first")
+	assert.InDelta(t, testTimePerToken.Seconds(), known.speeds[speedKey{"s", "m"}].secondsPerToken(), 1e-9, "its own speed takes precedence")
 }
 
 func TestSilentEndpointIsAvoidedByOtherBoxes(t *testing.T) {
 	one, other := newPrefillPool(t, "a", "b"), newPrefillPool(t, "a", "b")
-	place, reading := acquireAndSend(t, one, noon, promptOf("x", "1", 1000))
-	other.ApplyPrefillUpdate(noon, reading)
+	slot, update := acquireAndSend(t, one, noon, promptOf("x", "1", 1000))
+	other.ApplyPrefillUpdate(noon, update)
 	now := noon.Add(time.Second)
-	before := one.lateness[place.speedKey()].Value()
-	shift, isShift := place.TimedOut(now)
-	require.True(t, isShift)
+	before := one.lateness[slot.speedKey()].Value()
+	shift, hasShift := slot.TimedOut(now)
+	require.True(t, hasShift)
 	other.ApplyPrefillUpdate(now, shift)
-	assert.Equal(t, 800*time.Millisecond, other.PrefillBacklog(now, place.Endpoint.ID))
-	assert.Greater(t, one.lateness[place.speedKey()].Value(), before, "it counts as a late answer")
+	assert.Equal(t, 800*time.Millisecond, other.PrefillBacklog(now, slot.Endpoint.ID))
+	assert.Greater(t, one.lateness[slot.speedKey()].Value(), before, "it counts as a late answer")
 	for range 100 {
-		one.learnLateness(now.Add(time.Hour), place)
+		one.learnLateness(now.Add(time.Hour), slot)
 	}
-	assert.Equal(t, maxLateness, one.lateness[place.speedKey()].Value())
+	assert.Equal(t, maxLateness, one.lateness[slot.speedKey()].Value())
 }
--- a/route/queue.go
+++ b/route/queue.go
@@ -79,8 +79,8 @@
 // Push queues a request, or returns when to retry if it could not be dispatched before its deadline.
 func (q *Queue) Push(now time.Time, w *Waiter) (retryAt time.Time, ok bool) {
 	dispatchAt := q.EstimateDispatch(now, w.Account, w.Weight, w.Cost)
-	isUnmeasuredFull := q.rate() <= 0 && q.length >= maxUnmeasuredBacklog
-	if dispatchAt.After(w.Deadline) || isUnmeasuredFull || !now.Before(w.Deadline) {
+	isBacklogFull := q.rate() <= 0 && q.length >= maxUnmeasuredBacklog
+	if dispatchAt.After(w.Deadline) || isBacklogFull || !now.Before(w.Deadline) {
 		return dispatchAt, false
 	}
 	f := q.flows[w.Account]
--- a/route/ratelimit_test.go
+++ b/route/ratelimit_test.go
@@ -35,11 +35,11 @@
 	now := time.Now()
 	pool := newLimitedPool(now, now.Add(time.Second), []willowwick.EndpointID{"e1", "e2"}, "e1")
 	for range 8 {
-		place, known := pool.AcquireAllowed(now, "work", Work{}, nil, anyEndpoint)
+		slot, known := pool.AcquireAllowed(now, "work", Work{}, nil, anyEndpoint)
 		require.True(t, known)
-		require.NotNil(t, place)
-		assert.Equal(t, willowwick.EndpointID("e2"), place.Endpoint.ID)
-		assert.False(t, place.MustRequestPermit())
+		require.NotNil(t, slot)
+		assert.Equal(t, willowwick.EndpointID("e2"), slot.Endpoint.ID)
+		assert.False(t, slot.MustRequestPermit())
 	}
 	_, all := pool.AllUnavailable(now, "work", anyEndpoint)
 	assert.False(t, all)
@@ -49,8 +49,8 @@
 func TestAllEndpointsLimitedIsReported(t *testing.T) {
 	now := time.Now()
 	pool := newLimitedPool(now, now.Add(time.Second), []willowwick.EndpointID{"e1", "e2"}, "e1", "e2")
-	place, known := pool.AcquireAllowed(now, "work", Work{}, nil, anyEndpoint)
-	assert.Nil(t, place)
+	slot, known := pool.AcquireAllowed(now, "work", Work{}, nil, anyEndpoint)
+	assert.Nil(t, slot)
 	assert.True(t, known)
 	shortage, all := pool.AllUnavailable(now, "work", anyEndpoint)
 	assert.True(t, all)
@@ -58,10 +58,10 @@
 	assert.Equal(t, Shortage{Until: nextAt}, shortage, "a permit may be denied")
 	assert.False(t, pool.HasOpen(now, "work", anyEndpoint))
 	_, all = pool.AllUnavailable(nextAt, "work", anyEndpoint)
-	assert.False(t, all, "a permit may be asked for")
-	place, _ = pool.AcquireAllowed(nextAt, "work", Work{}, nil, anyEndpoint)
-	require.NotNil(t, place)
-	assert.True(t, place.MustRequestPermit())
+	assert.False(t, all, "a permit may be requested")
+	slot, _ = pool.AcquireAllowed(nextAt, "work", Work{}, nil, anyEndpoint)
+	require.NotNil(t, slot)
+	assert.True(t, slot.MustRequestPermit())
 }
 
 func TestRemainingEndpointsAreAllLimited(t *testing.T) {
@@ -80,18 +80,18 @@
 	assert.InDelta(t, 6, pool.Pressure(now, "work", anyEndpoint).Requests, 0.01)
 	all := newLimitedPool(now, now.Add(time.Second), []willowwick.EndpointID{"e1"}, "e1")
 	all.Report(willowwick.EndpointLoad{Endpoint: "e1", Running: 2, Slots: 8, At: now})
-	assert.InDelta(t, 2, all.Pressure(now, "work", anyEndpoint).Requests, 0.01, "where there is no other, it counts")
+	assert.InDelta(t, 2, all.Pressure(now, "work", anyEndpoint).Requests, 0.01, "without other endpoints, it counts")
 }
 
 // A caller that leaves before a permit was requested must not keep others from requesting one.
 func TestSlotReleasedBeforeAskingLetsOthersAskForAPermit(t *testing.T) {
 	now := time.Now()
 	pool := newLimitedPool(now, now, []willowwick.EndpointID{"e1"}, "e1")
-	place, _ := pool.AcquireAllowed(now, "work", Work{}, nil, anyEndpoint)
-	require.NotNil(t, place)
+	slot, _ := pool.AcquireAllowed(now, "work", Work{}, nil, anyEndpoint)
+	require.NotNil(t, slot)
 	none, _ := pool.AcquireAllowed(now, "work", Work{}, nil, anyEndpoint)
-	assert.Nil(t, none, "a permit is being asked for")
-	place.Release(now, OutcomeCancelled)
+	assert.Nil(t, none, "a permit request is pending")
+	slot.Release(now, OutcomeCancelled)
 	again, _ := pool.AcquireAllowed(now, "work", Work{}, nil, anyEndpoint)
 	require.NotNil(t, again)
 	assert.True(t, again.MustRequestPermit())
--- a/route/retries_test.go
+++ b/route/retries_test.go
@@ -30,14 +30,14 @@
 			kind := RetryKind(rapid.IntRange(0, 1).Draw(t, "kind"))
 			allowed := budget.Allows(now, kind, boxes)
 			if taken := budget.Take(now, kind, boxes); taken != allowed {
-				t.Fatalf("Take says %v after Allows said %v", taken, allowed)
+				t.Fatalf("Take returned %v after Allows returned %v", taken, allowed)
 			}
 			if allowed {
 				repeats = append(repeats, now)
 			}
 			most := testRetryLimits.Ratio*float64(countInWindow(requests, now)) + float64(testRetryLimits.Slack)
 			if n := countInWindow(repeats, now); float64(n) > most {
-				t.Fatalf("%d repeats in the window; %f are allowed", n, most)
+				t.Fatalf("%d retries in the window; %f are allowed", n, most)
 			}
 		}
 	})
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -141,10 +141,10 @@
 		HasJudge: true, Quality: 0.9, Now: noon, Deadline: noon.Add(time.Minute),
 	}
 	l := NewLearner()
-	require.Equal(t, TryStage, l.Choose(choice), "nothing is known")
+	require.Equal(t, TryStage, l.Choose(choice), "no data yet")
 	unjudged := choice
 	unjudged.HasJudge = false
-	require.Equal(t, SkipStage, l.Choose(unjudged), "nothing is known, and nobody judges")
+	require.Equal(t, SkipStage, l.Choose(unjudged), "no data yet, and no judge")
 	for range 300 {
 		l.Rated(subject, true)
 	}
@@ -152,7 +152,7 @@
 	for range 1500 {
 		l.Rated(subject, false)
 	}
-	require.Equal(t, SkipStage, l.Choose(choice), "it hardly ever passes")
+	require.Equal(t, SkipStage, l.Choose(choice), "it rarely passes")
 	l = NewLearner()
 	l.RecordDuration(subject, 40*time.Second)
 	l.RecordDuration(choice.StrongSubject, 40*time.Second)
@@ -195,7 +195,7 @@
 		require.Equal(t, pinned, version)
 	}
 	_, refusal := ChooseVersion(revision, VersionQuery{Account: "a", Model: "small", Seed: "s", Pinned: "small-2", Now: noon})
-	require.Equal(t, willowwick.CodeStale, refusal.Code, "an unconfirmed box gives nothing to a version that rolls out")
+	require.Equal(t, willowwick.CodeStale, refusal.Code, "a box without a confirmed configuration uses no version that is rolling out")
 	bad := func(v willowwick.VersionID) bool { return v == "small-2" }
 	version, refusal := ChooseVersion(revision, VersionQuery{Account: "a", Model: "small", Seed: "s", Pinned: "small-2", Confirmed: true, Stopped: bad, Now: noon})
 	require.Nil(t, refusal)
@@ -209,9 +209,9 @@
 	pool.Update([]willowwick.Endpoint{{ID: "r", Versions: []willowwick.VersionID{"v"}}})
 	pool.Report(willowwick.EndpointLoad{Endpoint: "r", Slots: 4, At: noon})
 	for range 100 {
-		place, _ := pool.AcquireVersion(noon, "v", 0, nil)
-		require.NotNil(t, place)
-		place.Release(noon, OutcomeGood)
+		slot, _ := pool.AcquireVersion(noon, "v", 0, nil)
+		require.NotNil(t, slot)
+		slot.Release(noon, OutcomeGood)
 	}
 }
 
@@ -222,21 +222,21 @@
 	pool.Update([]willowwick.Endpoint{{ID: "dead", Service: "s", Hall: "h"}, {ID: "live", Service: "s", Hall: "h"}})
 	var dead, live []*Slot
 	for len(dead) == 0 || len(live) == 0 {
-		place, _ := pool.AcquireService(now, "s", nil)
-		if place.Endpoint.ID == "dead" {
-			dead = append(dead, place)
+		slot, _ := pool.AcquireService(now, "s", nil)
+		if slot.Endpoint.ID == "dead" {
+			dead = append(dead, slot)
 		} else {
-			live = append(live, place)
+			live = append(live, slot)
 		}
 	}
 	now = now.Add(400 * time.Millisecond)
 	live[0].MarkAlive(now)
 	for range 20 {
-		place, _ := pool.AcquireService(now, "s", nil)
-		require.Equal(t, willowwick.EndpointID("live"), place.Endpoint.ID)
+		slot, _ := pool.AcquireService(now, "s", nil)
+		require.Equal(t, willowwick.EndpointID("live"), slot.Endpoint.ID)
 	}
-	for _, place := range dead {
-		place.Release(now, OutcomeFailed)
+	for _, slot := range dead {
+		slot.Release(now, OutcomeFailed)
 	}
 }
 
@@ -245,31 +245,31 @@
 	pool := NewPoolWith(NewHallFirst("h", 1), PoolOptions{StartLimit: 64, SilentAfter: 300 * time.Millisecond})
 	pool.Update([]willowwick.Endpoint{{ID: "e", Service: "s", Hall: "h"}})
 	fail := func() {
-		place, _ := pool.AcquireService(now, "s", nil)
-		require.NotNil(t, place)
-		place.Release(now, OutcomeFailed)
+		slot, _ := pool.AcquireService(now, "s", nil)
+		require.NotNil(t, slot)
+		slot.Release(now, OutcomeFailed)
 	}
 	for range ejectAfterFailures {
 		fail()
 	}
-	place, known := pool.AcquireService(now, "s", nil)
-	require.Nil(t, place)
+	slot, known := pool.AcquireService(now, "s", nil)
+	require.Nil(t, slot)
 	require.True(t, known)
 	now = now.Add(baseEjection)
 	trial, _ := pool.AcquireService(now, "s", nil)
 	require.NotNil(t, trial)
 	second, _ := pool.AcquireService(now, "s", nil)
-	require.Nil(t, second, "one request tries the endpoint")
+	require.Nil(t, second, "one request probes the endpoint")
 	trial.Release(now, OutcomeFailed)
-	place, _ = pool.AcquireService(now.Add(baseEjection), "s", nil)
-	require.Nil(t, place, "the suspicion lasts longer each time")
+	slot, _ = pool.AcquireService(now.Add(baseEjection), "s", nil)
+	require.Nil(t, slot, "each ejection lasts longer")
 	now = now.Add(2 * baseEjection)
 	trial, _ = pool.AcquireService(now, "s", nil)
 	require.NotNil(t, trial)
 	trial.Release(now, OutcomeGood)
 	for range 3 {
-		place, _ = pool.AcquireService(now, "s", nil)
-		require.NotNil(t, place)
+		slot, _ = pool.AcquireService(now, "s", nil)
+		require.NotNil(t, slot)
 	}
 }
 
@@ -277,18 +277,18 @@
 func TestUnreachableEndpointIsEjectedAtOnce(t *testing.T) {
 	p := NewPoolWith(NewHallFirst("hall-a", 1), PoolOptions{FallBackToEjected: true})
 	p.Update([]willowwick.Endpoint{
-		{ID: "ended", Hall: "hall-a", Service: "work", Slots: 8}, {ID: "living", Hall: "hall-b", Service: "work", Slots: 8},
+		{ID: "crashed", Hall: "hall-a", Service: "work", Slots: 8}, {ID: "live", Hall: "hall-b", Service: "work", Slots: 8},
 	})
 	now := time.Now()
 	every := func(willowwick.Endpoint) bool { return true }
-	place, _ := p.AcquireAllowed(now, "work", Work{}, nil, every)
-	require.Equal(t, willowwick.EndpointID("ended"), place.Endpoint.ID)
-	place.Release(now, OutcomeUnreachable)
+	slot, _ := p.AcquireAllowed(now, "work", Work{}, nil, every)
+	require.Equal(t, willowwick.EndpointID("crashed"), slot.Endpoint.ID)
+	slot.Release(now, OutcomeUnreachable)
 	for range 20 {
-		place, _ = p.AcquireAllowed(now, "work", Work{}, nil, every)
-		require.Equal(t, willowwick.EndpointID("living"), place.Endpoint.ID)
-		place.Release(now, OutcomeGood)
+		slot, _ = p.AcquireAllowed(now, "work", Work{}, nil, every)
+		require.Equal(t, willowwick.EndpointID("live"), slot.Endpoint.ID)
+		slot.Release(now, OutcomeGood)
 	}
-	place, _ = p.AcquireAllowed(now, "work", Work{}, map[willowwick.EndpointID]bool{"living": true}, every)
-	require.Equal(t, willowwick.EndpointID("ended"), place.Endpoint.ID, "the last one is tried all the same")
+	slot, _ = p.AcquireAllowed(now, "work", Work{}, map[willowwick.EndpointID]bool{"live": true}, every)
+	require.Equal(t, willowwick.EndpointID("crashed"), slot.Endpoint.ID, "the last endpoint is still tried")
 }
--- a/route/slot.go
+++ b/route/slot.go
@@ -238,15 +238,15 @@
 }
 
 func (m *member) recordFailure(now time.Time, value float64) {
-	m.failureRateThen = m.failureRate(now)
-	m.failureRateThen += failureRateStep * (value - m.failureRateThen)
-	m.failureRateAt = now
+	m.lastFailureRate = m.failureRate(now)
+	m.lastFailureRate += failureRateStep * (value - m.lastFailureRate)
+	m.lastFailureRateAt = now
 }
 
 // failureRate returns the failure rate, which decays with time so that an avoided endpoint is tried again.
 func (m *member) failureRate(now time.Time) float64 {
-	if m.failureRateThen == 0 {
+	if m.lastFailureRate == 0 {
 		return 0
 	}
-	return m.failureRateThen * math.Exp2(-now.Sub(m.failureRateAt).Seconds()/failureHalfLife.Seconds())
+	return m.lastFailureRate * math.Exp2(-now.Sub(m.lastFailureRateAt).Seconds()/failureHalfLife.Seconds())
 }
