--- a/route/prefill.go
+++ b/route/prefill.go
@@ -43,7 +43,7 @@
 	PrefillUpdate struct {
 		Endpoint uint32        // hash of its ID
 		Added    time.Duration // prefill time added, or the shift if IsShift
-		IsShift  bool          // Duration shifts the whole forecast
+		IsShift  bool          // Added shifts the whole forecast
 		Parts    []PartHash    // shared parts that it has cached from now on
 	}
 
