--- a/gate/gate.go
+++ b/gate/gate.go
@@ -75,11 +75,11 @@
 //
 // A request that cannot be dispatched before its deadline is refused at once.
 func (g *Gate) Enter(ctx context.Context, request Request) (*Ticket, *willowwick.Refusal) {
-	w, placed, refusal := g.acquireOrQueue(request)
+	w, acquired, refusal := g.acquireOrQueue(request)
 	if refusal != nil {
 		return nil, refusal
 	}
-	if !placed {
+	if !acquired {
 		select {
 		case refusal := <-w.result:
 			if refusal != nil {
--- a/route/pool.go
+++ b/route/pool.go
@@ -397,11 +397,11 @@
 	return willowwick.EndpointLoad{Endpoint: m.endpoint.ID, Slots: max(m.load.Slots, m.endpoint.Slots)}
 }
 
-func (m *member) isOpen(now time.Time, options PoolOptions, trusting bool) bool {
-	if m.refusesWork(now) || !trusting && now.Before(m.ejectedUntil) {
+func (m *member) isOpen(now time.Time, options PoolOptions, allowEjected bool) bool {
+	if m.refusesWork(now) || !allowEjected && now.Before(m.ejectedUntil) {
 		return false
 	}
-	if !trusting && options.SilentAfter > 0 && m.isSilentOrProbing(now, options) {
+	if !allowEjected && options.SilentAfter > 0 && m.isSilentOrProbing(now, options) {
 		return false
 	}
 	fresh := m.load.Slots > 0 && now.Sub(m.load.At) < options.LoadMaxAge
