--- a/exchange/era.go
+++ b/exchange/era.go
@@ -33,12 +33,12 @@
 		return s.era, false
 	}
 	former, s.era = s.era, era
-	if !s.known {
+	if !s.hasList {
 		return former, false // the box has just started
 	}
 	// Endpoints whose entries the copy lacks are back as soon as after an outage.
-	s.blindAt = now
-	s.restoredAt = now.Add(writtenAgainWithin)
+	s.lastOutageAt = now
+	s.restoringUntil = now.Add(writtenAgainWithin)
 	return former, true
 }
 
@@ -62,7 +62,7 @@
 func (s *syncer) restoringFor(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return max(s.restoredAt.Sub(now), 0)
+	return max(s.restoringUntil.Sub(now), 0)
 }
 
 // hearRestoring takes from another box for how long the store may still lack something. A box that has started since then has read a
@@ -70,8 +70,8 @@
 func (s *syncer) hearRestoring(restoring time.Duration, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if restoring > 0 && s.restoredAt.IsZero() {
-		s.restoredAt, s.configAsOf = now.Add(restoring), time.Time{}
+	if restoring > 0 && s.restoringUntil.IsZero() {
+		s.restoringUntil, s.configAsOf = now.Add(restoring), time.Time{}
 	}
 }
 
--- a/exchange/evacuation_test.go
+++ b/exchange/evacuation_test.go
@@ -45,7 +45,7 @@
 
 // declare gives the box what a read of the store would bring.
 func (s *site) declare(declared willowwick.Declarations) {
-	s.daemon.router.sync.declare(declared)
+	s.daemon.router.sync.applyDeclarations(declared)
 }
 
 // tell gives the box the digest of another one.
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -474,15 +474,15 @@
 	x.sync = s
 	now := time.Now()
 	present := []willowwick.Endpoint{{ID: "a", Service: "work"}, {ID: "b", Service: "work"}}
-	s.noteAnswer(readEndpoints, now)
-	s.asOf = now
+	s.noteAnswer(endpointsRead, now)
+	s.endpointsAsOf = now
 	s.apply(willowwick.EndpointChanges{Present: present, Next: 1}, now)
-	s.noteFailure(readEndpoints, now, errDown)
+	s.noteFailure(endpointsRead, now, errDown)
 	s.apply(willowwick.EndpointChanges{Gone: []willowwick.EndpointID{"a"}, Next: 2}, now)
 	_, found := s.entry("a")
 	require.False(t, found)
 	later := now.Add(2 * testSettings().Drain)
-	s.noteFailure(readEndpoints, later, errDown)
+	s.noteFailure(endpointsRead, later, errDown)
 	s.apply(willowwick.EndpointChanges{Gone: []willowwick.EndpointID{"b"}, Next: 3}, later)
 	_, found = s.entry("b")
 	require.True(t, found, "it may be back within the time of the grace")
@@ -506,7 +506,7 @@
 	}
 	s.takeChanges(willowwick.EndpointChanges{Present: beat(1), Next: 1}, now, now)
 	later := now.Add(2 * testSettings().Drain)
-	s.noteFailure(readEndpoints, later, errDown)
+	s.noteFailure(endpointsRead, later, errDown)
 	s.takeChanges(willowwick.EndpointChanges{Gone: []willowwick.EndpointID{"a"}, Next: 2}, later, later)
 	s.takeChanges(willowwick.EndpointChanges{Present: beat(2), Next: 3}, later, later)
 	changes := s.listFor(&SwapCall{Digest: Digest{EndpointsFrom: 1}, TakesChanges: true})
--- a/exchange/freshness.go
+++ b/exchange/freshness.go
@@ -56,7 +56,7 @@
 	defer s.mu.Unlock()
 	var age time.Duration
 	for kind, failing := range s.failing {
-		if failing || readKind(kind) == readDeclared && s.heldFor(now) > s.heldLimit()+heldLate {
+		if failing || readKind(kind) == declarationsRead && s.heldFor(now) > s.longPollLimit()+longPollMargin {
 			age = max(age, now.Sub(s.answeredAt[kind]))
 		}
 	}
@@ -69,11 +69,11 @@
 // reachAge is how long ago the store answered this box anything, or another box that read for it; the caller holds the
 // lock.
 func (s *syncer) reachAge(now time.Time) time.Duration {
-	age := min(now.Sub(s.answeredAt[readDeclared]), now.Sub(s.answeredAt[readEndpoints]))
+	age := min(now.Sub(s.answeredAt[declarationsRead]), now.Sub(s.answeredAt[endpointsRead]))
 	if s.isUnreachable() {
 		return age
 	}
-	return min(age, now.Sub(s.asOf))
+	return min(age, now.Sub(s.endpointsAsOf))
 }
 
 // isReached reports whether the store answers this box anything.
@@ -85,14 +85,14 @@
 
 // isUnreachable reports whether a last read failed; the caller holds the lock.
 func (s *syncer) isUnreachable() bool {
-	return s.failing != [readKinds]bool{}
+	return s.failing != [readKindCount]bool{}
 }
 
 // endpointsAge is how old what this box knows of the endpoints is, whichever box read that; longestAge if none did.
 func (s *syncer) endpointsAge(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return min(now.Sub(s.asOf), longestAge)
+	return min(now.Sub(s.endpointsAsOf), longestAge)
 }
 
 // noteAnswer notes that the store answers reads of a kind.
@@ -104,7 +104,7 @@
 		return
 	}
 	s.failing[kind] = false
-	slog.Info("store is reached again", "read", kind.String(), "away_ms", now.Sub(s.failedAt).Milliseconds(), "held_read_ms", s.heldFor(now).Milliseconds())
+	slog.Info("store is reached again", "read", kind.String(), "away_ms", now.Sub(s.lastFailureAt).Milliseconds(), "held_read_ms", s.heldFor(now).Milliseconds())
 }
 
 // noteFailure notes that the store does not answer reads of a kind. A read of the other kind goes on: its own limits end it,
@@ -112,9 +112,9 @@
 func (s *syncer) noteFailure(kind readKind, now time.Time, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.failedAt = now
-	if now.Sub(s.asOf) > s.router.reliedLimit() {
-		s.blindAt = now
+	s.lastFailureAt = now
+	if now.Sub(s.endpointsAsOf) > s.router.reliedLimit() {
+		s.lastOutageAt = now
 	}
 	if !s.failing[kind] {
 		s.failing[kind] = true
@@ -131,10 +131,10 @@
 
 // heldFor is how long the store has held a read; the caller holds the lock.
 func (s *syncer) heldFor(now time.Time) time.Duration {
-	if s.heldSince.IsZero() {
+	if s.longPollSince.IsZero() {
 		return 0
 	}
-	return now.Sub(s.heldSince)
+	return now.Sub(s.longPollSince)
 }
 
 // heldAge is how long the store has held a read, 0 if it holds none.
@@ -148,8 +148,8 @@
 func (s *syncer) declaredAge(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.answeredAt[readDeclared].IsZero() {
+	if s.answeredAt[declarationsRead].IsZero() {
 		return 0
 	}
-	return now.Sub(s.answeredAt[readDeclared])
+	return now.Sub(s.answeredAt[declarationsRead])
 }
--- a/exchange/freshness_test.go
+++ b/exchange/freshness_test.go
@@ -72,5 +72,5 @@
 	x := s.daemon.router
 	require.True(t, x.peers.isNew(time.Now()))
 	s.control.change(func() { s.control.table = testTable(2, againRoute()) })
-	require.Eventually(t, func() bool { return x.configVersion() == 2 }, x.sync.heldLimit()+4*feedPoll, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return x.configVersion() == 2 }, x.sync.longPollLimit()+4*readerPollInterval, 5*time.Millisecond)
 }
--- a/exchange/harm.go
+++ b/exchange/harm.go
@@ -14,7 +14,7 @@
 const (
 	// harmEvery is how often a box looks whether the store has to be told of a request: soon enough that all boxes may lose
 	// power a moment after a request was found out.
-	harmEvery = feedPoll
+	harmEvery = readerPollInterval
 	// mostTarget bounds what is kept and told of a caller's path, which may be as long as its headers.
 	mostTarget = 512
 	// harmRetry is the pause after a call to the store that failed.
@@ -110,7 +110,7 @@
 	isAnswered := true
 	if s.mustReadHarmful(now) {
 		if isAnswered = s.restoreHarmful(ctx); isAnswered {
-			s.harmDue = now.Add(harmLook)
+			s.nextQuarantineRead = now.Add(harmLook)
 		}
 	}
 	s.router.harm.Expire(now)
@@ -120,8 +120,8 @@
 // mustReadHarmful reports whether this box has to read what the store holds: once, since what boxes know dies with them, and again
 // and again while other halls may have found out something that they cannot tell it.
 func (s *syncer) mustReadHarmful(now time.Time) bool {
-	isDue := s.harmDue.IsZero() || !now.Before(s.harmDue) && s.router.peers.missesHall(now)
-	return isDue && !s.isFed(now) && !s.mayRest(now)
+	isDue := s.nextQuarantineRead.IsZero() || !now.Before(s.nextQuarantineRead) && s.router.peers.missesHall(now)
+	return isDue && !s.hasReader(now) && !s.maySkipCalls(now)
 }
 
 // restoreHarmful reads what the store holds, and reports whether that was possible.
--- a/exchange/lead.go
+++ b/exchange/lead.go
@@ -32,7 +32,7 @@
 		now := clock.Now()
 		_, isFed := s.router.peers.reader(now)
 		switch {
-		case s.mayRest(now):
+		case s.maySkipCalls(now):
 			// A call would be lost; the group has dropped this box by then, or does so now.
 			s.setLead(false, "the store is not reached")
 		case isFed:
@@ -53,7 +53,7 @@
 		s.setLead(false, "the group does not answer")
 		return listedAt
 	}
-	s.joined = true
+	s.isMember = true
 	changed := membership.Generation != s.generation
 	s.generation = membership.Generation
 	s.setLead(membership.Leads, "the group says so")
@@ -66,14 +66,14 @@
 
 // leaveGroup hands this box's part of the group on at once, since another box of the hall keeps in touch with the store.
 func (s *syncer) leaveGroup(ctx context.Context, member string) {
-	if !s.joined {
+	if !s.isMember {
 		return
 	}
 	s.setLead(false, "another box of the hall reads the store")
 	if err := s.control.Leave(ctx, member); err != nil {
 		slog.Info("group was not left; the store drops this box by its silence", "error", err)
 	}
-	s.joined = false
+	s.isMember = false
 }
 
 func (s *syncer) listMembers(ctx context.Context, now time.Time) {
@@ -106,16 +106,16 @@
 func (s *syncer) setLead(leads bool, why string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if leads != s.leads {
+	if leads != s.isLeader {
 		slog.Info("lead of roll-outs changed", "leads", leads, "why", why, "generation", s.generation)
 	}
-	s.leads = leads
+	s.isLeader = leads
 }
 
 func (s *syncer) isLeading() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.leads
+	return s.isLeader
 }
 
 // judgeReleases judges roll-outs on every box, and closes idle connections in time, until the context ends. No wait for the
--- a/exchange/listing.go
+++ b/exchange/listing.go
@@ -29,13 +29,13 @@
 	for ctx.Err() == nil {
 		if now := clock.Now(); !s.mustRead(now) {
 			s.dropLapsed(now)
-			sleep(ctx, feedPoll)
+			sleep(ctx, readerPollInterval)
 			continue
 		}
 		asked := clock.Now()
 		changes, err := s.control.Endpoints(ctx, s.endpointsAt())
 		if err != nil {
-			pause = s.backOff(ctx, readEndpoints, pause, err)
+			pause = s.pauseAfterFailure(ctx, endpointsRead, pause, err)
 			continue
 		}
 		pause = 0
@@ -46,21 +46,21 @@
 // takeChanges takes what the store answered to a read of the list. It holds what was so when the read was asked for certain:
 // the answer may have come in slowly.
 func (s *syncer) takeChanges(changes willowwick.EndpointChanges, asked, now time.Time) {
-	s.noteAnswer(readEndpoints, now)
+	s.noteAnswer(endpointsRead, now)
 	s.noteEra(changes.Next, now, "endpoints")
 	s.mu.Lock()
-	if changes.Next.Era() < s.next.Era() {
+	if changes.Next.Era() < s.readTo.Era() {
 		s.mu.Unlock()
 		return // another box has told of a later era meanwhile
 	}
-	s.asOf = latest(s.asOf, asked)
+	s.endpointsAsOf = latest(s.endpointsAsOf, asked)
 	s.apply(changes, now)
-	if s.changed && s.next > s.changedAt {
+	if s.hasPendingChange && s.readTo > s.changedAt {
 		// Offsets compare between boxes: who has read up to here has all changes up to here.
-		s.settle(s.next)
+		s.settle(s.readTo)
 	}
 	if changes.Whole {
-		s.history.restart(s.next)
+		s.history.restart(s.readTo)
 	}
 	s.publish()
 	s.mu.Unlock()
@@ -69,15 +69,15 @@
 
 // settle says up to where the list's changes so far stand; the caller holds the lock.
 func (s *syncer) settle(at willowwick.Position) {
-	s.changedAt, s.changed = at, false
+	s.changedAt, s.hasPendingChange = at, false
 	s.history.settle(at, s.listed)
 }
 
 // mustRead reports whether this box has to read the list of endpoints now.
 func (s *syncer) mustRead(now time.Time) bool {
 	limit := scale(s.router.settings.Drain, endpointsShare)
-	if s.isFed(now) {
-		if s.mustRegain(readEndpoints, now) {
+	if s.hasReader(now) {
+		if s.mustKeepReading(endpointsRead, now) {
 			return true
 		}
 		limit = s.router.reliedLimit()
@@ -102,7 +102,7 @@
 func (s *syncer) hasEndpoints() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.known
+	return s.hasList
 }
 
 // entry is what is known of an endpoint that is listed.
@@ -116,7 +116,7 @@
 func (s *syncer) endpointsAt() willowwick.Position {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.next
+	return s.readTo
 }
 
 // apply takes changes of the list; the caller holds the lock.
@@ -131,7 +131,7 @@
 		if _, wasListed := s.listed[id]; wasListed {
 			s.drop(id, now)
 			// It may live, and its next heartbeat is no late one of an endpoint that went.
-			delete(s.gone, id)
+			delete(s.removed, id)
 		}
 	}
 	present := map[willowwick.EndpointID]bool{}
@@ -153,7 +153,7 @@
 		}
 	}
 	s.dropOverdue(now)
-	s.next, s.known = changes.Next, true
+	s.readTo, s.hasList = changes.Next, true
 }
 
 // dropLapsed drops the endpoints that did not come back in time, also on a box that is told of no changes meanwhile: each of
@@ -171,7 +171,7 @@
 func (s *syncer) dropOverdue(now time.Time) bool {
 	before := len(s.lapsed)
 	for id, until := range s.lapsed {
-		if s.asOf.After(until) || now.Sub(until) > s.router.reliedLimit() {
+		if s.endpointsAsOf.After(until) || now.Sub(until) > s.router.reliedLimit() {
 			s.drop(id, now)
 		}
 	}
@@ -200,24 +200,24 @@
 
 // noteChange notes that the entry of an endpoint changed, came or went; the caller holds the lock.
 func (s *syncer) noteChange(id willowwick.EndpointID) {
-	s.changed, s.sum = true, 0
+	s.hasPendingChange, s.cachedListSum = true, 0
 	s.history.note(id)
 }
 
 // isBack reports whether the entry of an endpoint counts. One that is gone may still have a heartbeat on its way, which
 // brings its entry back; only a second one after it shows that the endpoint lives. The caller holds the lock.
 func (s *syncer) isBack(endpoint willowwick.Endpoint) bool {
-	last, isGone := s.gone[endpoint.ID]
+	last, isGone := s.removed[endpoint.ID]
 	switch {
 	case !isGone:
 		return true
-	case endpoint.Beat <= last.beat:
+	case endpoint.Beat <= last.heartbeat:
 		return false
-	case !last.again:
-		s.gone[endpoint.ID] = goneEntry{beat: endpoint.Beat, again: true}
+	case !last.seenAgain:
+		s.removed[endpoint.ID] = removedEntry{heartbeat: endpoint.Beat, seenAgain: true}
 		return false
 	default:
-		delete(s.gone, endpoint.ID)
+		delete(s.removed, endpoint.ID)
 		return true
 	}
 }
@@ -237,17 +237,17 @@
 	if _, waits := s.lapsed[id]; waits {
 		return
 	}
-	if !s.blindAt.IsZero() && now.Sub(s.blindAt) < returnGrace {
-		s.lapsed[id] = s.blindAt.Add(returnGrace)
+	if !s.lastOutageAt.IsZero() && now.Sub(s.lastOutageAt) < returnGrace {
+		s.lapsed[id] = s.lastOutageAt.Add(returnGrace)
 		return
 	}
 	s.drop(id, now)
 }
 
 func (s *syncer) drop(id willowwick.EndpointID, now time.Time) {
-	slog.Info("endpoint gone", "endpoint", id, "release", s.listed[id].Release, "store_failed_ms_ago", now.Sub(s.failedAt).Milliseconds())
+	slog.Info("endpoint gone", "endpoint", id, "release", s.listed[id].Release, "store_failed_ms_ago", now.Sub(s.lastFailureAt).Milliseconds())
 	s.router.conns.Drop(s.listed[id].Address)
-	s.gone[id] = goneEntry{beat: s.listed[id].Beat}
+	s.removed[id] = removedEntry{heartbeat: s.listed[id].Beat}
 	delete(s.listed, id)
 	delete(s.lapsed, id)
 	s.noteChange(id)
--- a/exchange/listing_swap.go
+++ b/exchange/listing_swap.go
@@ -32,10 +32,10 @@
 func (s *syncer) listedFrom() (from, read willowwick.Position, sum uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.changed {
-		return s.changedAt, s.next, 0
+	if s.hasPendingChange {
+		return s.changedAt, s.readTo, 0
 	}
-	return s.changedAt, s.next, s.listSum()
+	return s.changedAt, s.readTo, s.listSum()
 }
 
 // listSum is a sum over the list by which two boxes see whether they list the same, 0 while entries have lapsed; the caller
@@ -44,13 +44,13 @@
 	if len(s.lapsed) > 0 {
 		return 0
 	}
-	if s.sum == 0 {
-		s.sum = emptySum
+	if s.cachedListSum == 0 {
+		s.cachedListSum = emptySum
 		for _, endpoint := range s.listed {
-			s.sum += entrySum(endpoint)
+			s.cachedListSum += entrySum(endpoint)
 		}
 	}
-	return s.sum
+	return s.cachedListSum
 }
 
 // entrySum is the same for two entries of an endpoint that say the same of where and for what it is used.
@@ -65,7 +65,7 @@
 func (s *syncer) wantsList(address string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.differs && s.fedBy == address && now.Sub(s.wholeAt) >= wholeEvery
+	return s.differsFromReader && s.readerAddress == address && now.Sub(s.wholeListAt) >= wholeEvery
 }
 
 // listFor returns the list for a box that has an older one, or asks for it: what changed since, if the box takes that and it
@@ -75,11 +75,11 @@
 	from := max(call.Digest.EndpointsFrom, call.Digest.EndpointsRead)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	wantsWhole := call.WantsList && s.next >= from
-	if !s.known || s.changedAt <= from && !wantsWhole {
+	wantsWhole := call.WantsList && s.readTo >= from
+	if !s.hasList || s.changedAt <= from && !wantsWhole {
 		return nil
 	}
-	list := &EndpointList{Next: s.next, From: s.changedAt, Told: clock.Now()}
+	list := &EndpointList{Next: s.readTo, From: s.changedAt, Told: clock.Now()}
 	changed, known := s.history.since(from)
 	if known && call.TakesChanges && !wantsWhole {
 		list.Since = from
@@ -126,24 +126,24 @@
 	if isNews {
 		// What the other box lists it has judged itself.
 		for i, endpoint := range list.Endpoints {
-			delete(s.gone, endpoint.ID)
+			delete(s.removed, endpoint.ID)
 			if !endpoint.ColdUntil.IsZero() {
 				list.Endpoints[i].ColdUntil = now.Add(endpoint.ColdUntil.Sub(list.Told))
 			}
 		}
 		s.apply(willowwick.EndpointChanges{
-			Whole: list.Since == 0, Present: list.Endpoints, Gone: list.Gone, Next: max(s.next, list.Next),
+			Whole: list.Since == 0, Present: list.Endpoints, Gone: list.Gone, Next: max(s.readTo, list.Next),
 		}, now)
 		s.settle(max(s.changedAt, list.From))
 		if list.Since == 0 {
 			s.history.restart(list.From)
-			s.differs, s.wholeAt = false, now
+			s.differsFromReader, s.wholeListAt = false, now
 		}
 	}
 	s.compare(&reply.Digest)
 	asOf := now.Add(-time.Duration(reply.Digest.StoreAgeMs) * time.Millisecond)
-	if s.known && reply.Digest.EndpointsFrom <= s.next && asOf.After(s.asOf) {
-		s.asOf = asOf
+	if s.hasList && reply.Digest.EndpointsFrom <= s.readTo && asOf.After(s.endpointsAsOf) {
+		s.endpointsAsOf = asOf
 	}
 	if isNews {
 		s.publish()
@@ -156,10 +156,10 @@
 // list. Of an endpoint that came and went up to there this box never knew, and would never hear that it went. The caller
 // holds the lock.
 func (s *syncer) isNews(list *EndpointList, from string) bool {
-	if list.Since == 0 && s.differs && s.fedBy == from {
-		return list.Next >= s.next
+	if list.Since == 0 && s.differsFromReader && s.readerAddress == from {
+		return list.Next >= s.readTo
 	}
-	return list.From > s.next && list.Since <= s.next
+	return list.From > s.readTo && list.Since <= s.readTo
 }
 
 // compare finds out whether the box that reads the store for this one has read as far and lists other endpoints. Two
@@ -167,11 +167,11 @@
 // alone never make that good. A box that reads for itself goes by nobody's judgement but its own. The caller holds the lock.
 func (s *syncer) compare(digest *Digest) {
 	sum := s.listSum()
-	if digest.Address != s.fedBy || digest.EndpointsRead < s.next || digest.EndpointsSum == 0 || sum == 0 {
+	if digest.Address != s.readerAddress || digest.EndpointsRead < s.readTo || digest.EndpointsSum == 0 || sum == 0 {
 		return
 	}
-	if differs := digest.EndpointsSum != sum; differs != s.differs {
-		s.differs = differs
+	if differs := digest.EndpointsSum != sum; differs != s.differsFromReader {
+		s.differsFromReader = differs
 		slog.Info("list of endpoints compared with another box's", "peer", digest.Box, "differs", differs, "offset", s.changedAt)
 	}
 }
--- a/exchange/lives.go
+++ b/exchange/lives.go
@@ -17,7 +17,7 @@
 // isFormerLife notes the life that an entry tells of, and reports whether it is the one before the newest that is known: its last
 // heartbeats may be written late. The caller holds the lock.
 func (s *syncer) isFormerLife(entry willowwick.Endpoint) bool {
-	life := s.lives[entry.ID]
+	life := s.incarnations[entry.ID]
 	switch entry.Incarnation {
 	case 0, life.current:
 		return false
@@ -25,7 +25,7 @@
 		return true
 	}
 	s.forgetLives()
-	s.lives[entry.ID] = endpointLife{current: entry.Incarnation, former: life.current, formerLeft: s.leaves(entry.ID)}
+	s.incarnations[entry.ID] = endpointLife{current: entry.Incarnation, former: life.current, formerLeft: s.leaves(entry.ID)}
 	s.beginLife(entry, life.current)
 	return false
 }
@@ -38,29 +38,29 @@
 // beginLife forgets what was known of the life before, if there was one; the caller holds the lock.
 func (s *syncer) beginLife(entry willowwick.Endpoint, former willowwick.Incarnation) {
 	old, wasListed := s.listed[entry.ID]
-	if _, isGone := s.gone[entry.ID]; isGone || wasListed {
+	if _, isGone := s.removed[entry.ID]; isGone || wasListed {
 		slog.Info("endpoint started again", "endpoint", entry.ID, "incarnation", entry.Incarnation, "former", former, "was_listed", wasListed)
 	}
-	delete(s.gone, entry.ID)
+	delete(s.removed, entry.ID)
 	delete(s.lapsed, entry.ID)
 	if !wasListed {
 		return
 	}
 	delete(s.listed, entry.ID)
 	s.router.conns.Drop(old.Address)
-	if !s.lives[entry.ID].formerLeft {
+	if !s.incarnations[entry.ID].formerLeft {
 		s.router.ends.endedBefore(entry.ID, former)
 	}
 }
 
 // forgetLives drops the lives of endpoints that are gone, where many are kept; the caller holds the lock.
 func (s *syncer) forgetLives() {
-	if len(s.lives) < historyMost {
+	if len(s.incarnations) < historyMost {
 		return
 	}
-	for id := range s.lives {
+	for id := range s.incarnations {
 		if _, isListed := s.listed[id]; !isListed {
-			delete(s.lives, id)
+			delete(s.incarnations, id)
 		}
 	}
 }
@@ -69,6 +69,6 @@
 func (s *syncer) hasStartedAgain(endpoint willowwick.Endpoint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	life := s.lives[endpoint.ID]
+	life := s.incarnations[endpoint.ID]
 	return endpoint.Incarnation != 0 && life.former == endpoint.Incarnation && !life.formerLeft
 }
--- a/exchange/lost_read_test.go
+++ b/exchange/lost_read_test.go
@@ -62,7 +62,7 @@
 		settings.InForce, settings.Drain = inForce, feedDrain
 		x, closeRouter := newRouter(settings, testCodec{})
 		x.sync = newSyncer(x, nil)
-		lost := x.sync.heldLimit() + headLimit + retryFirst
+		lost := x.sync.longPollLimit() + headLimit + minReadRetry
 		assert.LessOrEqual(t, lost+(&peers{router: x}).swapPeriod()+rest, inForce)
 		closeRouter()
 	}
--- a/exchange/mesh_test.go
+++ b/exchange/mesh_test.go
@@ -20,7 +20,7 @@
 
 const (
 	// meshStep is how often the boxes of a mesh look whether something is due.
-	meshStep = feedPoll
+	meshStep = readerPollInterval
 	// meshDrain is the time to leave an endpoint on fleets of hundreds of boxes.
 	meshDrain = 4 * time.Second
 	// meshSeeds is the number of boxes that the settings of each name.
@@ -246,7 +246,7 @@
 func (m *mesh) act(t *testing.T, box *meshBox) {
 	now := time.Now()
 	if !now.Before(box.readAt) {
-		box.readAt = now.Add(retryFirst)
+		box.readAt = now.Add(minReadRetry)
 		m.read(box, now)
 	}
 	if m.reads {
@@ -272,21 +272,21 @@
 		return
 	}
 	if m.isAway || box.isRefused {
-		box.sync.noteFailure(readEndpoints, now, errDown)
-		box.sync.noteFailure(readDeclared, now, errDown)
+		box.sync.noteFailure(endpointsRead, now, errDown)
+		box.sync.noteFailure(declarationsRead, now, errDown)
 		return
 	}
-	box.sync.noteAnswer(readDeclared, now)
+	box.sync.noteAnswer(declarationsRead, now)
 	box.sync.takeChanges(m.store.since(box.sync.endpointsAt()), now, now)
 }
 
 // readConfig reads the configuration on a box that has no reader, as old as an answer may make it: one that brings news at the
 // end of the time for which it was held.
 func (m *mesh) readConfig(box *meshBox, now time.Time) {
-	if now.Before(box.configAt) || box.sync.isFed(now) {
+	if now.Before(box.configAt) || box.sync.hasReader(now) {
 		return
 	}
-	held := box.sync.heldLimit()
+	held := box.sync.longPollLimit()
 	box.configAt = now.Add(held)
 	if !m.isAway && !box.isRefused {
 		box.sync.noteConfig(now.Add(-held))
--- a/exchange/peers_test.go
+++ b/exchange/peers_test.go
@@ -154,10 +154,10 @@
 	isCutOff := func(unreachable bool) bool {
 		now := time.Now()
 		x.sync.mu.Lock()
-		for kind := range readKinds {
+		for kind := range readKindCount {
 			x.sync.answeredAt[kind], x.sync.failing[kind] = now.Add(-2*feedDrain), unreachable
 		}
-		x.sync.asOf = now.Add(-feedDrain / 10)
+		x.sync.endpointsAsOf = now.Add(-feedDrain / 10)
 		x.sync.mu.Unlock()
 		return x.peers.isCutOff(&peer{digest: x.peers.digest(now), heard: now}, now)
 	}
@@ -227,8 +227,8 @@
 	const watched = 3 * time.Second
 	time.Sleep(watched)
 	// The first box asks with its usual pauses, on two topics and for the group; the others share one pause.
-	first := float64(watched)*2/float64(retryMost) + float64(watched)/float64(joinEvery)
-	others := float64(watched) / float64(probeEvery)
+	first := float64(watched)*2/float64(maxReadRetry) + float64(watched)/float64(joinEvery)
+	others := float64(watched) / float64(hallProbeInterval)
 	assert.LessOrEqual(t, float64(control.calls.Load()-before), first+others+boxes)
 	control.change(func() { control.down = false })
 	for _, s := range sites {
--- a/exchange/stale_test.go
+++ b/exchange/stale_test.go
@@ -100,10 +100,10 @@
 	sites[0].daemon.stop()
 	sites[0].daemon.workers.Close()
 	now := time.Now().Add(feedDrain)
-	x.sync.noteFailure(readDeclared, now, errDown)
-	x.sync.noteAnswer(readEndpoints, now)
+	x.sync.noteFailure(declarationsRead, now, errDown)
+	x.sync.noteAnswer(endpointsRead, now)
 	assert.False(t, x.peers.reads(now))
-	x.sync.noteAnswer(readDeclared, now)
+	x.sync.noteAnswer(declarationsRead, now)
 	assert.True(t, x.peers.reads(now))
 }
 
@@ -112,7 +112,7 @@
 	r := newRunner(t, "r1", answerText("ok"))
 	_, sites := newHall(t, 3, r.endpoint("v1"))
 	first := awaitReaders(t, sites, 1)[0].daemon.router
-	for kind := range readKinds {
+	for kind := range readKindCount {
 		first.sync.noteFailure(kind, time.Now(), errDown)
 	}
 	require.Eventually(t, func() bool { return !first.sync.isAway() }, patience, 10*time.Millisecond)
--- a/exchange/transit_test.go
+++ b/exchange/transit_test.go
@@ -39,7 +39,7 @@
 	_, hearers := newHall(t, 1, r.endpoint("v1"))
 	hearer := hearers[0].daemon.router
 	hearers[0].control.change(func() { hearers[0].control.down = true })
-	require.Eventually(t, func() bool { return hearer.sync.isFailing(readEndpoints) }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return hearer.sync.isFailing(endpointsRead) }, patience, time.Millisecond)
 	// The teller hears of the hearer by the call; the hearer's own swaps with it would bring newer news.
 	hearers[0].daemon.stop()
 	hearers[0].daemon.workers.Close()
@@ -56,7 +56,7 @@
 	require.False(t, server.made.IsZero(), "it was asked")
 	hearer.sync.mu.Lock()
 	defer hearer.sync.mu.Unlock()
-	assert.LessOrEqual(t, hearer.sync.asOf.UnixMilli(), server.made.UnixMilli())
+	assert.LessOrEqual(t, hearer.sync.endpointsAsOf.UnixMilli(), server.made.UnixMilli())
 }
 
 // lateEndpoints is a store whose answers with the list of endpoints come in late, over a narrow link.
@@ -90,5 +90,5 @@
 	for len(control.made) > 0 {
 		made = <-control.made
 	}
-	assert.False(t, x.sync.asOf.After(made), "%v after it was made", x.sync.asOf.Sub(made))
+	assert.False(t, x.sync.endpointsAsOf.After(made), "%v after it was made", x.sync.endpointsAsOf.Sub(made))
 }
