--- a/exchange/cut_off_test.go
+++ b/exchange/cut_off_test.go
@@ -20,9 +20,9 @@
 	p := sites[0].daemon.router.peers
 	now := time.Now()
 	never := now.Sub(time.Time{}).Milliseconds()
-	for _, since := range []time.Duration{0, 10 * time.Millisecond, peerFresh} {
-		known := &peer{digest: Digest{ReadAgeMs: never}, heard: now.Add(-since)}
-		assert.True(t, p.isCutOff(known, now), "heard %v ago", since)
+	for _, since := range []time.Duration{0, 10 * time.Millisecond, peerLiveness} {
+		known := &peer{digest: Digest{ReadAgeMs: never}, heardAt: now.Add(-since)}
+		assert.True(t, p.isCutOffFromStore(known, now), "heard %v ago", since)
 	}
 }
 
@@ -33,13 +33,13 @@
 	settings := testSettings()
 	settings.Box, settings.LinkMbps, settings.Drain = "box-second", 100, feedDrain
 	second := startSite(t, control, settings).daemon.router
-	require.Eventually(t, func() bool { return second.peers.reads(time.Now()) }, patience, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return second.peers.reachesStore(time.Now()) }, patience, 10*time.Millisecond)
 	settings.Box, settings.LinkMbps = "box-first", 200
 	settings.Seeds = []string{second.settings.Peers}
 	own := &turningControl{testControl: control}
 	own.turnedAway.Store(true)
 	first := startSite(t, own, settings).daemon.router
-	time.Sleep(peerFresh)
+	time.Sleep(peerLiveness)
 	control.change(func() { control.table = testTable(2, againRoute()) })
 	require.Eventually(t, func() bool { return second.configVersion() == 2 }, patience, 10*time.Millisecond)
 	assert.Eventually(t, func() bool { return first.configVersion() == 2 }, patience, 10*time.Millisecond)
--- a/exchange/evacuation_test.go
+++ b/exchange/evacuation_test.go
@@ -50,7 +50,7 @@
 
 // tell gives the box the digest of another one.
 func (s *site) tell(evacuated EvacuatedHalls) {
-	s.daemon.router.peers.heard(Digest{Box: "box-9", Hall: "hall-z", Address: "10.0.0.9:1", Evacuated: evacuated}, time.Now())
+	s.daemon.router.peers.receiveDigest(Digest{Box: "box-9", Hall: "hall-z", Address: "10.0.0.9:1", Evacuated: evacuated}, time.Now())
 }
 
 func TestAnEvacuatedHallGetsNoNewWorkUntilItIsTakenBack(t *testing.T) {
--- a/exchange/freshness_test.go
+++ b/exchange/freshness_test.go
@@ -46,7 +46,7 @@
 		x, closeRouter := newRouter(testSettings(), testCodec{})
 		defer closeRouter()
 		x.sync = newSyncer(x, nil)
-		x.peers = &peers{router: x, began: time.Now()}
+		x.peers = &peers{router: x, startedAt: time.Now()}
 		x.setTable(testTable(5, onceRoute()), "test")
 		now := time.Now()
 		x.sync.noteConfig(now.Add(-time.Second))
--- a/exchange/harm.go
+++ b/exchange/harm.go
@@ -120,7 +120,7 @@
 // mustReadHarmful reports whether this box has to read what the store holds: once, since what boxes know dies with them, and again
 // and again while other halls may have found out something that they cannot tell it.
 func (s *syncer) mustReadHarmful(now time.Time) bool {
-	isDue := s.nextQuarantineRead.IsZero() || !now.Before(s.nextQuarantineRead) && s.router.peers.missesHall(now)
+	isDue := s.nextQuarantineRead.IsZero() || !now.Before(s.nextQuarantineRead) && s.router.peers.hasUnreachableHall(now)
 	return isDue && !s.hasReader(now) && !s.maySkipCalls(now)
 }
 
--- a/exchange/hints.go
+++ b/exchange/hints.go
@@ -101,7 +101,7 @@
 	if h.conn == nil || !isReading {
 		return
 	}
-	if !h.mayTell(reading.Length, h.router.peers.boxes(), clock.Now()) {
+	if !h.mayTell(reading.Length, h.router.peers.fleetSize(), clock.Now()) {
 		h.router.metrics.hintDropped()
 		return
 	}
@@ -146,7 +146,7 @@
 		case <-ctx.Done():
 			return
 		case first := <-h.queue:
-			near, far := h.router.peers.audience(clock.Now())
+			near, far := h.router.peers.hintRecipients(clock.Now())
 			sleep(ctx, max(time.Duration(len(near))*hintPause, hintPauseLeast))
 			own, heard := h.collect(first)
 			h.sendTo(near, hintKeep, append(heard, own...))
--- a/exchange/hub.go
+++ b/exchange/hub.go
@@ -9,10 +9,10 @@
 
 // triedAtOnce bounds how many silent boxes of a hall one round of swaps tries: with all of a large fleet started at
 // once, more would take the processor from the requests of callers.
-const triedAtOnce = 2
+const maxProbesPerRound = 2
 
 // first is the box of a hall that precedes the others of those that use accepts; the caller holds the lock.
-func (p *peers) first(hall willowwick.HallID, use func(known *peer) bool) (KnownBox, bool) {
+func (p *peers) firstBox(hall willowwick.HallID, use func(known *peer) bool) (KnownBox, bool) {
 	var first KnownBox
 	found := false
 	for _, known := range p.known {
@@ -25,10 +25,10 @@
 
 // reader is the digest of the box that reads the store for this one, and false if this box reads it itself.
 func (p *peers) reader(now time.Time) (Digest, bool) {
-	reads := p.reads(now)
+	reads := p.reachesStore(now)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	reader, found := p.readerOf(p.router.settings.Hall, now)
+	reader, found := p.hallReader(p.router.settings.Hall, now)
 	if !found || reads && p.self().precedes(reader) {
 		return Digest{}, false
 	}
@@ -36,34 +36,34 @@
 }
 
 // reads reports whether this box reaches the store, as far as it has shown.
-func (p *peers) reads(now time.Time) bool {
+func (p *peers) reachesStore(now time.Time) bool {
 	return p.router.sync.readAge(now) <= p.router.reliedLimit()
 }
 
 // isBehind reports whether a box of the hall that comes before this one is in touch, whether it reads the store or not.
-func (p *peers) isBehind(now time.Time) bool {
+func (p *peers) hasPredecessor(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	first, found := p.firstInTouch(p.router.settings.Hall, now)
+	first, found := p.firstLiveBox(p.router.settings.Hall, now)
 	return found && first.precedes(p.self())
 }
 
 // readerOf is the first of a hall's boxes that are in touch and reach the store; the caller holds the lock.
-func (p *peers) readerOf(hall willowwick.HallID, now time.Time) (KnownBox, bool) {
-	return p.first(hall, func(known *peer) bool { return known.isInTouch(now) && !p.isCutOff(known, now) })
+func (p *peers) hallReader(hall willowwick.HallID, now time.Time) (KnownBox, bool) {
+	return p.firstBox(hall, func(known *peer) bool { return known.isLive(now) && !p.isCutOffFromStore(known, now) })
 }
 
 // firstInTouch is the first of a hall's boxes that were heard of lately; the caller holds the lock.
-func (p *peers) firstInTouch(hall willowwick.HallID, now time.Time) (KnownBox, bool) {
-	return p.first(hall, func(known *peer) bool { return known.isInTouch(now) })
+func (p *peers) firstLiveBox(hall willowwick.HallID, now time.Time) (KnownBox, bool) {
+	return p.firstBox(hall, func(known *peer) bool { return known.isLive(now) })
 }
 
 // missesHall reports whether no box of some hall has been heard of lately, though there is one.
-func (p *peers) missesHall(now time.Time) bool {
+func (p *peers) hasUnreachableHall(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, hall := range p.hallsKnown() {
-		if _, found := p.firstInTouch(hall, now); !found {
+	for _, hall := range p.knownHalls() {
+		if _, found := p.firstLiveBox(hall, now); !found {
 			return true
 		}
 	}
@@ -71,8 +71,8 @@
 }
 
 // isCutOff reports whether a box has not read the store for too long to rely on it.
-func (p *peers) isCutOff(known *peer, now time.Time) bool {
-	told, since := time.Duration(known.digest.ReadAgeMs)*time.Millisecond, now.Sub(known.heard)
+func (p *peers) isCutOffFromStore(known *peer, now time.Time) bool {
+	told, since := time.Duration(known.digest.ReadAgeMs)*time.Millisecond, now.Sub(known.heardAt)
 	limit := p.router.reliedLimit()
 	// Nothing can be added to the longest length of time there is, which a box of an earlier release may tell.
 	return told > limit || told+since > limit
@@ -84,12 +84,12 @@
 	if reader, found := p.reader(now); found {
 		return reader, true
 	}
-	if p.reads(now) {
+	if p.reachesStore(now) {
 		return Digest{}, false
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	first, found := p.firstInTouch(p.router.settings.Hall, now)
+	first, found := p.firstLiveBox(p.router.settings.Hall, now)
 	if !found || p.self().precedes(first) {
 		return Digest{}, false
 	}
@@ -97,24 +97,24 @@
 }
 
 // hubOf is the hub of another hall; the caller holds the lock.
-func (p *peers) hubOf(hall willowwick.HallID, now time.Time) (KnownBox, bool) {
-	if reader, found := p.readerOf(hall, now); found {
+func (p *peers) hallHub(hall willowwick.HallID, now time.Time) (KnownBox, bool) {
+	if reader, found := p.hallReader(hall, now); found {
 		return reader, true
 	}
-	return p.firstInTouch(hall, now)
+	return p.firstLiveBox(hall, now)
 }
 
 // targets are the addresses of the boxes to swap with now: the hall's hub, on a hub those of the other halls, and some
 // silent boxes that would come before them.
-func (p *peers) targets(now time.Time) []string {
+func (p *peers) exchangeTargets(now time.Time) []string {
 	hub, hasHub := p.hub(now)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	self := p.self()
-	targets := p.candidates("", KnownBox{}, now)
+	targets := p.probeCandidates("", KnownBox{}, now)
 	if hasHub {
 		targets = append(targets, hub.Address)
-		targets = append(targets, p.candidates(self.Hall, hub.box(), now)...)
+		targets = append(targets, p.probeCandidates(self.Hall, hub.box(), now)...)
 	} else {
 		targets = append(targets, p.hubTargets(now)...)
 	}
@@ -127,33 +127,33 @@
 func (p *peers) hubTargets(now time.Time) []string {
 	self := p.self()
 	var targets []string
-	for _, hall := range p.hallsKnown() {
+	for _, hall := range p.knownHalls() {
 		if hall == self.Hall {
-			targets = append(targets, p.candidates(hall, self, now)...)
+			targets = append(targets, p.probeCandidates(hall, self, now)...)
 			continue
 		}
-		hub, found := p.hubOf(hall, now)
+		hub, found := p.hallHub(hall, now)
 		if found {
 			targets = append(targets, hub.Address)
 		}
-		targets = append(targets, p.candidates(hall, hub, now)...)
+		targets = append(targets, p.probeCandidates(hall, hub, now)...)
 	}
 	return targets
 }
 
 // candidates are the addresses of a few boxes of a hall that were not heard of lately and would come before its hub,
 // if it has one; the hall is empty for boxes whose hall is not known. The caller holds the lock.
-func (p *peers) candidates(hall willowwick.HallID, hub KnownBox, now time.Time) []string {
+func (p *peers) probeCandidates(hall willowwick.HallID, hub KnownBox, now time.Time) []string {
 	var silent []KnownBox
 	for _, known := range p.known {
-		isSilent := !known.isInTouch(now) && !now.Before(known.tryAt)
+		isSilent := !known.isLive(now) && !now.Before(known.nextCallAt)
 		if known.box.Hall == hall && isSilent && (hub.Address == "" || known.box.precedes(hub)) {
 			silent = append(silent, known.box)
 		}
 	}
-	slices.SortFunc(silent, p.compareTries)
+	slices.SortFunc(silent, p.compareLastCalls)
 	var list []string
-	for _, box := range silent[:min(len(silent), triedAtOnce)] {
+	for _, box := range silent[:min(len(silent), maxProbesPerRound)] {
 		list = append(list, box.Address)
 	}
 	return list
@@ -161,8 +161,8 @@
 
 // compareTries orders boxes by who is to be tried first: the one that was not tried for longer, so that boxes that are
 // no use as a hub keep none of the others waiting. The caller holds the lock.
-func (p *peers) compareTries(a, b KnownBox) int {
-	if order := p.known[a.Address].triedAt.Compare(p.known[b.Address].triedAt); order != 0 {
+func (p *peers) compareLastCalls(a, b KnownBox) int {
+	if order := p.known[a.Address].lastCallAt.Compare(p.known[b.Address].lastCallAt); order != 0 {
 		return order
 	}
 	if a.precedes(b) {
@@ -172,7 +172,7 @@
 }
 
 // hallsKnown lists the halls of the known boxes; the caller holds the lock.
-func (p *peers) hallsKnown() []willowwick.HallID {
+func (p *peers) knownHalls() []willowwick.HallID {
 	var halls []willowwick.HallID
 	for _, known := range p.known {
 		if hall := known.box.Hall; hall != "" && !slices.Contains(halls, hall) {
--- a/exchange/known.go
+++ b/exchange/known.go
@@ -11,12 +11,12 @@
 
 const (
 	// peerFresh is how long a digest counts as the state of a live box: two missed swaps and some.
-	peerFresh = 1300 * time.Millisecond
+	peerLiveness = 1300 * time.Millisecond
 	// peerKept is how long a silent box is still counted, named to others and tried.
-	peerKept = 30 * time.Second
+	silentPeerRetention = 30 * time.Second
 	// retryPeer and retryPeerMost bound the pauses between calls of a box that does not answer.
-	retryPeer     = time.Second
-	retryPeerMost = 8 * time.Second
+	minPeerRetry = time.Second
+	maxPeerRetry = 8 * time.Second
 )
 
 type (
@@ -43,15 +43,15 @@
 
 	// peer is another box as this one knows it.
 	peer struct {
-		box      KnownBox
-		sum      uint64 // of the box, as part of a sum over all boxes
-		digest   Digest
-		heard    time.Time // when its last digest came
-		listed   time.Time // when it, the group or another box last named it
-		tryAt    time.Time // not called before, after failures
-		triedAt  time.Time // last call
-		failures int       // calls in a row that failed
-		swapping bool      // a call to it is under way
+		box          KnownBox
+		sum          uint64 // of the box, as part of a sum over all boxes
+		digest       Digest
+		heardAt      time.Time // when its last digest came
+		namedAt      time.Time // when it, the group or another box last named it
+		nextCallAt   time.Time // not called before, after failures
+		lastCallAt   time.Time // last call
+		failures     int       // calls in a row that failed
+		isExchanging bool      // a call to it is under way
 	}
 )
 
@@ -65,18 +65,18 @@
 }
 
 // isInTouch reports whether the box's digest counts as its state.
-func (known *peer) isInTouch(now time.Time) bool {
-	return now.Sub(known.heard) <= peerFresh
+func (known *peer) isLive(now time.Time) bool {
+	return now.Sub(known.heardAt) <= peerLiveness
 }
 
 // seen is when the box last answered or was named.
-func (known *peer) seen() time.Time {
-	return latest(known.heard, known.listed)
+func (known *peer) lastSeen() time.Time {
+	return latest(known.heardAt, known.namedAt)
 }
 
 // isKept reports whether the box was heard of or named of late.
-func (known *peer) isKept(now time.Time) bool {
-	return now.Sub(known.seen()) <= peerKept
+func (known *peer) isRetained(now time.Time) bool {
+	return now.Sub(known.lastSeen()) <= silentPeerRetention
 }
 
 // self is this box as the others know it.
@@ -86,7 +86,7 @@
 }
 
 // list notes a box that the settings, the group or a box named, and when that was known of it.
-func (p *peers) list(box KnownBox, at time.Time) {
+func (p *peers) noteBox(box KnownBox, at time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if box.Address == p.router.settings.Peers || box.Address == "" {
@@ -100,33 +100,33 @@
 	if box.Hall != "" || known.box.Address == "" {
 		known.box, known.sum = box, box.sum()
 	}
-	known.listed = latest(known.listed, at)
+	known.namedAt = latest(known.namedAt, at)
 }
 
 // listKnown notes boxes that another box knows, as of when it answered.
-func (p *peers) listKnown(rows []KnownRow, asOf time.Time) {
+func (p *peers) noteKnownRows(rows []KnownRow, asOf time.Time) {
 	for _, row := range rows {
 		at := asOf.Add(-time.Duration(row.AgeMs) * time.Millisecond)
-		if clock.Since(at) <= peerKept {
-			p.list(KnownBox{Address: row.Address, Hall: row.Hall, LinkMbps: row.LinkMbps}, at)
+		if clock.Since(at) <= silentPeerRetention {
+			p.noteBox(KnownBox{Address: row.Address, Hall: row.Hall, LinkMbps: row.LinkMbps}, at)
 		}
 	}
 }
 
 // heard takes a digest that came from its box itself.
-func (p *peers) heard(digest Digest, now time.Time) {
-	p.list(digest.box(), now)
+func (p *peers) receiveDigest(digest Digest, now time.Time) {
+	p.noteBox(digest.box(), now)
 	p.mu.Lock()
 	known := p.known[digest.Address]
 	if known == nil {
 		p.mu.Unlock()
 		return
 	}
-	if now.Sub(known.heard) > peerKept {
+	if now.Sub(known.heardAt) > silentPeerRetention {
 		slog.Info("box is reached", "peer", digest.Box, "hall", digest.Hall, "address", digest.Address)
 	}
-	known.digest, known.heard, known.failures = digest, now, 0
-	p.takeHalls(digest.Halls, now)
+	known.digest, known.heardAt, known.failures = digest, now, 0
+	p.mergeHallReports(digest.Halls, now)
 	p.mu.Unlock()
 	p.router.sync.noteEra(max(digest.EndpointsRead, digest.Evacuated.AsOf), now, "peer "+string(digest.Box))
 	p.router.sync.hearRestoring(time.Duration(digest.RestoringMs)*time.Millisecond, now)
@@ -142,23 +142,23 @@
 }
 
 // takeHalls keeps the newest report of each other hall; the caller holds the lock.
-func (p *peers) takeHalls(halls []HallReport, now time.Time) {
+func (p *peers) mergeHallReports(halls []HallReport, now time.Time) {
 	for _, hall := range halls {
 		at := now.Add(-time.Duration(hall.AgeMs) * time.Millisecond)
-		if hall.Hall != p.router.settings.Hall && at.After(p.halls[hall.Hall].at) {
-			p.halls[hall.Hall] = heardReport{hall.Report, at}
+		if hall.Hall != p.router.settings.Hall && at.After(p.otherHalls[hall.Hall].at) {
+			p.otherHalls[hall.Hall] = heardReport{hall.Report, at}
 		}
 	}
 }
 
 // audience lists where the other boxes are reached that were heard of or named of late: those of this box's hall, and
 // those of each other hall.
-func (p *peers) audience(now time.Time) (near []netip.AddrPort, far map[willowwick.HallID][]netip.AddrPort) {
+func (p *peers) hintRecipients(now time.Time) (near []netip.AddrPort, far map[willowwick.HallID][]netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	far = map[willowwick.HallID][]netip.AddrPort{}
 	for _, known := range p.known {
-		if known.box.Hall == "" || !known.isKept(now) {
+		if known.box.Hall == "" || !known.isRetained(now) {
 			continue
 		}
 		address, err := netip.ParseAddrPort(known.box.Address)
@@ -176,18 +176,18 @@
 }
 
 // versionOf is the version of the configuration that a box last told of, and whether it takes packed ones.
-func (p *peers) versionOf(address string) (version uint64, takesPacked, heard bool) {
+func (p *peers) configVersionOf(address string) (version uint64, takesPacked, heard bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known := p.known[address]
-	if known == nil || known.heard.IsZero() {
+	if known == nil || known.heardAt.IsZero() {
 		return 0, false, false
 	}
 	return known.digest.TableVersion, known.digest.TakesPacked, true
 }
 
 // failed notes that a box does not answer, and logs the first failure of a row.
-func (p *peers) failed(address string, err error) {
+func (p *peers) noteCallFailure(address string, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known := p.known[address]
@@ -195,29 +195,29 @@
 		return
 	}
 	known.failures++
-	known.tryAt = clock.Now().Add(retryPause(known.failures))
+	known.nextCallAt = clock.Now().Add(peerRetryPause(known.failures))
 	if known.failures == 1 {
 		slog.Info("box is not reached", "peer", known.digest.Box, "address", address, "error", err)
 	}
 }
 
 // retryPause is the pause before the next call of a box after so many failures in a row; it doubles with each.
-func retryPause(failures int) time.Duration {
-	pause := retryPeer
-	for n := 1; n < failures && pause < retryPeerMost; n++ {
+func peerRetryPause(failures int) time.Duration {
+	pause := minPeerRetry
+	for n := 1; n < failures && pause < maxPeerRetry; n++ {
 		pause *= 2
 	}
-	return min(pause, retryPeerMost)
+	return min(pause, maxPeerRetry)
 }
 
 // forget drops boxes that nobody has heard of or named for long.
-func (p *peers) forget(now time.Time) {
+func (p *peers) forgetSilentPeers(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, known := range p.known {
-		if !known.isKept(now) {
+		if !known.isRetained(now) {
 			delete(p.known, address)
-			p.harm.Forget(address)
+			p.quarantine.Forget(address)
 			p.limits.Forget(address)
 		}
 	}
--- a/exchange/lead.go
+++ b/exchange/lead.go
@@ -83,7 +83,7 @@
 		return
 	}
 	for _, member := range members {
-		s.router.peers.list(boxOfMember(member), now)
+		s.router.peers.noteBox(boxOfMember(member), now)
 	}
 }
 
@@ -123,7 +123,7 @@
 func (s *syncer) judgeReleases(ctx context.Context) {
 	for ctx.Err() == nil {
 		now := clock.Now()
-		s.router.releases.setBoxes(s.router.peers.boxes())
+		s.router.releases.setBoxes(s.router.peers.fleetSize())
 		s.router.paceCold(now)
 		report := s.router.peers.fleetReport(now)
 		s.router.releases.setKeptElsewhere(report.Kept)
--- a/exchange/lost_read_test.go
+++ b/exchange/lost_read_test.go
@@ -37,7 +37,7 @@
 		time.Sleep(swapEvery / others)
 	}
 	awaitReaders(t, sites, 1)
-	time.Sleep(peerFresh)
+	time.Sleep(peerLiveness)
 	losing.loseNext.Store(true)
 	<-losing.lost
 	control.change(func() { control.table = testTable(2, againRoute()) })
--- a/exchange/mesh_fleet_test.go
+++ b/exchange/mesh_fleet_test.go
@@ -31,7 +31,7 @@
 // named again with all the others in the next swap; on 295 boxes that had started in turn that was nearly each swap, and a
 // hub with nothing to tell swapped 750 KB a second. Nor does a box forget another one that lives meanwhile.
 func TestSwapsOfACalmFleetAreSmall(t *testing.T) {
-	const steps, watched = 5, peerKept
+	const steps, watched = 5, silentPeerRetention
 	const perBox = 1000 // bytes a second, all boxes' swaps counted once: a calm box of 6 swaps 690, one of 295 560
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
 		m := newMesh(1, 0, size.halls, size.endpoints)
@@ -41,12 +41,12 @@
 				m.run(t, time.Second)
 			}
 		}
-		m.run(t, peerKept/3)
+		m.run(t, silentPeerRetention/3)
 		m.swapped = 0
 		for begin := time.Now(); time.Since(begin) < watched; {
 			m.run(t, time.Second)
 			for _, box := range m.boxes {
-				require.Equal(t, size.boxes, box.peers.boxes(), "boxes that %s knows", box.settings.Box)
+				require.Equal(t, size.boxes, box.peers.fleetSize(), "boxes that %s knows", box.settings.Box)
 			}
 		}
 		assert.Less(t, m.swapped, perBox*size.boxes*int(watched.Seconds()))
@@ -63,11 +63,11 @@
 		for _, box := range m.boxes[boxes-gone:] {
 			box.down = true
 		}
-		m.run(t, peerKept/2)
-		assert.Equal(t, boxes, m.boxes[boxes/2].peers.boxes(), "a box that restarts keeps its place")
-		m.run(t, peerKept)
+		m.run(t, silentPeerRetention/2)
+		assert.Equal(t, boxes, m.boxes[boxes/2].peers.fleetSize(), "a box that restarts keeps its place")
+		m.run(t, silentPeerRetention)
 		for _, box := range m.boxes[:boxes-gone] {
-			assert.Equal(t, boxes-gone, box.peers.boxes(), "boxes that %s knows", box.settings.Box)
+			assert.Equal(t, boxes-gone, box.peers.fleetSize(), "boxes that %s knows", box.settings.Box)
 		}
 	})
 }
--- a/exchange/mesh_test.go
+++ b/exchange/mesh_test.go
@@ -258,10 +258,10 @@
 	if now.Before(box.swapAt) {
 		return
 	}
-	for _, address := range box.peers.targets(now) {
+	for _, address := range box.peers.exchangeTargets(now) {
 		m.swap(t, box, address, now)
 	}
-	box.peers.forget(now)
+	box.peers.forgetSilentPeers(now)
 	// Real boxes drift against each other by their own work.
 	box.swapAt = now.Add(box.peers.pause(now)).Add(time.Duration(m.random.IntN(int(meshStep))))
 }
@@ -300,7 +300,7 @@
 	defer box.peers.endSwap(address)
 	other := m.named[address]
 	if other == nil || other.down || m.isCut && other.settings.Hall != box.settings.Hall {
-		box.peers.failed(address, errDown)
+		box.peers.noteCallFailure(address, errDown)
 		return
 	}
 	call := box.peers.callTo(address, now)
--- a/exchange/peers.go
+++ b/exchange/peers.go
@@ -19,8 +19,8 @@
 const (
 	// countAfter is how long a box that has just started takes its fleet to have at least youngFleet boxes, where
 	// escalations share the slack of repeats, and requests what cold endpoints bear: it has not heard of all of them yet.
-	countAfter = 5 * time.Second
-	youngFleet = 50
+	fleetDiscoveryTime = 5 * time.Second
+	assumedFleetSize   = 50
 )
 
 type (
@@ -31,18 +31,18 @@
 	peers struct {
 		router    *Router
 		transport *fleet.Transport
-		began     time.Time
+		startedAt time.Time
 		startedMs int64 // the same by the time of day, as other boxes are told
 		limits    *ratelimit.Peers
 		granter   *ratelimit.Granter
 		// askBox asks the box at an address for permits.
-		askBox func(ctx context.Context, address string, call *ratelimit.Call) (ratelimit.Reply, error)
-		harm   *quarantine.Peers
-		urgent chan struct{} // there is news that cannot wait for the next round of swaps
+		askBox         func(ctx context.Context, address string, call *ratelimit.Call) (ratelimit.Reply, error)
+		quarantine     *quarantine.Peers
+		roundRequested chan struct{} // there is news that cannot wait for the next round of swaps
 
-		mu    sync.Mutex
-		known map[string]*peer // by address
-		halls map[willowwick.HallID]heardReport
+		mu         sync.Mutex
+		known      map[string]*peer // by address
+		otherHalls map[willowwick.HallID]heardReport
 	}
 
 	// rpcServer is the part of peers that other boxes call.
@@ -57,16 +57,16 @@
 		return dialer.DialContext(ctx, "tcp", address)
 	}, nil)
 	p := &peers{
-		router: x, transport: transport, began: clock.Now(), startedMs: clock.TimeOfDay().UnixMilli(), limits: ratelimit.NewPeers(x.limits), granter: ratelimit.NewGranter(x.limits), urgent: make(chan struct{}, 1),
-		harm:  quarantine.NewPeers(x.harm, x.settings.Boot),
-		known: map[string]*peer{}, halls: map[willowwick.HallID]heardReport{},
+		router: x, transport: transport, startedAt: clock.Now(), startedMs: clock.TimeOfDay().UnixMilli(), limits: ratelimit.NewPeers(x.limits), granter: ratelimit.NewGranter(x.limits), roundRequested: make(chan struct{}, 1),
+		quarantine: quarantine.NewPeers(x.harm, x.settings.Boot),
+		known:      map[string]*peer{}, otherHalls: map[willowwick.HallID]heardReport{},
 	}
 	p.askBox = p.callForPermit
 	if len(x.settings.Seeds) > 0 {
-		x.limits.AwaitNews(p.began.Add(lookFor))
+		x.limits.AwaitNews(p.startedAt.Add(lookFor))
 	}
 	for _, address := range x.settings.Seeds {
-		p.list(KnownBox{Address: address}, clock.Now())
+		p.noteBox(KnownBox{Address: address}, clock.Now())
 	}
 	return p, closeTransport
 }
@@ -82,7 +82,7 @@
 }
 
 // boxes is the number of boxes that share the fleet's bounds, this one included.
-func (p *peers) boxes() int {
+func (p *peers) fleetSize() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.known) + 1
@@ -103,9 +103,9 @@
 
 // sharers is the number of boxes that the fleet's slack of repeats is divided by. Escalations are many and can wait
 // until a new box has counted its fleet; failovers are few, and without one a caller's answer is cut.
-func (p *peers) sharers(kind route.RepeatKind, now time.Time) int {
-	if kind == route.RepeatEscalation && now.Sub(p.began) < countAfter {
-		return max(p.boxes(), youngFleet)
+func (p *peers) slackShares(kind route.RepeatKind, now time.Time) int {
+	if kind == route.RepeatEscalation && now.Sub(p.startedAt) < fleetDiscoveryTime {
+		return max(p.fleetSize(), assumedFleetSize)
 	}
-	return p.boxes()
+	return p.fleetSize()
 }
--- a/exchange/peers_test.go
+++ b/exchange/peers_test.go
@@ -50,7 +50,7 @@
 	r := newRunner(t, "r1", answerText("ok"))
 	control, sites := newHall(t, 4, r.endpoint("v1"))
 	awaitReaders(t, sites, 1)
-	time.Sleep(peerFresh)
+	time.Sleep(peerLiveness)
 	control.mu.Lock()
 	before := control.reads
 	control.mu.Unlock()
@@ -76,7 +76,7 @@
 	r := newRunner(t, "r1", answerText("ok"))
 	control, sites := newHall(t, 3, r.endpoint("v1"))
 	reader := awaitReaders(t, sites, 1)[0]
-	time.Sleep(peerFresh)
+	time.Sleep(peerLiveness)
 	reader.stop()
 	reader.closeDaemon()
 	control.change(func() {
@@ -131,7 +131,7 @@
 	r := newRunner(t, "r1", answerText("ok"))
 	control, sites := newHall(t, 4, r.endpoint("v1"))
 	awaitReaders(t, sites, 1)
-	time.Sleep(peerFresh)
+	time.Sleep(peerLiveness)
 	control.change(func() { control.down = true })
 	require.Eventually(t, func() bool {
 		hubs, targets := 0, 0
@@ -139,7 +139,7 @@
 			if _, hasHub := s.daemon.router.peers.hub(time.Now()); !hasHub {
 				hubs++
 			}
-			targets += len(s.daemon.router.peers.targets(time.Now()))
+			targets += len(s.daemon.router.peers.exchangeTargets(time.Now()))
 		}
 		return len(readers(sites)) == len(sites) && hubs == 1 && targets == len(sites)-1
 	}, patience, 10*time.Millisecond)
@@ -159,7 +159,7 @@
 		}
 		x.sync.endpointsAsOf = now.Add(-feedDrain / 10)
 		x.sync.mu.Unlock()
-		return x.peers.isCutOff(&peer{digest: x.peers.digest(now), heard: now}, now)
+		return x.peers.isCutOffFromStore(&peer{digest: x.peers.digest(now), heardAt: now}, now)
 	}
 	assert.False(t, isCutOff(false), "it could read, and did not have to")
 	assert.True(t, isCutOff(true), "its last read failed")
@@ -173,9 +173,9 @@
 	now := time.Now()
 	for i := range 60 {
 		hall := []willowwick.HallID{"hall-a", "hall-b", "hall-c", ""}[i%4]
-		p.list(KnownBox{Address: fmt.Sprintf("10.0.0.%d:1", i), Hall: hall}, now)
+		p.noteBox(KnownBox{Address: fmt.Sprintf("10.0.0.%d:1", i), Hall: hall}, now)
 	}
-	assert.LessOrEqual(t, len(p.targets(now)), 4*triedAtOnce, "two of each hall and two of no known hall")
+	assert.LessOrEqual(t, len(p.exchangeTargets(now)), 4*maxProbesPerRound, "two of each hall and two of no known hall")
 }
 
 func TestMembersTellTheirHall(t *testing.T) {
@@ -242,13 +242,13 @@
 	r := newRunner(t, "r1", answerText("ok"))
 	_, sites := newHall(t, 1, r.endpoint("v1"))
 	p := sites[0].daemon.router.peers
-	require.Eventually(t, func() bool { return p.reads(time.Now()) }, patience, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return p.reachesStore(time.Now()) }, patience, 10*time.Millisecond)
 	blind := Digest{Address: "10.0.0.1:1", Hall: p.self().Hall, LinkMbps: p.self().LinkMbps + 1, ReadAgeMs: time.Hour.Milliseconds()}
-	p.heard(blind, time.Now())
+	p.receiveDigest(blind, time.Now())
 	_, hasHub := p.hub(time.Now())
 	assert.False(t, hasHub)
 	blind.ReadAgeMs = 0
-	p.heard(blind, time.Now())
+	p.receiveDigest(blind, time.Now())
 	_, hasHub = p.hub(time.Now())
 	assert.True(t, hasHub, "one that reads and comes before is followed")
 }
@@ -261,17 +261,17 @@
 	const boxes = 12
 	now := time.Now()
 	tried := map[string]bool{}
-	for range boxes / triedAtOnce {
+	for range boxes / maxProbesPerRound {
 		for i := range boxes {
-			p.list(KnownBox{Address: fmt.Sprintf("10.0.0.%d:1", i), Hall: "hall-a"}, now)
+			p.noteBox(KnownBox{Address: fmt.Sprintf("10.0.0.%d:1", i), Hall: "hall-a"}, now)
 		}
-		for _, address := range p.targets(now) {
+		for _, address := range p.exchangeTargets(now) {
 			tried[address] = true
 			p.beginSwap(address, now)
-			p.heard(Digest{Address: address, Hall: "hall-a", ReadAgeMs: time.Hour.Milliseconds()}, now)
+			p.receiveDigest(Digest{Address: address, Hall: "hall-a", ReadAgeMs: time.Hour.Milliseconds()}, now)
 			p.endSwap(address)
 		}
-		now = now.Add(2 * peerFresh)
+		now = now.Add(2 * peerLiveness)
 	}
 	assert.Len(t, tried, boxes)
 }
--- a/exchange/permits.go
+++ b/exchange/permits.go
@@ -113,8 +113,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	first, startedMs := p.self().Address, p.startedMs
-	for _, hall := range p.hallsKnown() {
-		hub, found := p.hubOf(hall, now)
+	for _, hall := range p.knownHalls() {
+		hub, found := p.hallHub(hall, now)
 		if !found || hall == p.router.settings.Hall {
 			continue
 		}
@@ -135,8 +135,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	follows := map[willowwick.HallID]bool{}
-	for _, hall := range p.hallsKnown() {
-		hub, found := p.hubOf(hall, now)
+	for _, hall := range p.knownHalls() {
+		hub, found := p.hallHub(hall, now)
 		follows[hall] = found && p.known[hub.Address].digest.Granter == p.self().Address
 	}
 	all, following := 1, 1
@@ -146,12 +146,12 @@
 		}
 		all++
 		isOwnHall := known.box.Hall == p.router.settings.Hall
-		if isOwnHall && known.isInTouch(now) || !isOwnHall && follows[known.box.Hall] {
+		if isOwnHall && known.isLive(now) || !isOwnHall && follows[known.box.Hall] {
 			following++
 		}
 	}
-	if following == 1 && now.Sub(p.began) < countAfter {
-		all = max(all, youngFleet)
+	if following == 1 && now.Sub(p.startedAt) < fleetDiscoveryTime {
+		all = max(all, assumedFleetSize)
 	}
 	return float64(following) / float64(all)
 }
--- a/exchange/regain_test.go
+++ b/exchange/regain_test.go
@@ -68,7 +68,7 @@
 		_, isFed := x.peers.reader(time.Now())
 		return isFed
 	}, patience, 10*time.Millisecond)
-	time.Sleep(peerFresh)
+	time.Sleep(peerLiveness)
 	require.True(t, x.sync.isFailing(declarationsRead), "a box that is fed reads none that could take it back")
 	controls[1].turnedAway.Store(false)
 	return control, controls, []*site{first, second}
--- a/exchange/report.go
+++ b/exchange/report.go
@@ -53,8 +53,8 @@
 	total := p.hallReport(now)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, hall := range p.halls {
-		total = total.add(hall.report, now.Sub(hall.at) <= 2*peerFresh)
+	for _, hall := range p.otherHalls {
+		total = total.add(hall.report, now.Sub(hall.at) <= 2*peerLiveness)
 	}
 	return total
 }
@@ -74,7 +74,7 @@
 	defer p.mu.Unlock()
 	for _, known := range p.known {
 		if known.box.Hall == p.router.settings.Hall {
-			total = total.add(known.digest.Own, known.isInTouch(now))
+			total = total.add(known.digest.Own, known.isLive(now))
 		}
 	}
 	return total
@@ -100,7 +100,7 @@
 	list := []HallReport{{Hall: p.router.settings.Hall, Report: p.hallReport(now)}}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for name, hall := range p.halls {
+	for name, hall := range p.otherHalls {
 		list = append(list, HallReport{Hall: name, AgeMs: now.Sub(hall.at).Milliseconds(), Report: hall.report})
 	}
 	return list
--- a/exchange/roster.go
+++ b/exchange/roster.go
@@ -26,7 +26,7 @@
 
 // isCounted reports whether a box is among those that boxes tell each other of.
 func (known *peer) isCounted(now time.Time) bool {
-	return known.box.Hall != "" && known.isKept(now)
+	return known.box.Hall != "" && known.isRetained(now)
 }
 
 // knownSum is a sum over the boxes whose hall is known, this one included.
@@ -49,7 +49,7 @@
 	rows := []KnownRow{p.self().row(0)}
 	for _, known := range p.known {
 		if known.isCounted(now) {
-			rows = append(rows, known.box.row(now.Sub(known.seen())))
+			rows = append(rows, known.box.row(now.Sub(known.lastSeen())))
 		}
 	}
 	return rows
@@ -62,7 +62,7 @@
 	oldest := map[willowwick.HallID]int64{p.self().Hall: 0}
 	for _, known := range p.known {
 		if known.isCounted(now) {
-			oldest[known.box.Hall] = max(oldest[known.box.Hall], now.Sub(known.seen()).Milliseconds())
+			oldest[known.box.Hall] = max(oldest[known.box.Hall], now.Sub(known.lastSeen()).Milliseconds())
 		}
 	}
 	ages := make([]HallAge, 0, len(oldest))
@@ -83,7 +83,7 @@
 	for _, known := range p.known {
 		// One that is no longer counted is about to be forgotten: the ages don't tell of it.
 		if known.isCounted(asOf) {
-			known.listed = latest(known.listed, seen[known.box.Hall])
+			known.namedAt = latest(known.namedAt, seen[known.box.Hall])
 		}
 	}
 }
--- a/exchange/router.go
+++ b/exchange/router.go
@@ -213,7 +213,7 @@
 
 // takeRepeat draws on the budget of repeats.
 func (x *Router) takeRepeat(c *call, kind route.RepeatKind, now time.Time) bool {
-	taken := x.budget(c.service).Take(now, kind, x.peers.sharers(kind, now))
+	taken := x.budget(c.service).Take(now, kind, x.peers.slackShares(kind, now))
 	if !taken {
 		x.metrics.repeatDenied()
 		slog.Info("repeat not allowed by the budget", "request", c.head.ID, "service", c.service, "kind", int(kind))
@@ -223,7 +223,7 @@
 
 // hasRepeat reports whether the budget would allow a failover.
 func (x *Router) hasRepeat(c *call, now time.Time) bool {
-	return x.budget(c.service).Allows(now, route.RepeatFailover, x.peers.sharers(route.RepeatFailover, now))
+	return x.budget(c.service).Allows(now, route.RepeatFailover, x.peers.slackShares(route.RepeatFailover, now))
 }
 
 // hasOther reports whether another endpoint of the service than the given one may be tried.
@@ -258,9 +258,9 @@
 	if t == nil {
 		return
 	}
-	boxes := x.peers.boxes()
-	if now.Sub(x.peers.began) < countAfter {
-		boxes = max(boxes, youngFleet)
+	boxes := x.peers.fleetSize()
+	if now.Sub(x.peers.startedAt) < fleetDiscoveryTime {
+		boxes = max(boxes, assumedFleetSize)
 	}
 	pauses := map[willowwick.ServiceID]time.Duration{}
 	for _, service := range t.Services {
--- a/exchange/stale_test.go
+++ b/exchange/stale_test.go
@@ -95,16 +95,16 @@
 	r := newRunner(t, "r1", answerText("ok"))
 	_, sites := newHall(t, 1, r.endpoint("v1"))
 	x := sites[0].daemon.router
-	require.Eventually(t, func() bool { return x.peers.reads(time.Now()) }, patience, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return x.peers.reachesStore(time.Now()) }, patience, 10*time.Millisecond)
 	// Its own reads would count as well.
 	sites[0].daemon.stop()
 	sites[0].daemon.workers.Close()
 	now := time.Now().Add(feedDrain)
 	x.sync.noteFailure(declarationsRead, now, errDown)
 	x.sync.noteAnswer(endpointsRead, now)
-	assert.False(t, x.peers.reads(now))
+	assert.False(t, x.peers.reachesStore(now))
 	x.sync.noteAnswer(declarationsRead, now)
-	assert.True(t, x.peers.reads(now))
+	assert.True(t, x.peers.reachesStore(now))
 }
 
 // The first box of a hall, which has the widest link, once left its place for good over a single read that was lost.
--- a/exchange/swap.go
+++ b/exchange/swap.go
@@ -29,12 +29,12 @@
 func (p *peers) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		now := clock.Now()
-		for _, address := range p.targets(now) {
+		for _, address := range p.exchangeTargets(now) {
 			if p.beginSwap(address, now) {
 				go p.swap(ctx, address)
 			}
 		}
-		p.forget(now)
+		p.forgetSilentPeers(now)
 		sleep(ctx, swapLeast)
 		p.awaitRound(ctx, now.Add(p.pause(now)))
 	}
@@ -46,7 +46,7 @@
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-p.urgent:
+	case <-p.roundRequested:
 	case <-timer.C:
 	}
 }
@@ -54,7 +54,7 @@
 // hurry begins the next round of swaps at once.
 func (p *peers) hurry() {
 	select {
-	case p.urgent <- struct{}{}:
+	case p.roundRequested <- struct{}{}:
 	default: // it begins at once anyway
 	}
 }
@@ -69,7 +69,7 @@
 
 // isNew reports whether the box has just started and may not have found the hub of its hall yet.
 func (p *peers) isNew(now time.Time) bool {
-	return now.Sub(p.began) < lookFor
+	return now.Sub(p.startedAt) < lookFor
 }
 
 // swapPeriod is short enough that what a reader has read is with its hall well before the others stop relying on it.
@@ -82,10 +82,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known := p.known[address]
-	if known == nil || known.swapping {
+	if known == nil || known.isExchanging {
 		return false
 	}
-	known.swapping, known.triedAt = true, now
+	known.isExchanging, known.lastCallAt = true, now
 	return true
 }
 
@@ -93,7 +93,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if known := p.known[address]; known != nil {
-		known.swapping = false
+		known.isExchanging = false
 	}
 }
 
@@ -106,7 +106,7 @@
 	var reply SwapReply
 	sent := clock.Now()
 	if err := p.transport.Call(ctx, address, rpcSwap, &call, &reply); err != nil {
-		p.failed(address, err)
+		p.noteCallFailure(address, err)
 		return
 	}
 	p.takeReply(&call, reply, sent, clock.Now())
@@ -117,10 +117,10 @@
 	call := SwapCall{
 		Digest: p.digest(now), KnownSum: p.knownSum(now), TakesChanges: true, WantsList: p.router.sync.wantsList(address, now),
 	}
-	if version, takesPacked, heard := p.versionOf(address); heard {
+	if version, takesPacked, heard := p.configVersionOf(address); heard {
 		call.Table, call.Packed = p.tableFor(version, takesPacked)
 	}
-	call.Harm = p.harm.CallTo(address, now)
+	call.Harm = p.quarantine.CallTo(address, now)
 	call.Limits = p.limits.CallTo(address, now)
 	return call
 }
@@ -128,13 +128,13 @@
 // takeReply takes what a box answered to a call sent at the given time.
 func (p *peers) takeReply(call *SwapCall, reply SwapReply, sent, now time.Time) {
 	reply.Digest.addAge(now.Sub(sent))
-	p.heard(reply.Digest, now)
-	p.listKnown(reply.Known, sent)
+	p.receiveDigest(reply.Digest, now)
+	p.noteKnownRows(reply.Known, sent)
 	p.renew(reply.HallAges, sent)
 	p.takeTable(reply.Table, reply.Packed, &reply.Digest)
 	p.router.sync.hearConfig(&reply.Digest, now)
 	p.router.sync.takeFromPeer(reply, now)
-	isNews := p.harm.Took(call.Harm, reply.Harm, reply.Digest.Address, reply.Digest.Boot, now)
+	isNews := p.quarantine.Took(call.Harm, reply.Harm, reply.Digest.Address, reply.Digest.Boot, now)
 	if isNews {
 		p.router.ends.countDropped()
 	}
@@ -147,14 +147,14 @@
 func (s *rpcServer) Swap(call *SwapCall, reply *SwapReply) error {
 	now := clock.Now()
 	p := s.peers
-	p.heard(call.Digest, now)
+	p.receiveDigest(call.Digest, now)
 	p.takeTable(call.Table, call.Packed, &call.Digest)
 	reply.Digest = p.digest(now)
 	reply.Table, reply.Packed = p.tableFor(call.Digest.TableVersion, call.Digest.TakesPacked)
 	reply.Endpoints = p.router.sync.listFor(call)
 	p.router.metrics.listTold(reply.Endpoints)
 	isNews := false
-	if reply.Harm, isNews = p.harm.Answer(call.Harm, call.Digest.Address, now); isNews {
+	if reply.Harm, isNews = p.quarantine.Answer(call.Harm, call.Digest.Address, now); isNews {
 		p.router.ends.countDropped()
 	}
 	var isLimitNews bool
--- a/exchange/sync.go
+++ b/exchange/sync.go
@@ -206,7 +206,7 @@
 // first of them that finds the store back reads for all.
 func (s *syncer) nextRetryPause(pause time.Duration, now time.Time) time.Duration {
 	next := min(max(2*pause, minReadRetry), maxReadRetry)
-	if !s.router.peers.isBehind(now) {
+	if !s.router.peers.hasPredecessor(now) {
 		if _, isFed := s.router.peers.reader(now); isFed {
 			return min(max(2*pause, minReadRetry), maxHubReadRetry)
 		}
@@ -219,13 +219,13 @@
 // mayRest reports whether calls other than the reads of endpoints can wait: this box has not shown of late that it
 // reaches the store at all, and one before it in its hall looks for it too.
 func (s *syncer) maySkipCalls(now time.Time) bool {
-	return s.router.table.Load() != nil && !s.isReached(now) && s.router.peers.isBehind(now)
+	return s.router.table.Load() != nil && !s.isReached(now) && s.router.peers.hasPredecessor(now)
 }
 
 // mustRegain reports whether this box goes on with reads of a kind that fail although another reads for it: it is the first
 // of its hall, which the others follow for its link.
 func (s *syncer) mustKeepReading(kind readKind, now time.Time) bool {
-	return s.isFailing(kind) && !s.router.peers.isBehind(now)
+	return s.isFailing(kind) && !s.router.peers.hasPredecessor(now)
 }
 
 // isFed reports whether another box of the hall reads the store for this one.
