--- a/exchange/digest.go
+++ b/exchange/digest.go
@@ -11,7 +11,7 @@
 )
 
 // longestAge is told of what was never read, or not for longer: far above all limits on ages, and sums with it stay sums.
-const longestAge = time.Hour
+const maxReportedAge = time.Hour
 
 type (
 	// Digest is what a box tells the others.
@@ -75,12 +75,12 @@
 )
 
 // box is the box that the digest tells of.
-func (d *Digest) box() KnownBox {
+func (d *Digest) knownBox() KnownBox {
 	return KnownBox{Address: d.Address, Hall: d.Hall, LinkMbps: d.LinkMbps}
 }
 
 // addAge makes what the digest tells of the store older by the time that it may have been under way.
-func (d *Digest) addAge(underWay time.Duration) {
+func (d *Digest) addTransitTime(underWay time.Duration) {
 	d.ReadAgeMs += underWay.Milliseconds()
 	d.StoreAgeMs += underWay.Milliseconds()
 	if d.ConfigAgeMs > 0 {
@@ -89,14 +89,14 @@
 }
 
 // digest is this box's own.
-func (p *peers) digest(now time.Time) Digest {
+func (p *peers) ownDigest(now time.Time) Digest {
 	x := p.router
 	// Before the version: a configuration that comes into force in between is newer than the age tells, not older.
 	configAge := max(x.sync.configAge(now).Milliseconds(), 1)
 	digest := Digest{
 		Box: x.settings.Box, Boot: x.settings.Boot, Hall: x.settings.Hall, Address: x.settings.Peers,
 		LinkMbps: x.settings.LinkMbps, StartedMs: p.startedMs, TableVersion: x.configVersion(), TakesPacked: true, ConfigAgeMs: configAge,
-		StoreAgeMs: x.sync.endpointsAge(now).Milliseconds(), ReadAgeMs: min(x.sync.readAge(now), longestAge).Milliseconds(),
+		StoreAgeMs: x.sync.endpointsAge(now).Milliseconds(), ReadAgeMs: min(x.sync.readAge(now), maxReportedAge).Milliseconds(),
 		Evacuated: x.evacuations.set(), Admitted: x.admissions.set(), Leaving: x.pool.LeavingUnlisted(),
 		Own: p.ownReport(), Verdicts: x.releases.ended(now), Speeds: x.pool.Speeds(),
 	}
@@ -114,7 +114,7 @@
 }
 
 // takeTable takes the configuration that a box sent, if it sent one that is newer.
-func (p *peers) takeTable(table *willowwick.RoutingTable, packed []byte, from *Digest) {
+func (p *peers) applyPeerTable(table *willowwick.RoutingTable, packed []byte, from *Digest) {
 	if len(packed) > 0 && from.TableVersion > p.router.configVersion() {
 		var err error
 		if table, err = unpackTable(packed); err != nil {
@@ -127,7 +127,7 @@
 }
 
 // tableFor returns the configuration for a box that has an older one, packed if it takes that.
-func (p *peers) tableFor(version uint64, takesPacked bool) (table *willowwick.RoutingTable, packed []byte) {
+func (p *peers) tableForPeer(version uint64, takesPacked bool) (table *willowwick.RoutingTable, packed []byte) {
 	t := p.router.table.Load()
 	if t == nil || t.Version <= version {
 		return nil, nil
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -368,7 +368,7 @@
 	})
 	s := newSite(t, old.endpoint("v1"))
 	fresh := newRunner(t, "r2", answerText("new"))
-	time.Sleep(lookFor) // a box that has just started first looks whether another reads for it
+	time.Sleep(hubSearchTime) // a box that has just started first looks whether another reads for it
 	time.AfterFunc(50*time.Millisecond, func() {
 		s.control.change(func() {
 			s.control.endpoints["r2"] = fresh.endpoint("v2")
--- a/exchange/freshness.go
+++ b/exchange/freshness.go
@@ -36,7 +36,7 @@
 func (s *syncer) configAge(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return min(now.Sub(s.configAsOf), longestAge)
+	return min(now.Sub(s.configAsOf), maxReportedAge)
 }
 
 // readAsOf is from when the answer to a read of the declarations is for certain, of which only the arrival is known. The
@@ -92,7 +92,7 @@
 func (s *syncer) endpointsAge(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return min(now.Sub(s.endpointsAsOf), longestAge)
+	return min(now.Sub(s.endpointsAsOf), maxReportedAge)
 }
 
 // noteAnswer notes that the store answers reads of a kind.
--- a/exchange/freshness_test.go
+++ b/exchange/freshness_test.go
@@ -41,7 +41,7 @@
 		"a newer one":             {Digest{TableVersion: 6, ConfigAgeMs: 300}, time.Second},
 		"longer ago":              {Digest{TableVersion: 5, ConfigAgeMs: 3000}, time.Second},
 		"of an earlier release":   {Digest{TableVersion: 5}, time.Second},
-		"one that never was read": {Digest{TableVersion: 5, ConfigAgeMs: longestAge.Milliseconds()}, time.Second},
+		"one that never was read": {Digest{TableVersion: 5, ConfigAgeMs: maxReportedAge.Milliseconds()}, time.Second},
 	} {
 		x, closeRouter := newRouter(testSettings(), testCodec{})
 		defer closeRouter()
@@ -58,10 +58,10 @@
 // A digest that has been under way is older, but for what it does not tell.
 func TestADigestGrowsOlderOnItsWay(t *testing.T) {
 	digest := Digest{ConfigAgeMs: 300}
-	digest.addAge(200 * time.Millisecond)
+	digest.addTransitTime(200 * time.Millisecond)
 	assert.Equal(t, int64(500), digest.ConfigAgeMs)
 	untold := Digest{}
-	untold.addAge(200 * time.Millisecond)
+	untold.addTransitTime(200 * time.Millisecond)
 	assert.Zero(t, untold.ConfigAgeMs)
 }
 
@@ -70,7 +70,7 @@
 func TestABoxThatHasJustStartedGoesOnReading(t *testing.T) {
 	s := newSite(t, newRunner(t, "r1", answerText("ok")).endpoint("v1"))
 	x := s.daemon.router
-	require.True(t, x.peers.isNew(time.Now()))
+	require.True(t, x.peers.isSearchingForHub(time.Now()))
 	s.control.change(func() { s.control.table = testTable(2, againRoute()) })
 	require.Eventually(t, func() bool { return x.configVersion() == 2 }, x.sync.longPollLimit()+4*readerPollInterval, 5*time.Millisecond)
 }
--- a/exchange/harm.go
+++ b/exchange/harm.go
@@ -34,7 +34,7 @@
 	if x.sync.isLeading() {
 		if release, isAllowed := x.harm.Trial(c.identify(), x.releasesOf(c.service, now), now); isAllowed {
 			slog.Info("refused request is tried", "request", c.head.ID, "fingerprint", c.fingerprint().String(), "release", release)
-			x.peers.hurry()
+			x.peers.requestRound()
 			c.trial = release
 			return nil
 		}
@@ -81,7 +81,7 @@
 	x.harm.NoteEnd(broken.about, willowwick.EndpointEnd{
 		Endpoint: endpoint.ID, Incarnation: endpoint.Incarnation, Release: endpoint.Release, At: broken.at,
 	})
-	x.peers.hurry()
+	x.peers.requestRound()
 }
 
 // noteHarmless notes that an endpoint has answered the request whole.
@@ -94,7 +94,7 @@
 // keepHarmful looks after what the store holds of requests that end endpoints, until the context ends. What the boxes know dies with
 // them, and all may lose power at once.
 func (s *syncer) keepHarmful(ctx context.Context) {
-	sleep(ctx, lookFor)
+	sleep(ctx, hubSearchTime)
 	for ctx.Err() == nil {
 		if !s.lookAfterHarmful(ctx) {
 			sleep(ctx, harmRetry)
--- a/exchange/hints_test.go
+++ b/exchange/hints_test.go
@@ -31,7 +31,7 @@
 	}
 	require.Eventually(t, func() bool {
 		for _, s := range sites {
-			if len(s.daemon.router.peers.knownRows(time.Now())) < halls*boxes {
+			if len(s.daemon.router.peers.rosterRows(time.Now())) < halls*boxes {
 				return false
 			}
 		}
--- a/exchange/hub.go
+++ b/exchange/hub.go
@@ -114,7 +114,7 @@
 	targets := p.probeCandidates("", KnownBox{}, now)
 	if hasHub {
 		targets = append(targets, hub.Address)
-		targets = append(targets, p.probeCandidates(self.Hall, hub.box(), now)...)
+		targets = append(targets, p.probeCandidates(self.Hall, hub.knownBox(), now)...)
 	} else {
 		targets = append(targets, p.hubTargets(now)...)
 	}
--- a/exchange/known.go
+++ b/exchange/known.go
@@ -115,7 +115,7 @@
 
 // heard takes a digest that came from its box itself.
 func (p *peers) receiveDigest(digest Digest, now time.Time) {
-	p.noteBox(digest.box(), now)
+	p.noteBox(digest.knownBox(), now)
 	p.mu.Lock()
 	known := p.known[digest.Address]
 	if known == nil {
@@ -146,7 +146,7 @@
 	for _, hall := range halls {
 		at := now.Add(-time.Duration(hall.AgeMs) * time.Millisecond)
 		if hall.Hall != p.router.settings.Hall && at.After(p.otherHalls[hall.Hall].at) {
-			p.otherHalls[hall.Hall] = heardReport{hall.Report, at}
+			p.otherHalls[hall.Hall] = receivedReport{hall.Report, at}
 		}
 	}
 }
--- a/exchange/lead.go
+++ b/exchange/lead.go
@@ -27,7 +27,7 @@
 func (s *syncer) keepMembership(ctx context.Context) {
 	member := memberName(s.router.peers.self())
 	var listedAt time.Time
-	sleep(ctx, lookFor)
+	sleep(ctx, hubSearchTime)
 	for ctx.Err() == nil {
 		now := clock.Now()
 		_, isFed := s.router.peers.reader(now)
@@ -185,7 +185,7 @@
 
 // hasMoved reports whether no box in touch sends to the old release or has requests under way there.
 func (s *syncer) hasMoved(status willowwick.ReleaseStatus, now time.Time) bool {
-	if s.router.oldInFlight(status) > 0 {
+	if s.router.inFlightOutsideTarget(status) > 0 {
 		return false
 	}
 	for _, row := range s.router.peers.fleetReport(now).Moves {
--- a/exchange/leaving_test.go
+++ b/exchange/leaving_test.go
@@ -219,11 +219,11 @@
 		endpoint, now := meshEndpoint(0, 2), time.Now()
 		m.boxes[0].pool.Hear(now, now, endpoint, willowwick.Notice{Leaving: true})
 		m.run(t, time.Second)
-		assert.NotEmpty(t, m.boxes[5].peers.digest(time.Now()).Leaving)
+		assert.NotEmpty(t, m.boxes[5].peers.ownDigest(time.Now()).Leaving)
 		m.leave(t, endpoint)
 		m.run(t, 2*time.Second)
 		for _, box := range m.boxes {
-			assert.Empty(t, box.peers.digest(time.Now()).Leaving)
+			assert.Empty(t, box.peers.ownDigest(time.Now()).Leaving)
 		}
 	})
 }
--- a/exchange/lost_read_test.go
+++ b/exchange/lost_read_test.go
@@ -34,7 +34,7 @@
 		settings.Box = willowwick.BoxID(fmt.Sprint("box-", i))
 		sites = append(sites, startSite(t, control, settings))
 		// The boxes swap at different times.
-		time.Sleep(swapEvery / others)
+		time.Sleep(gossipInterval / others)
 	}
 	awaitReaders(t, sites, 1)
 	time.Sleep(peerLiveness)
@@ -63,7 +63,7 @@
 		x, closeRouter := newRouter(settings, testCodec{})
 		x.sync = newSyncer(x, nil)
 		lost := x.sync.longPollLimit() + headLimit + minReadRetry
-		assert.LessOrEqual(t, lost+(&peers{router: x}).swapPeriod()+rest, inForce)
+		assert.LessOrEqual(t, lost+(&peers{router: x}).gossipPeriod()+rest, inForce)
 		closeRouter()
 	}
 }
--- a/exchange/mesh_test.go
+++ b/exchange/mesh_test.go
@@ -263,7 +263,7 @@
 	}
 	box.peers.forgetSilentPeers(now)
 	// Real boxes drift against each other by their own work.
-	box.swapAt = now.Add(box.peers.pause(now)).Add(time.Duration(m.random.IntN(int(meshStep))))
+	box.swapAt = now.Add(box.peers.roundPause(now)).Add(time.Duration(m.random.IntN(int(meshStep))))
 }
 
 // read looks after the list of endpoints, and reads it if it is time to.
@@ -294,22 +294,22 @@
 }
 
 func (m *mesh) swap(t *testing.T, box *meshBox, address string, now time.Time) {
-	if !box.peers.beginSwap(address, now) {
+	if !box.peers.beginExchange(address, now) {
 		return
 	}
-	defer box.peers.endSwap(address)
+	defer box.peers.endExchange(address)
 	other := m.named[address]
 	if other == nil || other.down || m.isCut && other.settings.Hall != box.settings.Hall {
 		box.peers.noteCallFailure(address, errDown)
 		return
 	}
-	call := box.peers.callTo(address, now)
+	call := box.peers.swapCallFor(address, now)
 	var reply SwapReply
 	require.NoError(t, (&rpcServer{peers: other.peers}).Swap(&call, &reply))
 	if reply.Endpoints != nil && reply.Endpoints.Since == 0 {
 		m.wholes++
 	}
-	box.peers.takeReply(&call, reply, now, now)
+	box.peers.applyReply(&call, reply, now, now)
 	m.swapped += m.messages.add(t, call) + m.messages.add(t, reply)
 	if m.parts != nil {
 		m.countParts(t, &call, &reply)
--- a/exchange/notices.go
+++ b/exchange/notices.go
@@ -37,7 +37,7 @@
 			"ms", notice.RestUntil.Sub(now).Milliseconds())
 	}
 	if news.Limit {
-		x.peers.hurry()
+		x.peers.requestRound()
 	}
 }
 
--- a/exchange/packed.go
+++ b/exchange/packed.go
@@ -12,7 +12,7 @@
 )
 
 // maxPackedTable bounds what a packed configuration may unfold to: a hundred times one of 2,000 routes.
-const maxPackedTable = 32 << 20
+const maxUnpackedTableBytes = 32 << 20
 
 // packTable makes a configuration small for the way between boxes, once for all that it is told to: a hub
 // with a narrow link and a part of a core passes each configuration on to its whole hall.
@@ -33,7 +33,7 @@
 	reader := flate.NewReader(bytes.NewReader(packed))
 	defer func() { _ = reader.Close() }()
 	var table willowwick.RoutingTable
-	if err := gob.NewDecoder(io.LimitReader(reader, maxPackedTable)).Decode(&table); err != nil {
+	if err := gob.NewDecoder(io.LimitReader(reader, maxUnpackedTableBytes)).Decode(&table); err != nil {
 		return nil, errors.Wrap(err, "packed configuration")
 	}
 	return &table, nil
--- a/exchange/packed_test.go
+++ b/exchange/packed_test.go
@@ -52,12 +52,12 @@
 		m := newMesh(1, 2, 1, 1)
 		own, other := m.boxes[0].peers, m.boxes[1].peers
 		m.boxes[0].setTable(largeTable(7, 3), "test")
-		table, packed := own.tableFor(1, false)
+		table, packed := own.tableForPeer(1, false)
 		assert.Equal(t, uint64(7), table.Version)
 		assert.Empty(t, packed)
-		other.takeTable(nil, []byte("no configuration"), &Digest{TableVersion: 9})
+		other.applyPeerTable(nil, []byte("no configuration"), &Digest{TableVersion: 9})
 		assert.Equal(t, uint64(1), m.boxes[1].configVersion())
-		other.takeTable(table, nil, &Digest{TableVersion: 7})
+		other.applyPeerTable(table, nil, &Digest{TableVersion: 7})
 		assert.Equal(t, uint64(7), m.boxes[1].configVersion())
 	})
 }
--- a/exchange/peers.go
+++ b/exchange/peers.go
@@ -42,7 +42,7 @@
 
 		mu         sync.Mutex
 		known      map[string]*peer // by address
-		otherHalls map[willowwick.HallID]heardReport
+		otherHalls map[willowwick.HallID]receivedReport
 	}
 
 	// rpcServer is the part of peers that other boxes call.
@@ -52,18 +52,18 @@
 )
 
 func newPeers(x *Router) (*peers, func()) {
-	dialer := net.Dialer{Timeout: swapLimit}
+	dialer := net.Dialer{Timeout: gossipTimeout}
 	transport, closeTransport := fleet.NewTransport(x.settings.Key, func(ctx context.Context, address string) (net.Conn, error) {
 		return dialer.DialContext(ctx, "tcp", address)
 	}, nil)
 	p := &peers{
 		router: x, transport: transport, startedAt: clock.Now(), startedMs: clock.TimeOfDay().UnixMilli(), limits: ratelimit.NewPeers(x.limits), granter: ratelimit.NewGranter(x.limits), roundRequested: make(chan struct{}, 1),
 		quarantine: quarantine.NewPeers(x.harm, x.settings.Boot),
-		known:      map[string]*peer{}, otherHalls: map[willowwick.HallID]heardReport{},
+		known:      map[string]*peer{}, otherHalls: map[willowwick.HallID]receivedReport{},
 	}
 	p.askBox = p.callForPermit
 	if len(x.settings.Seeds) > 0 {
-		x.limits.AwaitNews(p.startedAt.Add(lookFor))
+		x.limits.AwaitNews(p.startedAt.Add(hubSearchTime))
 	}
 	for _, address := range x.settings.Seeds {
 		p.noteBox(KnownBox{Address: address}, clock.Now())
@@ -74,7 +74,7 @@
 // serve answers other boxes until the listener is closed.
 func (p *peers) serve(listener net.Listener) error {
 	server := rpc.NewServer()
-	if err := server.RegisterName(rpcName, &rpcServer{peers: p}); err != nil {
+	if err := server.RegisterName(rpcServiceName, &rpcServer{peers: p}); err != nil {
 		return errors.Wrap(err, "serve peers")
 	}
 	p.transport.Serve(listener, server)
--- a/exchange/peers_test.go
+++ b/exchange/peers_test.go
@@ -159,7 +159,7 @@
 		}
 		x.sync.endpointsAsOf = now.Add(-feedDrain / 10)
 		x.sync.mu.Unlock()
-		return x.peers.isCutOffFromStore(&peer{digest: x.peers.digest(now), heardAt: now}, now)
+		return x.peers.isCutOffFromStore(&peer{digest: x.peers.ownDigest(now), heardAt: now}, now)
 	}
 	assert.False(t, isCutOff(false), "it could read, and did not have to")
 	assert.True(t, isCutOff(true), "its last read failed")
@@ -267,9 +267,9 @@
 		}
 		for _, address := range p.exchangeTargets(now) {
 			tried[address] = true
-			p.beginSwap(address, now)
+			p.beginExchange(address, now)
 			p.receiveDigest(Digest{Address: address, Hall: "hall-a", ReadAgeMs: time.Hour.Milliseconds()}, now)
-			p.endSwap(address)
+			p.endExchange(address)
 		}
 		now = now.Add(2 * peerLiveness)
 	}
--- a/exchange/permits.go
+++ b/exchange/permits.go
@@ -15,7 +15,7 @@
 
 const (
 	// rpcPermit names the method on the wire that asks for permits.
-	rpcPermit = rpcName + ".Permit"
+	rpcPermit = rpcServiceName + ".Permit"
 	// askLimit is how long a request waits for its permit: a question takes two ways there and back between halls.
 	askLimit = 100 * time.Millisecond
 	// mostAsks bounds how many permits one request is denied before it goes only to endpoints that need none.
@@ -60,7 +60,7 @@
 	if address == p.self().Address {
 		return p.grant(call, now), nil
 	}
-	return ratelimit.AskWithin(ctx, askLimit, swapLimit, func(ctx context.Context) (ratelimit.Reply, error) {
+	return ratelimit.AskWithin(ctx, askLimit, gossipTimeout, func(ctx context.Context) (ratelimit.Reply, error) {
 		return p.askBox(ctx, address, &call)
 	})
 }
@@ -141,7 +141,7 @@
 	}
 	all, following := 1, 1
 	for _, known := range p.known {
-		if !known.isCounted(now) {
+		if !known.isInRoster(now) {
 			continue
 		}
 		all++
--- a/exchange/report.go
+++ b/exchange/report.go
@@ -42,7 +42,7 @@
 	}
 
 	// heardReport is a hall's report with the time from which it is.
-	heardReport struct {
+	receivedReport struct {
 		report Report
 		at     time.Time
 	}
@@ -89,7 +89,7 @@
 	}
 	for _, own := range x.releases.progresses(clock.Now()) {
 		report.Moves = append(report.Moves, MoveRow{
-			Service: own.Status.Service, Target: own.Status.Target, Moved: own.Moved, OldInFlight: x.oldInFlight(own.Status),
+			Service: own.Status.Service, Target: own.Status.Target, Moved: own.Moved, OldInFlight: x.inFlightOutsideTarget(own.Status),
 		})
 	}
 	return report
@@ -148,7 +148,7 @@
 }
 
 // oldInFlight counts the requests under way at other releases than a roll-out's target.
-func (x *Router) oldInFlight(status willowwick.ReleaseStatus) int {
+func (x *Router) inFlightOutsideTarget(status willowwick.ReleaseStatus) int {
 	return x.pool.InFlightWhere(status.Service, func(endpoint willowwick.Endpoint) bool {
 		return endpoint.Release != status.Target
 	})
--- a/exchange/roster.go
+++ b/exchange/roster.go
@@ -20,22 +20,22 @@
 }
 
 // row tells of the box, seen so long ago.
-func (b KnownBox) row(age time.Duration) KnownRow {
+func (b KnownBox) knownRow(age time.Duration) KnownRow {
 	return KnownRow{Address: b.Address, Hall: b.Hall, LinkMbps: b.LinkMbps, AgeMs: age.Milliseconds()}
 }
 
 // isCounted reports whether a box is among those that boxes tell each other of.
-func (known *peer) isCounted(now time.Time) bool {
+func (known *peer) isInRoster(now time.Time) bool {
 	return known.box.Hall != "" && known.isRetained(now)
 }
 
 // knownSum is a sum over the boxes whose hall is known, this one included.
-func (p *peers) knownSum(now time.Time) uint64 {
+func (p *peers) rosterSum(now time.Time) uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	sum := p.self().sum()
 	for _, known := range p.known {
-		if known.isCounted(now) {
+		if known.isInRoster(now) {
 			sum += known.sum
 		}
 	}
@@ -43,13 +43,13 @@
 }
 
 // knownRows lists the boxes whose hall is known, this one included.
-func (p *peers) knownRows(now time.Time) []KnownRow {
+func (p *peers) rosterRows(now time.Time) []KnownRow {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	rows := []KnownRow{p.self().row(0)}
+	rows := []KnownRow{p.self().knownRow(0)}
 	for _, known := range p.known {
-		if known.isCounted(now) {
-			rows = append(rows, known.box.row(now.Sub(known.lastSeen())))
+		if known.isInRoster(now) {
+			rows = append(rows, known.box.knownRow(now.Sub(known.lastSeen())))
 		}
 	}
 	return rows
@@ -61,7 +61,7 @@
 	defer p.mu.Unlock()
 	oldest := map[willowwick.HallID]int64{p.self().Hall: 0}
 	for _, known := range p.known {
-		if known.isCounted(now) {
+		if known.isInRoster(now) {
 			oldest[known.box.Hall] = max(oldest[known.box.Hall], now.Sub(known.lastSeen()).Milliseconds())
 		}
 	}
@@ -73,7 +73,7 @@
 }
 
 // renew takes boxes for as lately seen as by another box that knows the same ones and told their ages as of a time.
-func (p *peers) renew(ages []HallAge, asOf time.Time) {
+func (p *peers) renewLastSeen(ages []HallAge, asOf time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	seen := make(map[willowwick.HallID]time.Time, len(ages))
@@ -82,7 +82,7 @@
 	}
 	for _, known := range p.known {
 		// One that is no longer counted is about to be forgotten: the ages don't tell of it.
-		if known.isCounted(asOf) {
+		if known.isInRoster(asOf) {
 			known.namedAt = latest(known.namedAt, seen[known.box.Hall])
 		}
 	}
--- a/exchange/suspension_test.go
+++ b/exchange/suspension_test.go
@@ -29,7 +29,7 @@
 	suspend(t)
 	assert.Equal(t, http.StatusServiceUnavailable, s.do(t, http.MethodGet, "/unknown/", "after", "").status)
 	assert.GreaterOrEqual(t, s.daemon.router.sync.endpointsAge(clock.Now()), asleep)
-	digest := s.daemon.router.peers.digest(clock.Now())
+	digest := s.daemon.router.peers.ownDigest(clock.Now())
 	assert.GreaterOrEqual(t, digest.ConfigAgeMs, asleep.Milliseconds(), "other boxes are told so")
 	assert.GreaterOrEqual(t, digest.StoreAgeMs, asleep.Milliseconds())
 }
--- a/exchange/swap.go
+++ b/exchange/swap.go
@@ -9,20 +9,20 @@
 
 const (
 	// swapEvery is how often digests go round: evidence on a bad release is everywhere within two seconds.
-	swapEvery = 500 * time.Millisecond
+	gossipInterval = 500 * time.Millisecond
 	// swapLeast is the least time between two rounds, also where there is news that cannot wait.
-	swapLeast = 50 * time.Millisecond
+	minGossipInterval = 50 * time.Millisecond
 	// swapShare bounds it by the time to leave an endpoint: less than the difference of reliedShare and endpointsShare.
-	swapShare = 0.25
+	gossipDrainShare = 0.25
 	// swapLimit is how long a peer may take; one in another hall answers in some milliseconds, but a box with a fifth of
 	// a core takes longer when all of its hall have just started. A call that is given up costs a new connection.
-	swapLimit = 1200 * time.Millisecond
+	gossipTimeout = 1200 * time.Millisecond
 	// lookFor is how long a box that has just started looks often for the hub of its hall, and lookEvery how often.
-	lookFor   = 1500 * time.Millisecond
-	lookEvery = 100 * time.Millisecond
+	hubSearchTime     = 1500 * time.Millisecond
+	hubSearchInterval = 100 * time.Millisecond
 	// rpcName and rpcSwap name the method on the wire.
-	rpcName = "Exchange"
-	rpcSwap = rpcName + ".Swap"
+	rpcServiceName = "Exchange"
+	rpcSwapMethod  = rpcServiceName + ".Swap"
 )
 
 // run swaps digests until the context ends; a box that does not answer keeps none of the others waiting.
@@ -30,18 +30,18 @@
 	for ctx.Err() == nil {
 		now := clock.Now()
 		for _, address := range p.exchangeTargets(now) {
-			if p.beginSwap(address, now) {
-				go p.swap(ctx, address)
+			if p.beginExchange(address, now) {
+				go p.exchangeWith(ctx, address)
 			}
 		}
 		p.forgetSilentPeers(now)
-		sleep(ctx, swapLeast)
-		p.awaitRound(ctx, now.Add(p.pause(now)))
+		sleep(ctx, minGossipInterval)
+		p.awaitNextRound(ctx, now.Add(p.roundPause(now)))
 	}
 }
 
 // awaitRound waits for the next round of swaps, or for news that cannot wait for it.
-func (p *peers) awaitRound(ctx context.Context, at time.Time) {
+func (p *peers) awaitNextRound(ctx context.Context, at time.Time) {
 	timer := time.NewTimer(clock.Until(at))
 	defer timer.Stop()
 	select {
@@ -52,7 +52,7 @@
 }
 
 // hurry begins the next round of swaps at once.
-func (p *peers) hurry() {
+func (p *peers) requestRound() {
 	select {
 	case p.roundRequested <- struct{}{}:
 	default: // it begins at once anyway
@@ -60,25 +60,25 @@
 }
 
 // pause is the time until the next round: short on a box that has just started and looks for the hub of its hall.
-func (p *peers) pause(now time.Time) time.Duration {
-	if _, hasHub := p.hub(now); !hasHub && p.isNew(now) {
-		return lookEvery
+func (p *peers) roundPause(now time.Time) time.Duration {
+	if _, hasHub := p.hub(now); !hasHub && p.isSearchingForHub(now) {
+		return hubSearchInterval
 	}
-	return p.swapPeriod()
+	return p.gossipPeriod()
 }
 
 // isNew reports whether the box has just started and may not have found the hub of its hall yet.
-func (p *peers) isNew(now time.Time) bool {
-	return now.Sub(p.startedAt) < lookFor
+func (p *peers) isSearchingForHub(now time.Time) bool {
+	return now.Sub(p.startedAt) < hubSearchTime
 }
 
 // swapPeriod is short enough that what a reader has read is with its hall well before the others stop relying on it.
-func (p *peers) swapPeriod() time.Duration {
-	return min(swapEvery, scale(p.router.settings.Drain, swapShare))
+func (p *peers) gossipPeriod() time.Duration {
+	return min(gossipInterval, scale(p.router.settings.Drain, gossipDrainShare))
 }
 
 // beginSwap reports whether a swap with the box may begin: the one before must be over.
-func (p *peers) beginSwap(address string, now time.Time) bool {
+func (p *peers) beginExchange(address string, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known := p.known[address]
@@ -89,7 +89,7 @@
 	return true
 }
 
-func (p *peers) endSwap(address string) {
+func (p *peers) endExchange(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if known := p.known[address]; known != nil {
@@ -98,27 +98,27 @@
 }
 
 // swap tells a box this one's digest and takes what comes back.
-func (p *peers) swap(ctx context.Context, address string) {
-	defer p.endSwap(address)
-	ctx, cancel := context.WithTimeout(ctx, swapLimit)
+func (p *peers) exchangeWith(ctx context.Context, address string) {
+	defer p.endExchange(address)
+	ctx, cancel := context.WithTimeout(ctx, gossipTimeout)
 	defer cancel()
-	call := p.callTo(address, clock.Now())
+	call := p.swapCallFor(address, clock.Now())
 	var reply SwapReply
 	sent := clock.Now()
-	if err := p.transport.Call(ctx, address, rpcSwap, &call, &reply); err != nil {
+	if err := p.transport.Call(ctx, address, rpcSwapMethod, &call, &reply); err != nil {
 		p.noteCallFailure(address, err)
 		return
 	}
-	p.takeReply(&call, reply, sent, clock.Now())
+	p.applyReply(&call, reply, sent, clock.Now())
 }
 
 // callTo is what this box tells another one.
-func (p *peers) callTo(address string, now time.Time) SwapCall {
+func (p *peers) swapCallFor(address string, now time.Time) SwapCall {
 	call := SwapCall{
-		Digest: p.digest(now), KnownSum: p.knownSum(now), TakesChanges: true, WantsList: p.router.sync.wantsList(address, now),
+		Digest: p.ownDigest(now), KnownSum: p.rosterSum(now), TakesChanges: true, WantsList: p.router.sync.wantsList(address, now),
 	}
 	if version, takesPacked, heard := p.configVersionOf(address); heard {
-		call.Table, call.Packed = p.tableFor(version, takesPacked)
+		call.Table, call.Packed = p.tableForPeer(version, takesPacked)
 	}
 	call.Harm = p.quarantine.CallTo(address, now)
 	call.Limits = p.limits.CallTo(address, now)
@@ -126,12 +126,12 @@
 }
 
 // takeReply takes what a box answered to a call sent at the given time.
-func (p *peers) takeReply(call *SwapCall, reply SwapReply, sent, now time.Time) {
-	reply.Digest.addAge(now.Sub(sent))
+func (p *peers) applyReply(call *SwapCall, reply SwapReply, sent, now time.Time) {
+	reply.Digest.addTransitTime(now.Sub(sent))
 	p.receiveDigest(reply.Digest, now)
 	p.noteKnownRows(reply.Known, sent)
-	p.renew(reply.HallAges, sent)
-	p.takeTable(reply.Table, reply.Packed, &reply.Digest)
+	p.renewLastSeen(reply.HallAges, sent)
+	p.applyPeerTable(reply.Table, reply.Packed, &reply.Digest)
 	p.router.sync.hearConfig(&reply.Digest, now)
 	p.router.sync.takeFromPeer(reply, now)
 	isNews := p.quarantine.Took(call.Harm, reply.Harm, reply.Digest.Address, reply.Digest.Boot, now)
@@ -139,7 +139,7 @@
 		p.router.ends.countDropped()
 	}
 	if p.limits.Took(reply.Limits, reply.Digest.Address, sent) || isNews {
-		p.hurry()
+		p.requestRound()
 	}
 }
 
@@ -148,9 +148,9 @@
 	now := clock.Now()
 	p := s.peers
 	p.receiveDigest(call.Digest, now)
-	p.takeTable(call.Table, call.Packed, &call.Digest)
-	reply.Digest = p.digest(now)
-	reply.Table, reply.Packed = p.tableFor(call.Digest.TableVersion, call.Digest.TakesPacked)
+	p.applyPeerTable(call.Table, call.Packed, &call.Digest)
+	reply.Digest = p.ownDigest(now)
+	reply.Table, reply.Packed = p.tableForPeer(call.Digest.TableVersion, call.Digest.TakesPacked)
 	reply.Endpoints = p.router.sync.listFor(call)
 	p.router.metrics.listTold(reply.Endpoints)
 	isNews := false
@@ -159,12 +159,12 @@
 	}
 	var isLimitNews bool
 	if reply.Limits, isLimitNews = p.limits.Answer(call.Limits, call.Digest.Address, now); isNews || isLimitNews {
-		p.hurry()
+		p.requestRound()
 	}
-	if call.KnownSum == p.knownSum(now) {
+	if call.KnownSum == p.rosterSum(now) {
 		reply.HallAges = p.hallAges(now)
 	} else {
-		reply.Known = p.knownRows(now)
+		reply.Known = p.rosterRows(now)
 	}
 	return nil
 }
--- a/exchange/sync.go
+++ b/exchange/sync.go
@@ -161,7 +161,7 @@
 // mayFindReader reports whether this box serves, but has just started and is not fed yet.
 func (s *syncer) mayFindReader(now time.Time) bool {
 	serves := s.router.table.Load() != nil && s.hasEndpoints()
-	return serves && s.router.peers.isNew(now) && !s.hasReader(now)
+	return serves && s.router.peers.isSearchingForHub(now) && !s.hasReader(now)
 }
 
 // readDeclarations reads what was declared since an offset; wasCancelled tells that the read was ended from here.
--- a/exchange/transit_test.go
+++ b/exchange/transit_test.go
@@ -43,16 +43,16 @@
 	// The teller hears of the hearer by the call; the hearer's own swaps with it would bring newer news.
 	hearers[0].daemon.stop()
 	hearers[0].daemon.workers.Close()
-	server := &lateServer{inner: &rpcServer{peers: tellers[0].daemon.router.peers}, late: swapLimit - 300*time.Millisecond}
+	server := &lateServer{inner: &rpcServer{peers: tellers[0].daemon.router.peers}, late: gossipTimeout - 300*time.Millisecond}
 	registry := rpc.NewServer()
-	require.NoError(t, registry.RegisterName(rpcName, server))
+	require.NoError(t, registry.RegisterName(rpcServiceName, server))
 	listener := listen(t)
 	t.Cleanup(func() { _ = listener.Close() })
 	go tellers[0].daemon.router.peers.transport.Serve(listener, registry)
 	hearer.sync.mu.Lock()
 	hearer.sync.changedAt = willowwick.Position(1 << 20) // it has all that the other lists
 	hearer.sync.mu.Unlock()
-	hearer.peers.swap(t.Context(), listener.Addr().String())
+	hearer.peers.exchangeWith(t.Context(), listener.Addr().String())
 	require.False(t, server.made.IsZero(), "it was asked")
 	hearer.sync.mu.Lock()
 	defer hearer.sync.mu.Unlock()
