--- a/exchange/born_test.go
+++ b/exchange/born_test.go
@@ -37,7 +37,7 @@
 }
 
 func (b *bornSite) isListed() bool {
-	entry, isListed := b.daemon.router.sync.entry(b.endpoint.ID)
+	entry, isListed := b.daemon.router.sync.listedEndpoint(b.endpoint.ID)
 	return isListed && !entry.Leaving
 }
 
@@ -75,7 +75,7 @@
 	before.Leaving, before.Beat = true, before.Beat+1
 	b.write(restart)
 	require.Eventually(t, func() bool {
-		entry, _ := b.daemon.router.sync.entry("r1")
+		entry, _ := b.daemon.router.sync.listedEndpoint("r1")
 		return entry.Incarnation == b.endpoint.Incarnation
 	}, patience, 5*time.Millisecond)
 	b.control.change(func() { b.control.endpoints["r1"] = before })
@@ -116,7 +116,7 @@
 		require.Equal(t, b.endpoint.Incarnation, b.daemon.router.pool.Endpoints()[0].Incarnation)
 		b.write(restart)
 		require.Eventually(t, func() bool {
-			entry, _ := b.daemon.router.sync.entry("r1")
+			entry, _ := b.daemon.router.sync.listedEndpoint("r1")
 			return entry.Incarnation == b.endpoint.Incarnation
 		}, patience, 5*time.Millisecond)
 	}
--- a/exchange/cold_test.go
+++ b/exchange/cold_test.go
@@ -25,7 +25,7 @@
 		s.control.endpoints[cold.id] = endpoint
 	})
 	require.Eventually(t, func() bool {
-		_, found := s.daemon.router.sync.entry(cold.id)
+		_, found := s.daemon.router.sync.listedEndpoint(cold.id)
 		return found && s.daemon.router.configVersion() == 2
 	}, patience, time.Millisecond)
 	for i := range requests {
@@ -44,10 +44,10 @@
 	now := time.Now()
 	endpoint := r.endpoint("v1")
 	endpoint.ID, endpoint.ColdUntil = "r2", now.Add(ahead+left)
-	s.takeFromPeer(SwapReply{Endpoints: &EndpointList{
+	s.applyPeerList(SwapReply{Endpoints: &EndpointList{
 		Endpoints: []willowwick.Endpoint{endpoint}, Next: 1 << 20, From: 1 << 20, Told: now.Add(ahead),
 	}}, now)
-	known, found := s.entry("r2")
+	known, found := s.listedEndpoint("r2")
 	require.True(t, found)
 	assert.WithinDuration(t, now.Add(left), known.ColdUntil, time.Millisecond)
 }
--- a/exchange/digest.go
+++ b/exchange/digest.go
@@ -101,7 +101,7 @@
 		Own: p.ownReport(), Verdicts: x.releases.ended(now), Speeds: x.pool.Speeds(),
 	}
 	digest.RestoringMs = x.sync.restoringFor(now).Milliseconds()
-	digest.EndpointsFrom, digest.EndpointsRead, digest.EndpointsSum = x.sync.listedFrom()
+	digest.EndpointsFrom, digest.EndpointsRead, digest.EndpointsSum = x.sync.listPositions()
 	for _, own := range x.releases.progresses(now) {
 		digest.Progress = append(digest.Progress, ProgressRow{Status: own.Status, Order: own.Order, AgeMs: own.AgeMs})
 	}
--- a/exchange/ends.go
+++ b/exchange/ends.go
@@ -74,10 +74,10 @@
 // hasEnded reports whether an endpoint, to which a connection broke at a moment, ended by itself. One that leaves, whose entry is
 // gone, or whose release is given up may be stopped by its operator at any time.
 func (e *endChecks) hasEnded(ctx context.Context, endpoint willowwick.Endpoint, brokeAt time.Time) bool {
-	if e.router.sync.hasStartedAgain(endpoint) {
+	if e.router.sync.hasRestarted(endpoint) {
 		return true
 	}
-	_, isListed := e.router.sync.entry(endpoint.ID)
+	_, isListed := e.router.sync.listedEndpoint(endpoint.ID)
 	if !isListed || e.router.pool.IsLeaving(endpoint.ID) || e.router.releases.isRetired(endpoint.Service, endpoint.Release, brokeAt) {
 		return false
 	}
--- a/exchange/ends_test.go
+++ b/exchange/ends_test.go
@@ -79,7 +79,7 @@
 	t.Parallel()
 	r := newRunner(t, "r1", answerText("ok"))
 	s := newSite(t, r.endpoint("v1"))
-	endpoint, _ := s.daemon.router.sync.entry("r1")
+	endpoint, _ := s.daemon.router.sync.listedEndpoint("r1")
 	r.crash()
 	brokeAt := clock.Now()
 	left, leave := context.WithCancel(t.Context())
--- a/exchange/era.go
+++ b/exchange/era.go
@@ -22,7 +22,7 @@
 	x.metrics.eraBegan()
 	rewritten := x.releases.beginEra(at.Era(), now) + x.harm.WriteAgain()
 	slog.Warn("store has come back from a copy of itself", "era", at.Era(), "former", former, "source", source,
-		"endpoints_read_to", s.endpointsAt(), "declarations_read_to", x.evacuations.newest().asOf, "to_write_again", rewritten)
+		"endpoints_read_to", s.listReadTo(), "declarations_read_to", x.evacuations.newest().asOf, "to_write_again", rewritten)
 }
 
 // enterEra takes an era if it is later than the one that is known, and reports whether a store that was known has begun it.
--- a/exchange/era_test.go
+++ b/exchange/era_test.go
@@ -245,7 +245,7 @@
 		m.store.reads = 0
 		m.store.comeBack(willowwick.Offset(lost), ids...)
 		for step := range 4 {
-			m.run(t, returnGrace/5)
+			m.run(t, lapsedGrace/5)
 			for i := step; i < lost; i += 4 {
 				m.store.put(meshEndpoint(i, size.halls))
 			}
@@ -255,7 +255,7 @@
 		}
 		assert.LessOrEqual(t, m.store.reads, callsOfStart*size.halls)
 		assert.LessOrEqual(t, m.leave(t, meshEndpoint(lost, size.halls)), meshDrain*3/4)
-		m.run(t, returnGrace)
+		m.run(t, lapsedGrace)
 		for _, box := range m.boxes {
 			require.Len(t, box.pool.Endpoints(), size.endpoints, "endpoints that %s uses", box.settings.Box)
 		}
@@ -288,10 +288,10 @@
 		m.run(t, time.Second)
 		box, now := m.boxes[0], time.Now()
 		m.store.comeBack(0)
-		box.sync.takeChanges(m.store.since(0), now, now)
-		box.sync.takeChanges(willowwick.EndpointChanges{Next: in(0, 99), Gone: []willowwick.EndpointID{meshEndpoint(0, 1).ID}}, now, now)
-		assert.Equal(t, willowwick.Era(1), box.sync.endpointsAt().Era())
-		m.run(t, 2*returnGrace)
+		box.sync.applyListRead(m.store.since(0), now, now)
+		box.sync.applyListRead(willowwick.EndpointChanges{Next: in(0, 99), Gone: []willowwick.EndpointID{meshEndpoint(0, 1).ID}}, now, now)
+		assert.Equal(t, willowwick.Era(1), box.sync.listReadTo().Era())
+		m.run(t, 2*lapsedGrace)
 		assert.Len(t, box.pool.Endpoints(), 3)
 	})
 }
--- a/exchange/evacuation_test.go
+++ b/exchange/evacuation_test.go
@@ -235,7 +235,7 @@
 	late := newRunner(t, "r2", answerText("late"))
 	s.control.change(func() { s.control.endpoints["r2"] = late.endpoint("v1") })
 	require.Eventually(t, func() bool {
-		_, isListed := s.daemon.router.sync.entry("r2")
+		_, isListed := s.daemon.router.sync.listedEndpoint("r2")
 		return isListed
 	}, patience, time.Millisecond)
 	for range 20 {
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -284,7 +284,7 @@
 	})
 	require.Eventually(t, func() bool { return !s.daemon.router.sync.isAway() }, patience, time.Millisecond)
 	assert.Equal(t, http.StatusOK, s.do(t, http.MethodPost, "/once/", "id", "x").status)
-	time.Sleep(returnGrace + 2*testSettings().Drain)
+	time.Sleep(lapsedGrace + 2*testSettings().Drain)
 	assert.Equal(t, http.StatusServiceUnavailable, s.do(t, http.MethodPost, "/once/", "id", "x").status)
 }
 
@@ -422,7 +422,7 @@
 	control := &testControl{endpoints: map[willowwick.EndpointID]willowwick.Endpoint{r.id: r.endpoint("v1")}}
 	control.change(func() {})
 	s := startSite(t, control, testSettings())
-	require.Eventually(t, s.daemon.router.sync.hasEndpoints, patience, time.Millisecond)
+	require.Eventually(t, s.daemon.router.sync.hasEndpointList, patience, time.Millisecond)
 	time.AfterFunc(warmLimit/3, func() { s.daemon.router.setTable(testTable(1, onceRoute()), "test") })
 	assert.Equal(t, http.StatusOK, s.do(t, http.MethodPost, "/once/", "id", "x").status)
 }
@@ -450,18 +450,18 @@
 		return []willowwick.Endpoint{{ID: "e", Service: "work", Beat: n}}
 	}
 	isListed := func() bool {
-		_, found := s.entry("e")
+		_, found := s.listedEndpoint("e")
 		return found
 	}
-	s.apply(willowwick.EndpointChanges{Present: beat(5), Next: 1}, now)
+	s.applyChanges(willowwick.EndpointChanges{Present: beat(5), Next: 1}, now)
 	require.True(t, isListed())
-	s.apply(willowwick.EndpointChanges{Gone: []willowwick.EndpointID{"e"}, Present: beat(6), Next: 3}, now)
+	s.applyChanges(willowwick.EndpointChanges{Gone: []willowwick.EndpointID{"e"}, Present: beat(6), Next: 3}, now)
 	require.False(t, isListed(), "gone, and one heartbeat that was on its way")
-	s.apply(willowwick.EndpointChanges{Present: beat(6), Next: 4}, now)
+	s.applyChanges(willowwick.EndpointChanges{Present: beat(6), Next: 4}, now)
 	require.False(t, isListed(), "the same one again")
-	s.apply(willowwick.EndpointChanges{Whole: true, Present: beat(6), Next: 4}, now)
+	s.applyChanges(willowwick.EndpointChanges{Whole: true, Present: beat(6), Next: 4}, now)
 	require.False(t, isListed(), "in the whole list too")
-	s.apply(willowwick.EndpointChanges{Present: beat(7), Next: 5}, now)
+	s.applyChanges(willowwick.EndpointChanges{Present: beat(7), Next: 5}, now)
 	require.True(t, isListed(), "it goes on: it lives")
 }
 
@@ -476,20 +476,20 @@
 	present := []willowwick.Endpoint{{ID: "a", Service: "work"}, {ID: "b", Service: "work"}}
 	s.noteAnswer(endpointsRead, now)
 	s.endpointsAsOf = now
-	s.apply(willowwick.EndpointChanges{Present: present, Next: 1}, now)
+	s.applyChanges(willowwick.EndpointChanges{Present: present, Next: 1}, now)
 	s.noteFailure(endpointsRead, now, errDown)
-	s.apply(willowwick.EndpointChanges{Gone: []willowwick.EndpointID{"a"}, Next: 2}, now)
-	_, found := s.entry("a")
+	s.applyChanges(willowwick.EndpointChanges{Gone: []willowwick.EndpointID{"a"}, Next: 2}, now)
+	_, found := s.listedEndpoint("a")
 	require.False(t, found)
 	later := now.Add(2 * testSettings().Drain)
 	s.noteFailure(endpointsRead, later, errDown)
-	s.apply(willowwick.EndpointChanges{Gone: []willowwick.EndpointID{"b"}, Next: 3}, later)
-	_, found = s.entry("b")
+	s.applyChanges(willowwick.EndpointChanges{Gone: []willowwick.EndpointID{"b"}, Next: 3}, later)
+	_, found = s.listedEndpoint("b")
 	require.True(t, found, "it may be back within the time of the grace")
 	s.changedAt = 3
 	older := Digest{EndpointsFrom: 2}
-	require.Empty(t, s.listFor(&SwapCall{Digest: older}).Endpoints, "told whole")
-	changes := s.listFor(&SwapCall{Digest: older, TakesChanges: true})
+	require.Empty(t, s.listForPeer(&SwapCall{Digest: older}).Endpoints, "told whole")
+	changes := s.listForPeer(&SwapCall{Digest: older, TakesChanges: true})
 	require.Empty(t, changes.Endpoints, "told as changes")
 	require.Contains(t, changes.Gone, willowwick.EndpointID("b"), "who could see the store knows whether it is gone")
 }
@@ -504,12 +504,12 @@
 	beat := func(beat uint64) []willowwick.Endpoint {
 		return []willowwick.Endpoint{{ID: "a", Service: "work", Beat: beat}}
 	}
-	s.takeChanges(willowwick.EndpointChanges{Present: beat(1), Next: 1}, now, now)
+	s.applyListRead(willowwick.EndpointChanges{Present: beat(1), Next: 1}, now, now)
 	later := now.Add(2 * testSettings().Drain)
 	s.noteFailure(endpointsRead, later, errDown)
-	s.takeChanges(willowwick.EndpointChanges{Gone: []willowwick.EndpointID{"a"}, Next: 2}, later, later)
-	s.takeChanges(willowwick.EndpointChanges{Present: beat(2), Next: 3}, later, later)
-	changes := s.listFor(&SwapCall{Digest: Digest{EndpointsFrom: 1}, TakesChanges: true})
+	s.applyListRead(willowwick.EndpointChanges{Gone: []willowwick.EndpointID{"a"}, Next: 2}, later, later)
+	s.applyListRead(willowwick.EndpointChanges{Present: beat(2), Next: 3}, later, later)
+	changes := s.listForPeer(&SwapCall{Digest: Digest{EndpointsFrom: 1}, TakesChanges: true})
 	require.NotNil(t, changes)
 	require.Equal(t, beat(2), changes.Endpoints)
 }
@@ -522,18 +522,18 @@
 	s := newSyncer(x, nil)
 	x.sync = s
 	now := time.Now()
-	s.takeChanges(willowwick.EndpointChanges{Present: []willowwick.Endpoint{{ID: "a", Service: "work"}}, Next: 1}, now, now)
-	s.takeChanges(willowwick.EndpointChanges{Gone: []willowwick.EndpointID{"b"}, Next: 3}, now, now)
+	s.applyListRead(willowwick.EndpointChanges{Present: []willowwick.Endpoint{{ID: "a", Service: "work"}}, Next: 1}, now, now)
+	s.applyListRead(willowwick.EndpointChanges{Gone: []willowwick.EndpointID{"b"}, Next: 3}, now, now)
 	behind := SwapReply{Endpoints: &EndpointList{
 		Endpoints: []willowwick.Endpoint{{ID: "b", Service: "work"}}, Since: 1, From: 2, Next: 2, Told: now,
 	}}
-	s.takeFromPeer(behind, now)
-	_, found := s.entry("b")
+	s.applyPeerList(behind, now)
+	_, found := s.listedEndpoint("b")
 	require.False(t, found)
 	ahead := behind
 	ahead.Endpoints.From, ahead.Endpoints.Next = 4, 4
-	s.takeFromPeer(ahead, now)
-	_, found = s.entry("b")
+	s.applyPeerList(ahead, now)
+	_, found = s.listedEndpoint("b")
 	require.True(t, found, "it came again after what this box has read")
 }
 
@@ -561,7 +561,7 @@
 		s.control.endpoints[a.id] = leaving
 	})
 	require.Eventually(t, func() bool {
-		endpoint, _ := s.daemon.router.sync.entry(a.id)
+		endpoint, _ := s.daemon.router.sync.listedEndpoint(a.id)
 		return endpoint.Leaving
 	}, testSettings().Drain, 5*time.Millisecond)
 }
--- a/exchange/freshness.go
+++ b/exchange/freshness.go
@@ -80,7 +80,7 @@
 func (s *syncer) isReached(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.reachAge(now) <= s.router.reliedLimit()
+	return s.reachAge(now) <= s.router.maxStoreDataAge()
 }
 
 // isUnreachable reports whether a last read failed; the caller holds the lock.
@@ -113,7 +113,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastFailureAt = now
-	if now.Sub(s.endpointsAsOf) > s.router.reliedLimit() {
+	if now.Sub(s.endpointsAsOf) > s.router.maxStoreDataAge() {
 		s.lastOutageAt = now
 	}
 	if !s.failing[kind] {
--- a/exchange/harm_test.go
+++ b/exchange/harm_test.go
@@ -148,7 +148,7 @@
 						s.control.endpoints["r1"] = leaving
 					})
 					assert.Eventually(t, func() bool {
-						entry, _ := s.daemon.router.sync.entry("r1")
+						entry, _ := s.daemon.router.sync.listedEndpoint("r1")
 						return entry.Leaving
 					}, patience, 5*time.Millisecond)
 					self.crash()
--- a/exchange/hub.go
+++ b/exchange/hub.go
@@ -37,7 +37,7 @@
 
 // reads reports whether this box reaches the store, as far as it has shown.
 func (p *peers) reachesStore(now time.Time) bool {
-	return p.router.sync.readAge(now) <= p.router.reliedLimit()
+	return p.router.sync.readAge(now) <= p.router.maxStoreDataAge()
 }
 
 // isBehind reports whether a box of the hall that comes before this one is in touch, whether it reads the store or not.
@@ -73,7 +73,7 @@
 // isCutOff reports whether a box has not read the store for too long to rely on it.
 func (p *peers) isCutOffFromStore(known *peer, now time.Time) bool {
 	told, since := time.Duration(known.digest.ReadAgeMs)*time.Millisecond, now.Sub(known.heardAt)
-	limit := p.router.reliedLimit()
+	limit := p.router.maxStoreDataAge()
 	// Nothing can be added to the longest length of time there is, which a box of an earlier release may tell.
 	return told > limit || told+since > limit
 }
--- a/exchange/listing.go
+++ b/exchange/listing.go
@@ -13,39 +13,39 @@
 const (
 	// endpointsShare is the part of the time to leave an endpoint after which the list is read again, so that its news are
 	// with the whole hall within half of it.
-	endpointsShare = 0.3
+	listReadShare = 0.3
 	// reliedShare is the part of it after which a box no longer relies on what another box reads for it.
-	reliedShare = 0.6
+	storeDataShare = 0.6
 	// returnGrace is how long endpoints whose entries lapsed while the store was away are still used after its
 	// return: they are back within about two seconds if they live.
-	returnGrace = 2200 * time.Millisecond
+	lapsedGrace = 2200 * time.Millisecond
 	// lapsedEvery is how often a box that reads the store looks meanwhile whether they are back.
-	lapsedEvery = 400 * time.Millisecond
+	lapsedReadInterval = 400 * time.Millisecond
 )
 
 // followEndpoints keeps the list of endpoints until the context ends.
 func (s *syncer) followEndpoints(ctx context.Context) {
 	var pause time.Duration // after the last read, if it failed
 	for ctx.Err() == nil {
-		if now := clock.Now(); !s.mustRead(now) {
+		if now := clock.Now(); !s.mustReadList(now) {
 			s.dropLapsed(now)
 			sleep(ctx, readerPollInterval)
 			continue
 		}
 		asked := clock.Now()
-		changes, err := s.control.Endpoints(ctx, s.endpointsAt())
+		changes, err := s.control.Endpoints(ctx, s.listReadTo())
 		if err != nil {
 			pause = s.pauseAfterFailure(ctx, endpointsRead, pause, err)
 			continue
 		}
 		pause = 0
-		s.takeChanges(changes, asked, clock.Now())
+		s.applyListRead(changes, asked, clock.Now())
 	}
 }
 
 // takeChanges takes what the store answered to a read of the list. It holds what was so when the read was asked for certain:
 // the answer may have come in slowly.
-func (s *syncer) takeChanges(changes willowwick.EndpointChanges, asked, now time.Time) {
+func (s *syncer) applyListRead(changes willowwick.EndpointChanges, asked, now time.Time) {
 	s.noteAnswer(endpointsRead, now)
 	s.noteEra(changes.Next, now, "endpoints")
 	s.mu.Lock()
@@ -54,105 +54,105 @@
 		return // another box has told of a later era meanwhile
 	}
 	s.endpointsAsOf = latest(s.endpointsAsOf, asked)
-	s.apply(changes, now)
+	s.applyChanges(changes, now)
 	if s.hasPendingChange && s.readTo > s.changedAt {
 		// Offsets compare between boxes: who has read up to here has all changes up to here.
-		s.settle(s.readTo)
+		s.assignChangePosition(s.readTo)
 	}
 	if changes.Whole {
-		s.history.restart(s.readTo)
+		s.history.forgetUntil(s.readTo)
 	}
-	s.publish()
+	s.publishList()
 	s.mu.Unlock()
 	s.router.noteWarm()
 }
 
 // settle says up to where the list's changes so far stand; the caller holds the lock.
-func (s *syncer) settle(at willowwick.Position) {
+func (s *syncer) assignChangePosition(at willowwick.Position) {
 	s.changedAt, s.hasPendingChange = at, false
-	s.history.settle(at, s.listed)
+	s.history.assignPosition(at, s.listed)
 }
 
 // mustRead reports whether this box has to read the list of endpoints now.
-func (s *syncer) mustRead(now time.Time) bool {
-	limit := scale(s.router.settings.Drain, endpointsShare)
+func (s *syncer) mustReadList(now time.Time) bool {
+	limit := scale(s.router.settings.Drain, listReadShare)
 	if s.hasReader(now) {
 		if s.mustKeepReading(endpointsRead, now) {
 			return true
 		}
-		limit = s.router.reliedLimit()
-	} else if s.awaitsReturns() {
-		limit = min(limit, lapsedEvery)
+		limit = s.router.maxStoreDataAge()
+	} else if s.hasLapsedEntries() {
+		limit = min(limit, lapsedReadInterval)
 	}
 	return s.endpointsAge(now) > limit
 }
 
 // awaitsReturns reports whether entries have lapsed that may come back.
-func (s *syncer) awaitsReturns() bool {
+func (s *syncer) hasLapsedEntries() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.lapsed) > 0
 }
 
 // reliedLimit is how old what a box has read may be for others to rely on it.
-func (x *Router) reliedLimit() time.Duration {
-	return scale(x.settings.Drain, reliedShare)
+func (x *Router) maxStoreDataAge() time.Duration {
+	return scale(x.settings.Drain, storeDataShare)
 }
 
-func (s *syncer) hasEndpoints() bool {
+func (s *syncer) hasEndpointList() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.hasList
 }
 
 // entry is what is known of an endpoint that is listed.
-func (s *syncer) entry(id willowwick.EndpointID) (willowwick.Endpoint, bool) {
+func (s *syncer) listedEndpoint(id willowwick.EndpointID) (willowwick.Endpoint, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	endpoint, found := s.listed[id]
 	return endpoint, found
 }
 
-func (s *syncer) endpointsAt() willowwick.Position {
+func (s *syncer) listReadTo() willowwick.Position {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.readTo
 }
 
 // apply takes changes of the list; the caller holds the lock.
-func (s *syncer) apply(changes willowwick.EndpointChanges, now time.Time) {
+func (s *syncer) applyChanges(changes willowwick.EndpointChanges, now time.Time) {
 	for _, id := range changes.Gone {
 		// Another box may know it although this one does not: it came and went between two reads.
-		s.history.note(id)
-		s.endpointGone(id, now)
+		s.history.noteChange(id)
+		s.removeEntry(id, now)
 	}
 	for _, id := range changes.Unnamed {
-		s.history.note(id)
+		s.history.noteChange(id)
 		if _, wasListed := s.listed[id]; wasListed {
-			s.drop(id, now)
+			s.dropEntry(id, now)
 			// It may live, and its next heartbeat is no late one of an endpoint that went.
 			delete(s.removed, id)
 		}
 	}
 	present := map[willowwick.EndpointID]bool{}
 	for _, endpoint := range changes.Present {
-		if s.isFormerLife(endpoint) {
+		if s.isFormerIncarnation(endpoint) {
 			present[endpoint.ID] = true // what the newer life said holds on
 			continue
 		}
-		if s.isBack(endpoint) {
+		if s.isConfirmedLive(endpoint) {
 			present[endpoint.ID] = true
-			s.list(endpoint, changes.Next)
+			s.addEntry(endpoint, changes.Next)
 		}
 	}
 	if changes.Whole {
 		for id := range s.listed {
 			if !present[id] {
-				s.endpointGone(id, now)
+				s.removeEntry(id, now)
 			}
 		}
 	}
-	s.dropOverdue(now)
+	s.dropExpired(now)
 	s.readTo, s.hasList = changes.Next, true
 }
 
@@ -161,25 +161,25 @@
 func (s *syncer) dropLapsed(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.dropOverdue(now) {
-		s.publish()
+	if s.dropExpired(now) {
+		s.publishList()
 	}
 }
 
 // dropOverdue drops the endpoints that did not come back in time, and reports whether there were any; the caller holds
 // the lock. An entry that came back in time may have been missed by all reads that were asked before.
-func (s *syncer) dropOverdue(now time.Time) bool {
+func (s *syncer) dropExpired(now time.Time) bool {
 	before := len(s.lapsed)
 	for id, until := range s.lapsed {
-		if s.endpointsAsOf.After(until) || now.Sub(until) > s.router.reliedLimit() {
-			s.drop(id, now)
+		if s.endpointsAsOf.After(until) || now.Sub(until) > s.router.maxStoreDataAge() {
+			s.dropEntry(id, now)
 		}
 	}
 	return len(s.lapsed) < before
 }
 
 // list takes the entry of an endpoint; the caller holds the lock.
-func (s *syncer) list(endpoint willowwick.Endpoint, at willowwick.Position) {
+func (s *syncer) addEntry(endpoint willowwick.Endpoint, at willowwick.Position) {
 	old, known := s.listed[endpoint.ID]
 	if endpoint.Incarnation == 0 {
 		endpoint.Incarnation = old.Incarnation // a box of an earlier release does not tell it
@@ -187,7 +187,7 @@
 	// Leaving is for good: a later entry that says otherwise was written before.
 	endpoint.Leaving = endpoint.Leaving || old.Leaving
 	// Boxes that were told that it lapsed have dropped it, or will, unless they are told that it is back.
-	if !known || !s.isPassedOn(endpoint.ID) || !sameEntry(old, endpoint) {
+	if !known || !s.isAdvertised(endpoint.ID) || !isSameEntry(old, endpoint) {
 		s.noteChange(endpoint.ID)
 	}
 	if !known || old.Leaving != endpoint.Leaving {
@@ -201,12 +201,12 @@
 // noteChange notes that the entry of an endpoint changed, came or went; the caller holds the lock.
 func (s *syncer) noteChange(id willowwick.EndpointID) {
 	s.hasPendingChange, s.cachedListSum = true, 0
-	s.history.note(id)
+	s.history.noteChange(id)
 }
 
 // isBack reports whether the entry of an endpoint counts. One that is gone may still have a heartbeat on its way, which
 // brings its entry back; only a second one after it shows that the endpoint lives. The caller holds the lock.
-func (s *syncer) isBack(endpoint willowwick.Endpoint) bool {
+func (s *syncer) isConfirmedLive(endpoint willowwick.Endpoint) bool {
 	last, isGone := s.removed[endpoint.ID]
 	switch {
 	case !isGone:
@@ -223,28 +223,28 @@
 }
 
 // sameEntry reports whether two entries of an endpoint say the same.
-func sameEntry(a, b willowwick.Endpoint) bool {
+func isSameEntry(a, b willowwick.Endpoint) bool {
 	isSame := a.Address == b.Address && a.Service == b.Service && a.Release == b.Release && a.Leaving == b.Leaving
 	isSame = isSame && a.Incarnation == b.Incarnation
 	return isSame && !route.IsColdAgain(a.ColdUntil, b.ColdUntil)
 }
 
 // endpointGone drops an endpoint, or gives it time to come back if its entry may have lapsed with the store away.
-func (s *syncer) endpointGone(id willowwick.EndpointID, now time.Time) {
+func (s *syncer) removeEntry(id willowwick.EndpointID, now time.Time) {
 	if _, known := s.listed[id]; !known {
 		return
 	}
 	if _, waits := s.lapsed[id]; waits {
 		return
 	}
-	if !s.lastOutageAt.IsZero() && now.Sub(s.lastOutageAt) < returnGrace {
-		s.lapsed[id] = s.lastOutageAt.Add(returnGrace)
+	if !s.lastOutageAt.IsZero() && now.Sub(s.lastOutageAt) < lapsedGrace {
+		s.lapsed[id] = s.lastOutageAt.Add(lapsedGrace)
 		return
 	}
-	s.drop(id, now)
+	s.dropEntry(id, now)
 }
 
-func (s *syncer) drop(id willowwick.EndpointID, now time.Time) {
+func (s *syncer) dropEntry(id willowwick.EndpointID, now time.Time) {
 	slog.Info("endpoint gone", "endpoint", id, "release", s.listed[id].Release, "store_failed_ms_ago", now.Sub(s.lastFailureAt).Milliseconds())
 	s.router.conns.Drop(s.listed[id].Address)
 	s.removed[id] = removedEntry{heartbeat: s.listed[id].Beat}
@@ -255,7 +255,7 @@
 
 // publish gives the list to the pool; the caller holds the lock, so that the box has no list that is not in use, and none
 // takes the place of a newer one.
-func (s *syncer) publish() {
+func (s *syncer) publishList() {
 	list := make([]willowwick.Endpoint, 0, len(s.listed))
 	for _, endpoint := range s.listed {
 		list = append(list, endpoint)
--- a/exchange/listing_swap.go
+++ b/exchange/listing_swap.go
@@ -12,9 +12,9 @@
 
 const (
 	// emptySum is the sum over a list without endpoints; 0 says that the sum is not known.
-	emptySum = 1
+	emptyListSum = 1
 	// wholeEvery is how often a box asks for a whole list at most: a narrow link takes a part of a second for a long one.
-	wholeEvery = 5 * time.Second
+	wholeListInterval = 5 * time.Second
 )
 
 // EndpointList is the list of endpoints as one box passes it to another, or what changed in it.
@@ -29,7 +29,7 @@
 
 // listedFrom is where the list that this box has last changed, up to where it knows all changes, and a sum over the list, 0 if
 // it has changed since.
-func (s *syncer) listedFrom() (from, read willowwick.Position, sum uint64) {
+func (s *syncer) listPositions() (from, read willowwick.Position, sum uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.hasPendingChange {
@@ -45,7 +45,7 @@
 		return 0
 	}
 	if s.cachedListSum == 0 {
-		s.cachedListSum = emptySum
+		s.cachedListSum = emptyListSum
 		for _, endpoint := range s.listed {
 			s.cachedListSum += entrySum(endpoint)
 		}
@@ -62,15 +62,15 @@
 
 // wantsList reports whether this box asks another one for its whole list now: it reads the store for this one and lists other
 // endpoints.
-func (s *syncer) wantsList(address string, now time.Time) bool {
+func (s *syncer) wantsWholeList(address string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.differsFromReader && s.readerAddress == address && now.Sub(s.wholeListAt) >= wholeEvery
+	return s.differsFromReader && s.readerAddress == address && now.Sub(s.wholeListAt) >= wholeListInterval
 }
 
 // listFor returns the list for a box that has an older one, or asks for it: what changed since, if the box takes that and it
 // is known.
-func (s *syncer) listFor(call *SwapCall) *EndpointList {
+func (s *syncer) listForPeer(call *SwapCall) *EndpointList {
 	// A box of an earlier release does not tell how far it has read.
 	from := max(call.Digest.EndpointsFrom, call.Digest.EndpointsRead)
 	s.mu.Lock()
@@ -80,14 +80,14 @@
 		return nil
 	}
 	list := &EndpointList{Next: s.readTo, From: s.changedAt, Told: clock.Now()}
-	changed, known := s.history.since(from)
+	changed, known := s.history.changedSince(from)
 	if known && call.TakesChanges && !wantsWhole {
 		list.Since = from
 		s.addChanges(list, changed)
 		return list
 	}
 	for id, endpoint := range s.listed {
-		if s.isPassedOn(id) {
+		if s.isAdvertised(id) {
 			list.Endpoints = append(list.Endpoints, endpoint)
 		}
 	}
@@ -101,7 +101,7 @@
 		switch {
 		case !isListed:
 			list.Gone = append(list.Gone, id)
-		case s.isPassedOn(id):
+		case s.isAdvertised(id):
 			list.Endpoints = append(list.Endpoints, endpoint)
 		}
 	}
@@ -113,16 +113,16 @@
 // isPassedOn reports whether other boxes are told that an endpoint is listed. One whose entry has lapsed is not: a box that
 // could not see the store either gives it time by itself, and one that could knows whether it is gone. The caller holds the
 // lock.
-func (s *syncer) isPassedOn(id willowwick.EndpointID) bool {
+func (s *syncer) isAdvertised(id willowwick.EndpointID) bool {
 	_, isLapsed := s.lapsed[id]
 	return !isLapsed
 }
 
 // takeFromPeer takes what another box has read of the store.
-func (s *syncer) takeFromPeer(reply SwapReply, now time.Time) {
+func (s *syncer) applyPeerList(reply SwapReply, now time.Time) {
 	s.mu.Lock()
 	list := reply.Endpoints
-	isNews := list != nil && s.isNews(list, reply.Digest.Address)
+	isNews := list != nil && s.hasUpdates(list, reply.Digest.Address)
 	if isNews {
 		// What the other box lists it has judged itself.
 		for i, endpoint := range list.Endpoints {
@@ -131,22 +131,22 @@
 				list.Endpoints[i].ColdUntil = now.Add(endpoint.ColdUntil.Sub(list.Told))
 			}
 		}
-		s.apply(willowwick.EndpointChanges{
+		s.applyChanges(willowwick.EndpointChanges{
 			Whole: list.Since == 0, Present: list.Endpoints, Gone: list.Gone, Next: max(s.readTo, list.Next),
 		}, now)
-		s.settle(max(s.changedAt, list.From))
+		s.assignChangePosition(max(s.changedAt, list.From))
 		if list.Since == 0 {
-			s.history.restart(list.From)
+			s.history.forgetUntil(list.From)
 			s.differsFromReader, s.wholeListAt = false, now
 		}
 	}
-	s.compare(&reply.Digest)
+	s.compareWithReader(&reply.Digest)
 	asOf := now.Add(-time.Duration(reply.Digest.StoreAgeMs) * time.Millisecond)
 	if s.hasList && reply.Digest.EndpointsFrom <= s.readTo && asOf.After(s.endpointsAsOf) {
 		s.endpointsAsOf = asOf
 	}
 	if isNews {
-		s.publish()
+		s.publishList()
 	}
 	s.mu.Unlock()
 	s.router.noteWarm()
@@ -155,7 +155,7 @@
 // isNews reports whether a list of another box holds changes beyond what this one has read, or is to take the place of its
 // list. Of an endpoint that came and went up to there this box never knew, and would never hear that it went. The caller
 // holds the lock.
-func (s *syncer) isNews(list *EndpointList, from string) bool {
+func (s *syncer) hasUpdates(list *EndpointList, from string) bool {
 	if list.Since == 0 && s.differsFromReader && s.readerAddress == from {
 		return list.Next >= s.readTo
 	}
@@ -165,7 +165,7 @@
 // compare finds out whether the box that reads the store for this one has read as far and lists other endpoints. Two
 // boxes may judge otherwise of an endpoint that was gone and came back, by how its heartbeats fell into their reads; changes
 // alone never make that good. A box that reads for itself goes by nobody's judgement but its own. The caller holds the lock.
-func (s *syncer) compare(digest *Digest) {
+func (s *syncer) compareWithReader(digest *Digest) {
 	sum := s.listSum()
 	if digest.Address != s.readerAddress || digest.EndpointsRead < s.readTo || digest.EndpointsSum == 0 || sum == 0 {
 		return
--- a/exchange/lives.go
+++ b/exchange/lives.go
@@ -8,15 +8,15 @@
 
 // endpointLife is the life that an endpoint is in, and the one before. An endpoint may start again under its id: it knows nothing of
 // before then, and nothing that was known of it holds.
-type endpointLife struct {
-	current    willowwick.Incarnation
-	former     willowwick.Incarnation // 0 if none is known
-	formerLeft bool                   // that one ended by plan
+type endpointIncarnations struct {
+	current       willowwick.Incarnation
+	former        willowwick.Incarnation // 0 if none is known
+	formerDrained bool                   // that one ended by plan
 }
 
 // isFormerLife notes the life that an entry tells of, and reports whether it is the one before the newest that is known: its last
 // heartbeats may be written late. The caller holds the lock.
-func (s *syncer) isFormerLife(entry willowwick.Endpoint) bool {
+func (s *syncer) isFormerIncarnation(entry willowwick.Endpoint) bool {
 	life := s.incarnations[entry.ID]
 	switch entry.Incarnation {
 	case 0, life.current:
@@ -24,19 +24,19 @@
 	case life.former:
 		return true
 	}
-	s.forgetLives()
-	s.incarnations[entry.ID] = endpointLife{current: entry.Incarnation, former: life.current, formerLeft: s.leaves(entry.ID)}
-	s.beginLife(entry, life.current)
+	s.forgetIncarnations()
+	s.incarnations[entry.ID] = endpointIncarnations{current: entry.Incarnation, former: life.current, formerDrained: s.isDraining(entry.ID)}
+	s.beginIncarnation(entry, life.current)
 	return false
 }
 
 // leaves reports whether the newest life of an endpoint that is in use leaves, by its entry or by what it said. The caller holds the lock.
-func (s *syncer) leaves(id willowwick.EndpointID) bool {
+func (s *syncer) isDraining(id willowwick.EndpointID) bool {
 	return s.listed[id].Leaving || s.router.pool.IsLeaving(id)
 }
 
 // beginLife forgets what was known of the life before, if there was one; the caller holds the lock.
-func (s *syncer) beginLife(entry willowwick.Endpoint, former willowwick.Incarnation) {
+func (s *syncer) beginIncarnation(entry willowwick.Endpoint, former willowwick.Incarnation) {
 	old, wasListed := s.listed[entry.ID]
 	if _, isGone := s.removed[entry.ID]; isGone || wasListed {
 		slog.Info("endpoint started again", "endpoint", entry.ID, "incarnation", entry.Incarnation, "former", former, "was_listed", wasListed)
@@ -48,14 +48,14 @@
 	}
 	delete(s.listed, entry.ID)
 	s.router.conns.Drop(old.Address)
-	if !s.incarnations[entry.ID].formerLeft {
+	if !s.incarnations[entry.ID].formerDrained {
 		s.router.ends.endedBefore(entry.ID, former)
 	}
 }
 
 // forgetLives drops the lives of endpoints that are gone, where many are kept; the caller holds the lock.
-func (s *syncer) forgetLives() {
-	if len(s.incarnations) < historyMost {
+func (s *syncer) forgetIncarnations() {
+	if len(s.incarnations) < maxHistoryEntries {
 		return
 	}
 	for id := range s.incarnations {
@@ -66,9 +66,9 @@
 }
 
 // hasStartedAgain reports whether an endpoint is in another life than this one, which did not end by plan.
-func (s *syncer) hasStartedAgain(endpoint willowwick.Endpoint) bool {
+func (s *syncer) hasRestarted(endpoint willowwick.Endpoint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	life := s.incarnations[endpoint.ID]
-	return endpoint.Incarnation != 0 && life.former == endpoint.Incarnation && !life.formerLeft
+	return endpoint.Incarnation != 0 && life.former == endpoint.Incarnation && !life.formerDrained
 }
--- a/exchange/mesh_fleet_test.go
+++ b/exchange/mesh_fleet_test.go
@@ -121,13 +121,13 @@
 		m := newMesh(1, 2, 1, 3)
 		first, second := m.boxes[0], m.boxes[1]
 		now := time.Now()
-		second.sync.takeChanges(m.store.since(0), now, now)
+		second.sync.applyListRead(m.store.since(0), now, now)
 		cold := meshEndpoint(0, 1)
 		cold.ColdUntil = now.Add(time.Minute)
 		m.store.put(cold)
-		first.sync.takeChanges(m.store.since(0), now, now)
+		first.sync.applyListRead(m.store.since(0), now, now)
 		m.swap(t, second, first.settings.Peers, now)
-		entry, _ := second.sync.entry(cold.ID)
+		entry, _ := second.sync.listedEndpoint(cold.ID)
 		assert.False(t, entry.ColdUntil.IsZero())
 	})
 }
--- a/exchange/mesh_test.go
+++ b/exchange/mesh_test.go
@@ -268,7 +268,7 @@
 
 // read looks after the list of endpoints, and reads it if it is time to.
 func (m *mesh) read(box *meshBox, now time.Time) {
-	if box.sync.dropLapsed(now); !box.sync.mustRead(now) {
+	if box.sync.dropLapsed(now); !box.sync.mustReadList(now) {
 		return
 	}
 	if m.isAway || box.isRefused {
@@ -277,7 +277,7 @@
 		return
 	}
 	box.sync.noteAnswer(declarationsRead, now)
-	box.sync.takeChanges(m.store.since(box.sync.endpointsAt()), now, now)
+	box.sync.applyListRead(m.store.since(box.sync.listReadTo()), now, now)
 }
 
 // readConfig reads the configuration on a box that has no reader, as old as an answer may make it: one that brings news at the
@@ -438,7 +438,7 @@
 
 func (m *mesh) knowsLeaving(id willowwick.EndpointID) bool {
 	for _, box := range m.boxes {
-		if entry, _ := box.sync.entry(id); !entry.Leaving && !box.isRefused {
+		if entry, _ := box.sync.listedEndpoint(id); !entry.Leaving && !box.isRefused {
 			return false
 		}
 	}
--- a/exchange/peers_test.go
+++ b/exchange/peers_test.go
@@ -66,7 +66,7 @@
 	})
 	for _, s := range sites {
 		require.Eventually(t, func() bool {
-			_, found := s.daemon.router.sync.entry("r2")
+			_, found := s.daemon.router.sync.listedEndpoint("r2")
 			return found && s.daemon.router.configVersion() == 2
 		}, feedDrain, 5*time.Millisecond, "box %s", s.daemon.router.settings.Box)
 	}
@@ -89,7 +89,7 @@
 			continue
 		}
 		require.Eventually(t, func() bool {
-			endpoint, _ := s.daemon.router.sync.entry("r1")
+			endpoint, _ := s.daemon.router.sync.listedEndpoint("r1")
 			return endpoint.Leaving
 		}, feedDrain, 5*time.Millisecond)
 	}
@@ -150,7 +150,7 @@
 	r := newRunner(t, "r1", answerText("ok"))
 	_, sites := newHall(t, 1, r.endpoint("v1"))
 	x := sites[0].daemon.router
-	require.Eventually(t, x.sync.hasEndpoints, patience, 10*time.Millisecond)
+	require.Eventually(t, x.sync.hasEndpointList, patience, 10*time.Millisecond)
 	isCutOff := func(unreachable bool) bool {
 		now := time.Now()
 		x.sync.mu.Lock()
@@ -288,7 +288,7 @@
 	}
 	s := fed.daemon.router.sync
 	isListed := func() bool {
-		_, found := s.entry("r1")
+		_, found := s.listedEndpoint("r1")
 		return found
 	}
 	require.Eventually(t, isListed, patience, time.Millisecond)
@@ -296,5 +296,5 @@
 	s.lapsed["r1"] = time.Now()
 	s.mu.Unlock()
 	require.Eventually(t, func() bool { return !isListed() }, patience, time.Millisecond)
-	require.Eventually(t, isListed, wholeEvery+patience, time.Millisecond, "its reader lists it")
+	require.Eventually(t, isListed, wholeListInterval+patience, time.Millisecond, "its reader lists it")
 }
--- a/exchange/publish_test.go
+++ b/exchange/publish_test.go
@@ -21,10 +21,10 @@
 	now := time.Now()
 	for how, take := range map[string]func(s *syncer){
 		"read": func(s *syncer) {
-			s.takeChanges(willowwick.EndpointChanges{Whole: true, Present: []willowwick.Endpoint{endpoint}, Next: 1}, now, now)
+			s.applyListRead(willowwick.EndpointChanges{Whole: true, Present: []willowwick.Endpoint{endpoint}, Next: 1}, now, now)
 		},
 		"told": func(s *syncer) {
-			s.takeFromPeer(SwapReply{Endpoints: &EndpointList{Endpoints: []willowwick.Endpoint{endpoint}, Next: 1, From: 1, Told: now}}, now)
+			s.applyPeerList(SwapReply{Endpoints: &EndpointList{Endpoints: []willowwick.Endpoint{endpoint}, Next: 1, From: 1, Told: now}}, now)
 		},
 	} {
 		for range 3000 {
@@ -32,7 +32,7 @@
 			x.sync = newSyncer(x, nil)
 			found := make(chan int)
 			go func() {
-				for !x.sync.hasEndpoints() {
+				for !x.sync.hasEndpointList() {
 					runtime.Gosched()
 				}
 				found <- len(x.pool.Endpoints())
--- a/exchange/router.go
+++ b/exchange/router.go
@@ -271,7 +271,7 @@
 
 // noteWarm lets requests in that came before the first configuration and list of endpoints.
 func (x *Router) noteWarm() {
-	if x.table.Load() != nil && x.sync.hasEndpoints() {
+	if x.table.Load() != nil && x.sync.hasEndpointList() {
 		x.warmOnce.Do(func() { close(x.warm) })
 	}
 }
@@ -305,7 +305,7 @@
 		return false, "stopping"
 	case x.table.Load() == nil:
 		return false, "no configuration yet"
-	case !x.sync.hasEndpoints():
+	case !x.sync.hasEndpointList():
 		return false, "no endpoints known yet"
 	default:
 		return true, "ready"
--- a/exchange/swap.go
+++ b/exchange/swap.go
@@ -115,7 +115,7 @@
 // callTo is what this box tells another one.
 func (p *peers) swapCallFor(address string, now time.Time) SwapCall {
 	call := SwapCall{
-		Digest: p.ownDigest(now), KnownSum: p.rosterSum(now), TakesChanges: true, WantsList: p.router.sync.wantsList(address, now),
+		Digest: p.ownDigest(now), KnownSum: p.rosterSum(now), TakesChanges: true, WantsList: p.router.sync.wantsWholeList(address, now),
 	}
 	if version, takesPacked, heard := p.configVersionOf(address); heard {
 		call.Table, call.Packed = p.tableForPeer(version, takesPacked)
@@ -133,7 +133,7 @@
 	p.renewLastSeen(reply.HallAges, sent)
 	p.applyPeerTable(reply.Table, reply.Packed, &reply.Digest)
 	p.router.sync.hearConfig(&reply.Digest, now)
-	p.router.sync.takeFromPeer(reply, now)
+	p.router.sync.applyPeerList(reply, now)
 	isNews := p.quarantine.Took(call.Harm, reply.Harm, reply.Digest.Address, reply.Digest.Boot, now)
 	if isNews {
 		p.router.ends.countDropped()
@@ -151,7 +151,7 @@
 	p.applyPeerTable(call.Table, call.Packed, &call.Digest)
 	reply.Digest = p.ownDigest(now)
 	reply.Table, reply.Packed = p.tableForPeer(call.Digest.TableVersion, call.Digest.TakesPacked)
-	reply.Endpoints = p.router.sync.listFor(call)
+	reply.Endpoints = p.router.sync.listForPeer(call)
 	p.router.metrics.listTold(reply.Endpoints)
 	isNews := false
 	if reply.Harm, isNews = p.quarantine.Answer(call.Harm, call.Digest.Address, now); isNews {
--- a/exchange/sync.go
+++ b/exchange/sync.go
@@ -61,7 +61,7 @@
 		listed            map[willowwick.EndpointID]willowwick.Endpoint
 		lapsed            map[willowwick.EndpointID]time.Time // when an entry that is gone ends to count
 		removed           map[willowwick.EndpointID]removedEntry
-		incarnations      map[willowwick.EndpointID]endpointLife
+		incarnations      map[willowwick.EndpointID]endpointIncarnations
 		hasList           bool                // the list was read
 		readTo            willowwick.Position // from which it is read on
 		changedAt         willowwick.Position // where it last changed in more than heartbeats
@@ -103,7 +103,7 @@
 	return &syncer{
 		router: x, control: control, rolloutOrdered: make(chan struct{}, 1),
 		listed: map[willowwick.EndpointID]willowwick.Endpoint{},
-		lapsed: map[willowwick.EndpointID]time.Time{}, incarnations: map[willowwick.EndpointID]endpointLife{},
+		lapsed: map[willowwick.EndpointID]time.Time{}, incarnations: map[willowwick.EndpointID]endpointIncarnations{},
 		removed: map[willowwick.EndpointID]removedEntry{}, history: newListHistory(),
 	}
 }
@@ -160,7 +160,7 @@
 
 // mayFindReader reports whether this box serves, but has just started and is not fed yet.
 func (s *syncer) mayFindReader(now time.Time) bool {
-	serves := s.router.table.Load() != nil && s.hasEndpoints()
+	serves := s.router.table.Load() != nil && s.hasEndpointList()
 	return serves && s.router.peers.isSearchingForHub(now) && !s.hasReader(now)
 }
 
@@ -231,7 +231,7 @@
 // isFed reports whether another box of the hall reads the store for this one.
 func (s *syncer) hasReader(now time.Time) bool {
 	reader, found := s.router.peers.reader(now)
-	found = found && s.router.table.Load() != nil && s.hasEndpoints()
+	found = found && s.router.table.Load() != nil && s.hasEndpointList()
 	address := ""
 	if found {
 		address = reader.Address
