--- a/exchange/call.go
+++ b/exchange/call.go
@@ -142,7 +142,7 @@
 // unlessStale refuses for good what a configuration does not allow, unless another one may have to be in force by now. The
 // age is taken before the configuration: one that comes into force in between makes no older one up to date.
 func (x *Router) unlessStale(refusal *willowwick.Refusal, t *table, now time.Time) *willowwick.Refusal {
-	isStale := x.sync.isStale(now) || x.table.Load() != t
+	isStale := x.sync.isConfigStale(now) || x.table.Load() != t
 	return refusal.UnlessStale(isStale, now.Add(comeBackLater))
 }
 
--- a/exchange/daemon.go
+++ b/exchange/daemon.go
@@ -99,8 +99,8 @@
 		d.workers.Go(func() { x.hints.send(ctx) })
 	}
 	for _, work := range []func(context.Context){
-		x.gate.Run, x.sync.followDeclarations, x.sync.followRolloutOrders, x.sync.followEndpoints, x.sync.keepMembership,
-		x.sync.judgeReleases, x.sync.lead, x.sync.keepHarmful, x.peers.run,
+		x.gate.Run, x.sync.followDeclarations, x.sync.followRolloutOrders, x.sync.followEndpoints, x.sync.maintainMembership,
+		x.sync.evaluateReleases, x.sync.writeRolloutStates, x.sync.keepHarmful, x.peers.run,
 	} {
 		d.workers.Go(func() { work(ctx) })
 	}
--- a/exchange/digest.go
+++ b/exchange/digest.go
@@ -96,11 +96,11 @@
 	digest := Digest{
 		Box: x.settings.Box, Boot: x.settings.Boot, Hall: x.settings.Hall, Address: x.settings.Peers,
 		LinkMbps: x.settings.LinkMbps, StartedMs: p.startedMs, TableVersion: x.configVersion(), TakesPacked: true, ConfigAgeMs: configAge,
-		StoreAgeMs: x.sync.endpointsAge(now).Milliseconds(), ReadAgeMs: min(x.sync.readAge(now), maxReportedAge).Milliseconds(),
+		StoreAgeMs: x.sync.endpointsAge(now).Milliseconds(), ReadAgeMs: min(x.sync.storeReadAge(now), maxReportedAge).Milliseconds(),
 		Evacuated: x.evacuations.set(), Admitted: x.admissions.set(), Leaving: x.pool.LeavingUnlisted(),
 		Own: p.ownReport(), Verdicts: x.releases.ended(now), Speeds: x.pool.Speeds(),
 	}
-	digest.RestoringMs = x.sync.restoringFor(now).Milliseconds()
+	digest.RestoringMs = x.sync.restoringTimeLeft(now).Milliseconds()
 	digest.EndpointsFrom, digest.EndpointsRead, digest.EndpointsSum = x.sync.listPositions()
 	for _, own := range x.releases.progresses(now) {
 		digest.Progress = append(digest.Progress, ProgressRow{Status: own.Status, Order: own.Order, AgeMs: own.AgeMs})
--- a/exchange/era.go
+++ b/exchange/era.go
@@ -9,7 +9,7 @@
 
 // writtenAgainWithin is how long after a store came back from a copy of itself what the copy lacks of the operator's declarations may
 // be missing. Boxes are held to what was declared again once the store has been well for three to four seconds.
-const writtenAgainWithin = 4 * time.Second
+const restoreTime = 4 * time.Second
 
 // noteEra notes the era of the store that something known is of. A new one begins with a copy that lacks what was written last: what
 // endpoints and the operator wrote, they write again; what boxes wrote, they have to.
@@ -38,12 +38,12 @@
 	}
 	// Endpoints whose entries the copy lacks are back as soon as after an outage.
 	s.lastOutageAt = now
-	s.restoringUntil = now.Add(writtenAgainWithin)
+	s.restoringUntil = now.Add(restoreTime)
 	return former, true
 }
 
 // isCurrent reports whether a position is of the newest era that is known.
-func (s *syncer) isCurrent(at willowwick.Position) bool {
+func (s *syncer) isCurrentEra(at willowwick.Position) bool {
 	return at.Era() >= s.currentEra()
 }
 
@@ -55,11 +55,11 @@
 
 // isRestoring reports whether the store may still lack what the operator had declared, and has to write again.
 func (s *syncer) isRestoring(now time.Time) bool {
-	return s.restoringFor(now) > 0
+	return s.restoringTimeLeft(now) > 0
 }
 
 // restoringFor is for how long the store may still lack it.
-func (s *syncer) restoringFor(now time.Time) time.Duration {
+func (s *syncer) restoringTimeLeft(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return max(s.restoringUntil.Sub(now), 0)
@@ -67,7 +67,7 @@
 
 // hearRestoring takes from another box for how long the store may still lack something. A box that has started since then has read a
 // configuration that need not be the newest.
-func (s *syncer) hearRestoring(restoring time.Duration, now time.Time) {
+func (s *syncer) noteRestoringFromPeer(restoring time.Duration, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if restoring > 0 && s.restoringUntil.IsZero() {
@@ -78,7 +78,7 @@
 // isWrittenAgain reports whether an order is one that was known before the store came back from a copy: the current one, which keeps
 // how far it has come, or one of the copy whose place a later one had taken, which is put off until that one has had the time to be
 // written again. The caller holds the lock.
-func (r *releases) isWrittenAgain(order willowwick.ReleaseOrder, now time.Time) bool {
+func (r *releases) isRewrittenOrder(order willowwick.ReleaseOrder, now time.Time) bool {
 	m := r.moves[order.Service]
 	if m == nil || order.At.Era() <= m.order.At.Era() || !now.Before(r.restoredAt) {
 		return false
@@ -95,7 +95,7 @@
 }
 
 // beginPutOff begins the roll-outs that were put off and still are the newest; the caller holds the lock.
-func (r *releases) beginPutOff(now time.Time) {
+func (r *releases) beginDeferred(now time.Time) {
 	if now.Before(r.restoredAt) {
 		return
 	}
@@ -117,7 +117,7 @@
 	if era <= r.era {
 		return 0
 	}
-	r.era, r.restoredAt = era, now.Add(writtenAgainWithin)
+	r.era, r.restoredAt = era, now.Add(restoreTime)
 	for _, m := range r.moves {
 		m.written = false
 	}
--- a/exchange/era_test.go
+++ b/exchange/era_test.go
@@ -87,12 +87,12 @@
 				other.hear(e.set(), "box-1")
 				assert.Equal(t, test.first, e.count(), "after the first read")
 				assert.Equal(t, test.first, other.count(), "at a box that is told of it")
-				time.Sleep(writtenAgainWithin / 2)
+				time.Sleep(restoreTime / 2)
 				e.read(false, in(2, 40), test.after...)
 				other.hear(e.set(), "box-1")
 				assert.Equal(t, test.then, e.count(), "after what came then")
 				assert.Equal(t, test.then, other.count(), "at a box that is told of it")
-				time.Sleep(writtenAgainWithin)
+				time.Sleep(restoreTime)
 				assert.Equal(t, test.last, e.count(), "in the end")
 				assert.Equal(t, test.last, other.count(), "at a box that was told of it")
 			})
@@ -111,7 +111,7 @@
 		assert.Equal(t, 1, e.count())
 		e.read(false, in(2, 9), takenBackAt(in(2, 8)))
 		assert.Equal(t, 1, e.count(), "a late answer of the era before says nothing")
-		time.Sleep(writtenAgainWithin - time.Second/2)
+		time.Sleep(restoreTime - time.Second/2)
 		assert.Equal(t, 1, e.count())
 		time.Sleep(time.Second)
 		assert.Zero(t, e.count())
@@ -129,7 +129,7 @@
 			assert.Zero(t, e.count())
 			time.Sleep(time.Second)
 		}
-		time.Sleep(writtenAgainWithin)
+		time.Sleep(restoreTime)
 		assert.Equal(t, 1, e.count(), "the operator has declared it again")
 	})
 }
@@ -150,7 +150,7 @@
 		a.declare(willowwick.Declarations{Whole: true, Next: in(2, 4)})
 		assert.False(t, harm.Refuses(request.Request))
 		a.declare(willowwick.Declarations{Next: in(2, 5), Admissions: admission(in(2, 4))})
-		time.Sleep(2 * writtenAgainWithin)
+		time.Sleep(2 * restoreTime)
 		assert.False(t, harm.Refuses(request.Request))
 	})
 }
@@ -186,7 +186,7 @@
 		require.Equal(t, willowwick.ReleaseID("v3"), r.progresses(at(0.2))[0].Status.Target)
 		return r
 	}
-	later := at(0.2).Add(writtenAgainWithin + time.Second)
+	later := at(0.2).Add(restoreTime + time.Second)
 	r := newMoved()
 	r.begin(orderOf("v3", in(2, 14)), 0, at(0.25))
 	r.judge(nil, later)
@@ -224,8 +224,8 @@
 	s := newSite(t, newRunner(t, "r1", answerText("ok")).endpoint("v1"))
 	x := s.daemon.router
 	s.control.comeBack(func() {})
-	require.Eventually(t, func() bool { return x.sync.isStale(time.Now()) }, writtenAgainWithin, 5*time.Millisecond)
-	require.Eventually(t, func() bool { return !x.sync.isStale(time.Now()) }, writtenAgainWithin, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return x.sync.isConfigStale(time.Now()) }, restoreTime, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return !x.sync.isConfigStale(time.Now()) }, restoreTime, 5*time.Millisecond)
 }
 
 // Pattern: the store is away and comes back from a copy that lacks a tenth of the endpoints; these write their entries again within two
@@ -305,6 +305,6 @@
 	settings := testSettings()
 	settings.Box, settings.Seeds = "box-new", []string{s.daemon.router.settings.Peers}
 	fresh := startSite(t, s.control, settings)
-	require.Eventually(t, func() bool { return fresh.daemon.router.sync.isStale(time.Now()) }, inForceWithin/2, time.Millisecond)
+	require.Eventually(t, func() bool { return fresh.daemon.router.sync.isConfigStale(time.Now()) }, inForceWithin/2, time.Millisecond)
 	assert.Equal(t, 503, fresh.do(t, "GET", "/nowhere/", "id", "").status)
 }
--- a/exchange/evidence.go
+++ b/exchange/evidence.go
@@ -102,7 +102,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.forget(now)
-	r.beginPutOff(now)
+	r.beginDeferred(now)
 	var bad []willowwick.ReleaseStatus
 	for service, m := range r.moves {
 		if m.state != willowwick.ReleaseRunning {
--- a/exchange/for_good_test.go
+++ b/exchange/for_good_test.go
@@ -91,7 +91,7 @@
 	const watched = 3 * time.Second
 	_, sites := newLosingHall(t, 3)
 	for _, s := range sites {
-		require.Eventually(t, func() bool { return !s.daemon.router.sync.isStale(time.Now()) }, patience, time.Millisecond)
+		require.Eventually(t, func() bool { return !s.daemon.router.sync.isConfigStale(time.Now()) }, patience, time.Millisecond)
 	}
 	for began := time.Now(); time.Since(began) < watched; time.Sleep(20 * time.Millisecond) {
 		for _, s := range sites {
--- a/exchange/freshness.go
+++ b/exchange/freshness.go
@@ -10,13 +10,13 @@
 // isStale reports whether a configuration may have to be in force that this box does not have: one that was accepted long
 // enough ago, and after this box's was the newest for certain. Where nothing fails, a box's is at most twice heldLimit and one
 // swap old, since the store may answer with news at the end of one held read and without at the end of the next.
-func (s *syncer) isStale(now time.Time) bool {
+func (s *syncer) isConfigStale(now time.Time) bool {
 	return s.configAge(now) > s.router.settings.InForce
 }
 
 // noteConfig notes that this box has the configuration that was in the store at a moment, or a newer one: all that was
 // accepted until then. It is called once that configuration is in force here.
-func (s *syncer) noteConfig(asOf time.Time) {
+func (s *syncer) noteConfigAsOf(asOf time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.configAsOf = latest(s.configAsOf, asOf)
@@ -24,11 +24,11 @@
 
 // hearConfig takes from another box's answer from when its configuration is. It says something of this box's own only if
 // that is as new.
-func (s *syncer) hearConfig(digest *Digest, now time.Time) {
+func (s *syncer) noteConfigFromPeer(digest *Digest, now time.Time) {
 	if digest.ConfigAgeMs == 0 || digest.TableVersion > s.router.configVersion() || s.isRestoring(now) {
 		return
 	}
-	s.noteConfig(now.Add(-time.Duration(digest.ConfigAgeMs) * time.Millisecond))
+	s.noteConfigAsOf(now.Add(-time.Duration(digest.ConfigAgeMs) * time.Millisecond))
 }
 
 // configAge is how long ago the configuration that this box has was the newest for certain, whichever box read that;
@@ -42,7 +42,7 @@
 // readAsOf is from when the answer to a read of the declarations is for certain, of which only the arrival is known. The
 // store answers as soon as there is news: an answer that brings some may have been made as soon as the read was sent, and
 // may have been under way since. One without news was made once the store had waited for it.
-func readAsOf(began, ended time.Time, wait time.Duration, from willowwick.Position, declared willowwick.Declarations) time.Time {
+func declarationsAsOf(began, ended time.Time, wait time.Duration, from willowwick.Position, declared willowwick.Declarations) time.Time {
 	if waited := began.Add(wait); declared.Next == from && !waited.After(ended) {
 		return waited
 	}
@@ -51,40 +51,40 @@
 
 // readAge is how long ago it showed that this box can read the store, all of it; as long as no read has failed, what
 // other boxes read for it counts too, since it did not have to read then.
-func (s *syncer) readAge(now time.Time) time.Duration {
+func (s *syncer) storeReadAge(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var age time.Duration
 	for kind, failing := range s.failing {
-		if failing || readKind(kind) == declarationsRead && s.heldFor(now) > s.longPollLimit()+longPollMargin {
+		if failing || readKind(kind) == declarationsRead && s.longPollDuration(now) > s.longPollLimit()+longPollMargin {
 			age = max(age, now.Sub(s.answeredAt[kind]))
 		}
 	}
 	if age > 0 {
 		return age
 	}
-	return s.reachAge(now)
+	return s.storeAnswerAge(now)
 }
 
 // reachAge is how long ago the store answered this box anything, or another box that read for it; the caller holds the
 // lock.
-func (s *syncer) reachAge(now time.Time) time.Duration {
+func (s *syncer) storeAnswerAge(now time.Time) time.Duration {
 	age := min(now.Sub(s.answeredAt[declarationsRead]), now.Sub(s.answeredAt[endpointsRead]))
-	if s.isUnreachable() {
+	if s.isAnyReadFailing() {
 		return age
 	}
 	return min(age, now.Sub(s.endpointsAsOf))
 }
 
 // isReached reports whether the store answers this box anything.
-func (s *syncer) isReached(now time.Time) bool {
+func (s *syncer) isStoreReached(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.reachAge(now) <= s.router.maxStoreDataAge()
+	return s.storeAnswerAge(now) <= s.router.maxStoreDataAge()
 }
 
 // isUnreachable reports whether a last read failed; the caller holds the lock.
-func (s *syncer) isUnreachable() bool {
+func (s *syncer) isAnyReadFailing() bool {
 	return s.failing != [readKindCount]bool{}
 }
 
@@ -104,7 +104,7 @@
 		return
 	}
 	s.failing[kind] = false
-	slog.Info("store is reached again", "read", kind.String(), "away_ms", now.Sub(s.lastFailureAt).Milliseconds(), "held_read_ms", s.heldFor(now).Milliseconds())
+	slog.Info("store is reached again", "read", kind.String(), "away_ms", now.Sub(s.lastFailureAt).Milliseconds(), "held_read_ms", s.longPollDuration(now).Milliseconds())
 }
 
 // noteFailure notes that the store does not answer reads of a kind. A read of the other kind goes on: its own limits end it,
@@ -123,14 +123,14 @@
 }
 
 // isFailing reports whether the last read of a kind failed.
-func (s *syncer) isFailing(kind readKind) bool {
+func (s *syncer) isReadFailing(kind readKind) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.failing[kind]
 }
 
 // heldFor is how long the store has held a read; the caller holds the lock.
-func (s *syncer) heldFor(now time.Time) time.Duration {
+func (s *syncer) longPollDuration(now time.Time) time.Duration {
 	if s.longPollSince.IsZero() {
 		return 0
 	}
@@ -138,10 +138,10 @@
 }
 
 // heldAge is how long the store has held a read, 0 if it holds none.
-func (s *syncer) heldAge(now time.Time) time.Duration {
+func (s *syncer) longPollAge(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.heldFor(now)
+	return s.longPollDuration(now)
 }
 
 // declaredAge is how long ago the store last answered with what is declared, 0 if it never did.
--- a/exchange/freshness_test.go
+++ b/exchange/freshness_test.go
@@ -25,7 +25,7 @@
 		"news that came in slowly":                          {5 * time.Second, wait, 8, 0},
 		"no news, in an answer that was long under way too": {5 * time.Second, wait, 7, wait},
 	} {
-		asOf := readAsOf(began, began.Add(read.took), read.wait, 7, willowwick.Declarations{Next: read.next})
+		asOf := declarationsAsOf(began, began.Add(read.took), read.wait, 7, willowwick.Declarations{Next: read.next})
 		assert.Equal(t, read.want, asOf.Sub(began), name)
 	}
 }
@@ -49,8 +49,8 @@
 		x.peers = &peers{router: x, startedAt: time.Now()}
 		x.setTable(testTable(5, onceRoute()), "test")
 		now := time.Now()
-		x.sync.noteConfig(now.Add(-time.Second))
-		x.sync.hearConfig(&heard.digest, now)
+		x.sync.noteConfigAsOf(now.Add(-time.Second))
+		x.sync.noteConfigFromPeer(&heard.digest, now)
 		assert.Equal(t, heard.want, x.sync.configAge(now), name)
 	}
 }
--- a/exchange/harm.go
+++ b/exchange/harm.go
@@ -31,7 +31,7 @@
 		return nil
 	}
 	x := c.router
-	if x.sync.isLeading() {
+	if x.sync.isRolloutLeader() {
 		if release, isAllowed := x.harm.Trial(c.identify(), x.releasesOf(c.service, now), now); isAllowed {
 			slog.Info("refused request is tried", "request", c.head.ID, "fingerprint", c.fingerprint().String(), "release", release)
 			x.peers.requestRound()
--- a/exchange/hub.go
+++ b/exchange/hub.go
@@ -37,7 +37,7 @@
 
 // reads reports whether this box reaches the store, as far as it has shown.
 func (p *peers) reachesStore(now time.Time) bool {
-	return p.router.sync.readAge(now) <= p.router.maxStoreDataAge()
+	return p.router.sync.storeReadAge(now) <= p.router.maxStoreDataAge()
 }
 
 // isBehind reports whether a box of the hall that comes before this one is in touch, whether it reads the store or not.
--- a/exchange/known.go
+++ b/exchange/known.go
@@ -129,7 +129,7 @@
 	p.mergeHallReports(digest.Halls, now)
 	p.mu.Unlock()
 	p.router.sync.noteEra(max(digest.EndpointsRead, digest.Evacuated.AsOf), now, "peer "+string(digest.Box))
-	p.router.sync.hearRestoring(time.Duration(digest.RestoringMs)*time.Millisecond, now)
+	p.router.sync.noteRestoringFromPeer(time.Duration(digest.RestoringMs)*time.Millisecond, now)
 	p.router.evacuations.hear(digest.Evacuated, "peer "+string(digest.Box))
 	p.router.admissions.hear(digest.Admitted, "peer "+string(digest.Box))
 	p.router.hearLeaving(digest.Leaving, "peer "+string(digest.Box))
--- a/exchange/lead.go
+++ b/exchange/lead.go
@@ -14,17 +14,17 @@
 
 const (
 	// joinEvery is how often the box renews its place in the group: thrice within the time to live.
-	joinEvery = time.Second
+	joinInterval = time.Second
 	// membersEvery is how often the group is listed where its generation has not changed.
-	membersEvery = 10 * time.Second
+	memberListInterval = 10 * time.Second
 	// leadEvery is how often a box judges releases, and the one that leads looks for states to write.
-	leadEvery = 300 * time.Millisecond
+	rolloutInterval = 300 * time.Millisecond
 	// memberSeparator stands between the parts of a member's name.
 	memberSeparator = "@"
 )
 
 // keepMembership keeps this box in the group and learns of the others until the context ends.
-func (s *syncer) keepMembership(ctx context.Context) {
+func (s *syncer) maintainMembership(ctx context.Context) {
 	member := memberName(s.router.peers.self())
 	var listedAt time.Time
 	sleep(ctx, hubSearchTime)
@@ -34,13 +34,13 @@
 		switch {
 		case s.maySkipCalls(now):
 			// A call would be lost; the group has dropped this box by then, or does so now.
-			s.setLead(false, "the store is not reached")
+			s.setLeader(false, "the store is not reached")
 		case isFed:
 			s.leaveGroup(ctx, member)
 		default:
 			listedAt = s.joinGroup(ctx, member, listedAt)
 		}
-		sleep(ctx, joinEvery)
+		sleep(ctx, joinInterval)
 	}
 }
 
@@ -50,14 +50,14 @@
 	membership, err := s.control.Join(ctx, member, s.generation)
 	now := clock.Now()
 	if err != nil {
-		s.setLead(false, "the group does not answer")
+		s.setLeader(false, "the group does not answer")
 		return listedAt
 	}
 	s.isMember = true
 	changed := membership.Generation != s.generation
 	s.generation = membership.Generation
-	s.setLead(membership.Leads, "the group says so")
-	if !changed && now.Sub(listedAt) <= membersEvery {
+	s.setLeader(membership.Leads, "the group says so")
+	if !changed && now.Sub(listedAt) <= memberListInterval {
 		return listedAt
 	}
 	s.listMembers(ctx, now)
@@ -69,7 +69,7 @@
 	if !s.isMember {
 		return
 	}
-	s.setLead(false, "another box of the hall reads the store")
+	s.setLeader(false, "another box of the hall reads the store")
 	if err := s.control.Leave(ctx, member); err != nil {
 		slog.Info("group was not left; the store drops this box by its silence", "error", err)
 	}
@@ -83,7 +83,7 @@
 		return
 	}
 	for _, member := range members {
-		s.router.peers.noteBox(boxOfMember(member), now)
+		s.router.peers.noteBox(parseMemberName(member), now)
 	}
 }
 
@@ -93,7 +93,7 @@
 }
 
 // boxOfMember is the box that a member's name tells of; what a name does not tell is learnt once the box is heard of.
-func boxOfMember(member string) KnownBox {
+func parseMemberName(member string) KnownBox {
 	address, rest, _ := strings.Cut(member, memberSeparator)
 	hall, link, _ := strings.Cut(rest, memberSeparator)
 	box := KnownBox{Address: address, Hall: willowwick.HallID(hall)}
@@ -103,7 +103,7 @@
 	return box
 }
 
-func (s *syncer) setLead(leads bool, why string) {
+func (s *syncer) setLeader(leads bool, why string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if leads != s.isLeader {
@@ -112,7 +112,7 @@
 	s.isLeader = leads
 }
 
-func (s *syncer) isLeading() bool {
+func (s *syncer) isRolloutLeader() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.isLeader
@@ -120,7 +120,7 @@
 
 // judgeReleases judges roll-outs on every box, and closes idle connections in time, until the context ends. No wait for the
 // store is part of it: a bad release gets requests for as long as nobody judges it.
-func (s *syncer) judgeReleases(ctx context.Context) {
+func (s *syncer) evaluateReleases(ctx context.Context) {
 	for ctx.Err() == nil {
 		now := clock.Now()
 		s.router.releases.setBoxes(s.router.peers.fleetSize())
@@ -129,19 +129,19 @@
 		s.router.releases.setKeptElsewhere(report.Kept)
 		s.router.releases.judge(report.evidence(), now)
 		s.router.conns.Sweep(now)
-		sleep(ctx, leadEvery)
+		sleep(ctx, rolloutInterval)
 	}
 }
 
 // lead writes the states of roll-outs on the box that leads, until the context ends.
-func (s *syncer) lead(ctx context.Context) {
+func (s *syncer) writeRolloutStates(ctx context.Context) {
 	for ctx.Err() == nil {
-		if now := clock.Now(); s.isLeading() {
+		if now := clock.Now(); s.isRolloutLeader() {
 			for _, due := range s.router.releases.due(now) {
-				s.writeDue(ctx, due, now)
+				s.writeState(ctx, due, now)
 			}
 		}
-		sleep(ctx, leadEvery)
+		sleep(ctx, rolloutInterval)
 	}
 }
 
@@ -151,14 +151,14 @@
 		return statuses, err
 	}
 	for _, status := range statuses.Statuses {
-		s.router.releases.settle(status, s.isCurrent(statuses.End), "store")
+		s.router.releases.settle(status, s.isCurrentEra(statuses.End), "store")
 	}
 	return statuses, nil
 }
 
 // writeDue writes a state unless the store already holds a final one; a box that led before finds that here.
-func (s *syncer) writeDue(ctx context.Context, due dueStatus, now time.Time) {
-	if !due.lastCall && !s.hasMoved(due.ReleaseStatus, now) {
+func (s *syncer) writeState(ctx context.Context, due dueStatus, now time.Time) {
+	if !due.lastCall && !s.hasFleetMoved(due.ReleaseStatus, now) {
 		return
 	}
 	statuses, err := s.readStatuses(ctx)
@@ -180,11 +180,11 @@
 		return
 	}
 	slog.Info("state of a roll-out written", "service", due.Service, "release", due.Target, "state", due.State, "after", statuses.End)
-	s.router.releases.settle(due.ReleaseStatus, s.isCurrent(statuses.End), "written here")
+	s.router.releases.settle(due.ReleaseStatus, s.isCurrentEra(statuses.End), "written here")
 }
 
 // hasMoved reports whether no box in touch sends to the old release or has requests under way there.
-func (s *syncer) hasMoved(status willowwick.ReleaseStatus, now time.Time) bool {
+func (s *syncer) hasFleetMoved(status willowwick.ReleaseStatus, now time.Time) bool {
 	if s.router.inFlightOutsideTarget(status) > 0 {
 		return false
 	}
--- a/exchange/mesh_fleet_test.go
+++ b/exchange/mesh_fleet_test.go
@@ -201,13 +201,13 @@
 		m.isAway = true
 		m.run(t, inForceWithin+meshStep)
 		for _, box := range m.boxes {
-			require.True(t, box.sync.isStale(time.Now()), "at %s", box.settings.Box)
+			require.True(t, box.sync.isConfigStale(time.Now()), "at %s", box.settings.Box)
 		}
 		m.run(t, 5*time.Second)
 		m.isAway = false
 		m.run(t, meshDrain)
 		for _, box := range m.boxes {
-			require.False(t, box.sync.isStale(time.Now()), "at %s", box.settings.Box)
+			require.False(t, box.sync.isConfigStale(time.Now()), "at %s", box.settings.Box)
 		}
 	})
 }
--- a/exchange/mesh_test.go
+++ b/exchange/mesh_test.go
@@ -289,7 +289,7 @@
 	held := box.sync.longPollLimit()
 	box.configAt = now.Add(held)
 	if !m.isAway && !box.isRefused {
-		box.sync.noteConfig(now.Add(-held))
+		box.sync.noteConfigAsOf(now.Add(-held))
 	}
 }
 
--- a/exchange/peers_test.go
+++ b/exchange/peers_test.go
@@ -180,8 +180,8 @@
 
 func TestMembersTellTheirHall(t *testing.T) {
 	box := KnownBox{Address: "10.0.0.1:8188", Hall: "hall-a", LinkMbps: 200}
-	assert.Equal(t, box, boxOfMember(memberName(box)))
-	assert.Equal(t, KnownBox{Address: "10.0.0.1:8188"}, boxOfMember("10.0.0.1:8188"))
+	assert.Equal(t, box, parseMemberName(memberName(box)))
+	assert.Equal(t, KnownBox{Address: "10.0.0.1:8188"}, parseMemberName("10.0.0.1:8188"))
 }
 
 // A hub passes what is large on to all boxes of its hall, so the widest link does it.
@@ -227,12 +227,12 @@
 	const watched = 3 * time.Second
 	time.Sleep(watched)
 	// The first box asks with its usual pauses, on two topics and for the group; the others share one pause.
-	first := float64(watched)*2/float64(maxReadRetry) + float64(watched)/float64(joinEvery)
+	first := float64(watched)*2/float64(maxReadRetry) + float64(watched)/float64(joinInterval)
 	others := float64(watched) / float64(hallProbeInterval)
 	assert.LessOrEqual(t, float64(control.calls.Load()-before), first+others+boxes)
 	control.change(func() { control.down = false })
 	for _, s := range sites {
-		require.Eventually(t, func() bool { return !s.daemon.router.sync.isStale(time.Now()) }, patience, 10*time.Millisecond)
+		require.Eventually(t, func() bool { return !s.daemon.router.sync.isConfigStale(time.Now()) }, patience, 10*time.Millisecond)
 	}
 }
 
--- a/exchange/regain_test.go
+++ b/exchange/regain_test.go
@@ -61,7 +61,7 @@
 	x := second.daemon.router
 	require.Eventually(t, func() bool { return x.sync.declaredAge(time.Now()) > 0 }, patience, time.Millisecond)
 	controls[1].turnedAway.Store(true)
-	require.Eventually(t, func() bool { return x.sync.isFailing(declarationsRead) }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return x.sync.isReadFailing(declarationsRead) }, patience, time.Millisecond)
 	settings.Box, settings.LinkMbps, settings.Seeds = "box-first", 200, []string{x.settings.Peers}
 	first := startSite(t, controls[0], settings)
 	require.Eventually(t, func() bool {
@@ -69,7 +69,7 @@
 		return isFed
 	}, patience, 10*time.Millisecond)
 	time.Sleep(peerLiveness)
-	require.True(t, x.sync.isFailing(declarationsRead), "a box that is fed reads none that could take it back")
+	require.True(t, x.sync.isReadFailing(declarationsRead), "a box that is fed reads none that could take it back")
 	controls[1].turnedAway.Store(false)
 	return control, controls, []*site{first, second}
 }
--- a/exchange/release.go
+++ b/exchange/release.go
@@ -92,7 +92,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.enterEra(order.At.Era(), now)
-	if !r.isWrittenAgain(order, now) {
+	if !r.isRewrittenOrder(order, now) {
 		r.beginNew(order, age, now)
 	}
 }
--- a/exchange/standing.go
+++ b/exchange/standing.go
@@ -183,11 +183,11 @@
 
 // settleLater gives the operator the time to write again what a copy lacks; the caller holds the lock.
 func (k *standingKeeper[K]) settleLater() {
-	k.settleAt = clock.Now().Add(writtenAgainWithin)
+	k.settleAt = clock.Now().Add(restoreTime)
 	if k.timer == nil {
-		k.timer = time.AfterFunc(writtenAgainWithin, k.settle)
+		k.timer = time.AfterFunc(restoreTime, k.settle)
 	} else {
-		k.timer.Reset(writtenAgainWithin)
+		k.timer.Reset(restoreTime)
 	}
 }
 
--- a/exchange/statuses_test.go
+++ b/exchange/statuses_test.go
@@ -48,7 +48,7 @@
 	control := &slowStatuses{testControl: newTestControl(testTable(1, onceRoute()), r.endpoint("v1"))}
 	s := startSite(t, control, testSettings())
 	x := s.daemon.router
-	require.Eventually(t, x.sync.isLeading, patience, time.Millisecond)
+	require.Eventually(t, x.sync.isRolloutLeader, patience, time.Millisecond)
 	control.change(func() {
 		control.orders = []willowwick.ReleaseOrder{{Service: "work", Target: "v2", Period: time.Minute, At: 1}}
 	})
@@ -64,5 +64,5 @@
 			}
 		}
 		return false
-	}, 4*leadEvery, 5*time.Millisecond)
+	}, 4*rolloutInterval, 5*time.Millisecond)
 }
--- a/exchange/swap.go
+++ b/exchange/swap.go
@@ -132,7 +132,7 @@
 	p.noteKnownRows(reply.Known, sent)
 	p.renewLastSeen(reply.HallAges, sent)
 	p.applyPeerTable(reply.Table, reply.Packed, &reply.Digest)
-	p.router.sync.hearConfig(&reply.Digest, now)
+	p.router.sync.noteConfigFromPeer(&reply.Digest, now)
 	p.router.sync.applyPeerList(reply, now)
 	isNews := p.quarantine.Took(call.Harm, reply.Harm, reply.Digest.Address, reply.Digest.Boot, now)
 	if isNews {
--- a/exchange/sync.go
+++ b/exchange/sync.go
@@ -142,7 +142,7 @@
 		s.noteAnswer(declarationsRead, ended)
 		s.applyDeclarations(declared)
 		if !declared.Partial && !s.isRestoring(ended) {
-			s.noteConfig(readAsOf(began, ended, wait, next, declared))
+			s.noteConfigAsOf(declarationsAsOf(began, ended, wait, next, declared))
 		}
 		next = declared.Next
 		s.awaitReader(ctx)
@@ -181,7 +181,7 @@
 // soon, nothing is held that would be given up.
 func (s *syncer) nextLongPoll(now time.Time) time.Duration {
 	limit := s.longPollLimit()
-	if s.isFailing(declarationsRead) || s.declaredAge(now) > 2*limit || s.mayFindReader(now) {
+	if s.isReadFailing(declarationsRead) || s.declaredAge(now) > 2*limit || s.mayFindReader(now) {
 		return 0
 	}
 	return limit
@@ -219,13 +219,13 @@
 // mayRest reports whether calls other than the reads of endpoints can wait: this box has not shown of late that it
 // reaches the store at all, and one before it in its hall looks for it too.
 func (s *syncer) maySkipCalls(now time.Time) bool {
-	return s.router.table.Load() != nil && !s.isReached(now) && s.router.peers.hasPredecessor(now)
+	return s.router.table.Load() != nil && !s.isStoreReached(now) && s.router.peers.hasPredecessor(now)
 }
 
 // mustRegain reports whether this box goes on with reads of a kind that fail although another reads for it: it is the first
 // of its hall, which the others follow for its link.
 func (s *syncer) mustKeepReading(kind readKind, now time.Time) bool {
-	return s.isFailing(kind) && !s.router.peers.hasPredecessor(now)
+	return s.isReadFailing(kind) && !s.router.peers.hasPredecessor(now)
 }
 
 // isFed reports whether another box of the hall reads the store for this one.
--- a/exchange/sync_test.go
+++ b/exchange/sync_test.go
@@ -4,5 +4,5 @@
 func (s *syncer) isAway() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.isUnreachable()
+	return s.isAnyReadFailing()
 }
