--- a/exchange/admission.go
+++ b/exchange/admission.go
@@ -18,13 +18,13 @@
 
 	// admissions keeps the newest set of admitted requests that is known, and puts it in force on the ledger.
 	admissions struct {
-		standingKeeper[willowwick.Fingerprint]
+		declaredSetKeeper[willowwick.Fingerprint]
 	}
 )
 
 func newAdmissions(harm *quarantine.Ledger) *admissions {
 	a := &admissions{}
-	a.put = func(old, news inForce[willowwick.Fingerprint], source string) {
+	a.onChange = func(old, news effectiveSet[willowwick.Fingerprint], source string) {
 		if len(news.members) > 0 || len(old.members) > 0 {
 			slog.Info("requests admitted by the operator", "requests", len(news.members), "as_of", news.asOf, "source", source)
 		}
@@ -36,19 +36,19 @@
 // set is the newest set that is known; empty until the operator has admitted a request.
 func (a *admissions) set() AdmittedRequests {
 	known := a.newest()
-	return AdmittedRequests{AsOf: known.asOf, Requests: known.members, TakenBack: known.takenBack, HeldOver: known.heldOver}
+	return AdmittedRequests{AsOf: known.asOf, Requests: known.members, TakenBack: known.revoked, HeldOver: known.heldOver}
 }
 
 // declare takes what a read of the store brought.
 func (a *admissions) declare(declared willowwick.Declarations) {
-	changes := make([]standingChange[willowwick.Fingerprint], 0, len(declared.Admissions))
+	changes := make([]declaredChange[willowwick.Fingerprint], 0, len(declared.Admissions))
 	for _, admission := range declared.Admissions {
-		changes = append(changes, standingChange[willowwick.Fingerprint]{admission.Request, admission.TakenBack, admission.At})
+		changes = append(changes, declaredChange[willowwick.Fingerprint]{admission.Request, admission.TakenBack, admission.At})
 	}
-	a.standingKeeper.declare(declared.Whole, declared.Next, changes)
+	a.declaredSetKeeper.applyRead(declared.Whole, declared.Next, changes)
 }
 
 // hear takes the set that another box knows.
 func (a *admissions) hear(news AdmittedRequests, source string) {
-	a.standingKeeper.hear(standing[willowwick.Fingerprint]{news.AsOf, news.Requests, news.TakenBack, news.HeldOver}, source)
+	a.declaredSetKeeper.applyPeerSet(declaredSet[willowwick.Fingerprint]{news.AsOf, news.Requests, news.TakenBack, news.HeldOver}, source)
 }
--- a/exchange/evacuation.go
+++ b/exchange/evacuation.go
@@ -20,13 +20,13 @@
 
 	// evacuations keeps the newest set of evacuated halls that is known, and puts it in force on the pool.
 	evacuations struct {
-		standingKeeper[willowwick.HallID]
+		declaredSetKeeper[willowwick.HallID]
 	}
 )
 
 func newEvacuations(pool *route.Pool) *evacuations {
 	e := &evacuations{}
-	e.put = func(old, news inForce[willowwick.HallID], source string) {
+	e.onChange = func(old, news effectiveSet[willowwick.HallID], source string) {
 		pool.SetEvacuated(slices.Collect(maps.Keys(news.members)))
 		logEvacuations(old, news, source)
 	}
@@ -36,30 +36,30 @@
 // set is the newest set that is known.
 func (e *evacuations) set() EvacuatedHalls {
 	known := e.newest()
-	return EvacuatedHalls{AsOf: known.asOf, Halls: known.members, TakenBack: known.takenBack, HeldOver: known.heldOver}
+	return EvacuatedHalls{AsOf: known.asOf, Halls: known.members, TakenBack: known.revoked, HeldOver: known.heldOver}
 }
 
 // count is the number of evacuated halls.
 func (e *evacuations) count() int {
-	return len(e.inForce().members)
+	return len(e.inEffect().members)
 }
 
 // declare takes what a read of the store brought.
 func (e *evacuations) declare(declared willowwick.Declarations) {
-	changes := make([]standingChange[willowwick.HallID], 0, len(declared.Evacuations))
+	changes := make([]declaredChange[willowwick.HallID], 0, len(declared.Evacuations))
 	for _, evacuation := range declared.Evacuations {
-		changes = append(changes, standingChange[willowwick.HallID]{evacuation.Hall, evacuation.TakenBack, evacuation.At})
+		changes = append(changes, declaredChange[willowwick.HallID]{evacuation.Hall, evacuation.TakenBack, evacuation.At})
 	}
-	e.standingKeeper.declare(declared.Whole, declared.Next, changes)
+	e.declaredSetKeeper.applyRead(declared.Whole, declared.Next, changes)
 }
 
 // hear takes the set that another box knows.
 func (e *evacuations) hear(news EvacuatedHalls, source string) {
-	e.standingKeeper.hear(standing[willowwick.HallID]{news.AsOf, news.Halls, news.TakenBack, news.HeldOver}, source)
+	e.declaredSetKeeper.applyPeerSet(declaredSet[willowwick.HallID]{news.AsOf, news.Halls, news.TakenBack, news.HeldOver}, source)
 }
 
 // logEvacuations writes a line for each hall that is evacuated or taken back.
-func logEvacuations(old, news inForce[willowwick.HallID], source string) {
+func logEvacuations(old, news effectiveSet[willowwick.HallID], source string) {
 	for hall, at := range news.members {
 		if _, wasEvacuated := old.members[hall]; !wasEvacuated {
 			slog.Info("hall evacuated", "hall", hall, "offset", at, "as_of", news.asOf, "source", source)
--- a/exchange/standing.go
+++ b/exchange/standing.go
@@ -14,11 +14,11 @@
 	// standing is the newest set of keys that is known to stand among the operator's declarations.
 	//
 	// Positions compare between boxes: what is as of a later one holds all that is as of an earlier one, whoever read it.
-	standing[K comparable] struct {
-		asOf      willowwick.Position       // the declarations before it are counted in
-		members   map[K]willowwick.Position // where each of them was declared; never changed
-		takenBack map[K]willowwick.Position // where others were taken back; never changed
-		heldOver  map[K]HeldOver            // where the store came back from a copy that says otherwise; never changed
+	declaredSet[K comparable] struct {
+		asOf     willowwick.Position       // the declarations before it are counted in
+		members  map[K]willowwick.Position // where each of them was declared; never changed
+		revoked  map[K]willowwick.Position // where others were taken back; never changed
+		heldOver map[K]HeldOver            // where the store came back from a copy that says otherwise; never changed
 	}
 
 	// HeldOver is what was known of a key before the store came back from a copy of itself. It counts until the operator changes
@@ -29,85 +29,85 @@
 	}
 
 	// standingKeeper keeps the newest set that is known, and puts it in force. No news that are older than it take its place.
-	standingKeeper[K comparable] struct {
-		put func(old, news inForce[K], source string) // called under the lock, one set after the other
+	declaredSetKeeper[K comparable] struct {
+		onChange func(old, news effectiveSet[K], source string) // called under the lock, one set after the other
 
-		mu       sync.Mutex
-		known    standing[K]
-		settled  willowwick.Era // nothing is held over into it any more
-		settleAt time.Time      // until then something may be held over
-		timer    *time.Timer    // runs out then; nil before the first set
-		force    inForce[K]
+		mu            sync.Mutex
+		latest        declaredSet[K]
+		settledEra    willowwick.Era // nothing is held over into it any more
+		heldOverUntil time.Time      // until then something may be held over
+		settleTimer   *time.Timer    // runs out then; nil before the first set
+		effective     effectiveSet[K]
 	}
 
 	// inForce is what counts of a set.
-	inForce[K comparable] struct {
+	effectiveSet[K comparable] struct {
 		asOf    willowwick.Position
 		members map[K]willowwick.Position
 	}
 
 	// standingChange says that a key was declared, or that the operator took it back.
-	standingChange[K comparable] struct {
+	declaredChange[K comparable] struct {
 		key       K
-		takenBack bool
+		isRevoked bool
 		at        willowwick.Position
 	}
 )
 
 // after returns the set after what a read of the store brought, and false if that is no news: another box told of what came
 // after all of it.
-func (s standing[K]) after(isWhole bool, next willowwick.Position, changes []standingChange[K]) (standing[K], bool) {
+func (s declaredSet[K]) withRead(isWhole bool, next willowwick.Position, changes []declaredChange[K]) (declaredSet[K], bool) {
 	if next <= s.asOf {
 		return s, false
 	}
-	news := standing[K]{
-		asOf: next, members: map[K]willowwick.Position{}, takenBack: map[K]willowwick.Position{}, heldOver: maps.Clone(s.heldOver),
+	news := declaredSet[K]{
+		asOf: next, members: map[K]willowwick.Position{}, revoked: map[K]willowwick.Position{}, heldOver: maps.Clone(s.heldOver),
 	}
 	if !isWhole {
 		maps.Copy(news.members, s.members)
-		changes = slices.DeleteFunc(slices.Clone(changes), s.isCountedIn)
+		changes = slices.DeleteFunc(slices.Clone(changes), s.includes)
 	}
-	maps.Copy(news.takenBack, s.takenBack)
+	maps.Copy(news.revoked, s.revoked)
 	for _, change := range changes {
-		news.change(change)
+		news.applyChange(change)
 		if !isWhole {
 			delete(news.heldOver, change.key)
 		}
 	}
 	if next.Era() != s.asOf.Era() {
-		news.heldOver = s.heldOverTo(news.members)
+		news.heldOver = s.heldOverFor(news.members)
 	}
 	return news, true
 }
 
 // change counts a change in.
-func (s *standing[K]) change(change standingChange[K]) {
-	if change.takenBack {
+func (s *declaredSet[K]) applyChange(change declaredChange[K]) {
+	if change.isRevoked {
 		delete(s.members, change.key)
-		s.takenBack[change.key] = change.at
+		s.revoked[change.key] = change.at
 	} else {
 		s.members[change.key] = change.at
-		delete(s.takenBack, change.key)
+		delete(s.revoked, change.key)
 	}
 }
 
 // isCountedIn reports whether the set holds the change or what came after it. A whole read is made of several calls
 // and may have seen records after the offset that it is as of, so a key's own offset counts as well.
-func (s standing[K]) isCountedIn(change standingChange[K]) bool {
+func (s declaredSet[K]) includes(change declaredChange[K]) bool {
 	return change.at < s.asOf || change.at < s.members[change.key]
 }
 
 // heldOverTo is what this set knows otherwise than the copy that a new era of the store begins with. A declaration that the copy holds
 // from before it was taken back is no news; any other one is.
-func (s standing[K]) heldOverTo(copied map[K]willowwick.Position) map[K]HeldOver {
+func (s declaredSet[K]) heldOverFor(copied map[K]willowwick.Position) map[K]HeldOver {
 	held := map[K]HeldOver{}
-	members := s.inForce().members
+	members := s.effectiveSet().members
 	for key, at := range members {
 		if _, isCopied := copied[key]; !isCopied {
 			held[key] = HeldOver{Stood: true, At: at}
 		}
 	}
-	for key, takenBack := range s.takenBack {
+	for key, takenBack := range s.revoked {
 		if at, isCopied := copied[key]; isCopied && at.Offset() < takenBack.Offset() {
 			held[key] = HeldOver{}
 		}
@@ -121,9 +121,9 @@
 }
 
 // inForce is what counts of the set as long as something is held over into it.
-func (s standing[K]) inForce() inForce[K] {
+func (s declaredSet[K]) effectiveSet() effectiveSet[K] {
 	if len(s.heldOver) == 0 {
-		return inForce[K]{s.asOf, s.members}
+		return effectiveSet[K]{s.asOf, s.members}
 	}
 	members := maps.Clone(s.members)
 	for key, held := range s.heldOver {
@@ -133,81 +133,81 @@
 			delete(members, key)
 		}
 	}
-	return inForce[K]{s.asOf, members}
+	return effectiveSet[K]{s.asOf, members}
 }
 
 // newest is the newest set that is known.
-func (k *standingKeeper[K]) newest() standing[K] {
+func (k *declaredSetKeeper[K]) newest() declaredSet[K] {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.known
+	return k.latest
 }
 
 // inForce is what counts now.
-func (k *standingKeeper[K]) inForce() inForce[K] {
+func (k *declaredSetKeeper[K]) inEffect() effectiveSet[K] {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.force
+	return k.effective
 }
 
 // declare takes what a read of the store brought, unless another box told of what came after all of it.
-func (k *standingKeeper[K]) declare(isWhole bool, next willowwick.Position, changes []standingChange[K]) {
+func (k *declaredSetKeeper[K]) applyRead(isWhole bool, next willowwick.Position, changes []declaredChange[K]) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if news, isNews := k.known.after(isWhole, next, changes); isNews {
-		k.take(news, "store")
+	if news, isNews := k.latest.withRead(isWhole, next, changes); isNews {
+		k.replace(news, "store")
 	}
 }
 
 // hear takes the set that another box knows, if it is newer.
-func (k *standingKeeper[K]) hear(news standing[K], source string) {
+func (k *declaredSetKeeper[K]) applyPeerSet(news declaredSet[K], source string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if news.asOf > k.known.asOf {
-		k.take(news, source)
+	if news.asOf > k.latest.asOf {
+		k.replace(news, source)
 	}
 }
 
 // take keeps a set and puts it in force; the caller holds the lock.
-func (k *standingKeeper[K]) take(news standing[K], source string) {
+func (k *declaredSetKeeper[K]) replace(news declaredSet[K], source string) {
 	era := news.asOf.Era()
 	switch {
-	case era <= k.settled:
+	case era <= k.settledEra:
 		news.heldOver = nil // a box that heard of the era later still holds it over
-	case k.timer == nil || era != k.known.asOf.Era():
-		k.settleLater()
+	case k.settleTimer == nil || era != k.latest.asOf.Era():
+		k.scheduleSettle()
 	}
-	k.known = news
-	k.enforce(source)
+	k.latest = news
+	k.updateEffective(source)
 }
 
 // settleLater gives the operator the time to write again what a copy lacks; the caller holds the lock.
-func (k *standingKeeper[K]) settleLater() {
-	k.settleAt = clock.Now().Add(restoreTime)
-	if k.timer == nil {
-		k.timer = time.AfterFunc(restoreTime, k.settle)
+func (k *declaredSetKeeper[K]) scheduleSettle() {
+	k.heldOverUntil = clock.Now().Add(restoreTime)
+	if k.settleTimer == nil {
+		k.settleTimer = time.AfterFunc(restoreTime, k.settle)
 	} else {
-		k.timer.Reset(restoreTime)
+		k.settleTimer.Reset(restoreTime)
 	}
 }
 
 // settle drops what is held over: the operator has had the time to write it again.
-func (k *standingKeeper[K]) settle() {
+func (k *declaredSetKeeper[K]) settle() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if clock.Now().Before(k.settleAt) {
+	if clock.Now().Before(k.heldOverUntil) {
 		return // the store has come back once more as the timer ran out
 	}
-	k.settled = k.known.asOf.Era()
-	if len(k.known.heldOver) > 0 {
-		k.known.heldOver = nil
-		k.enforce("time to write again is over")
+	k.settledEra = k.latest.asOf.Era()
+	if len(k.latest.heldOver) > 0 {
+		k.latest.heldOver = nil
+		k.updateEffective("time to write again is over")
 	}
 }
 
 // enforce puts the known set in force; the caller holds the lock.
-func (k *standingKeeper[K]) enforce(source string) {
-	old := k.force
-	k.force = k.known.inForce()
-	k.put(old, k.force, source)
+func (k *declaredSetKeeper[K]) updateEffective(source string) {
+	old := k.effective
+	k.effective = k.latest.effectiveSet()
+	k.onChange(old, k.effective, source)
 }
