--- a/exchange/choice.go
+++ b/exchange/choice.go
@@ -124,7 +124,7 @@
 	if m != nil {
 		choice = r.chooseIn(m, session, now)
 	}
-	choice.banned = r.verdicts.banned(service, now)
+	choice.banned = r.verdicts.bannedReleases(service, now)
 	key := string(service) + "/" + session
 	seen := sessionSeen{until: deadline.Add(r.settings.Session)}
 	if choice.useTarget {
@@ -139,7 +139,7 @@
 func (r *releases) isRetired(service willowwick.ServiceID, release willowwick.ReleaseID, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if slices.Contains(r.verdicts.banned(service, now), release) {
+	if slices.Contains(r.verdicts.bannedReleases(service, now), release) {
 		return true
 	}
 	m := r.moves[service]
--- a/exchange/era_test.go
+++ b/exchange/era_test.go
@@ -189,10 +189,10 @@
 	later := at(0.2).Add(restoreTime + time.Second)
 	r := newMoved()
 	r.begin(orderOf("v3", in(2, 14)), 0, at(0.25))
-	r.judge(nil, later)
+	r.evaluate(nil, later)
 	assert.Equal(t, willowwick.ReleaseID("v3"), r.progresses(later)[0].Status.Target, "it was written again")
 	r = newMoved()
-	r.judge(nil, later)
+	r.evaluate(nil, later)
 	assert.Equal(t, willowwick.ReleaseID("v2"), r.progresses(later)[0].Status.Target, "the operator ordered it anew")
 }
 
--- a/exchange/evidence.go
+++ b/exchange/evidence.go
@@ -12,12 +12,12 @@
 
 const (
 	// plainlyBad and plainlyBadShare withdraw a release where there is nothing to compare it with.
-	plainlyBad      = 12
-	plainlyBadShare = 0.3
+	rollbackErrors     = 12
+	rollbackErrorShare = 0.3
 	// slowFactor is by how much an answer must be slower than usual on its route to count as slow.
 	slowFactor = 3.0
 	// typicalFade is how much of the usual time of an answer one answer replaces.
-	typicalFade = 0.1
+	typicalSmoothing = 0.1
 )
 
 type (
@@ -29,7 +29,7 @@
 	}
 
 	// typicalKey names answers that usually take alike.
-	typicalKey struct {
+	latencyKey struct {
 		route willowwick.RouteID
 		model willowwick.ModelID
 	}
@@ -64,7 +64,7 @@
 
 // isSlow compares an answer with the usual ones of its route and model; those of a new release set no measure.
 func (r *releases) isSlow(o observation, isTarget bool) bool {
-	key := typicalKey{route: o.route, model: o.model}
+	key := latencyKey{route: o.route, model: o.model}
 	typical, known := r.typical[key]
 	took := o.took.Seconds()
 	if !known {
@@ -75,7 +75,7 @@
 	}
 	slow := took > slowFactor*typical
 	if !isTarget {
-		r.typical[key] = typical + typicalFade*(min(took, slowFactor*typical)-typical)
+		r.typical[key] = typical + typicalSmoothing*(min(took, slowFactor*typical)-typical)
 		r.lateness[key].Learn(o.took - time.Duration(typical*float64(time.Second)))
 	}
 	return slow
@@ -83,10 +83,10 @@
 
 // usual is how long the head of an answer usually takes on the route, 0 if that is not known yet, and how much longer it
 // may well take.
-func (r *releases) usual(name willowwick.RouteID, model willowwick.ModelID) (typical, lateness time.Duration) {
+func (r *releases) typicalLatency(name willowwick.RouteID, model willowwick.ModelID) (typical, lateness time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	key := typicalKey{route: name, model: model}
+	key := latencyKey{route: name, model: model}
 	return time.Duration(r.typical[key] * float64(time.Second)), r.lateness[key].Value()
 }
 
@@ -98,7 +98,7 @@
 }
 
 // judge looks at the evidence of all boxes and returns the services whose roll-out turned out bad.
-func (r *releases) judge(fleet map[evidenceKey]rollout.Evidence, now time.Time) []willowwick.ReleaseStatus {
+func (r *releases) evaluate(fleet map[evidenceKey]rollout.Evidence, now time.Time) []willowwick.ReleaseStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.forget(now)
@@ -108,7 +108,7 @@
 		if m.state != willowwick.ReleaseRunning {
 			continue
 		}
-		if cause, isBad := m.judge(service, fleet); isBad {
+		if cause, isBad := m.evaluate(service, fleet); isBad {
 			m.state, m.written = willowwick.ReleaseRolledBack, false
 			r.noteEnd(m)
 			bad = append(bad, willowwick.ReleaseStatus{Service: service, Target: m.order.Target, State: m.state})
@@ -120,8 +120,8 @@
 }
 
 // judge adds what is new in the evidence to the panel of the routes.
-func (m *move) judge(service willowwick.ServiceID, fleet map[evidenceKey]rollout.Evidence) (cause string, isBad bool) {
-	routes, others := m.news(service, fleet)
+func (m *move) evaluate(service willowwick.ServiceID, fleet map[evidenceKey]rollout.Evidence) (cause string, isBad bool) {
+	routes, others := m.newEvidence(service, fleet)
 	target := m.targetEvidence(service, fleet)
 	m.requests = target.Requests
 	if finding, route := m.panel.Observe(routes, others); finding.Bad {
@@ -130,14 +130,14 @@
 		}
 		return string(route) + ": " + finding.Signal.String(), true
 	}
-	if target.Errors >= plainlyBad && float64(target.Errors) > plainlyBadShare*float64(target.Requests) {
+	if target.Errors >= rollbackErrors && float64(target.Errors) > rollbackErrorShare*float64(target.Requests) {
 		return "most answers are errors", true
 	}
 	return "", false
 }
 
 // news sorts what is new in the evidence by route, and sums that on other releases over all routes.
-func (m *move) news(
+func (m *move) newEvidence(
 	service willowwick.ServiceID, fleet map[evidenceKey]rollout.Evidence,
 ) (routes map[rollout.Kind]rollout.News, others rollout.Evidence) {
 	routes = map[rollout.Kind]rollout.News{}
--- a/exchange/lead.go
+++ b/exchange/lead.go
@@ -127,7 +127,7 @@
 		s.router.paceCold(now)
 		report := s.router.peers.fleetReport(now)
 		s.router.releases.setKeptElsewhere(report.Kept)
-		s.router.releases.judge(report.evidence(), now)
+		s.router.releases.evaluate(report.evidence(), now)
 		s.router.conns.Sweep(now)
 		sleep(ctx, rolloutInterval)
 	}
--- a/exchange/release.go
+++ b/exchange/release.go
@@ -37,8 +37,8 @@
 		canary        float64 // share of the sessions that try a new release first
 		verdicts      verdicts
 		own           map[evidenceKey]rollout.Evidence
-		typical       map[typicalKey]float64 // seconds
-		lateness      map[typicalKey]*route.Lateness
+		typical       map[latencyKey]float64 // seconds
+		lateness      map[latencyKey]*route.Lateness
 		sessions      map[string]sessionSeen
 
 		era        willowwick.Era                                   // the newest that an order is of
@@ -80,8 +80,8 @@
 		moves:    map[willowwick.ServiceID]*move{},
 		verdicts: verdicts{},
 		own:      map[evidenceKey]rollout.Evidence{},
-		typical:  map[typicalKey]float64{},
-		lateness: map[typicalKey]*route.Lateness{},
+		typical:  map[latencyKey]float64{},
+		lateness: map[latencyKey]*route.Lateness{},
 		sessions: map[string]sessionSeen{},
 		putOff:   map[willowwick.ServiceID]willowwick.ReleaseOrder{},
 	}
@@ -108,7 +108,7 @@
 	}
 	if m != nil && m.state == willowwick.ReleaseRunning {
 		// Its sessions go back to what the others use; only one release is tried at a time.
-		r.verdicts.giveUp(releaseKey{order.Service, m.order.Target}, now)
+		r.verdicts.supersede(releaseKey{order.Service, m.order.Target}, now)
 	}
 	delete(r.verdicts, releaseKey{order.Service, order.Target})
 	r.moves[order.Service] = &move{
@@ -157,7 +157,7 @@
 func (r *releases) ended(now time.Time) []verdictRow {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.verdicts.rows(now)
+	return r.verdicts.effectiveRows(now)
 }
 
 // hearEnded takes what another box knows of releases, but for those that this box has a roll-out to.
@@ -166,7 +166,7 @@
 	defer r.mu.Unlock()
 	for _, row := range rows {
 		if m := r.moves[row.Key.Service]; m == nil || m.order.Target != row.Key.Release {
-			r.verdicts.hear(row)
+			r.verdicts.merge(row)
 		}
 	}
 }
--- a/exchange/release_test.go
+++ b/exchange/release_test.go
@@ -60,7 +60,7 @@
 	r := newTestReleases()
 	r.begin(orderOf("v2", 1), 0, testStart)
 	assert.InDelta(t, canaryShare, shareOf(r, at(0.1), "a"), 0.02)
-	r.judge(fleetEvidence(rollout.Evidence{Requests: 100}, rollout.Evidence{Requests: 1000}), at(0.2))
+	r.evaluate(fleetEvidence(rollout.Evidence{Requests: 100}, rollout.Evidence{Requests: 1000}), at(0.2))
 	assert.InDelta(t, canaryShare, shareOf(r, at(0.45), "b"), 0.02)
 	assert.Greater(t, shareOf(r, at(0.6), "c"), 0.25)
 	assert.InDelta(t, 1, shareOf(r, at(0.75), "d"), 0)
@@ -69,7 +69,7 @@
 func TestReleaseWithLittleEvidenceIsTriedByMoreSessionsButNeverByAll(t *testing.T) {
 	r := newTestReleases()
 	r.begin(orderOf("v2", 1), 0, testStart)
-	r.judge(fleetEvidence(rollout.Evidence{Requests: enoughEvidence - 1}, rollout.Evidence{Requests: 1000}), at(0.2))
+	r.evaluate(fleetEvidence(rollout.Evidence{Requests: enoughEvidence - 1}, rollout.Evidence{Requests: 1000}), at(0.2))
 	assert.InDelta(t, canaryShare, shareOf(r, at(0.45), "a"), 0.02)
 	for _, part := range []float64{0.6, 0.8, lastCall, 1, 2} {
 		name := fmt.Sprint("at ", part, " ")
@@ -88,11 +88,11 @@
 	for _, route := range routes {
 		evidence[evidenceKey{"work", "v1", route}] = rollout.Evidence{Requests: 300, Errors: 2}
 	}
-	require.Empty(t, r.judge(evidence, at(0.1)))
+	require.Empty(t, r.evaluate(evidence, at(0.1)))
 	for _, route := range routes {
 		evidence[evidenceKey{"work", "v2", route}] = rollout.Evidence{Requests: 6, Errors: 3}
 	}
-	require.Len(t, r.judge(evidence, at(0.3)), 1)
+	require.Len(t, r.evaluate(evidence, at(0.3)), 1)
 }
 
 // What was seen of a release before there was anything to compare it with was once forgotten.
@@ -100,8 +100,8 @@
 	r := newTestReleases()
 	r.begin(orderOf("v2", 1), 0, testStart)
 	bad := rollout.Evidence{Requests: 11, Errors: 9}
-	require.Empty(t, r.judge(fleetEvidence(bad, rollout.Evidence{Requests: 10}), at(0.1)))
-	require.Len(t, r.judge(fleetEvidence(bad, rollout.Evidence{Requests: 300}), at(0.2)), 1)
+	require.Empty(t, r.evaluate(fleetEvidence(bad, rollout.Evidence{Requests: 10}), at(0.1)))
+	require.Len(t, r.evaluate(fleetEvidence(bad, rollout.Evidence{Requests: 300}), at(0.2)), 1)
 }
 
 func TestSessionsStayInTheFirstHalfAndDoNotGoBackAfterIt(t *testing.T) {
@@ -111,7 +111,7 @@
 		require.False(t, chooseNow(r, fmt.Sprint(i), early).useTarget)
 	}
 	r.begin(orderOf("v2", 1), 0, testStart)
-	r.judge(fleetEvidence(rollout.Evidence{Requests: 100}, rollout.Evidence{Requests: 1000}), at(0.1))
+	r.evaluate(fleetEvidence(rollout.Evidence{Requests: 100}, rollout.Evidence{Requests: 1000}), at(0.1))
 	for step := 0.02; step < canaryEnd; step += 0.02 {
 		for i := range 500 {
 			require.False(t, chooseNow(r, fmt.Sprint(i), at(step)).useTarget, "a session moved in the first half")
@@ -135,8 +135,8 @@
 		r := newTestReleases()
 		r.begin(orderOf("v2", 1), 0, testStart)
 		good := rollout.Evidence{Requests: 400, Errors: 4, Slow: 8}
-		r.judge(fleetEvidence(rollout.Evidence{}, good), at(0.01))
-		found := r.judge(fleetEvidence(bad, good.Add(good)), at(0.1))
+		r.evaluate(fleetEvidence(rollout.Evidence{}, good), at(0.01))
+		found := r.evaluate(fleetEvidence(bad, good.Add(good)), at(0.1))
 		require.Len(t, found, 1, name)
 		assert.Equal(t, willowwick.ReleaseRolledBack, found[0].State)
 		assert.InDelta(t, 0, shareOf(r, at(0.2), "a"), 0)
@@ -152,7 +152,7 @@
 	for step := range 100 {
 		target = target.Add(rollout.Evidence{Requests: 8, Errors: uint64(step % 2), Slow: uint64(step % 3 / 2)})
 		others = others.Add(rollout.Evidence{Requests: 80, Errors: 5, Slow: 3})
-		require.Empty(t, r.judge(fleetEvidence(target, others), at(0.01*float64(step))))
+		require.Empty(t, r.evaluate(fleetEvidence(target, others), at(0.01*float64(step))))
 	}
 }
 
@@ -177,7 +177,7 @@
 	r := newTestReleases()
 	r.begin(orderOf("v2", 1), 0, testStart)
 	r.begin(orderOf("v3", 2), 0, at(0.2))
-	now := at(0.2).Add(givenUpAfter)
+	now := at(0.2).Add(supersedeDelay)
 	assert.False(t, chooseNow(r, "s", now).allows(on("v2")))
 	fresh := newTestReleases()
 	fresh.begin(orderOf("v3", 2), 0, now)
@@ -200,7 +200,7 @@
 	}
 	leads.hearEnded(follows.ended(now))
 	follows.hearEnded(leads.ended(now))
-	later := now.Add(2 * givenUpAfter)
+	later := now.Add(2 * supersedeDelay)
 	for _, r := range []*releases{leads, follows} {
 		assert.True(t, chooseNow(r, "s", later).allows(on("v2")))
 	}
@@ -225,7 +225,7 @@
 	r := newTestReleases()
 	r.begin(orderOf("v2", 1), 0, at(0.6))
 	r.begin(orderOf("v2", 1), time.Duration(0.6*float64(testPeriod)), at(0.6))
-	r.judge(fleetEvidence(rollout.Evidence{Requests: 100}, rollout.Evidence{Requests: 100}), at(0.6))
+	r.evaluate(fleetEvidence(rollout.Evidence{Requests: 100}, rollout.Evidence{Requests: 100}), at(0.6))
 	assert.Greater(t, shareOf(r, at(0.75), "a"), 0.99)
 }
 
@@ -246,8 +246,8 @@
 	r.settle(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseRunning}, true, "written here")
 	require.Empty(t, r.due(at(0.1)))
 	good := rollout.Evidence{Requests: 400}
-	r.judge(fleetEvidence(rollout.Evidence{}, good), at(0.1))
-	require.Len(t, r.judge(fleetEvidence(rollout.Evidence{Requests: 20, Errors: 10}, good.Add(good)), at(0.2)), 1)
+	r.evaluate(fleetEvidence(rollout.Evidence{}, good), at(0.1))
+	require.Len(t, r.evaluate(fleetEvidence(rollout.Evidence{Requests: 20, Errors: 10}, good.Add(good)), at(0.2)), 1)
 	due := r.due(at(0.2))
 	require.Len(t, due, 1)
 	assert.Equal(t, willowwick.ReleaseRolledBack, due[0].State)
@@ -274,7 +274,7 @@
 	r.begin(orderOf("v2", 1), 0, testStart)
 	soon := began.Add(10 * time.Second)
 	require.True(t, soon.Before(at(canaryEnd)))
-	r.judge(fleetEvidence(rollout.Evidence{}, rollout.Evidence{}), soon)
+	r.evaluate(fleetEvidence(rollout.Evidence{}, rollout.Evidence{}), soon)
 	for i := range 500 {
 		require.False(t, r.choose("work", fmt.Sprint(i), soon, soon).useTarget)
 	}
--- a/exchange/send.go
+++ b/exchange/send.go
@@ -296,7 +296,7 @@
 	due, lateness, known := s.ticket.Due()
 	if !known {
 		var usual time.Duration
-		usual, lateness = s.router.releases.usual(s.route.Name, s.model)
+		usual, lateness = s.router.releases.typicalLatency(s.route.Name, s.model)
 		if usual == 0 && s.route.Stream {
 			lateness = route.UnknownPatience
 		}
@@ -395,7 +395,7 @@
 // hasTimeFor reports whether a model's answer, begun now, usually begins before the request's time is up; where it does not,
 // the answer that is there is all that the caller can get.
 func (s *send) hasTimeFor(model willowwick.ModelID, now time.Time) bool {
-	usual, _ := s.router.releases.usual(s.route.Name, model)
+	usual, _ := s.router.releases.typicalLatency(s.route.Name, model)
 	return now.Add(usual).Before(s.deadline)
 }
 
@@ -405,7 +405,7 @@
 func (s *send) confidenceNeeded(now time.Time) int {
 	settings := s.router.settings
 	largest := s.route.Models[len(s.route.Models)-1]
-	usual, _ := s.router.releases.usual(s.route.Name, largest)
+	usual, _ := s.router.releases.typicalLatency(s.route.Name, largest)
 	expected := now.Sub(s.arrived) + usual
 	left := 1 - float64(expected)/float64(max(s.route.Goal, 1))
 	pressure := s.router.pool.Pressure(now, s.service, s.choice.allows)
--- a/exchange/silence_test.go
+++ b/exchange/silence_test.go
@@ -70,10 +70,10 @@
 		}
 		r.observe(seen)
 	}
-	typical, lateness := r.usual("again", "")
+	typical, lateness := r.typicalLatency("again", "")
 	assert.InDelta(t, 0.031, typical.Seconds(), 0.012)
 	assert.Less(t, typical+lateness, 150*time.Millisecond)
-	typical, lateness = r.usual("another", "")
+	typical, lateness = r.typicalLatency("another", "")
 	assert.Zero(t, typical)
 	assert.Equal(t, (*route.Lateness)(nil).Value(), lateness, "of which nothing is known")
 }
--- a/exchange/statuses_test.go
+++ b/exchange/statuses_test.go
@@ -54,7 +54,7 @@
 	})
 	// One read for the order, another one before the state is written.
 	require.Eventually(t, func() bool { return control.asked.Load() > 1 }, patience, time.Millisecond)
-	for range 10 * plainlyBad {
+	for range 10 * rollbackErrors {
 		x.releases.observe(observation{service: "work", release: "v2", route: "once", isError: true})
 	}
 	require.Eventually(t, func() bool {
