--- a/cmd/willowwickd/node.go
+++ b/cmd/willowwickd/node.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		return errors.Wrap(err, "listen")
 	}
-	daemon, closeDaemon := exchange.New(o.exchangeSettings(settings), exchange.Outside{
+	daemon, closeDaemon := exchange.New(o.exchangeSettings(settings), exchange.Dependencies{
 		Control: control, Codec: platform.Codec{}, Counters: set,
 		Callers: listeners[0], Ready: listeners[1], Peers: listeners[2], Metrics: listeners[3], Hints: hints,
 	})
--- a/exchange/call.go
+++ b/exchange/call.go
@@ -118,7 +118,7 @@
 		return nil, x.unlessStale(refusal, t, arrived)
 	}
 	c.plan()
-	c.yields = x.shortages.mustYield(c.service, urgency(c.route, c.account), arrived)
+	c.yields = x.shortages.mustYield(c.service, requestPriority(c.route, c.account), arrived)
 	if refusal := c.refuseHarmful(arrived); refusal != nil {
 		return nil, refusal
 	}
@@ -127,7 +127,7 @@
 
 // admit finds the request's route and client account in the configuration.
 func (c *call) admit(path string) *willowwick.Refusal {
-	if c.route = c.table.route(c.message.Host, path); c.route == nil {
+	if c.route = c.table.findRoute(c.message.Host, path); c.route == nil {
 		return willowwick.Invalid(willowwick.CodeUnknownService, "path", "no route of %q leads to %q", c.message.Host, path)
 	}
 	if c.route.Anonymous || len(c.table.Accounts) == 0 {
@@ -202,7 +202,7 @@
 	if !c.head.Deadline.IsZero() && c.head.Deadline.Before(c.deadline) {
 		c.deadline = c.head.Deadline
 	}
-	c.service = c.table.service(c.route, string(c.head.ID))
+	c.service = c.table.chooseService(c.route, string(c.head.ID))
 	if c.head.Model == anyModel && len(c.route.Models) > 0 {
 		c.model = 0
 	}
@@ -389,17 +389,17 @@
 // giveUp ends a request that no endpoint has answered.
 func (c *call) giveUp(refusal *willowwick.Refusal) {
 	if c.ctx.Err() != nil && !c.timeIsUp() {
-		c.router.metrics.outcome("caller_left")
+		c.router.metrics.countOutcome("caller_left")
 		c.logEnd("caller left", 0)
 		return
 	}
 	switch {
 	case c.out.begun:
-		c.router.metrics.outcome("cut")
+		c.router.metrics.countOutcome("cut")
 		c.logEnd("answer cut off", 0, "cause", refusal.Message)
 		c.out.abort()
 	case c.failure != nil:
-		c.router.metrics.outcome("endpoint_failed")
+		c.router.metrics.countOutcome("endpoint_failed")
 		c.logEnd("endpoint's failure passed on", c.failure.status)
 		c.out.passFailure(c.failure)
 	default:
--- a/exchange/daemon.go
+++ b/exchange/daemon.go
@@ -18,34 +18,34 @@
 
 const (
 	// dialLimit is how long a connection to an endpoint may take: the way there and back takes some milliseconds.
-	dialLimit = 500 * time.Millisecond
+	dialTimeout = 500 * time.Millisecond
 	// sendSilence is how long sent bytes may stay unacknowledged: a lost packet is sent again well before.
-	sendSilence = 1500 * time.Millisecond
+	unackedTimeout = 1500 * time.Millisecond
 	// headerLimit bounds how long a caller may take to send its head, and headerBytes its size; the operator's
 	// limits are below both.
-	headerLimit = 10 * time.Second
-	headerBytes = 64 << 10
+	headerTimeout  = 10 * time.Second
+	maxHeaderBytes = 64 << 10
 	// idleLimit is how long a caller's connection may rest: above what operators declare.
-	idleLimit = 120 * time.Second
+	callerIdleTimeout = 120 * time.Second
 	// leaveEarly is how long before the end of the grace the process ends by itself; boxes with a fifth of a core take
 	// most of it for the last steps.
-	leaveEarly = time.Second
+	exitMargin = time.Second
 	// lastAnswer is how long before that the time of the last requests is up: a goroutine of a box with a fifth of a core
 	// may stand for 100 ms, and the end of a request's time and its answer are two of its steps.
-	lastAnswer = 250 * time.Millisecond
+	lastAnswerMargin = 250 * time.Millisecond
 	// DefaultTurnAway is how long the entry takes to see that a box is not ready, and callers to finish what they began.
 	DefaultTurnAway = 2500 * time.Millisecond
 	// quietPoll is how often a stopping box looks whether requests are under way.
-	quietPoll = 20 * time.Millisecond
+	idlePollInterval = 20 * time.Millisecond
 	// quietLooks is how many looks in a row must find nothing: bytes of a request may be on their way meanwhile.
-	quietLooks = 3
+	idlePollsRequired = 3
 	// leaveLimit is how long leaving the group may take.
-	leaveLimit = 300 * time.Millisecond
+	leaveGroupTimeout = 300 * time.Millisecond
 )
 
 type (
 	// Outside is what a daemon reaches and is reached by.
-	Outside struct {
+	Dependencies struct {
 		Control willowwick.Control
 		Codec   willowwick.HeaderCodec
 		Callers net.Listener
@@ -60,7 +60,7 @@
 	// Daemon is one box of the exchange.
 	Daemon struct {
 		router  *Router
-		outside Outside
+		deps    Dependencies
 		callers *callerListener
 		servers []*http.Server
 		workers fleet.Workers
@@ -69,13 +69,13 @@
 )
 
 // New returns a daemon that is not running yet, and a function that closes its connections.
-func New(settings Settings, outside Outside) (*Daemon, func()) {
+func New(settings Settings, outside Dependencies) (*Daemon, func()) {
 	x, closeRouter := newRouter(settings, outside.Codec)
 	x.sync = newSyncer(x, outside.Control)
 	var closePeers func()
 	x.peers, closePeers = newPeers(x)
 	x.hints = newHints(x, outside.Hints)
-	return &Daemon{router: x, outside: outside, callers: newCallerListener(outside.Callers)}, func() {
+	return &Daemon{router: x, deps: outside, callers: newCallerListener(outside.Callers)}, func() {
 		closePeers()
 		closeRouter()
 	}
@@ -87,14 +87,14 @@
 	d.cancel = cancel
 	x := d.router
 	d.serve(d.callers, x)
-	d.serve(d.outside.Ready, http.HandlerFunc(d.answerReady))
-	d.serve(d.outside.Metrics, http.HandlerFunc(d.answerMetrics))
+	d.serve(d.deps.Ready, http.HandlerFunc(d.serveReady))
+	d.serve(d.deps.Metrics, http.HandlerFunc(d.serveMetrics))
 	d.workers.Go(func() {
-		if err := x.peers.serve(d.outside.Peers); err != nil {
+		if err := x.peers.serve(d.deps.Peers); err != nil {
 			slog.Error("peers are not served", "error", err)
 		}
 	})
-	if d.outside.Hints != nil {
+	if d.deps.Hints != nil {
 		d.workers.Go(x.hints.receive)
 		d.workers.Go(func() { x.hints.send(ctx) })
 	}
@@ -114,20 +114,20 @@
 			slog.Debug("server did not close", "error", err)
 		}
 	}
-	if err := d.outside.Peers.Close(); err != nil {
+	if err := d.deps.Peers.Close(); err != nil {
 		slog.Debug("listener for peers did not close", "error", err)
 	}
-	if d.outside.Hints == nil {
+	if d.deps.Hints == nil {
 		return
 	}
-	if err := d.outside.Hints.Close(); err != nil {
+	if err := d.deps.Hints.Close(); err != nil {
 		slog.Debug("datagrams of boxes did not close", "error", err)
 	}
 }
 
 func (d *Daemon) serve(listener net.Listener, handler http.Handler) {
 	server := &http.Server{
-		Handler: handler, ReadHeaderTimeout: headerLimit, IdleTimeout: idleLimit, MaxHeaderBytes: headerBytes,
+		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}
 	if listener == d.callers {
@@ -143,7 +143,7 @@
 	})
 }
 
-func (d *Daemon) answerReady(w http.ResponseWriter, _ *http.Request) {
+func (d *Daemon) serveReady(w http.ResponseWriter, _ *http.Request) {
 	ok, why := d.router.ready()
 	if !ok {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -153,10 +153,10 @@
 	}
 }
 
-func (d *Daemon) answerMetrics(w http.ResponseWriter, _ *http.Request) {
+func (d *Daemon) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	d.router.metrics.set.WritePrometheus(w)
-	if d.outside.Counters != nil {
-		d.outside.Counters.WritePrometheus(w)
+	if d.deps.Counters != nil {
+		d.deps.Counters.WritePrometheus(w)
 	}
 }
 
@@ -168,13 +168,13 @@
 	slog.Info("planned stop began", "in_flight", x.inFlight.Load(), "grace_ms", x.settings.Grace.Milliseconds())
 	x.stopping.Store(true)
 	d.leaveGroup()
-	limit := began.Add(x.settings.Grace - leaveEarly)
-	x.stopAt.Store(limit.Add(-lastAnswer).UnixNano())
+	limit := began.Add(x.settings.Grace - exitMargin)
+	x.stopAt.Store(limit.Add(-lastAnswerMargin).UnixNano())
 	time.Sleep(clock.Until(earliest(began.Add(x.settings.TurnAway), limit)))
 	x.refusing.Store(true)
 	// The listener stays: the entry uses boxes that are not ready where it has too few others. Connections at rest
 	// stay too: a request may be on its way on them.
-	awaitQuiet(&d.callers.busy, limit)
+	awaitIdle(&d.callers.busy, limit)
 	if err := d.callers.Close(); err != nil {
 		slog.Debug("listener for callers did not close", "error", err)
 	}
@@ -187,19 +187,19 @@
 }
 
 // awaitQuiet waits until no caller's connection has had a request on it for some looks, or for the limit.
-func awaitQuiet(busy *atomic.Int64, limit time.Time) {
-	for quiet := 0; quiet < quietLooks && clock.Now().Before(limit); quiet++ {
+func awaitIdle(busy *atomic.Int64, limit time.Time) {
+	for quiet := 0; quiet < idlePollsRequired && clock.Now().Before(limit); quiet++ {
 		if busy.Load() > 0 {
 			quiet = 0
 		}
-		time.Sleep(quietPoll)
+		time.Sleep(idlePollInterval)
 	}
 }
 
 func (d *Daemon) leaveGroup() {
-	ctx, cancel := context.WithTimeout(context.Background(), leaveLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), leaveGroupTimeout)
 	defer cancel()
-	if err := d.outside.Control.Leave(ctx, memberName(d.router.peers.self())); err != nil {
+	if err := d.deps.Control.Leave(ctx, memberName(d.router.peers.self())); err != nil {
 		slog.Info("group was not left", "error", err)
 	}
 }
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -321,7 +321,7 @@
 	assert.Equal(t, events(3), reply.body)
 	assert.NoError(t, reply.err)
 	ended := <-drained
-	assert.Less(t, ended.Sub(began), testSettings().Grace-leaveEarly)
+	assert.Less(t, ended.Sub(began), testSettings().Grace-exitMargin)
 	assert.Len(t, r.requests(), 3)
 }
 
--- a/exchange/harm.go
+++ b/exchange/harm.go
@@ -76,7 +76,7 @@
 
 // noteHarm notes that an endpoint ended while it had a request.
 func (x *Router) noteHarm(broken brokenSend) {
-	x.metrics.endedUnder()
+	x.metrics.countSendCutByCrash()
 	endpoint := broken.endpoint
 	x.harm.NoteEnd(broken.about, willowwick.EndpointEnd{
 		Endpoint: endpoint.ID, Incarnation: endpoint.Incarnation, Release: endpoint.Release, At: broken.at,
--- a/exchange/hints.go
+++ b/exchange/hints.go
@@ -102,7 +102,7 @@
 		return
 	}
 	if !h.mayTell(reading.Length, h.router.peers.fleetSize(), clock.Now()) {
-		h.router.metrics.hintDropped()
+		h.router.metrics.countHintDropped()
 		return
 	}
 	row := hintRow{
@@ -135,7 +135,7 @@
 	select {
 	case h.queue <- waiting:
 	default:
-		h.router.metrics.hintDropped()
+		h.router.metrics.countHintDropped()
 	}
 }
 
@@ -212,7 +212,7 @@
 			slog.Debug("readings were not told", "address", box, "error", err)
 			continue
 		}
-		h.router.metrics.hintSent()
+		h.router.metrics.countHintSent()
 	}
 }
 
--- a/exchange/logs.go
+++ b/exchange/logs.go
@@ -12,25 +12,25 @@
 	logQueueLines = 4096
 	// tellEvery is after how many lines at the latest the log tells of those that were dropped, if its reader never
 	// catches up.
-	tellEvery = 1000
+	dropReportLines = 1000
 )
 
 // LogQueue writes lines beside the work; when its reader is slow it drops and counts them, and a line of its own says how
 // many are missing.
 type LogQueue struct {
-	lines   chan []byte
-	dropped atomic.Uint64
-	told    uint64 // of those that were dropped; only run uses it, as written
-	written int
-	done    sync.WaitGroup
-	out     io.Writer
-	own     *slog.Logger // writes to out, past the queue
+	lines     chan []byte
+	dropped   atomic.Uint64
+	reported  uint64 // of those that were dropped; only run uses it, as written
+	written   int
+	done      sync.WaitGroup
+	out       io.Writer
+	ownLogger *slog.Logger // writes to out, past the queue
 }
 
 // NewLogQueue returns a queue in front of a writer, and a function that writes what waits; the logger that loggerTo makes
 // writes the queue's own lines.
 func NewLogQueue(out io.Writer, loggerTo func(io.Writer) *slog.Logger) (*LogQueue, func()) {
-	q := &LogQueue{lines: make(chan []byte, logQueueLines), out: out, own: loggerTo(out)}
+	q := &LogQueue{lines: make(chan []byte, logQueueLines), out: out, ownLogger: loggerTo(out)}
 	q.done.Go(q.run)
 	return q, func() {
 		close(q.lines)
@@ -59,19 +59,19 @@
 		if _, err := q.out.Write(line); err != nil {
 			q.dropped.Add(1)
 		}
-		if q.written++; len(q.lines) == 0 || q.written%tellEvery == 0 {
-			q.tellDropped()
+		if q.written++; len(q.lines) == 0 || q.written%dropReportLines == 0 {
+			q.reportDropped()
 		}
 	}
 }
 
 // tellDropped says in the log itself how many of its lines are missing before this one: who looks for a request there sees
 // that its line may be among them.
-func (q *LogQueue) tellDropped() {
+func (q *LogQueue) reportDropped() {
 	dropped := q.dropped.Load()
-	if dropped == q.told {
+	if dropped == q.reported {
 		return
 	}
-	q.own.Warn("log lines were dropped", "lines", dropped-q.told, "dropped_so_far", dropped)
-	q.told = dropped
+	q.ownLogger.Warn("log lines were dropped", "lines", dropped-q.reported, "dropped_so_far", dropped)
+	q.reported = dropped
 }
--- a/exchange/metrics.go
+++ b/exchange/metrics.go
@@ -11,19 +11,19 @@
 
 // routerMetrics are the counters of one router.
 type routerMetrics struct {
-	set       *metrics.Set
-	denied    *metrics.Counter
-	untold    *metrics.Counter
-	hintsSent *metrics.Counter
+	set           *metrics.Set
+	retriesDenied *metrics.Counter
+	hintsDropped  *metrics.Counter
+	hintsSent     *metrics.Counter
 }
 
 func newRouterMetrics(x *Router) *routerMetrics {
 	set := metrics.NewSet()
 	m := &routerMetrics{
-		set:       set,
-		denied:    set.NewCounter("willowwick_repeats_denied_total"),
-		untold:    set.NewCounter("willowwick_hints_dropped_total"),
-		hintsSent: set.NewCounter("willowwick_hint_datagrams_total"),
+		set:           set,
+		retriesDenied: set.NewCounter("willowwick_repeats_denied_total"),
+		hintsDropped:  set.NewCounter("willowwick_hints_dropped_total"),
+		hintsSent:     set.NewCounter("willowwick_hint_datagrams_total"),
 	}
 	set.NewGauge("willowwick_requests_in_flight", func() float64 { return float64(x.inFlight.Load()) })
 	set.NewGauge("willowwick_requests_waiting", func() float64 { return float64(x.gate.WaitingNow()) })
@@ -63,63 +63,63 @@
 	return m
 }
 
-func (m *routerMetrics) outcome(name string) {
+func (m *routerMetrics) countOutcome(name string) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("willowwick_requests_ended_total{how=%q}", name)).Inc()
 }
 
-func (m *routerMetrics) send(kind sendKind) {
+func (m *routerMetrics) countSend(kind sendKind) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("willowwick_sends_total{outcome=%q}", kindNames[kind])).Inc()
 }
 
-func (m *routerMetrics) delivered(route *willowwick.Route, took time.Duration) {
-	m.outcome("answered")
+func (m *routerMetrics) countAnswer(route *willowwick.Route, took time.Duration) {
+	m.countOutcome("answered")
 	m.set.GetOrCreateHistogram(fmt.Sprintf("willowwick_answer_seconds{route=%q}", route.Name)).Update(took.Seconds())
 }
 
-func (m *routerMetrics) refused(refusal *willowwick.Refusal) {
+func (m *routerMetrics) countRefusal(refusal *willowwick.Refusal) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("willowwick_refusals_total{kind=%q,code=%q}", refusal.Kind, refusal.Code)).Inc()
 }
 
-func (m *routerMetrics) hintDropped() {
-	m.untold.Inc()
+func (m *routerMetrics) countHintDropped() {
+	m.hintsDropped.Inc()
 }
 
-func (m *routerMetrics) hintSent() {
+func (m *routerMetrics) countHintSent() {
 	m.hintsSent.Inc()
 }
 
 // endedUnder counts a send that broke because its endpoint ended.
-func (m *routerMetrics) endedUnder() {
+func (m *routerMetrics) countSendCutByCrash() {
 	m.set.GetOrCreateCounter("willowwick_sends_ended_with_endpoint_total").Inc()
 }
 
 // sentToLimited counts a send to an endpoint that names a limit.
-func (m *routerMetrics) sentToLimited() {
+func (m *routerMetrics) countSendToLimited() {
 	m.set.GetOrCreateCounter("willowwick_sends_to_limited_endpoints_total").Inc()
 }
 
 // sentToLeaving counts a send to an endpoint that had said that it leaves.
-func (m *routerMetrics) sentToLeaving() {
+func (m *routerMetrics) countSendToDraining() {
 	m.set.GetOrCreateCounter("willowwick_sends_to_leaving_endpoints_total").Inc()
 }
 
 // sentToResting counts a send to an endpoint that had asked for rest.
-func (m *routerMetrics) sentToResting() {
+func (m *routerMetrics) countSendToBackingOff() {
 	m.set.GetOrCreateCounter("willowwick_sends_to_resting_endpoints_total").Inc()
 }
 
 // asked counts a question for a permit by its answer.
-func (m *routerMetrics) asked(answer string) {
+func (m *routerMetrics) countPermitAsked(answer string) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("willowwick_permits_asked_total{answer=%q}", answer)).Inc()
 }
 
 // permitsGranted counts permits that this box handed out.
-func (m *routerMetrics) permitsGranted(permits int) {
+func (m *routerMetrics) countPermitsGranted(permits int) {
 	m.set.GetOrCreateCounter("willowwick_permits_granted_total").Add(permits)
 }
 
 // listTold counts a list of endpoints that another box was told, nil for none.
-func (m *routerMetrics) listTold(list *EndpointList) {
+func (m *routerMetrics) countListSent(list *EndpointList) {
 	if list == nil {
 		return
 	}
@@ -132,10 +132,10 @@
 }
 
 // eraBegan counts a return of the store from a copy of itself.
-func (m *routerMetrics) eraBegan() {
+func (m *routerMetrics) countEra() {
 	m.set.GetOrCreateCounter("willowwick_store_eras_begun_total").Inc()
 }
 
-func (m *routerMetrics) repeatDenied() {
-	m.denied.Inc()
+func (m *routerMetrics) countRetryDenied() {
+	m.retriesDenied.Inc()
 }
--- a/exchange/permits.go
+++ b/exchange/permits.go
@@ -42,15 +42,15 @@
 	reply, err := x.peers.askPermit(c.ctx, x.limits.Ask(now, id, x.settings.Box), now)
 	if err != nil {
 		slog.Debug("no permit was had", "endpoint", id, "error", err)
-		x.metrics.asked("unanswered")
+		x.metrics.countPermitAsked("unanswered")
 		x.limits.Unanswered(clock.Now(), id)
 		return false
 	}
 	if !x.limits.Answered(clock.Now(), now, id, reply) {
-		x.metrics.asked("denied")
+		x.metrics.countPermitAsked("denied")
 		return false
 	}
-	x.metrics.asked("granted")
+	x.metrics.countPermitAsked("granted")
 	return true
 }
 
@@ -88,7 +88,7 @@
 func (p *peers) grant(call ratelimit.Call, now time.Time) ratelimit.Reply {
 	p.noteGranting(now, true)
 	reply := p.granter.Answer(call, p.grantedPart(now), now)
-	p.router.metrics.permitsGranted(reply.Permits)
+	p.router.metrics.countPermitsGranted(reply.Permits)
 	return reply
 }
 
@@ -211,6 +211,6 @@
 // noteShortage notes a request that was refused since all endpoints name limits.
 func (c *call) noteShortage(refusal *willowwick.Refusal) {
 	if refusal.Code == willowwick.CodeRateLimited {
-		c.router.shortages.note(c.service, urgency(c.route, c.account), clock.Now())
+		c.router.shortages.note(c.service, requestPriority(c.route, c.account), clock.Now())
 	}
 }
--- a/exchange/relay.go
+++ b/exchange/relay.go
@@ -237,7 +237,7 @@
 }
 
 func (s *send) callerGone() sendResult {
-	s.router.metrics.outcome("caller_left")
+	s.router.metrics.countOutcome("caller_left")
 	s.logEnd("caller left", 0, "event", s.resumed)
 	return sendResult{kind: callerLeft}
 }
@@ -245,7 +245,7 @@
 // delivered counts and logs an answer that the caller has whole.
 func (s *send) delivered() {
 	took := clock.Since(s.arrived)
-	s.router.metrics.delivered(s.route, took)
+	s.router.metrics.countAnswer(s.route, took)
 	s.noteHarmless(clock.Now())
 	ahead, reading := s.ticket.Forecast()
 	s.logEnd("answered", s.answer.Status, "endpoint", s.ticket.Endpoint.ID, "release", s.ticket.Endpoint.Release,
--- a/exchange/router.go
+++ b/exchange/router.go
@@ -94,7 +94,7 @@
 
 // newRouter returns a router without configuration, and a function that closes its connections.
 func newRouter(settings Settings, codec willowwick.HeaderCodec) (*Router, func()) {
-	conns, closeConns := wire.NewPool(wire.Settings{DialLimit: dialLimit, Silence: sendSilence})
+	conns, closeConns := wire.NewPool(wire.Settings{DialLimit: dialTimeout, Silence: unackedTimeout})
 	limits := ratelimit.NewLedger()
 	x := &Router{
 		settings: settings, codec: codec, conns: conns, gate: gate.New(), warm: make(chan struct{}),
@@ -156,7 +156,7 @@
 
 // refuse answers a request that gets no endpoint's answer.
 func (x *Router) refuse(out *reply, refusal *willowwick.Refusal) {
-	x.metrics.refused(refusal)
+	x.metrics.countRefusal(refusal)
 	header := out.writer.Header()
 	x.codec.EncodeOwn(header, out.id)
 	header.Set("Content-Type", "text/plain; charset=utf-8")
@@ -215,7 +215,7 @@
 func (x *Router) takeRepeat(c *call, kind route.RepeatKind, now time.Time) bool {
 	taken := x.budget(c.service).Take(now, kind, x.peers.slackShares(kind, now))
 	if !taken {
-		x.metrics.repeatDenied()
+		x.metrics.countRetryDenied()
 		slog.Info("repeat not allowed by the budget", "request", c.head.ID, "service", c.service, "kind", int(kind))
 	}
 	return taken
--- a/exchange/send.go
+++ b/exchange/send.go
@@ -141,7 +141,7 @@
 		c.exclude[ticket.Endpoint.ID] = true
 		c.logSend(s, result)
 	}
-	c.router.metrics.send(result.kind)
+	c.router.metrics.countSend(result.kind)
 	return result
 }
 
@@ -238,7 +238,7 @@
 		head.ResumeAfter = s.resumed
 	}
 	if s.route.Stream {
-		head.Priority = min(urgency(s.route, s.account), lowestPriority)
+		head.Priority = min(requestPriority(s.route, s.account), lowestPriority)
 	}
 	s.router.codec.EncodeRequest(header, head, clock.Now())
 	return header
@@ -248,14 +248,14 @@
 func (s *send) countSent() {
 	now := clock.Now()
 	if s.router.isLimited(now, s.ticket.Endpoint) {
-		s.router.metrics.sentToLimited()
+		s.router.metrics.countSendToLimited()
 	}
 	leaves, rests := s.ticket.Noticed(now)
 	if leaves {
-		s.router.metrics.sentToLeaving()
+		s.router.metrics.countSendToDraining()
 	}
 	if rests {
-		s.router.metrics.sentToResting()
+		s.router.metrics.countSendToBackingOff()
 	}
 }
 
--- a/exchange/site_test.go
+++ b/exchange/site_test.go
@@ -411,7 +411,7 @@
 	settings.Peers = peers.Addr().String()
 	hints, err := net.ListenPacket("udp", settings.Peers)
 	require.NoError(t, err)
-	daemon, closeDaemon := New(settings, Outside{
+	daemon, closeDaemon := New(settings, Dependencies{
 		Control: control, Codec: testCodec{}, Callers: callers, Ready: ready, Peers: peers, Metrics: figures, Hints: hints,
 	})
 	stop := daemon.Start()
--- a/exchange/stop_cut_test.go
+++ b/exchange/stop_cut_test.go
@@ -80,7 +80,7 @@
 	control := newTestControl(testTable(1, onceRoute(), againRoute(), streamRoute()), endpoints...)
 	peers := listen(t)
 	settings.Peers = peers.Addr().String()
-	daemon, closeDaemon := New(settings, Outside{
+	daemon, closeDaemon := New(settings, Dependencies{
 		Control: control, Codec: testCodec{}, Callers: callers, Ready: listen(t), Peers: peers, Metrics: listen(t),
 	})
 	s := &site{
@@ -219,7 +219,7 @@
 		s.end()
 	}()
 	time.Sleep(testSettings().TurnAway + 50*time.Millisecond)
-	limit := began.Add(testSettings().Grace - leaveEarly)
+	limit := began.Add(testSettings().Grace - exitMargin)
 	left := time.Until(limit).Milliseconds() - 10
 	response, err := s.client.Do(s.request(t, http.MethodPost, "/once/", "id", "x", "T-Left", strconv.FormatInt(left, 10)))
 	if err == nil {
--- a/exchange/stop_random_test.go
+++ b/exchange/stop_random_test.go
@@ -83,7 +83,7 @@
 	h.endpoint = httptest.NewServer(http.HandlerFunc(h.work))
 	t.Cleanup(h.endpoint.Close)
 	settings := testSettings()
-	settings.TurnAway, settings.Grace = 50*time.Millisecond, leaveEarly+lastAnswer+time.Second
+	settings.TurnAway, settings.Grace = 50*time.Millisecond, exitMargin+lastAnswerMargin+time.Second
 	callers := &slowListener{Listener: listen(t), stand: standAtRandom(seed)}
 	h.site = newStopSite(t, settings, callers, willowwick.Endpoint{
 		ID: "r1", Hall: "hall-a", Address: strings.TrimPrefix(h.endpoint.URL, "http://"), Service: "work", Release: "v1", Slots: stopMany,
--- a/exchange/swap.go
+++ b/exchange/swap.go
@@ -152,7 +152,7 @@
 	reply.Digest = p.ownDigest(now)
 	reply.Table, reply.Packed = p.tableForPeer(call.Digest.TableVersion, call.Digest.TakesPacked)
 	reply.Endpoints = p.router.sync.listForPeer(call)
-	p.router.metrics.listTold(reply.Endpoints)
+	p.router.metrics.countListSent(reply.Endpoints)
 	isNews := false
 	if reply.Harm, isNews = p.quarantine.Answer(call.Harm, call.Digest.Address, now); isNews {
 		p.router.ends.countDropped()
--- a/exchange/table.go
+++ b/exchange/table.go
@@ -42,7 +42,7 @@
 }
 
 // route finds the route with the longest prefix of the path, or returns nil.
-func (t *table) route(host, path string) *willowwick.Route {
+func (t *table) findRoute(host, path string) *willowwick.Route {
 	host = strings.ToLower(host)
 	routes, known := t.hosts[host]
 	if !known {
@@ -58,7 +58,7 @@
 }
 
 // service chooses among the services of the route by their weights; equal texts get equal services.
-func (t *table) service(route *willowwick.Route, text string) willowwick.ServiceID {
+func (t *table) chooseService(route *willowwick.Route, text string) willowwick.ServiceID {
 	total := 0
 	for _, share := range route.Split {
 		total += share.Weight
@@ -77,7 +77,7 @@
 }
 
 // urgency is the rank of a request; the client account's comes before the route's.
-func urgency(route *willowwick.Route, account *willowwick.RoutedAccount) int {
+func requestPriority(route *willowwick.Route, account *willowwick.RoutedAccount) int {
 	if account != nil && account.Priority != willowwick.NoPriority {
 		return account.Priority
 	}
