--- a/exchange/born_test.go
+++ b/exchange/born_test.go
@@ -126,19 +126,19 @@
 
 // Boxes that hear of endpoints from each other know the same lives of them.
 func TestListsOfEndpointsThatStartAgainStayAlike(t *testing.T) {
-	quietLogs(t)
+	discardLogs(t)
 	for seed := range uint64(10) {
 		synctest.Test(t, func(t *testing.T) {
 			m := newMesh(seed, 6, 2, 8)
 			m.run(t, 2*time.Second)
 			for range 40 {
-				m.disturb()
+				m.injectChange()
 				if m.random.IntN(2) == 0 {
-					m.startAgain()
+					m.restartEndpoint()
 				}
 				m.run(t, time.Duration(m.random.IntN(1000))*time.Millisecond)
 			}
-			m.assertListsAlike(t, seed)
+			m.assertListsConverge(t, seed)
 		})
 	}
 }
--- a/exchange/cut_off_test.go
+++ b/exchange/cut_off_test.go
@@ -31,13 +31,13 @@
 	r := newRunner(t, "r1", answerText("ok"))
 	control := newTestControl(testTable(1, onceRoute()), r.endpoint("v1"))
 	settings := testSettings()
-	settings.Box, settings.LinkMbps, settings.Drain = "box-second", 100, feedDrain
+	settings.Box, settings.LinkMbps, settings.Drain = "box-second", 100, hallDrain
 	second := startSite(t, control, settings).daemon.router
 	require.Eventually(t, func() bool { return second.peers.reachesStore(time.Now()) }, patience, 10*time.Millisecond)
 	settings.Box, settings.LinkMbps = "box-first", 200
 	settings.Seeds = []string{second.settings.Peers}
-	own := &turningControl{testControl: control}
-	own.turnedAway.Store(true)
+	own := &refusingControl{testControl: control}
+	own.isRefusing.Store(true)
 	first := startSite(t, own, settings).daemon.router
 	time.Sleep(peerLiveness)
 	control.change(func() { control.table = testTable(2, againRoute()) })
--- a/exchange/era_test.go
+++ b/exchange/era_test.go
@@ -13,7 +13,7 @@
 )
 
 // in is a place in an era.
-func in(era willowwick.Era, offset willowwick.Offset) willowwick.Position {
+func positionIn(era willowwick.Era, offset willowwick.Offset) willowwick.Position {
 	return willowwick.NewPosition(era, offset)
 }
 
@@ -25,7 +25,7 @@
 }
 
 // read gives the box a read of the store up to a position.
-func (e evacuatedHalls) read(isWhole bool, next willowwick.Position, changes ...willowwick.Evacuation) {
+func (e evacuatedHalls) applyRead(isWhole bool, next willowwick.Position, changes ...willowwick.Evacuation) {
 	e.declare(willowwick.Declarations{Whole: isWhole, Next: next, Evacuations: changes})
 }
 
@@ -49,46 +49,46 @@
 		// What is in force once the first read is taken, once all is, and when the operator has had time to write again.
 		first, then, last int
 	}{
-		"declared after the return":            {nil, nil, []willowwick.Evacuation{declaredAt(in(2, 9))}, isNot, isEvacuated, isEvacuated},
-		"declared right before the first read": {nil, []willowwick.Evacuation{declaredAt(in(2, 7))}, nil, isEvacuated, isEvacuated, isEvacuated},
-		"lost and not written again":           {[]willowwick.Evacuation{declaredAt(in(1, 15))}, nil, nil, isEvacuated, isEvacuated, isNot},
+		"declared after the return":            {nil, nil, []willowwick.Evacuation{declaredAt(positionIn(2, 9))}, isNot, isEvacuated, isEvacuated},
+		"declared right before the first read": {nil, []willowwick.Evacuation{declaredAt(positionIn(2, 7))}, nil, isEvacuated, isEvacuated, isEvacuated},
+		"lost and not written again":           {[]willowwick.Evacuation{declaredAt(positionIn(1, 15))}, nil, nil, isEvacuated, isEvacuated, isNot},
 		"lost and written again": {
-			[]willowwick.Evacuation{declaredAt(in(1, 15))}, nil, []willowwick.Evacuation{declaredAt(in(2, 9))}, isEvacuated, isEvacuated, isEvacuated,
+			[]willowwick.Evacuation{declaredAt(positionIn(1, 15))}, nil, []willowwick.Evacuation{declaredAt(positionIn(2, 9))}, isEvacuated, isEvacuated, isEvacuated,
 		},
 		"in the copy": {
-			[]willowwick.Evacuation{declaredAt(in(1, 5))}, []willowwick.Evacuation{declaredAt(in(2, 5))}, nil, isEvacuated, isEvacuated, isEvacuated,
+			[]willowwick.Evacuation{declaredAt(positionIn(1, 5))}, []willowwick.Evacuation{declaredAt(positionIn(2, 5))}, nil, isEvacuated, isEvacuated, isEvacuated,
 		},
 		"taken back after the return": {
-			[]willowwick.Evacuation{declaredAt(in(1, 5))},
-			[]willowwick.Evacuation{declaredAt(in(2, 5))},
-			[]willowwick.Evacuation{takenBackAt(in(2, 9))},
+			[]willowwick.Evacuation{declaredAt(positionIn(1, 5))},
+			[]willowwick.Evacuation{declaredAt(positionIn(2, 5))},
+			[]willowwick.Evacuation{takenBackAt(positionIn(2, 9))},
 			isEvacuated, isNot, isNot,
 		},
 		"lost, and taken back after the return": {
-			[]willowwick.Evacuation{declaredAt(in(1, 15))}, nil, []willowwick.Evacuation{takenBackAt(in(2, 9))}, isEvacuated, isNot, isNot,
+			[]willowwick.Evacuation{declaredAt(positionIn(1, 15))}, nil, []willowwick.Evacuation{takenBackAt(positionIn(2, 9))}, isEvacuated, isNot, isNot,
 		},
 		"taken back before, which the copy lacks": {
-			[]willowwick.Evacuation{declaredAt(in(1, 5)), takenBackAt(in(1, 15))},
-			[]willowwick.Evacuation{declaredAt(in(2, 5))},
-			[]willowwick.Evacuation{takenBackAt(in(2, 9))},
+			[]willowwick.Evacuation{declaredAt(positionIn(1, 5)), takenBackAt(positionIn(1, 15))},
+			[]willowwick.Evacuation{declaredAt(positionIn(2, 5))},
+			[]willowwick.Evacuation{takenBackAt(positionIn(2, 9))},
 			isNot, isNot, isNot,
 		},
 		"taken back before, and declared again": {
-			[]willowwick.Evacuation{declaredAt(in(1, 5)), takenBackAt(in(1, 15))}, []willowwick.Evacuation{declaredAt(in(2, 5))}, nil, isNot, isNot, isEvacuated,
+			[]willowwick.Evacuation{declaredAt(positionIn(1, 5)), takenBackAt(positionIn(1, 15))}, []willowwick.Evacuation{declaredAt(positionIn(2, 5))}, nil, isNot, isNot, isEvacuated,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				e, other := newEvacuatedHalls(), newEvacuatedHalls()
-				e.read(true, in(1, 2))
-				e.read(false, in(1, 20), test.before...)
+				e.applyRead(true, positionIn(1, 2))
+				e.applyRead(false, positionIn(1, 20), test.before...)
 				other.hear(e.set(), "box-1")
-				e.read(true, in(2, 8), test.copied...)
+				e.applyRead(true, positionIn(2, 8), test.copied...)
 				other.hear(e.set(), "box-1")
 				assert.Equal(t, test.first, e.count(), "after the first read")
 				assert.Equal(t, test.first, other.count(), "at a box that is told of it")
 				time.Sleep(restoreTime / 2)
-				e.read(false, in(2, 40), test.after...)
+				e.applyRead(false, positionIn(2, 40), test.after...)
 				other.hear(e.set(), "box-1")
 				assert.Equal(t, test.then, e.count(), "after what came then")
 				assert.Equal(t, test.then, other.count(), "at a box that is told of it")
@@ -104,12 +104,12 @@
 func TestWhatTheOperatorDeclaredHoldsThroughTwoReturnsOfTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEvacuatedHalls()
-		e.read(true, in(1, 20), declaredAt(in(1, 15)))
-		e.read(true, in(2, 8))
+		e.applyRead(true, positionIn(1, 20), declaredAt(positionIn(1, 15)))
+		e.applyRead(true, positionIn(2, 8))
 		time.Sleep(time.Second)
-		e.read(true, in(3, 6))
+		e.applyRead(true, positionIn(3, 6))
 		assert.Equal(t, 1, e.count())
-		e.read(false, in(2, 9), takenBackAt(in(2, 8)))
+		e.applyRead(false, positionIn(2, 9), takenBackAt(positionIn(2, 8)))
 		assert.Equal(t, 1, e.count(), "a late answer of the era before says nothing")
 		time.Sleep(restoreTime - time.Second/2)
 		assert.Equal(t, 1, e.count())
@@ -122,10 +122,10 @@
 func TestWhatTheOperatorTookBackStaysSoThroughTwoReturnsOfTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEvacuatedHalls()
-		e.read(true, in(1, 10), declaredAt(in(1, 5)))
-		e.read(false, in(1, 20), takenBackAt(in(1, 15)))
+		e.applyRead(true, positionIn(1, 10), declaredAt(positionIn(1, 5)))
+		e.applyRead(false, positionIn(1, 20), takenBackAt(positionIn(1, 15)))
 		for era := range willowwick.Era(3) {
-			e.read(true, in(2+era, 8), declaredAt(in(2+era, 5)))
+			e.applyRead(true, positionIn(2+era, 8), declaredAt(positionIn(2+era, 5)))
 			assert.Zero(t, e.count())
 			time.Sleep(time.Second)
 		}
@@ -146,10 +146,10 @@
 		admission := func(at willowwick.Position) []willowwick.Admission {
 			return []willowwick.Admission{{Request: request.Request, At: at}}
 		}
-		a.declare(willowwick.Declarations{Whole: true, Next: in(1, 9), Admissions: admission(in(1, 8))})
-		a.declare(willowwick.Declarations{Whole: true, Next: in(2, 4)})
+		a.declare(willowwick.Declarations{Whole: true, Next: positionIn(1, 9), Admissions: admission(positionIn(1, 8))})
+		a.declare(willowwick.Declarations{Whole: true, Next: positionIn(2, 4)})
 		assert.False(t, harm.Refuses(request.Request))
-		a.declare(willowwick.Declarations{Next: in(2, 5), Admissions: admission(in(2, 4))})
+		a.declare(willowwick.Declarations{Next: positionIn(2, 5), Admissions: admission(positionIn(2, 4))})
 		time.Sleep(2 * restoreTime)
 		assert.False(t, harm.Refuses(request.Request))
 	})
@@ -160,9 +160,9 @@
 func TestAnOrderThatIsWrittenAgainBeginsNothingAnew(t *testing.T) {
 	for _, state := range []willowwick.ReleaseState{willowwick.ReleaseRunning, willowwick.ReleaseCompleted, willowwick.ReleaseRolledBack} {
 		r := newTestReleases()
-		r.begin(orderOf("v2", in(1, 30)), 0, testStart)
+		r.begin(orderOf("v2", positionIn(1, 30)), 0, testStart)
 		r.settle(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: state}, true, "test")
-		r.begin(orderOf("v2", in(2, 12)), 0, at(0.35))
+		r.begin(orderOf("v2", positionIn(2, 12)), 0, at(0.35))
 		progress := r.progresses(at(0.4))
 		require.Len(t, progress, 1)
 		assert.Equal(t, state, progress[0].Status.State)
@@ -170,7 +170,7 @@
 		due := r.due(at(0.4))
 		require.Len(t, due, 1, "the store may have lost the state too")
 		assert.Equal(t, state, due[0].State)
-		r.begin(orderOf("v3", in(2, 13)), 0, at(0.41))
+		r.begin(orderOf("v3", positionIn(2, 13)), 0, at(0.41))
 		assert.Equal(t, willowwick.ReleaseID("v3"), r.progresses(at(0.42))[0].Status.Target, "a new order counts at once")
 	}
 }
@@ -179,16 +179,16 @@
 func TestAnOrderOfTheCopyDoesNotTakeThePlaceOfALaterOneThatItLacks(t *testing.T) {
 	newMoved := func() *releases {
 		r := newTestReleases()
-		r.begin(orderOf("v2", in(1, 10)), 0, testStart)
+		r.begin(orderOf("v2", positionIn(1, 10)), 0, testStart)
 		r.settle(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseCompleted}, true, "test")
-		r.begin(orderOf("v3", in(1, 30)), 0, at(0.1))
-		r.begin(orderOf("v2", in(2, 10)), 0, at(0.2))
+		r.begin(orderOf("v3", positionIn(1, 30)), 0, at(0.1))
+		r.begin(orderOf("v2", positionIn(2, 10)), 0, at(0.2))
 		require.Equal(t, willowwick.ReleaseID("v3"), r.progresses(at(0.2))[0].Status.Target)
 		return r
 	}
 	later := at(0.2).Add(restoreTime + time.Second)
 	r := newMoved()
-	r.begin(orderOf("v3", in(2, 14)), 0, at(0.25))
+	r.begin(orderOf("v3", positionIn(2, 14)), 0, at(0.25))
 	r.evaluate(nil, later)
 	assert.Equal(t, willowwick.ReleaseID("v3"), r.progresses(later)[0].Status.Target, "it was written again")
 	r = newMoved()
@@ -243,7 +243,7 @@
 			ids = append(ids, meshEndpoint(i, size.halls).ID)
 		}
 		m.store.reads = 0
-		m.store.comeBack(willowwick.Offset(lost), ids...)
+		m.store.restoreFromCopy(willowwick.Offset(lost), ids...)
 		for step := range 4 {
 			m.run(t, lapsedGrace/5)
 			for i := step; i < lost; i += 4 {
@@ -254,7 +254,7 @@
 			}
 		}
 		assert.LessOrEqual(t, m.store.reads, callsOfStart*size.halls)
-		assert.LessOrEqual(t, m.leave(t, meshEndpoint(lost, size.halls)), meshDrain*3/4)
+		assert.LessOrEqual(t, m.drain(t, meshEndpoint(lost, size.halls)), meshDrain*3/4)
 		m.run(t, lapsedGrace)
 		for _, box := range m.boxes {
 			require.Len(t, box.pool.Endpoints(), size.endpoints, "endpoints that %s uses", box.settings.Box)
@@ -270,8 +270,8 @@
 		gone := meshEndpoint(0, size.halls)
 		m.store.remove(gone.ID)
 		m.run(t, meshDrain)
-		m.store.comeBack(1)
-		m.store.entries[gone.ID] = meshEntry{gone, in(1, 1)}
+		m.store.restoreFromCopy(1)
+		m.store.entries[gone.ID] = meshEntry{gone, positionIn(1, 1)}
 		for range 4 {
 			m.run(t, meshDrain/4)
 			for _, box := range m.boxes {
@@ -287,9 +287,9 @@
 		m := newMesh(1, 1, 1, 3)
 		m.run(t, time.Second)
 		box, now := m.boxes[0], time.Now()
-		m.store.comeBack(0)
+		m.store.restoreFromCopy(0)
 		box.sync.applyListRead(m.store.since(0), now, now)
-		box.sync.applyListRead(willowwick.EndpointChanges{Next: in(0, 99), Gone: []willowwick.EndpointID{meshEndpoint(0, 1).ID}}, now, now)
+		box.sync.applyListRead(willowwick.EndpointChanges{Next: positionIn(0, 99), Gone: []willowwick.EndpointID{meshEndpoint(0, 1).ID}}, now, now)
 		assert.Equal(t, willowwick.Era(1), box.sync.listReadTo().Era())
 		m.run(t, 2*lapsedGrace)
 		assert.Len(t, box.pool.Endpoints(), 3)
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -275,14 +275,14 @@
 	r := newRunner(t, "r1", answerText("a"))
 	s := newSite(t, r.endpoint("v1"))
 	s.control.change(func() { s.control.down = true })
-	require.Eventually(t, func() bool { return s.daemon.router.sync.isAway() }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return s.daemon.router.sync.hasFailingRead() }, patience, time.Millisecond)
 	// Entries lapse only while the store is away for longer than heartbeats take.
 	time.Sleep(2 * testSettings().Drain)
 	s.control.change(func() {
 		s.control.down = false
 		s.control.endpoints = map[willowwick.EndpointID]willowwick.Endpoint{}
 	})
-	require.Eventually(t, func() bool { return !s.daemon.router.sync.isAway() }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return !s.daemon.router.sync.hasFailingRead() }, patience, time.Millisecond)
 	assert.Equal(t, http.StatusOK, s.do(t, http.MethodPost, "/once/", "id", "x").status)
 	time.Sleep(lapsedGrace + 2*testSettings().Drain)
 	assert.Equal(t, http.StatusServiceUnavailable, s.do(t, http.MethodPost, "/once/", "id", "x").status)
--- a/exchange/for_good_test.go
+++ b/exchange/for_good_test.go
@@ -30,7 +30,7 @@
 		control.table.Limits.BodyBytes = 10
 	})
 	settings := testSettings()
-	settings.Drain = feedDrain
+	settings.Drain = hallDrain
 	var sites []*site
 	for i := range boxes {
 		settings.Box = willowwick.BoxID(fmt.Sprint("box-", i))
--- a/exchange/foreign_test.go
+++ b/exchange/foreign_test.go
@@ -10,7 +10,7 @@
 
 // An entry of another writer takes the place of an endpoint's: the endpoint gets nothing until its own next entry, and no longer.
 func TestAnEndpointIsNotUsedWhileAnotherWritersEntryStandsInItsPlace(t *testing.T) {
-	quietLogs(t)
+	discardLogs(t)
 	m := newMesh(1, 1, 1, 0)
 	s := m.boxes[0].sync
 	now := time.Now()
--- a/exchange/harm_fleet_test.go
+++ b/exchange/harm_fleet_test.go
@@ -130,7 +130,7 @@
 
 // Boxes that are started anew, one after the other, learn from the others what is refused.
 func TestBoxesThatStartAnewRefuseAHarmfulRequest(t *testing.T) {
-	quietLogs(t)
+	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
 		const boxes, halls = 6, 3
 		h := newHarmMesh(newMesh(1, boxes, halls, 21), harmfulBody)
@@ -184,7 +184,7 @@
 // Halls that are cut from each other find a harmful request out by themselves; after the cut each takes over what the other
 // found before it is bound to it.
 func TestHallsThatWereCutTellEachOtherOfAHarmfulRequest(t *testing.T) {
-	quietLogs(t)
+	discardLogs(t)
 	for seed := range uint64(5) {
 		synctest.Test(t, func(t *testing.T) {
 			const boxes, halls = 6, 2
@@ -205,7 +205,7 @@
 // Halls that do not reach each other may all reach the store. Each of them once had endpoints of its own end before it refused a
 // request that another one had found out.
 func TestHallsThatAreCutLearnFromTheStoreOfAHarmfulRequest(t *testing.T) {
-	quietLogs(t)
+	discardLogs(t)
 	for seed := range uint64(5) {
 		synctest.Test(t, func(t *testing.T) {
 			const boxes, halls = 9, 3
--- a/exchange/hints_test.go
+++ b/exchange/hints_test.go
@@ -22,7 +22,7 @@
 			settings := testSettings()
 			settings.Box = willowwick.BoxID(fmt.Sprint("box-", hall, "-", box))
 			settings.Hall = willowwick.HallID(fmt.Sprint("hall-", hall))
-			settings.Drain = feedDrain
+			settings.Drain = hallDrain
 			if len(sites) > 0 {
 				settings.Seeds = []string{sites[0].daemon.router.settings.Peers}
 			}
--- a/exchange/leaving_test.go
+++ b/exchange/leaving_test.go
@@ -212,7 +212,7 @@
 
 // Once the list says that an endpoint leaves, boxes no longer tell each other.
 func TestBoxesDoNotTellEachOtherWhatTheListSays(t *testing.T) {
-	quietLogs(t)
+	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
 		m := newMesh(1, 6, 2, 8)
 		m.run(t, 10*time.Second)
@@ -220,7 +220,7 @@
 		m.boxes[0].pool.Hear(now, now, endpoint, willowwick.Notice{Leaving: true})
 		m.run(t, time.Second)
 		assert.NotEmpty(t, m.boxes[5].peers.ownDigest(time.Now()).Leaving)
-		m.leave(t, endpoint)
+		m.drain(t, endpoint)
 		m.run(t, 2*time.Second)
 		for _, box := range m.boxes {
 			assert.Empty(t, box.peers.ownDigest(time.Now()).Leaving)
--- a/exchange/logs_test.go
+++ b/exchange/logs_test.go
@@ -12,12 +12,12 @@
 )
 
 // stuckWriter takes nothing until it is released.
-type stuckWriter struct {
+type blockedWriter struct {
 	bytes.Buffer
 	released chan struct{}
 }
 
-func (w *stuckWriter) Write(p []byte) (int, error) {
+func (w *blockedWriter) Write(p []byte) (int, error) {
 	<-w.released
 	return w.Buffer.Write(p)
 }
@@ -25,7 +25,7 @@
 // Seen: a record of an incident had no line for the requests that it named, and nothing in it told whether lines were dropped.
 func TestTheLogTellsHowManyOfItsLinesAreMissing(t *testing.T) {
 	const dropped = 7
-	out := &stuckWriter{released: make(chan struct{})}
+	out := &blockedWriter{released: make(chan struct{})}
 	queue, flush := NewLogQueue(out, func(to io.Writer) *slog.Logger { return slog.New(slog.NewTextHandler(to, nil)) })
 	// One more than the queue holds may be with the writer already.
 	for n := range logQueueLines + 1 + dropped {
--- a/exchange/lost_read_test.go
+++ b/exchange/lost_read_test.go
@@ -11,7 +11,7 @@
 )
 
 // headLimit is what the store's client gives the head of an answer beyond the time that the store may hold the read.
-const headLimit = 600 * time.Millisecond
+const responseHeaderTimeout = 600 * time.Millisecond
 
 // Seen: a configuration comes into force at some boxes of a hall later than operators want, after the reader's held read
 // fell silent just before.
@@ -27,7 +27,7 @@
 	losing := newLosingControl(r.endpoint("v1"))
 	control := losing.testControl
 	settings := testSettings()
-	settings.Box, settings.LinkMbps, settings.Drain = "box-first", 200, feedDrain
+	settings.Box, settings.LinkMbps, settings.Drain = "box-first", 200, hallDrain
 	sites := []*site{startSite(t, losing, settings)}
 	settings.LinkMbps, settings.Seeds = 100, []string{sites[0].daemon.router.settings.Peers}
 	for i := range others {
@@ -59,10 +59,10 @@
 	const rest = 100 * time.Millisecond
 	for _, inForce := range []time.Duration{2 * time.Second, 3 * time.Second, 4 * time.Second, time.Minute} {
 		settings := testSettings()
-		settings.InForce, settings.Drain = inForce, feedDrain
+		settings.InForce, settings.Drain = inForce, hallDrain
 		x, closeRouter := newRouter(settings, testCodec{})
 		x.sync = newSyncer(x, nil)
-		lost := x.sync.longPollLimit() + headLimit + minReadRetry
+		lost := x.sync.longPollLimit() + responseHeaderTimeout + minReadRetry
 		assert.LessOrEqual(t, lost+(&peers{router: x}).gossipPeriod()+rest, inForce)
 		closeRouter()
 	}
--- a/exchange/mesh_fleet_test.go
+++ b/exchange/mesh_fleet_test.go
@@ -18,7 +18,7 @@
 
 // eachMeshSize runs a test in virtual time for each size of a fleet.
 func eachMeshSize(t *testing.T, test func(t *testing.T, size meshSize)) {
-	quietLogs(t)
+	discardLogs(t)
 	for _, size := range meshSizes {
 		t.Run(fmt.Sprint(size.boxes), func(t *testing.T) {
 			t.Parallel()
@@ -42,20 +42,20 @@
 			}
 		}
 		m.run(t, silentPeerRetention/3)
-		m.swapped = 0
+		m.exchangedBytes = 0
 		for begin := time.Now(); time.Since(begin) < watched; {
 			m.run(t, time.Second)
 			for _, box := range m.boxes {
 				require.Equal(t, size.boxes, box.peers.fleetSize(), "boxes that %s knows", box.settings.Box)
 			}
 		}
-		assert.Less(t, m.swapped, perBox*size.boxes*int(watched.Seconds()))
+		assert.Less(t, m.exchangedBytes, perBox*size.boxes*int(watched.Seconds()))
 	})
 }
 
 // Boxes that are gone are forgotten by all, though each was named by others.
 func TestBoxesThatAreGoneAreForgotten(t *testing.T) {
-	quietLogs(t)
+	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
 		const boxes, halls, gone = 30, 3, 6
 		m := newMesh(1, boxes, halls, 10)
@@ -79,15 +79,15 @@
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
 		m := newMesh(1, size.boxes, size.halls, size.endpoints)
 		m.run(t, 3*time.Second)
-		m.swapped = 0
+		m.exchangedBytes = 0
 		m.run(t, changes*time.Second)
-		calm := m.swapped
-		m.swapped = 0
+		calm := m.exchangedBytes
+		m.exchangedBytes = 0
 		for i := range changes {
 			m.store.put(meshEndpoint(size.endpoints+i, size.halls))
 			m.run(t, time.Second)
 		}
-		assert.Less(t, m.swapped-calm, perChange*changes*size.boxes)
+		assert.Less(t, m.exchangedBytes-calm, perChange*changes*size.boxes)
 		m.run(t, meshDrain)
 		for _, box := range m.boxes {
 			assert.Len(t, box.pool.Endpoints(), size.endpoints+changes, "endpoints that %s knows", box.settings.Box)
@@ -101,12 +101,12 @@
 func TestBoxesThatStartDoNotSendEachOtherWhatBothHaveRead(t *testing.T) {
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
 		m := newMesh(1, size.boxes, size.halls, size.endpoints)
-		m.moves, m.parts = true, map[string]*gobCounter{}
+		m.advancesOffset, m.parts = true, map[string]*gobCounter{}
 		for second := range 5 {
 			m.run(t, time.Second)
 			t.Logf("%d s: %s; %d reads of the list", second+1, m.partsText(), m.store.reads)
 		}
-		assert.Zero(t, m.wholes)
+		assert.Zero(t, m.wholeLists)
 		m.store.put(meshEndpoint(size.endpoints, size.halls))
 		m.run(t, meshDrain)
 		for _, box := range m.boxes {
@@ -126,7 +126,7 @@
 		cold.ColdUntil = now.Add(time.Minute)
 		m.store.put(cold)
 		first.sync.applyListRead(m.store.since(0), now, now)
-		m.swap(t, second, first.settings.Peers, now)
+		m.exchange(t, second, first.settings.Peers, now)
 		entry, _ := second.sync.listedEndpoint(cold.ID)
 		assert.False(t, entry.ColdUntil.IsZero())
 	})
@@ -134,7 +134,7 @@
 
 // Whatever happens at the store, a box that hears of it by swaps has what its reader has.
 func TestListsOfEndpointsStayAlike(t *testing.T) {
-	quietLogs(t)
+	discardLogs(t)
 	seeds := []uint64{31, 195, 218, 681} // each showed a fault of its own
 	for seed := range uint64(20) {
 		seeds = append(seeds, seed)
@@ -144,10 +144,10 @@
 			m := newMesh(seed, 8, 2, 10)
 			m.run(t, 2*time.Second)
 			for range 60 {
-				m.disturb()
+				m.injectChange()
 				m.run(t, time.Duration(m.random.IntN(1000))*time.Millisecond)
 			}
-			m.assertListsAlike(t, seed)
+			m.assertListsConverge(t, seed)
 		})
 	}
 }
@@ -165,7 +165,7 @@
 				box.isRefused = m.random.IntN(100) < refusedPercent
 			}
 			m.run(t, time.Duration(m.random.IntN(int(meshDrain))))
-			assert.LessOrEqual(t, m.leave(t, meshEndpoint(trial, size.halls)), meshDrain*3/4)
+			assert.LessOrEqual(t, m.drain(t, meshEndpoint(trial, size.halls)), meshDrain*3/4)
 		}
 	})
 }
@@ -177,7 +177,7 @@
 	const watched = 5 * time.Second
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
 		m := newMesh(1, size.boxes, size.halls, size.endpoints)
-		m.reads = true
+		m.readsConfig = true
 		m.run(t, 3*time.Second)
 		var oldest time.Duration
 		for begin := time.Now(); time.Since(begin) < watched; {
@@ -196,7 +196,7 @@
 func TestEveryConfigurationIsInDoubtWhileTheStoreIsAway(t *testing.T) {
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
 		m := newMesh(1, size.boxes, size.halls, size.endpoints)
-		m.reads = true
+		m.readsConfig = true
 		m.run(t, 3*time.Second)
 		m.isAway = true
 		m.run(t, inForceWithin+meshStep)
--- a/exchange/mesh_test.go
+++ b/exchange/mesh_test.go
@@ -30,40 +30,40 @@
 type (
 	// mesh is a fleet without network in virtual time: boxes swap by function calls, their hubs read one store.
 	mesh struct {
-		store  *meshStore
-		isAway bool                           // the store answers nobody
-		isCut  bool                           // halls do not reach each other
-		moves  bool                           // heartbeats move the end of the list's topic
-		reads  bool                           // boxes without a reader read the configuration as well
-		beats  uint64                         // heartbeats of endpoints so far
-		left   map[willowwick.EndpointID]bool // endpoints that have ever said that they leave, which is for good
-		lives  map[willowwick.EndpointID]willowwick.Incarnation
-		boxes  []*meshBox
-		named  map[string]*meshBox
-		starts int // of boxes so far
-		random *rand.Rand
-
-		messages gobCounter
-		swapped  int                    // bytes of all swaps
-		parts    map[string]*gobCounter // the same by the kind of news; nil if that is not counted
-		wholes   int                    // lists of endpoints that went from box to box whole
+		store          *meshStore
+		isAway         bool                           // the store answers nobody
+		isCut          bool                           // halls do not reach each other
+		advancesOffset bool                           // heartbeats move the end of the list's topic
+		readsConfig    bool                           // boxes without a reader read the configuration as well
+		heartbeats     uint64                         // heartbeats of endpoints so far
+		draining       map[willowwick.EndpointID]bool // endpoints that have ever said that they leave, which is for good
+		incarnations   map[willowwick.EndpointID]willowwick.Incarnation
+		boxes          []*meshBox
+		byAddress      map[string]*meshBox
+		starts         int // of boxes so far
+		random         *rand.Rand
+
+		messages       gobCounter
+		exchangedBytes int                    // bytes of all swaps
+		parts          map[string]*gobCounter // the same by the kind of news; nil if that is not counted
+		wholeLists     int                    // lists of endpoints that went from box to box whole
 	}
 
 	// meshBox is one box of a mesh.
 	meshBox struct {
 		*Router
-		down      bool
-		isRefused bool      // by the store
-		readAt    time.Time // no read of the store before
-		swapAt    time.Time // no swap before
-		configAt  time.Time // no read of the configuration before
+		down           bool
+		isRefused      bool      // by the store
+		nextRead       time.Time // no read of the store before
+		nextExchange   time.Time // no swap before
+		nextConfigRead time.Time // no read of the configuration before
 	}
 
 	// meshStore is the list of endpoints at the store.
 	meshStore struct {
 		end     willowwick.Position
 		entries map[willowwick.EndpointID]meshEntry
-		gone    map[willowwick.EndpointID]willowwick.Position
+		removed map[willowwick.EndpointID]willowwick.Position
 		harmful map[willowwick.Fingerprint]willowwick.HarmfulRequest
 		reads   int // of the list
 	}
@@ -132,7 +132,7 @@
 func (s *meshStore) remove(id willowwick.EndpointID) {
 	s.end++
 	delete(s.entries, id)
-	s.gone[id] = s.end
+	s.removed[id] = s.end
 }
 
 func (s *meshStore) since(from willowwick.Position) willowwick.EndpointChanges {
@@ -144,7 +144,7 @@
 			changes.Present = append(changes.Present, entry.endpoint)
 		}
 	}
-	for id, at := range s.gone {
+	for id, at := range s.removed {
 		if !isWhole && at > from {
 			changes.Gone = append(changes.Gone, id)
 		}
@@ -153,7 +153,7 @@
 }
 
 // comeBack begins a new era with a copy of the list that lacks what was written last: so many records, and the given endpoints.
-func (s *meshStore) comeBack(records willowwick.Offset, lost ...willowwick.EndpointID) {
+func (s *meshStore) restoreFromCopy(records willowwick.Offset, lost ...willowwick.EndpointID) {
 	s.end = willowwick.NewPosition(s.end.Era()+1, s.end.Offset()-records)
 	for _, id := range lost {
 		delete(s.entries, id)
@@ -178,9 +178,9 @@
 // newMesh returns boxes that have not swapped yet, spread over halls, before a list of endpoints.
 func newMesh(seed uint64, boxes, halls, endpoints int) *mesh {
 	m := &mesh{
-		store: &meshStore{entries: map[willowwick.EndpointID]meshEntry{}, gone: map[willowwick.EndpointID]willowwick.Position{}},
-		named: map[string]*meshBox{}, random: rand.New(rand.NewPCG(seed, seed)), left: map[willowwick.EndpointID]bool{},
-		lives: map[willowwick.EndpointID]willowwick.Incarnation{},
+		store:     &meshStore{entries: map[willowwick.EndpointID]meshEntry{}, removed: map[willowwick.EndpointID]willowwick.Position{}},
+		byAddress: map[string]*meshBox{}, random: rand.New(rand.NewPCG(seed, seed)), draining: map[willowwick.EndpointID]bool{},
+		incarnations: map[willowwick.EndpointID]willowwick.Incarnation{},
 	}
 	for i := range endpoints {
 		m.store.put(meshEndpoint(i, halls))
@@ -208,7 +208,7 @@
 	x.sync = newSyncer(x, &meshControl{mesh: m, box: box})
 	x.peers, _ = newPeers(x)
 	x.peers.askBox = func(_ context.Context, address string, call *ratelimit.Call) (reply ratelimit.Reply, err error) {
-		other := m.named[address]
+		other := m.byAddress[address]
 		if other == nil || other.down || m.isCut && other.settings.Hall != settings.Hall {
 			return reply, errDown
 		}
@@ -218,52 +218,52 @@
 	x.hints = newHints(x, nil)
 	x.setTable(testTable(1, onceRoute(), streamRoute()), "test")
 	// Real boxes start a little after each other.
-	box.readAt = time.Now().Add(time.Duration(m.random.IntN(int(meshDrain / 4))))
-	box.swapAt = box.readAt
-	if m.named[settings.Peers] == nil {
+	box.nextRead = time.Now().Add(time.Duration(m.random.IntN(int(meshDrain / 4))))
+	box.nextExchange = box.nextRead
+	if m.byAddress[settings.Peers] == nil {
 		m.boxes = append(m.boxes, box)
 	} else {
 		m.boxes[i] = box
 	}
-	m.named[settings.Peers] = box
+	m.byAddress[settings.Peers] = box
 }
 
 // run lets the boxes swap and read for a length of virtual time.
 func (m *mesh) run(t *testing.T, length time.Duration) {
 	for until := time.Now().Add(length); time.Now().Before(until); time.Sleep(meshStep) {
-		if m.moves {
+		if m.advancesOffset {
 			m.store.end += willowwick.Position(len(m.store.entries)) * willowwick.Position(meshStep) / willowwick.Position(time.Second)
 		}
 		for _, box := range m.boxes {
 			if !box.down {
-				m.act(t, box)
+				m.step(t, box)
 			}
 		}
 	}
 }
 
 // act does what is due on a box.
-func (m *mesh) act(t *testing.T, box *meshBox) {
+func (m *mesh) step(t *testing.T, box *meshBox) {
 	now := time.Now()
-	if !now.Before(box.readAt) {
-		box.readAt = now.Add(minReadRetry)
+	if !now.Before(box.nextRead) {
+		box.nextRead = now.Add(minReadRetry)
 		m.read(box, now)
 	}
-	if m.reads {
+	if m.readsConfig {
 		m.readConfig(box, now)
 	}
 	if m.store.harmful != nil {
 		box.sync.lookAfterHarmful(t.Context())
 	}
-	if now.Before(box.swapAt) {
+	if now.Before(box.nextExchange) {
 		return
 	}
 	for _, address := range box.peers.exchangeTargets(now) {
-		m.swap(t, box, address, now)
+		m.exchange(t, box, address, now)
 	}
 	box.peers.forgetSilentPeers(now)
 	// Real boxes drift against each other by their own work.
-	box.swapAt = now.Add(box.peers.roundPause(now)).Add(time.Duration(m.random.IntN(int(meshStep))))
+	box.nextExchange = now.Add(box.peers.roundPause(now)).Add(time.Duration(m.random.IntN(int(meshStep))))
 }
 
 // read looks after the list of endpoints, and reads it if it is time to.
@@ -283,22 +283,22 @@
 // readConfig reads the configuration on a box that has no reader, as old as an answer may make it: one that brings news at the
 // end of the time for which it was held.
 func (m *mesh) readConfig(box *meshBox, now time.Time) {
-	if now.Before(box.configAt) || box.sync.hasReader(now) {
+	if now.Before(box.nextConfigRead) || box.sync.hasReader(now) {
 		return
 	}
 	held := box.sync.longPollLimit()
-	box.configAt = now.Add(held)
+	box.nextConfigRead = now.Add(held)
 	if !m.isAway && !box.isRefused {
 		box.sync.noteConfigAsOf(now.Add(-held))
 	}
 }
 
-func (m *mesh) swap(t *testing.T, box *meshBox, address string, now time.Time) {
+func (m *mesh) exchange(t *testing.T, box *meshBox, address string, now time.Time) {
 	if !box.peers.beginExchange(address, now) {
 		return
 	}
 	defer box.peers.endExchange(address)
-	other := m.named[address]
+	other := m.byAddress[address]
 	if other == nil || other.down || m.isCut && other.settings.Hall != box.settings.Hall {
 		box.peers.noteCallFailure(address, errDown)
 		return
@@ -307,10 +307,10 @@
 	var reply SwapReply
 	require.NoError(t, (&rpcServer{peers: other.peers}).Swap(&call, &reply))
 	if reply.Endpoints != nil && reply.Endpoints.Since == 0 {
-		m.wholes++
+		m.wholeLists++
 	}
 	box.peers.applyReply(&call, reply, now, now)
-	m.swapped += m.messages.add(t, call) + m.messages.add(t, reply)
+	m.exchangedBytes += m.messages.add(t, call) + m.messages.add(t, reply)
 	if m.parts != nil {
 		m.countParts(t, &call, &reply)
 	}
@@ -340,43 +340,43 @@
 
 // partsText tells the bytes of swaps by the kind of news.
 func (m *mesh) partsText() string {
-	text := fmt.Sprintf("%d bytes", m.swapped)
+	text := fmt.Sprintf("%d bytes", m.exchangedBytes)
 	for _, kind := range slices.Sorted(maps.Keys(m.parts)) {
 		text += fmt.Sprintf(", %s %d", kind, m.parts[kind].bytes)
 	}
 	return text
 }
 
-func quietLogs(t *testing.T) {
+func discardLogs(t *testing.T) {
 	before := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	t.Cleanup(func() { slog.SetDefault(before) })
 }
 
 // beatAll lets each endpoint write its heartbeat.
-func (m *mesh) beatAll() {
+func (m *mesh) writeHeartbeats() {
 	for _, endpoint := range m.store.list() {
-		m.beats++
-		endpoint.Beat = m.beats
+		m.heartbeats++
+		endpoint.Beat = m.heartbeats
 		m.store.put(endpoint)
 	}
 }
 
 // assertListsAlike lets the store come back, and checks that all boxes list then what it lists.
-func (m *mesh) assertListsAlike(t *testing.T, seed uint64) {
+func (m *mesh) assertListsConverge(t *testing.T, seed uint64) {
 	// An endpoint that was gone counts again after two heartbeats; every entry that lapsed is back or dropped by then.
 	m.isAway = false
 	for range 4 {
-		m.beatAll()
+		m.writeHeartbeats()
 		m.run(t, meshDrain/2)
 	}
 	for _, box := range m.boxes {
-		assert.ElementsMatch(t, withoutBeats(m.store.list()), withoutBeats(box.pool.Endpoints()), "endpoints that %s knows, seed %d", box.settings.Box, seed)
+		assert.ElementsMatch(t, withoutHeartbeats(m.store.list()), withoutHeartbeats(box.pool.Endpoints()), "endpoints that %s knows, seed %d", box.settings.Box, seed)
 	}
 }
 
 // withoutBeats leaves out what is not told of endpoints that only go on living.
-func withoutBeats(list []willowwick.Endpoint) []willowwick.Endpoint {
+func withoutHeartbeats(list []willowwick.Endpoint) []willowwick.Endpoint {
 	for i := range list {
 		list[i].Beat = 0
 	}
@@ -384,7 +384,7 @@
 }
 
 // disturb changes one thing at the store.
-func (m *mesh) disturb() {
+func (m *mesh) injectChange() {
 	const names = 15
 	endpoint := meshEndpoint(m.random.IntN(names), 2)
 	switch m.random.IntN(6) {
@@ -394,23 +394,23 @@
 		m.store.remove(endpoint.ID)
 	case 2:
 		if known, found := m.store.entries[endpoint.ID]; found {
-			m.beats++
-			m.left[endpoint.ID] = true
-			known.endpoint.Leaving, known.endpoint.Beat = true, m.beats
+			m.heartbeats++
+			m.draining[endpoint.ID] = true
+			known.endpoint.Leaving, known.endpoint.Beat = true, m.heartbeats
 			m.store.put(known.endpoint)
 		}
 	case 3:
 		m.start(m.random.IntN(len(m.boxes)), 2)
 	default:
-		m.beats++
-		endpoint.Incarnation = m.lives[endpoint.ID]
-		endpoint.Beat, endpoint.Leaving = m.beats, m.left[endpoint.ID]
+		m.heartbeats++
+		endpoint.Incarnation = m.incarnations[endpoint.ID]
+		endpoint.Beat, endpoint.Leaving = m.heartbeats, m.draining[endpoint.ID]
 		m.store.put(endpoint)
 	}
 }
 
 // startAgain lets an endpoint that is listed end and start again under its id, with heartbeats that count anew.
-func (m *mesh) startAgain() {
+func (m *mesh) restartEndpoint() {
 	endpoint := meshEndpoint(m.random.IntN(8), 2)
 	if _, isListed := m.store.entries[endpoint.ID]; !isListed {
 		return
@@ -418,25 +418,25 @@
 	if m.random.IntN(2) == 0 {
 		m.store.remove(endpoint.ID)
 	}
-	m.beats++
-	m.left[endpoint.ID] = false
-	m.lives[endpoint.ID] += willowwick.Incarnation(m.beats)
-	endpoint.Incarnation, endpoint.Beat = m.lives[endpoint.ID], 1
+	m.heartbeats++
+	m.draining[endpoint.ID] = false
+	m.incarnations[endpoint.ID] += willowwick.Incarnation(m.heartbeats)
+	endpoint.Incarnation, endpoint.Beat = m.incarnations[endpoint.ID], 1
 	m.store.put(endpoint)
 }
 
 // leave lets an endpoint say that it leaves, and returns how long it takes until all boxes that the store serves know.
-func (m *mesh) leave(t *testing.T, endpoint willowwick.Endpoint) time.Duration {
+func (m *mesh) drain(t *testing.T, endpoint willowwick.Endpoint) time.Duration {
 	endpoint.Leaving = true
 	m.store.put(endpoint)
 	began := time.Now()
-	for time.Since(began) <= meshDrain && !m.knowsLeaving(endpoint.ID) {
+	for time.Since(began) <= meshDrain && !m.allKnowDraining(endpoint.ID) {
 		m.run(t, meshStep)
 	}
 	return time.Since(began)
 }
 
-func (m *mesh) knowsLeaving(id willowwick.EndpointID) bool {
+func (m *mesh) allKnowDraining(id willowwick.EndpointID) bool {
 	for _, box := range m.boxes {
 		if entry, _ := box.sync.listedEndpoint(id); !entry.Leaving && !box.isRefused {
 			return false
--- a/exchange/packed_test.go
+++ b/exchange/packed_test.go
@@ -26,28 +26,28 @@
 // While a configuration of 1,900 routes was passed on, swaps with news of endpoints ended at their limit on boxes with 10 to 20
 // Mbit/s: each carried 170 KB, and a hub encoded it for each box of its hall anew.
 func TestALargeConfigurationIsSmallInSwaps(t *testing.T) {
-	quietLogs(t)
+	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
 		const boxes, halls, routes, most = 9, 3, 1900, 30 << 10
 		m := newMesh(1, boxes, halls, 20)
 		m.run(t, 5*time.Second)
-		before := m.swapped
+		before := m.exchangedBytes
 		m.run(t, 2*time.Second)
-		calm := m.swapped - before
+		calm := m.exchangedBytes - before
 		m.boxes[0].setTable(largeTable(2, routes), "test")
-		before = m.swapped
+		before = m.exchangedBytes
 		m.run(t, 2*time.Second)
 		for _, box := range m.boxes {
 			require.Equal(t, uint64(2), box.configVersion())
 			require.Equal(t, largeTable(2, routes).Routes, box.table.Load().Routes)
 		}
-		assert.Less(t, (m.swapped-before-calm)/(boxes-1), most, "bytes for each box")
+		assert.Less(t, (m.exchangedBytes-before-calm)/(boxes-1), most, "bytes for each box")
 	})
 }
 
 // A box of an earlier release takes configurations as they are, and one that cannot be read takes the place of none.
 func TestBoxesOfAnEarlierReleaseTakeConfigurationsAsTheyAre(t *testing.T) {
-	quietLogs(t)
+	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
 		m := newMesh(1, 2, 1, 1)
 		own, other := m.boxes[0].peers, m.boxes[1].peers
--- a/exchange/peers_test.go
+++ b/exchange/peers_test.go
@@ -13,7 +13,7 @@
 )
 
 // feedDrain leaves time for some swaps within the time that an endpoint may be sent to.
-const feedDrain = 2 * time.Second
+const hallDrain = 2 * time.Second
 
 // newHall starts boxes of one hall that know each other by their seeds.
 func newHall(t *testing.T, boxes int, endpoints ...willowwick.Endpoint) (*testControl, []*site) {
@@ -22,7 +22,7 @@
 	for i := range boxes {
 		settings := testSettings()
 		settings.Box = willowwick.BoxID(fmt.Sprint("box-", i))
-		settings.Drain = feedDrain
+		settings.Drain = hallDrain
 		if i > 0 {
 			settings.Seeds = []string{sites[0].daemon.router.settings.Peers}
 		}
@@ -54,7 +54,7 @@
 	control.mu.Lock()
 	before := control.reads
 	control.mu.Unlock()
-	time.Sleep(feedDrain)
+	time.Sleep(hallDrain)
 	control.mu.Lock()
 	during := control.reads - before
 	control.mu.Unlock()
@@ -68,7 +68,7 @@
 		require.Eventually(t, func() bool {
 			_, found := s.daemon.router.sync.listedEndpoint("r2")
 			return found && s.daemon.router.configVersion() == 2
-		}, feedDrain, 5*time.Millisecond, "box %s", s.daemon.router.settings.Box)
+		}, hallDrain, 5*time.Millisecond, "box %s", s.daemon.router.settings.Box)
 	}
 }
 
@@ -91,7 +91,7 @@
 		require.Eventually(t, func() bool {
 			endpoint, _ := s.daemon.router.sync.listedEndpoint("r1")
 			return endpoint.Leaving
-		}, feedDrain, 5*time.Millisecond)
+		}, hallDrain, 5*time.Millisecond)
 	}
 }
 
@@ -155,9 +155,9 @@
 		now := time.Now()
 		x.sync.mu.Lock()
 		for kind := range readKindCount {
-			x.sync.answeredAt[kind], x.sync.failing[kind] = now.Add(-2*feedDrain), unreachable
+			x.sync.answeredAt[kind], x.sync.failing[kind] = now.Add(-2*hallDrain), unreachable
 		}
-		x.sync.endpointsAsOf = now.Add(-feedDrain / 10)
+		x.sync.endpointsAsOf = now.Add(-hallDrain / 10)
 		x.sync.mu.Unlock()
 		return x.peers.isCutOffFromStore(&peer{digest: x.peers.ownDigest(now), heardAt: now}, now)
 	}
@@ -189,7 +189,7 @@
 	r := newRunner(t, "r1", answerText("ok"))
 	control, sites := newHall(t, 2, r.endpoint("v1"))
 	settings := testSettings()
-	settings.Box, settings.Drain, settings.LinkMbps = "box-wide", feedDrain, 200
+	settings.Box, settings.Drain, settings.LinkMbps = "box-wide", hallDrain, 200
 	settings.Seeds = []string{sites[0].daemon.router.settings.Peers}
 	wide := startSite(t, control, settings)
 	sites = append(sites, wide)
@@ -216,7 +216,7 @@
 	control.change(func() { control.down = true })
 	require.Eventually(t, func() bool {
 		for _, s := range sites {
-			if !s.daemon.router.sync.isAway() {
+			if !s.daemon.router.sync.hasFailingRead() {
 				return false
 			}
 		}
--- a/exchange/publish_test.go
+++ b/exchange/publish_test.go
@@ -16,7 +16,7 @@
 // Cause: the list was given to the pool after the lock under which it had changed was released, so that the box knew its
 // endpoints a moment before it used them; two lists that came at once could also be given in the wrong order.
 func TestABoxHasEndpointsOnceTheyAreInUse(t *testing.T) {
-	quietLogs(t)
+	discardLogs(t)
 	endpoint := willowwick.Endpoint{ID: "r1", Hall: "hall-a", Address: "10.9.0.1:8000", Service: "work"}
 	now := time.Now()
 	for how, take := range map[string]func(s *syncer){
--- a/exchange/ratelimit_fleet_test.go
+++ b/exchange/ratelimit_fleet_test.go
@@ -157,7 +157,7 @@
 
 // Boxes that are started anew, one after the other and the one that grants among them, know of no limit and send no more.
 func TestALimitHoldsWhileBoxesStartAnew(t *testing.T) {
-	quietLogs(t)
+	discardLogs(t)
 	for seed := range uint64(5) {
 		synctest.Test(t, func(t *testing.T) {
 			const boxes, halls = 6, 3
@@ -179,7 +179,7 @@
 
 // Halls that are cut from each other each use a part; all together send no more than the limit, during the cut and after it.
 func TestALimitHoldsForHallsThatAreCut(t *testing.T) {
-	quietLogs(t)
+	discardLogs(t)
 	for seed := range uint64(5) {
 		synctest.Test(t, func(t *testing.T) {
 			const boxes, halls = 9, 3
--- a/exchange/ratelimit_test.go
+++ b/exchange/ratelimit_test.go
@@ -119,7 +119,7 @@
 	for i := range boxes {
 		settings := testSettings()
 		settings.Box, settings.Boot = willowwick.BoxID(fmt.Sprint("box-", i)), willowwick.BootID(fmt.Sprint("boot-", i))
-		settings.Hall, settings.Drain = willowwick.HallID(fmt.Sprint("hall-", i%halls)), feedDrain
+		settings.Hall, settings.Drain = willowwick.HallID(fmt.Sprint("hall-", i%halls)), hallDrain
 		if i > 0 {
 			settings.Seeds = []string{sites[0].daemon.router.settings.Peers}
 		}
--- a/exchange/regain_test.go
+++ b/exchange/regain_test.go
@@ -11,22 +11,22 @@
 )
 
 // turningControl is a store that turns one box away for a while, and serves the others.
-type turningControl struct {
+type refusingControl struct {
 	*testControl
-	turnedAway atomic.Bool
-	asked      atomic.Int64 // calls while it turns the box away
+	isRefusing   atomic.Bool
+	refusedCalls atomic.Int64 // calls while it turns the box away
 }
 
-func (c *turningControl) refuses() bool {
-	if !c.turnedAway.Load() {
+func (c *refusingControl) refuses() bool {
+	if !c.isRefusing.Load() {
 		return false
 	}
-	c.asked.Add(1)
+	c.refusedCalls.Add(1)
 	return true
 }
 
 // Declarations implements willowwick.Control.
-func (c *turningControl) Declarations(ctx context.Context, from willowwick.Position, wait time.Duration) (willowwick.Declarations, error) {
+func (c *refusingControl) Declarations(ctx context.Context, from willowwick.Position, wait time.Duration) (willowwick.Declarations, error) {
 	if c.refuses() {
 		return willowwick.Declarations{}, errDown
 	}
@@ -34,7 +34,7 @@
 }
 
 // Endpoints implements willowwick.Control.
-func (c *turningControl) Endpoints(ctx context.Context, from willowwick.Position) (willowwick.EndpointChanges, error) {
+func (c *refusingControl) Endpoints(ctx context.Context, from willowwick.Position) (willowwick.EndpointChanges, error) {
 	if c.refuses() {
 		return willowwick.EndpointChanges{}, errDown
 	}
@@ -42,7 +42,7 @@
 }
 
 // Join implements willowwick.Control.
-func (c *turningControl) Join(ctx context.Context, member string, generation uint64) (willowwick.Membership, error) {
+func (c *refusingControl) Join(ctx context.Context, member string, generation uint64) (willowwick.Membership, error) {
 	if c.refuses() {
 		return willowwick.Membership{}, errDown
 	}
@@ -51,16 +51,16 @@
 
 // turnedHall starts two boxes of one hall, the first of which has the wider link. The second one, which begins alone, has
 // read all of the store, then has a failed read of declarations, and is fed by the first from then on.
-func turnedHall(t *testing.T) (control *testControl, controls []*turningControl, sites []*site) {
+func newRefusedHall(t *testing.T) (control *testControl, controls []*refusingControl, sites []*site) {
 	r := newRunner(t, "r1", answerText("ok"))
 	control = newTestControl(testTable(1, onceRoute()), r.endpoint("v1"))
-	controls = []*turningControl{{testControl: control}, {testControl: control}}
+	controls = []*refusingControl{{testControl: control}, {testControl: control}}
 	settings := testSettings()
-	settings.Box, settings.LinkMbps, settings.Drain = "box-second", 100, feedDrain
+	settings.Box, settings.LinkMbps, settings.Drain = "box-second", 100, hallDrain
 	second := startSite(t, controls[1], settings)
 	x := second.daemon.router
 	require.Eventually(t, func() bool { return x.sync.declaredAge(time.Now()) > 0 }, patience, time.Millisecond)
-	controls[1].turnedAway.Store(true)
+	controls[1].isRefusing.Store(true)
 	require.Eventually(t, func() bool { return x.sync.isReadFailing(declarationsRead) }, patience, time.Millisecond)
 	settings.Box, settings.LinkMbps, settings.Seeds = "box-first", 200, []string{x.settings.Peers}
 	first := startSite(t, controls[0], settings)
@@ -70,7 +70,7 @@
 	}, patience, 10*time.Millisecond)
 	time.Sleep(peerLiveness)
 	require.True(t, x.sync.isReadFailing(declarationsRead), "a box that is fed reads none that could take it back")
-	controls[1].turnedAway.Store(false)
+	controls[1].isRefusing.Store(false)
 	return control, controls, []*site{first, second}
 }
 
@@ -84,8 +84,8 @@
 // it is in touch (mayRest), and only such a read can show it: the failure of one kind is kept for good, and no answer of
 // the other kind counts against it.
 func TestTheSecondBoxOfAHallReadsDeclarationsWhileTheFirstIsTurnedAway(t *testing.T) {
-	control, controls, sites := turnedHall(t)
-	controls[0].turnedAway.Store(true)
+	control, controls, sites := newRefusedHall(t)
+	controls[0].isRefusing.Store(true)
 	control.change(func() { control.table = testTable(2, againRoute()) })
 	second := sites[1].daemon.router
 	require.Eventually(t, func() bool { return second.configVersion() == 2 }, patience, 10*time.Millisecond)
@@ -93,8 +93,8 @@
 
 // The group's lead is handed on to a box that reaches the store as well; it rests for the same reason.
 func TestTheSecondBoxOfAHallJoinsTheGroupWhileTheFirstIsTurnedAway(t *testing.T) {
-	control, controls, sites := turnedHall(t)
-	controls[0].turnedAway.Store(true)
+	control, controls, sites := newRefusedHall(t)
+	controls[0].isRefusing.Store(true)
 	second := memberName(sites[1].daemon.router.peers.self())
 	require.Eventually(t, func() bool {
 		control.mu.Lock()
--- a/exchange/slow_link_test.go
+++ b/exchange/slow_link_test.go
@@ -35,7 +35,7 @@
 // Endpoints implements willowwick.Control.
 func (c *narrowControl) Endpoints(ctx context.Context, from willowwick.Position) (willowwick.EndpointChanges, error) {
 	if c.coming.Load() > 0 {
-		sleep(ctx, headLimit)
+		sleep(ctx, responseHeaderTimeout)
 		return willowwick.EndpointChanges{}, errDown
 	}
 	return c.testControl.Endpoints(ctx, from)
@@ -52,7 +52,7 @@
 	r := newRunner(t, "r1", answerText("ok"))
 	control := &narrowControl{testControl: newTestControl(testTable(1, onceRoute()), r.endpoint("v1"))}
 	settings := testSettings()
-	settings.Drain = feedDrain
+	settings.Drain = hallDrain
 	s := startSite(t, control, settings)
 	control.isNarrow.Store(true)
 	control.change(func() { control.table = testTable(2, againRoute()) })
--- a/exchange/stale_test.go
+++ b/exchange/stale_test.go
@@ -31,7 +31,7 @@
 
 // Declarations implements willowwick.Control.
 func (c *losingControl) Declarations(ctx context.Context, from willowwick.Position, wait time.Duration) (willowwick.Declarations, error) {
-	limit := time.Now().Add(wait + headLimit)
+	limit := time.Now().Add(wait + responseHeaderTimeout)
 	if !c.loseAll.Load() && (from == 0 || !c.loseNext.CompareAndSwap(true, false)) {
 		declared, err := c.testControl.Declarations(ctx, from, wait)
 		isLost := errors.Is(err, errDown) || err == nil && c.loseAll.Load()
@@ -87,7 +87,7 @@
 	<-control.lost
 	control.change(func() { control.table = testTable(2, againRoute()) })
 	require.Eventually(t, func() bool { return s.daemon.router.configVersion() == 2 }, inForceWithin, 5*time.Millisecond)
-	assert.False(t, s.daemon.router.sync.isAway())
+	assert.False(t, s.daemon.router.sync.hasFailingRead())
 }
 
 // A box whose reads of declarations fail is not relied upon by its hall, also where its reads of endpoints are answered.
@@ -99,7 +99,7 @@
 	// Its own reads would count as well.
 	sites[0].daemon.stop()
 	sites[0].daemon.workers.Close()
-	now := time.Now().Add(feedDrain)
+	now := time.Now().Add(hallDrain)
 	x.sync.noteFailure(declarationsRead, now, errDown)
 	x.sync.noteAnswer(endpointsRead, now)
 	assert.False(t, x.peers.reachesStore(now))
@@ -115,7 +115,7 @@
 	for kind := range readKindCount {
 		first.sync.noteFailure(kind, time.Now(), errDown)
 	}
-	require.Eventually(t, func() bool { return !first.sync.isAway() }, patience, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return !first.sync.hasFailingRead() }, patience, 10*time.Millisecond)
 	require.Eventually(t, func() bool {
 		found := readers(sites)
 		return len(found) == 1 && found[0].daemon.router == first
--- a/exchange/sync_test.go
+++ b/exchange/sync_test.go
@@ -1,7 +1,7 @@
 package exchange
 
 // isAway reports whether a last read of the store failed.
-func (s *syncer) isAway() bool {
+func (s *syncer) hasFailingRead() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.isAnyReadFailing()
--- a/exchange/transit_test.go
+++ b/exchange/transit_test.go
@@ -13,16 +13,16 @@
 
 // lateServer answers as another box would, but its answers are under way for a while.
 type lateServer struct {
-	inner *rpcServer
-	late  time.Duration // setting: how long an answer is under way
-	made  time.Time     // when the last answer was made
+	inner      *rpcServer
+	delay      time.Duration // setting: how long an answer is under way
+	answeredAt time.Time     // when the last answer was made
 }
 
 // Swap answers a box's digest.
 func (s *lateServer) Swap(call *SwapCall, reply *SwapReply) error {
-	s.made = time.Now()
+	s.answeredAt = time.Now()
 	err := s.inner.Swap(call, reply)
-	time.Sleep(s.late)
+	time.Sleep(s.delay)
 	return err
 }
 
@@ -43,7 +43,7 @@
 	// The teller hears of the hearer by the call; the hearer's own swaps with it would bring newer news.
 	hearers[0].daemon.stop()
 	hearers[0].daemon.workers.Close()
-	server := &lateServer{inner: &rpcServer{peers: tellers[0].daemon.router.peers}, late: gossipTimeout - 300*time.Millisecond}
+	server := &lateServer{inner: &rpcServer{peers: tellers[0].daemon.router.peers}, delay: gossipTimeout - 300*time.Millisecond}
 	registry := rpc.NewServer()
 	require.NoError(t, registry.RegisterName(rpcServiceName, server))
 	listener := listen(t)
@@ -53,25 +53,25 @@
 	hearer.sync.changedAt = willowwick.Position(1 << 20) // it has all that the other lists
 	hearer.sync.mu.Unlock()
 	hearer.peers.exchangeWith(t.Context(), listener.Addr().String())
-	require.False(t, server.made.IsZero(), "it was asked")
+	require.False(t, server.answeredAt.IsZero(), "it was asked")
 	hearer.sync.mu.Lock()
 	defer hearer.sync.mu.Unlock()
-	assert.LessOrEqual(t, hearer.sync.endpointsAsOf.UnixMilli(), server.made.UnixMilli())
+	assert.LessOrEqual(t, hearer.sync.endpointsAsOf.UnixMilli(), server.answeredAt.UnixMilli())
 }
 
 // lateEndpoints is a store whose answers with the list of endpoints come in late, over a narrow link.
 type lateEndpoints struct {
 	*testControl
-	late time.Duration
-	made chan time.Time // when each answer was made
+	delay      time.Duration
+	answeredAt chan time.Time // when each answer was made
 }
 
 // Endpoints implements willowwick.Control.
 func (c *lateEndpoints) Endpoints(ctx context.Context, from willowwick.Position) (willowwick.EndpointChanges, error) {
 	changes, err := c.testControl.Endpoints(ctx, from)
 	made := time.Now()
-	sleep(ctx, c.late)
-	c.made <- made
+	sleep(ctx, c.delay)
+	c.answeredAt <- made
 	return changes, err
 }
 
@@ -80,15 +80,15 @@
 	r := newRunner(t, "r1", answerText("ok"))
 	control := &lateEndpoints{
 		testControl: newTestControl(testTable(1, onceRoute()), r.endpoint("v1")),
-		late:        400 * time.Millisecond, made: make(chan time.Time, 1000),
+		delay:       400 * time.Millisecond, answeredAt: make(chan time.Time, 1000),
 	}
 	x := startSite(t, control, testSettings()).daemon.router
-	made := <-control.made
+	made := <-control.answeredAt
 	x.sync.mu.Lock()
 	defer x.sync.mu.Unlock()
 	// Each answer that was taken has told before.
-	for len(control.made) > 0 {
-		made = <-control.made
+	for len(control.answeredAt) > 0 {
+		made = <-control.answeredAt
 	}
 	assert.False(t, x.sync.endpointsAsOf.After(made), "%v after it was made", x.sync.endpointsAsOf.Sub(made))
 }
