--- a/exchange/cut_off_test.go
+++ b/exchange/cut_off_test.go
@@ -27,7 +27,7 @@
 }
 
 // The same with whole boxes: the first box of a hall comes back while the store turns it away, and serves the others.
-func TestAHallReadsDeclarationsWhenItsFirstBoxStartsTurnedAway(t *testing.T) {
+func TestHallReadsDeclarationsWhenItsFirstBoxStartsRefused(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	control := newTestControl(testTable(1, onceRoute()), r.endpoint("v1"))
 	settings := testSettings()
--- a/exchange/era_test.go
+++ b/exchange/era_test.go
@@ -40,7 +40,7 @@
 // A store that came back from a copy gave offsets out again: what was declared then had a lower one than what was known, and an
 // evacuation never came into force, or stood for good. And the copy lacks what was declared last, which holds on: the operator writes
 // it again.
-func TestWhatTheOperatorDeclaredHoldsThroughAReturnOfTheStoreFromACopy(t *testing.T) {
+func TestDeclarationsHoldThroughStoreRestore(t *testing.T) {
 	const isEvacuated, isNot = 1, 0
 	for name, test := range map[string]struct {
 		before []willowwick.Evacuation // of era 1, read up to offset 20
@@ -101,7 +101,7 @@
 }
 
 // Two returns within seconds: what was lost in the first holds through the second.
-func TestWhatTheOperatorDeclaredHoldsThroughTwoReturnsOfTheStore(t *testing.T) {
+func TestDeclarationsHoldThroughTwoStoreRestores(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEvacuatedHalls()
 		e.applyRead(true, positionIn(1, 20), declaredAt(positionIn(1, 15)))
@@ -119,7 +119,7 @@
 }
 
 // The same for one that was taken back: the copy that the store comes back from twice holds its declaration.
-func TestWhatTheOperatorTookBackStaysSoThroughTwoReturnsOfTheStore(t *testing.T) {
+func TestRevocationsHoldThroughTwoStoreRestores(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEvacuatedHalls()
 		e.applyRead(true, positionIn(1, 10), declaredAt(positionIn(1, 5)))
@@ -134,7 +134,7 @@
 	})
 }
 
-func TestAdmittedRequestsHoldThroughAReturnOfTheStoreFromACopy(t *testing.T) {
+func TestAdmittedRequestsHoldThroughStoreRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		harm := quarantine.New()
 		a := newAdmissions(harm)
@@ -157,7 +157,7 @@
 
 // The operator writes the order of a roll-out again that the store lost, at another offset. The roll-out was begun anew: sessions went
 // back to the release that had been left, and a bad one was tried again.
-func TestAnOrderThatIsWrittenAgainBeginsNothingAnew(t *testing.T) {
+func TestRewrittenOrderRestartsNoRollout(t *testing.T) {
 	for _, state := range []willowwick.ReleaseState{willowwick.ReleaseRunning, willowwick.ReleaseCompleted, willowwick.ReleaseRolledBack} {
 		r := newTestReleases()
 		r.begin(orderOf("v2", positionIn(1, 30)), 0, testStart)
@@ -176,7 +176,7 @@
 }
 
 // The copy holds an order that a later one had taken the place of.
-func TestAnOrderOfTheCopyDoesNotTakeThePlaceOfALaterOneThatItLacks(t *testing.T) {
+func TestOrderFromCopyDoesNotReplaceLaterLostOrder(t *testing.T) {
 	newMoved := func() *releases {
 		r := newTestReleases()
 		r.begin(orderOf("v2", positionIn(1, 10)), 0, testStart)
@@ -197,7 +197,7 @@
 }
 
 // What boxes had written to the store is gone, and only they know it.
-func TestWhatBoxesWroteIsWrittenAgain(t *testing.T) {
+func TestBoxesRewriteTheirRecordsAfterRestore(t *testing.T) {
 	s := newSite(t, newRunner(t, "r1", answerText("ok")).endpoint("v1"), newRunner(t, "r2", answerText("ok")).endpoint("v2"))
 	x := s.daemon.router
 	request := willowwick.HarmfulRequest{Request: willowwick.Fingerprint{7}, Service: "work"}
@@ -220,7 +220,7 @@
 
 // While the operator writes again what the store lost, the newest configuration that it holds need not be the one in force: nothing is
 // refused for good by it.
-func TestNoConfigurationIsForCertainWhileTheOperatorWritesAgain(t *testing.T) {
+func TestNoConfigurationIsConfirmedDuringRestore(t *testing.T) {
 	s := newSite(t, newRunner(t, "r1", answerText("ok")).endpoint("v1"))
 	x := s.daemon.router
 	s.control.comeBack(func() {})
@@ -232,7 +232,7 @@
 // seconds. Grounds: no box may drop one of them, each may be the only one with a prompt's memory; and a leaving one must be known in
 // time, though its offset is below the former end. The store is asked no more often than by the readers as they start: for the list,
 // declarations, states of roll-outs, refused requests, the group and its members.
-func TestNoEndpointIsLostWhenTheStoreComesBackFromACopy(t *testing.T) {
+func TestNoEndpointIsLostInStoreRestore(t *testing.T) {
 	const callsOfStart = 6
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
 		m := newMesh(1, size.boxes, size.halls, size.endpoints)
@@ -263,7 +263,7 @@
 }
 
 // An endpoint that had gone before, and that the copy lists again, gets nothing.
-func TestAnEndpointThatWasGoneIsNotUsedAgainSinceACopyListsIt(t *testing.T) {
+func TestRemovedEndpointListedByCopyIsNotUsed(t *testing.T) {
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
 		m := newMesh(1, size.boxes, size.halls, size.endpoints)
 		m.run(t, 3*time.Second)
@@ -282,7 +282,7 @@
 }
 
 // A read of endpoints that was under way as the store left its era brings nothing back.
-func TestALateListOfTheEraBeforeIsNotTaken(t *testing.T) {
+func TestLateListOfFormerEraIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newMesh(1, 1, 1, 3)
 		m.run(t, time.Second)
@@ -298,7 +298,7 @@
 
 // A box started after the store had come back, read a configuration there that the operator was yet to write again, and refused for good
 // what that did not hold; the others knew better.
-func TestABoxThatStartsWhileTheOperatorWritesAgainRefusesNothingForGood(t *testing.T) {
+func TestBoxStartedDuringRestoreRefusesNothingPermanently(t *testing.T) {
 	s := newSite(t, newRunner(t, "r1", answerText("ok")).endpoint("v1"))
 	s.control.comeBack(func() {})
 	require.Eventually(t, func() bool { return s.daemon.router.sync.isRestoring(time.Now()) }, patience, time.Millisecond)
--- a/exchange/for_good_test.go
+++ b/exchange/for_good_test.go
@@ -51,7 +51,7 @@
 // Cause: a box refused for good unless what it knew of the store was old, and that age was renewed by the list of
 // endpoints. What a refusal rests on is how old the *configuration* is. The age of both beside each other in the line of
 // the refusal proved it: 200 ms for the endpoints, seconds for the configuration.
-func TestWhatAnOldConfigurationDoesNotHoldIsNotRefusedForGood(t *testing.T) {
+func TestStaleConfigurationCausesNoPermanentRefusal(t *testing.T) {
 	for _, boxes := range []int{1, 3} {
 		t.Run(fmt.Sprint(boxes, " boxes"), func(t *testing.T) {
 			t.Parallel()
@@ -87,7 +87,7 @@
 
 // While nothing fails, what does not exist is refused for good at every moment, on the box that reads and on those that it
 // reads for: their callers are not asked to come again for nothing.
-func TestWhatDoesNotExistIsRefusedForGoodByABoxThatIsUpToDate(t *testing.T) {
+func TestUnknownRouteIsRefusedPermanentlyByUpToDateBox(t *testing.T) {
 	const watched = 3 * time.Second
 	_, sites := newLosingHall(t, 3)
 	for _, s := range sites {
@@ -118,7 +118,7 @@
 
 // An answer that holds less than what stands in the store, since that is long or some of it could not be decoded, shows
 // nothing of whether the configuration is the newest.
-func TestAnAnswerThatHoldsNotAllMakesNoConfigurationTheNewest(t *testing.T) {
+func TestPartialAnswerDoesNotConfirmConfiguration(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	control := &partialControl{testControl: newTestControl(testTable(1, onceRoute()), r.endpoint("v1"))}
 	s := startSite(t, control, testSettings())
--- a/exchange/freshness_test.go
+++ b/exchange/freshness_test.go
@@ -9,7 +9,7 @@
 	"github.com/willowwick/willowwick"
 )
 
-func TestAReadIsAsOldAsItsAnswerMayBe(t *testing.T) {
+func TestReadIsDatedByItsOldestPossibleAnswer(t *testing.T) {
 	const wait = 600 * time.Millisecond
 	began := time.Now()
 	for name, read := range map[string]struct {
@@ -56,7 +56,7 @@
 }
 
 // A digest that has been under way is older, but for what it does not tell.
-func TestADigestGrowsOlderOnItsWay(t *testing.T) {
+func TestDigestAgesInTransit(t *testing.T) {
 	digest := Digest{ConfigAgeMs: 300}
 	digest.addTransitTime(200 * time.Millisecond)
 	assert.Equal(t, int64(500), digest.ConfigAgeMs)
@@ -67,7 +67,7 @@
 
 // A box that had just started once left the declarations unread for 1.5 s while it looked for another that reads for it; with
 // the swap to those that follow it that was all the time to put a configuration in force.
-func TestABoxThatHasJustStartedGoesOnReading(t *testing.T) {
+func TestStartingBoxKeepsReading(t *testing.T) {
 	s := newSite(t, newRunner(t, "r1", answerText("ok")).endpoint("v1"))
 	x := s.daemon.router
 	require.True(t, x.peers.isSearchingForHub(time.Now()))
--- a/exchange/logs_test.go
+++ b/exchange/logs_test.go
@@ -23,7 +23,7 @@
 }
 
 // Seen: a record of an incident had no line for the requests that it named, and nothing in it told whether lines were dropped.
-func TestTheLogTellsHowManyOfItsLinesAreMissing(t *testing.T) {
+func TestLogReportsDroppedLines(t *testing.T) {
 	const dropped = 7
 	out := &blockedWriter{released: make(chan struct{})}
 	queue, flush := NewLogQueue(out, func(to io.Writer) *slog.Logger { return slog.New(slog.NewTextHandler(to, nil)) })
--- a/exchange/mesh_fleet_test.go
+++ b/exchange/mesh_fleet_test.go
@@ -73,7 +73,7 @@
 }
 
 // The list of endpoints was once sent whole to each box at each change: 21 MB for ten new endpoints of 165 on 295 boxes.
-func TestNewsOfAnEndpointCostWhatTheySay(t *testing.T) {
+func TestEndpointUpdateCostIsIndependentOfListSize(t *testing.T) {
 	const changes = 4
 	const perChange = 400 // bytes for each box: a changed entry has some 150
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
@@ -116,7 +116,7 @@
 }
 
 // A cold endpoint is no part of what two boxes compare: it is told all the same.
-func TestAColdEndpointIsToldToABoxThatListsTheSame(t *testing.T) {
+func TestColdEndpointIsSentToBoxWithTheSameList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newMesh(1, 2, 1, 3)
 		first, second := m.boxes[0], m.boxes[1]
@@ -133,7 +133,7 @@
 }
 
 // Whatever happens at the store, a box that hears of it by swaps has what its reader has.
-func TestListsOfEndpointsStayAlike(t *testing.T) {
+func TestEndpointListsConverge(t *testing.T) {
 	discardLogs(t)
 	seeds := []uint64{31, 195, 218, 681} // each showed a fault of its own
 	for seed := range uint64(20) {
@@ -173,7 +173,7 @@
 // Pattern: nothing fails, on up to 295 boxes in five halls, of which one each reads the store. Grounds: a configuration in doubt at a
 // box turns its refusals for good into refusals for now, and callers ask in vain again; twice the time for which a read is
 // held and a swap make 1.7 s of the 2 s that a box has.
-func TestNoConfigurationIsInDoubtWhileNothingFails(t *testing.T) {
+func TestNoConfigurationIsStaleWithoutFailures(t *testing.T) {
 	const watched = 5 * time.Second
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
 		m := newMesh(1, size.boxes, size.halls, size.endpoints)
@@ -193,7 +193,7 @@
 
 // Once the store answers nobody, every box is in doubt as soon as a configuration may have to be in force that it does not
 // have, also where boxes go on telling each other what they know; and none is any more soon after the store's return.
-func TestEveryConfigurationIsInDoubtWhileTheStoreIsAway(t *testing.T) {
+func TestEveryConfigurationIsStaleDuringStoreOutage(t *testing.T) {
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
 		m := newMesh(1, size.boxes, size.halls, size.endpoints)
 		m.readsConfig = true
--- a/exchange/peers_test.go
+++ b/exchange/peers_test.go
@@ -146,7 +146,7 @@
 }
 
 // A reader that hears from another hall in time does not read the store itself, and once lost its hall by that.
-func TestReaderThatIsFedByAnotherHallStaysReader(t *testing.T) {
+func TestReaderWithDataFromAnotherHallStaysReader(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	_, sites := newHall(t, 1, r.endpoint("v1"))
 	x := sites[0].daemon.router
@@ -178,7 +178,7 @@
 	assert.LessOrEqual(t, len(p.exchangeTargets(now)), 4*maxProbesPerRound, "two of each hall and two of no known hall")
 }
 
-func TestMembersTellTheirHall(t *testing.T) {
+func TestMemberNameRoundTrip(t *testing.T) {
 	box := KnownBox{Address: "10.0.0.1:8188", Hall: "hall-a", LinkMbps: 200}
 	assert.Equal(t, box, parseMemberName(memberName(box)))
 	assert.Equal(t, KnownBox{Address: "10.0.0.1:8188"}, parseMemberName("10.0.0.1:8188"))
@@ -208,7 +208,7 @@
 }
 
 // Boxes once asked an absent store again and again, each for itself; joins and declarations can wait for its return.
-func TestBoxesOfAHallTakeTurnsWhileTheStoreIsAway(t *testing.T) {
+func TestBoxesOfAHallShareStoreProbesDuringOutage(t *testing.T) {
 	const boxes = 8
 	r := newRunner(t, "r1", answerText("ok"))
 	control, sites := newHall(t, boxes, r.endpoint("v1"))
@@ -238,7 +238,7 @@
 
 // A box that reads the store once took one before it that does not for its hub, and that one took it: the hall swapped
 // with no other hall any more.
-func TestABoxThatReadsFollowsNoneThatDoesNot(t *testing.T) {
+func TestBoxThatReadsTheStoreFollowsNoneThatDoesNot(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	_, sites := newHall(t, 1, r.endpoint("v1"))
 	p := sites[0].daemon.router.peers
@@ -254,7 +254,7 @@
 }
 
 // Boxes that answered and were no use as a hub once kept a box from trying those after them.
-func TestAllBoxesBeforeOneAreTriedInTurn(t *testing.T) {
+func TestAllPrecedingBoxesAreProbedInTurn(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	_, sites := newHall(t, 1, r.endpoint("v1"))
 	p := sites[0].daemon.router.peers
@@ -278,7 +278,7 @@
 
 // A box that reads nothing itself once looked at its lapsed entries only as another change came in; and an endpoint that it
 // alone had given up stayed unknown to it until the endpoint changed.
-func TestABoxThatIsFedGivesUpALapsedEndpointAndHearsThatItIsThere(t *testing.T) {
+func TestFollowerDropsLapsedEndpointAndLearnsItIsListed(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	_, sites := newHall(t, 2, r.endpoint("v1"))
 	reader := awaitReaders(t, sites, 1)[0]
--- a/exchange/regain_test.go
+++ b/exchange/regain_test.go
@@ -83,7 +83,7 @@
 // Cause: a box that has not shown that it reads all of the store lets its reads of declarations rest while a box before
 // it is in touch (mayRest), and only such a read can show it: the failure of one kind is kept for good, and no answer of
 // the other kind counts against it.
-func TestTheSecondBoxOfAHallReadsDeclarationsWhileTheFirstIsTurnedAway(t *testing.T) {
+func TestSecondBoxOfHallReadsDeclarationsWhileFirstIsRefused(t *testing.T) {
 	control, controls, sites := newRefusedHall(t)
 	controls[0].isRefusing.Store(true)
 	control.change(func() { control.table = testTable(2, againRoute()) })
@@ -92,7 +92,7 @@
 }
 
 // The group's lead is handed on to a box that reaches the store as well; it rests for the same reason.
-func TestTheSecondBoxOfAHallJoinsTheGroupWhileTheFirstIsTurnedAway(t *testing.T) {
+func TestSecondBoxOfHallJoinsGroupWhileFirstIsRefused(t *testing.T) {
 	control, controls, sites := newRefusedHall(t)
 	controls[0].isRefusing.Store(true)
 	second := memberName(sites[1].daemon.router.peers.self())
--- a/exchange/transit_test.go
+++ b/exchange/transit_test.go
@@ -33,7 +33,7 @@
 // for 2 s.
 //
 // Cause: takeFromPeer and heard go by the time of arrival; the time at which the call was sent is what is sure.
-func TestNewsOfAnotherBoxAreAsOldAsTheyWereWhenTold(t *testing.T) {
+func TestPeerUpdatesKeepTheirAgeInTransit(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	_, tellers := newHall(t, 1, r.endpoint("v1"))
 	_, hearers := newHall(t, 1, r.endpoint("v1"))
@@ -76,7 +76,7 @@
 }
 
 // What a box reads itself is as old as what it hears: an answer says what was so when it was made, not when it was in.
-func TestAListOfEndpointsIsAsOldAsItWasWhenTheStoreMadeIt(t *testing.T) {
+func TestEndpointListIsDatedByTheTimeOfItsRead(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	control := &lateEndpoints{
 		testControl: newTestControl(testTable(1, onceRoute()), r.endpoint("v1")),
