--- a/exchange/daemon.go
+++ b/exchange/daemon.go
@@ -17,34 +17,36 @@
 )
 
 const (
-	// dialLimit is how long a connection to an endpoint may take: the way there and back takes some milliseconds.
+	// dialTimeout bounds connecting to an endpoint: the round trip takes some milliseconds.
 	dialTimeout = 500 * time.Millisecond
-	// sendSilence is how long sent bytes may stay unacknowledged: a lost packet is sent again well before.
+	// unackedTimeout bounds how long sent bytes may stay unacknowledged: a lost packet is retransmitted well before.
 	unackedTimeout = 1500 * time.Millisecond
-	// headerLimit bounds how long a caller may take to send its head, and headerBytes its size; the operator's
+	// headerTimeout bounds the time to read a caller's request header, and maxHeaderBytes its size; the operator's
 	// limits are below both.
 	headerTimeout  = 10 * time.Second
 	maxHeaderBytes = 64 << 10
-	// idleLimit is how long a caller's connection may rest: above what operators declare.
+	// callerIdleTimeout bounds how long a caller's connection may be idle: above what operators declare.
 	callerIdleTimeout = 120 * time.Second
-	// leaveEarly is how long before the end of the grace the process ends by itself; boxes with a fifth of a core take
-	// most of it for the last steps.
+	// exitMargin is how long before the end of the grace period the process exits by itself; boxes with a fifth of a
+	// core take most of it for the last steps.
 	exitMargin = time.Second
-	// lastAnswer is how long before that the time of the last requests is up: a goroutine of a box with a fifth of a core
-	// may stand for 100 ms, and the end of a request's time and its answer are two of its steps.
+	// lastAnswerMargin is how long before that the last requests time out: on a box with a fifth of a core a goroutine
+	// may be delayed by 100 ms, and the timeout of a request and its answer are two of its steps.
 	lastAnswerMargin = 250 * time.Millisecond
-	// DefaultTurnAway is how long the entry takes to see that a box is not ready, and callers to finish what they began.
+	// DefaultTurnAway is how long the entry takes to notice that a box is not ready, and callers to finish what they
+	// began.
 	DefaultTurnAway = 2500 * time.Millisecond
-	// quietPoll is how often a stopping box looks whether requests are under way.
+	// idlePollInterval is how often a stopping box checks for requests in progress.
 	idlePollInterval = 20 * time.Millisecond
-	// quietLooks is how many looks in a row must find nothing: bytes of a request may be on their way meanwhile.
+	// idlePollsRequired is how many consecutive checks must find none: bytes of a request may arrive between two of
+	// them.
 	idlePollsRequired = 3
-	// leaveLimit is how long leaving the group may take.
+	// leaveGroupTimeout bounds leaving the group.
 	leaveGroupTimeout = 300 * time.Millisecond
 )
 
 type (
-	// Outside is what a daemon reaches and is reached by.
+	// Dependencies are the store, the codec, the listeners and the connections that a daemon uses.
 	Dependencies struct {
 		Control willowwick.Control
 		Codec   willowwick.HeaderCodec
@@ -52,8 +54,8 @@
 		Ready   net.Listener
 		Peers   net.Listener
 		Metrics net.Listener
-		Hints   net.PacketConn // between boxes, at the address of Peers; nil for none
-		// Counters are shown beside the daemon's own.
+		Hints   net.PacketConn // datagrams between boxes, at the address of Peers; nil for none
+		// Counters are exposed beside the daemon's own metrics.
 		Counters *metrics.Set
 	}
 
@@ -81,7 +83,8 @@
 	}
 }
 
-// Start serves callers, the entry, peers and metrics; the function it returns stops everything at once.
+// Start serves callers, the entry's readiness checks, peers and metrics; the function it returns stops everything
+// immediately.
 func (d *Daemon) Start() func() {
 	ctx, cancel := context.WithCancel(context.Background())
 	d.cancel = cancel
@@ -91,7 +94,7 @@
 	d.serve(d.deps.Metrics, http.HandlerFunc(d.serveMetrics))
 	d.workers.Go(func() {
 		if err := x.peers.serve(d.deps.Peers); err != nil {
-			slog.Error("peers are not served", "error", err)
+			slog.Error("serving peers failed", "error", err)
 		}
 	})
 	if d.deps.Hints != nil {
@@ -111,17 +114,17 @@
 	d.cancel()
 	for _, server := range d.servers {
 		if err := server.Close(); err != nil {
-			slog.Debug("server did not close", "error", err)
+			slog.Debug("closing a server failed", "error", err)
 		}
 	}
 	if err := d.deps.Peers.Close(); err != nil {
-		slog.Debug("listener for peers did not close", "error", err)
+		slog.Debug("closing the listener for peers failed", "error", err)
 	}
 	if d.deps.Hints == nil {
 		return
 	}
 	if err := d.deps.Hints.Close(); err != nil {
-		slog.Debug("datagrams of boxes did not close", "error", err)
+		slog.Debug("closing the hint socket failed", "error", err)
 	}
 }
 
@@ -138,7 +141,7 @@
 	d.servers = append(d.servers, server)
 	d.workers.Go(func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
-			slog.Error("server ended", "error", err)
+			slog.Error("HTTP server failed", "error", err)
 		}
 	})
 }
@@ -149,7 +152,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 	if _, err := io.WriteString(w, why+"\n"); err != nil {
-		slog.Debug("readiness was not read", "error", err)
+		slog.Debug("writing the readiness answer failed", "error", err)
 	}
 }
 
@@ -160,8 +163,8 @@
 	}
 }
 
-// Drain is the planned stop: not ready at once, still serving what comes, gone when nothing is under way any more
-// or the grace is nearly over.
+// Drain is the planned stop: the box is not ready from now on, still serves what arrives, and returns when no request
+// is in progress or the grace period is nearly over.
 func (d *Daemon) Drain() {
 	began := clock.Now()
 	x := d.router
@@ -172,21 +175,21 @@
 	x.stopAt.Store(limit.Add(-lastAnswerMargin).UnixNano())
 	time.Sleep(clock.Until(earliest(began.Add(x.settings.TurnAway), limit)))
 	x.refusing.Store(true)
-	// The listener stays: the entry uses boxes that are not ready where it has too few others. Connections at rest
-	// stay too: a request may be on its way on them.
+	// The listener stays open: the entry uses boxes that are not ready where it has too few others. Idle connections
+	// stay open too: a request may be in transit on them.
 	awaitIdle(&d.callers.busy, limit)
 	if err := d.callers.Close(); err != nil {
-		slog.Debug("listener for callers did not close", "error", err)
+		slog.Debug("closing the listener for callers failed", "error", err)
 	}
 	ctx, cancel := clock.WithDeadline(context.Background(), limit)
 	defer cancel()
 	if left := d.callers.retire(ctx); left > 0 {
-		slog.Info("requests were still under way at the end", "requests", left)
+		slog.Info("requests were still in progress at the end of the grace period", "requests", left)
 	}
 	slog.Info("planned stop ended", "ms", clock.Since(began).Milliseconds())
 }
 
-// awaitQuiet waits until no caller's connection has had a request on it for some looks, or for the limit.
+// awaitIdle waits until consecutive checks find no caller's connection with a request in progress, or until the limit.
 func awaitIdle(busy *atomic.Int64, limit time.Time) {
 	for quiet := 0; quiet < idlePollsRequired && clock.Now().Before(limit); quiet++ {
 		if busy.Load() > 0 {
@@ -200,6 +203,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), leaveGroupTimeout)
 	defer cancel()
 	if err := d.deps.Control.Leave(ctx, memberName(d.router.peers.self())); err != nil {
-		slog.Info("group was not left", "error", err)
+		slog.Info("leaving the group failed", "error", err)
 	}
 }
--- a/exchange/declared_set.go
+++ b/exchange/declared_set.go
@@ -11,42 +11,43 @@
 )
 
 type (
-	// standing is the newest set of keys that is known to stand among the operator's declarations.
+	// declaredSet is the newest known set of keys that the operator has declared and not revoked.
 	//
-	// Positions compare between boxes: what is as of a later one holds all that is as of an earlier one, whoever read it.
+	// Positions are comparable between boxes: a set as of a later one includes all that is as of an earlier one,
+	// whoever read it.
 	declaredSet[K comparable] struct {
-		asOf     willowwick.Position       // the declarations before it are counted in
-		members  map[K]willowwick.Position // where each of them was declared; never changed
-		revoked  map[K]willowwick.Position // where others were taken back; never changed
-		heldOver map[K]HeldOver            // where the store came back from a copy that says otherwise; never changed
+		asOf     willowwick.Position // includes the declarations before it
+		members  map[K]willowwick.Position // where each was declared; immutable
+		revoked  map[K]willowwick.Position // where others were revoked; immutable
+		heldOver map[K]HeldOver // kept through a restore of the store, against the copy; immutable
 	}
 
-	// HeldOver is what was known of a key before the store came back from a copy of itself. It counts until the operator changes
-	// the key, or has had the time to write again what the copy lacks.
+	// HeldOver is the state of a key before the store was restored from a copy. It applies until the operator changes
+	// the key, or has had restoreTime to write again what the copy lacks.
 	HeldOver struct {
-		Stood bool                // false if it had been taken back
-		At    willowwick.Position // where it was declared; 0 if it had been taken back
+		Stood bool // false if it had been revoked
+		At    willowwick.Position // where it was declared; 0 if it had been revoked
 	}
 
-	// standingKeeper keeps the newest set that is known, and puts it in force. No news that are older than it take its place.
+	// declaredSetKeeper keeps the newest known set and applies it. Older sets never replace it.
 	declaredSetKeeper[K comparable] struct {
-		onChange func(old, news effectiveSet[K], source string) // called under the lock, one set after the other
+		onChange func(old, news effectiveSet[K], source string) // called under the lock, in the order of the changes
 
 		mu            sync.Mutex
 		latest        declaredSet[K]
-		settledEra    willowwick.Era // nothing is held over into it any more
-		heldOverUntil time.Time      // until then something may be held over
-		settleTimer   *time.Timer    // runs out then; nil before the first set
+		settledEra    willowwick.Era // nothing is held over into this era any more
+		heldOverUntil time.Time // until then keys may be held over
+		settleTimer   *time.Timer // fires then; nil before the first set
 		effective     effectiveSet[K]
 	}
 
-	// inForce is what counts of a set.
+	// effectiveSet is the part of a set that applies, including keys that are held over.
 	effectiveSet[K comparable] struct {
 		asOf    willowwick.Position
 		members map[K]willowwick.Position
 	}
 
-	// standingChange says that a key was declared, or that the operator took it back.
+	// declaredChange is a key that the operator declared or revoked.
 	declaredChange[K comparable] struct {
 		key       K
 		isRevoked bool
@@ -54,8 +55,8 @@
 	}
 )
 
-// after returns the set after what a read of the store brought, and false if that is no news: another box told of what came
-// after all of it.
+// withRead returns the set with the result of a read of the store applied, and false if the set is as new: another box
+// may have reported a later one.
 func (s declaredSet[K]) withRead(isWhole bool, next willowwick.Position, changes []declaredChange[K]) (declaredSet[K], bool) {
 	if next <= s.asOf {
 		return s, false
@@ -80,7 +81,7 @@
 	return news, true
 }
 
-// change counts a change in.
+// applyChange applies a change to the set.
 func (s *declaredSet[K]) applyChange(change declaredChange[K]) {
 	if change.isRevoked {
 		delete(s.members, change.key)
@@ -91,14 +92,14 @@
 	}
 }
 
-// isCountedIn reports whether the set holds the change or what came after it. A whole read is made of several calls
+// includes reports whether the set holds the change or a later one of the key. A whole read is made of several calls
 // and may have seen records after the offset that it is as of, so a key's own offset counts as well.
 func (s declaredSet[K]) includes(change declaredChange[K]) bool {
 	return change.at < s.asOf || change.at < s.members[change.key]
 }
 
-// heldOverTo is what this set knows otherwise than the copy that a new era of the store begins with. A declaration that the copy holds
-// from before it was taken back is no news; any other one is.
+// heldOverFor returns the keys on which this set and the copy that a new era of the store begins with differ. A
+// declaration that the copy holds from before its revocation is held over as revoked; any other one is new and applies.
 func (s declaredSet[K]) heldOverFor(copied map[K]willowwick.Position) map[K]HeldOver {
 	held := map[K]HeldOver{}
 	members := s.effectiveSet().members
@@ -120,7 +121,7 @@
 	return held
 }
 
-// inForce is what counts of the set as long as something is held over into it.
+// effectiveSet returns the part of the set that applies while keys are held over.
 func (s declaredSet[K]) effectiveSet() effectiveSet[K] {
 	if len(s.heldOver) == 0 {
 		return effectiveSet[K]{s.asOf, s.members}
@@ -136,21 +137,21 @@
 	return effectiveSet[K]{s.asOf, members}
 }
 
-// newest is the newest set that is known.
+// newest returns the newest known set.
 func (k *declaredSetKeeper[K]) newest() declaredSet[K] {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.latest
 }
 
-// inForce is what counts now.
+// inEffect returns the set that applies now.
 func (k *declaredSetKeeper[K]) inEffect() effectiveSet[K] {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.effective
 }
 
-// declare takes what a read of the store brought, unless another box told of what came after all of it.
+// applyRead applies the result of a read of the store, unless another box has reported a later set.
 func (k *declaredSetKeeper[K]) applyRead(isWhole bool, next willowwick.Position, changes []declaredChange[K]) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -159,7 +160,7 @@
 	}
 }
 
-// hear takes the set that another box knows, if it is newer.
+// applyPeerSet applies the set of another box if it is newer.
 func (k *declaredSetKeeper[K]) applyPeerSet(news declaredSet[K], source string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -168,12 +169,12 @@
 	}
 }
 
-// take keeps a set and puts it in force; the caller holds the lock.
+// replace keeps a set and applies it; the caller holds the lock.
 func (k *declaredSetKeeper[K]) replace(news declaredSet[K], source string) {
 	era := news.asOf.Era()
 	switch {
 	case era <= k.settledEra:
-		news.heldOver = nil // a box that heard of the era later still holds it over
+		news.heldOver = nil // a box that learnt of the era later still holds keys over
 	case k.settleTimer == nil || era != k.latest.asOf.Era():
 		k.scheduleSettle()
 	}
@@ -181,7 +182,7 @@
 	k.updateEffective(source)
 }
 
-// settleLater gives the operator the time to write again what a copy lacks; the caller holds the lock.
+// scheduleSettle gives the operator restoreTime to write again what a copy lacks; the caller holds the lock.
 func (k *declaredSetKeeper[K]) scheduleSettle() {
 	k.heldOverUntil = clock.Now().Add(restoreTime)
 	if k.settleTimer == nil {
@@ -191,12 +192,12 @@
 	}
 }
 
-// settle drops what is held over: the operator has had the time to write it again.
+// settle drops the keys that are held over: the operator has had the time to write them again.
 func (k *declaredSetKeeper[K]) settle() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if clock.Now().Before(k.heldOverUntil) {
-		return // the store has come back once more as the timer ran out
+		return // the store was restored once more as the timer fired
 	}
 	k.settledEra = k.latest.asOf.Era()
 	if len(k.latest.heldOver) > 0 {
@@ -205,7 +206,7 @@
 	}
 }
 
-// enforce puts the known set in force; the caller holds the lock.
+// updateEffective applies the known set; the caller holds the lock.
 func (k *declaredSetKeeper[K]) updateEffective(source string) {
 	old := k.effective
 	k.effective = k.latest.effectiveSet()
--- a/exchange/doc.go
+++ b/exchange/doc.go
@@ -1,4 +1,3 @@
-// Package exchange routes opaque requests: it authenticates them, chooses model,
-// release and endpoint, repeats what may be repeated, and passes answers on as
-// they come, on boxes that share what they know of endpoints and roll-outs.
+// Package exchange routes opaque requests: it authenticates them, chooses model, release and endpoint, retries what may
+// be retried, and streams answers as they arrive, on boxes that share their state of endpoints and roll-outs.
 package exchange
--- a/exchange/era.go
+++ b/exchange/era.go
@@ -7,12 +7,12 @@
 	"github.com/willowwick/willowwick"
 )
 
-// writtenAgainWithin is how long after a store came back from a copy of itself what the copy lacks of the operator's declarations may
-// be missing. Boxes are held to what was declared again once the store has been well for three to four seconds.
+// restoreTime is how long after a restore of the store from a copy declarations that the copy lacks may be missing.
+// Boxes are held to what the operator declared again once the store has been available for three to four seconds.
 const restoreTime = 4 * time.Second
 
-// noteEra notes the era of the store that something known is of. A new one begins with a copy that lacks what was written last: what
-// endpoints and the operator wrote, they write again; what boxes wrote, they have to.
+// noteEra records the era of the store that some data belongs to. A new era begins with a copy that lacks the last
+// writes: endpoints and the operator repeat theirs, and boxes have to write theirs again.
 func (s *syncer) noteEra(at willowwick.Position, now time.Time, source string) {
 	former, isNew := s.enterEra(at.Era(), now)
 	if !isNew {
@@ -25,7 +25,7 @@
 		"endpoints_read_to", s.listReadTo(), "declarations_read_to", x.evacuations.newest().asOf, "to_write_again", rewritten)
 }
 
-// enterEra takes an era if it is later than the one that is known, and reports whether a store that was known has begun it.
+// enterEra enters an era if it is later than the current one, and reports whether this box had read the store before.
 func (s *syncer) enterEra(era willowwick.Era, now time.Time) (former willowwick.Era, isNew bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -36,13 +36,13 @@
 	if !s.hasList {
 		return former, false // the box has just started
 	}
-	// Endpoints whose entries the copy lacks are back as soon as after an outage.
+	// Endpoints whose entries the copy lacks are listed again as soon as after an outage.
 	s.lastOutageAt = now
 	s.restoringUntil = now.Add(restoreTime)
 	return former, true
 }
 
-// isCurrent reports whether a position is of the newest era that is known.
+// isCurrentEra reports whether a position is in the newest known era.
 func (s *syncer) isCurrentEra(at willowwick.Position) bool {
 	return at.Era() >= s.currentEra()
 }
@@ -53,20 +53,20 @@
 	return s.era
 }
 
-// isRestoring reports whether the store may still lack what the operator had declared, and has to write again.
+// isRestoring reports whether the store may still lack declarations that the operator has to write again.
 func (s *syncer) isRestoring(now time.Time) bool {
 	return s.restoringTimeLeft(now) > 0
 }
 
-// restoringFor is for how long the store may still lack it.
+// restoringTimeLeft returns for how long the store may still lack them.
 func (s *syncer) restoringTimeLeft(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return max(s.restoringUntil.Sub(now), 0)
 }
 
-// hearRestoring takes from another box for how long the store may still lack something. A box that has started since then has read a
-// configuration that need not be the newest.
+// noteRestoringFromPeer takes from another box for how long the store may still lack declarations. A box that has
+// started since the restore has read a configuration that need not be the newest.
 func (s *syncer) noteRestoringFromPeer(restoring time.Duration, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,9 +75,9 @@
 	}
 }
 
-// isWrittenAgain reports whether an order is one that was known before the store came back from a copy: the current one, which keeps
-// how far it has come, or one of the copy whose place a later one had taken, which is put off until that one has had the time to be
-// written again. The caller holds the lock.
+// isRewrittenOrder reports whether an order was known before the store was restored from a copy: the current one, which
+// keeps its progress, or one of the copy that a later order had replaced. The latter is deferred until the operator has
+// had time to write the later one again. The caller holds the lock.
 func (r *releases) isRewrittenOrder(order willowwick.ReleaseOrder, now time.Time) bool {
 	m := r.moves[order.Service]
 	if m == nil || order.At.Era() <= m.order.At.Era() || !now.Before(r.restoredAt) {
@@ -94,7 +94,7 @@
 	return isFormer
 }
 
-// beginPutOff begins the roll-outs that were put off and still are the newest; the caller holds the lock.
+// beginDeferred begins the deferred roll-outs that are still the newest; the caller holds the lock.
 func (r *releases) beginDeferred(now time.Time) {
 	if now.Before(r.restoredAt) {
 		return
@@ -105,14 +105,16 @@
 	}
 }
 
-// beginEra notes that the store came back from a copy, and returns how many states of roll-outs have to be written again.
+// beginEra records that the store was restored from a copy, and returns how many states of roll-outs have to be written
+// again.
 func (r *releases) beginEra(era willowwick.Era, now time.Time) (rewritten int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.enterEra(era, now)
 }
 
-// enterEra takes a later era; the caller holds the lock.
+// enterEra enters a later era and returns how many states of roll-outs have to be written again; the caller holds the
+// lock.
 func (r *releases) enterEra(era willowwick.Era, now time.Time) (rewritten int) {
 	if era <= r.era {
 		return 0
--- a/exchange/gossip.go
+++ b/exchange/gossip.go
@@ -8,24 +8,27 @@
 )
 
 const (
-	// swapEvery is how often digests go round: evidence on a bad release is everywhere within two seconds.
+	// gossipInterval is how often digests are exchanged: evidence on a bad release reaches all boxes within two
+	// seconds.
 	gossipInterval = 500 * time.Millisecond
-	// swapLeast is the least time between two rounds, also where there is news that cannot wait.
+	// minGossipInterval is the minimum time between two rounds, also for urgent updates.
 	minGossipInterval = 50 * time.Millisecond
-	// swapShare bounds it by the time to leave an endpoint: less than the difference of reliedShare and endpointsShare.
+	// gossipDrainShare bounds the interval by the time to drain an endpoint: less than the difference of storeDataShare
+	// and listReadShare.
 	gossipDrainShare = 0.25
-	// swapLimit is how long a peer may take; one in another hall answers in some milliseconds, but a box with a fifth of
-	// a core takes longer when all of its hall have just started. A call that is given up costs a new connection.
+	// gossipTimeout is the timeout of a call; a peer in another hall answers in some milliseconds, but a box with a
+	// fifth of a core takes longer while all boxes of its hall start. A call that times out costs a new connection.
 	gossipTimeout = 1200 * time.Millisecond
-	// lookFor is how long a box that has just started looks often for the hub of its hall, and lookEvery how often.
+	// hubSearchTime is how long a box that has just started searches for the hub of its hall, and hubSearchInterval how
+	// often.
 	hubSearchTime     = 1500 * time.Millisecond
 	hubSearchInterval = 100 * time.Millisecond
-	// rpcName and rpcSwap name the method on the wire.
+	// rpcServiceName and rpcSwapMethod name the RPC on the wire.
 	rpcServiceName = "Exchange"
 	rpcSwapMethod  = rpcServiceName + ".Swap"
 )
 
-// run swaps digests until the context ends; a box that does not answer keeps none of the others waiting.
+// run exchanges digests until the context is done; a box that doesn't answer delays no other one.
 func (p *peers) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		now := clock.Now()
@@ -40,7 +43,7 @@
 	}
 }
 
-// awaitRound waits for the next round of swaps, or for news that cannot wait for it.
+// awaitNextRound waits until the time of the next round or an urgent update.
 func (p *peers) awaitNextRound(ctx context.Context, at time.Time) {
 	timer := time.NewTimer(clock.Until(at))
 	defer timer.Stop()
@@ -51,15 +54,15 @@
 	}
 }
 
-// hurry begins the next round of swaps at once.
+// requestRound starts the next round immediately, subject to minGossipInterval.
 func (p *peers) requestRound() {
 	select {
 	case p.roundRequested <- struct{}{}:
-	default: // it begins at once anyway
+	default: // already requested
 	}
 }
 
-// pause is the time until the next round: short on a box that has just started and looks for the hub of its hall.
+// roundPause returns the time until the next round: short on a box that has just started and searches for its hub.
 func (p *peers) roundPause(now time.Time) time.Duration {
 	if _, hasHub := p.hub(now); !hasHub && p.isSearchingForHub(now) {
 		return hubSearchInterval
@@ -67,17 +70,18 @@
 	return p.gossipPeriod()
 }
 
-// isNew reports whether the box has just started and may not have found the hub of its hall yet.
+// isSearchingForHub reports whether the box has just started and may not have found the hub of its hall yet.
 func (p *peers) isSearchingForHub(now time.Time) bool {
 	return now.Sub(p.startedAt) < hubSearchTime
 }
 
-// swapPeriod is short enough that what a reader has read is with its hall well before the others stop relying on it.
+// gossipPeriod returns an interval short enough for a reader's data to reach its hall well before the other boxes stop
+// relying on it.
 func (p *peers) gossipPeriod() time.Duration {
 	return min(gossipInterval, scale(p.router.settings.Drain, gossipDrainShare))
 }
 
-// beginSwap reports whether a swap with the box may begin: the one before must be over.
+// beginExchange reports whether an exchange with the box may begin: the previous one must be over.
 func (p *peers) beginExchange(address string, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -97,7 +101,7 @@
 	}
 }
 
-// swap tells a box this one's digest and takes what comes back.
+// exchangeWith sends this box's digest to another box and applies its reply.
 func (p *peers) exchangeWith(ctx context.Context, address string) {
 	defer p.endExchange(address)
 	ctx, cancel := context.WithTimeout(ctx, gossipTimeout)
@@ -112,7 +116,7 @@
 	p.applyReply(&call, reply, sent, clock.Now())
 }
 
-// callTo is what this box tells another one.
+// swapCallFor returns the call to the box at an address.
 func (p *peers) swapCallFor(address string, now time.Time) SwapCall {
 	call := SwapCall{
 		Digest: p.ownDigest(now), KnownSum: p.rosterSum(now), TakesChanges: true, WantsList: p.router.sync.wantsWholeList(address, now),
@@ -125,7 +129,7 @@
 	return call
 }
 
-// takeReply takes what a box answered to a call sent at the given time.
+// applyReply applies a box's reply to a call sent at the given time.
 func (p *peers) applyReply(call *SwapCall, reply SwapReply, sent, now time.Time) {
 	reply.Digest.addTransitTime(now.Sub(sent))
 	p.receiveDigest(reply.Digest, now)
@@ -143,7 +147,7 @@
 	}
 }
 
-// Swap answers a box's digest with this box's own.
+// Swap is the gossip exchange: it applies the caller's digest and replies with this box's own.
 func (s *rpcServer) Swap(call *SwapCall, reply *SwapReply) error {
 	now := clock.Now()
 	p := s.peers
--- a/exchange/hub.go
+++ b/exchange/hub.go
@@ -7,11 +7,11 @@
 	"github.com/willowwick/willowwick"
 )
 
-// triedAtOnce bounds how many silent boxes of a hall one round of swaps tries: with all of a large fleet started at
-// once, more would take the processor from the requests of callers.
+// maxProbesPerRound bounds how many silent boxes of a hall are called in one gossip round: when all boxes of a large
+// fleet start at once, more calls would take CPU time from the requests of callers.
 const maxProbesPerRound = 2
 
-// first is the box of a hall that precedes the others of those that use accepts; the caller holds the lock.
+// firstBox returns the first box of a hall in hub order among those that use accepts; the caller holds the lock.
 func (p *peers) firstBox(hall willowwick.HallID, use func(known *peer) bool) (KnownBox, bool) {
 	var first KnownBox
 	found := false
@@ -23,7 +23,7 @@
 	return first, found
 }
 
-// reader is the digest of the box that reads the store for this one, and false if this box reads it itself.
+// reader returns the digest of the box that reads the store for this one, and false if this box reads it itself.
 func (p *peers) reader(now time.Time) (Digest, bool) {
 	reads := p.reachesStore(now)
 	p.mu.Lock()
@@ -35,12 +35,12 @@
 	return p.known[reader.Address].digest, true
 }
 
-// reads reports whether this box reaches the store, as far as it has shown.
+// reachesStore reports whether this box's recent reads show that it reaches the store.
 func (p *peers) reachesStore(now time.Time) bool {
 	return p.router.sync.storeReadAge(now) <= p.router.maxStoreDataAge()
 }
 
-// isBehind reports whether a box of the hall that comes before this one is in touch, whether it reads the store or not.
+// hasPredecessor reports whether a live box of the hall precedes this one, whether it reads the store or not.
 func (p *peers) hasPredecessor(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -48,17 +48,17 @@
 	return found && first.precedes(p.self())
 }
 
-// readerOf is the first of a hall's boxes that are in touch and reach the store; the caller holds the lock.
+// hallReader returns the first of a hall's live boxes that reach the store; the caller holds the lock.
 func (p *peers) hallReader(hall willowwick.HallID, now time.Time) (KnownBox, bool) {
 	return p.firstBox(hall, func(known *peer) bool { return known.isLive(now) && !p.isCutOffFromStore(known, now) })
 }
 
-// firstInTouch is the first of a hall's boxes that were heard of lately; the caller holds the lock.
+// firstLiveBox returns the first of a hall's live boxes; the caller holds the lock.
 func (p *peers) firstLiveBox(hall willowwick.HallID, now time.Time) (KnownBox, bool) {
 	return p.firstBox(hall, func(known *peer) bool { return known.isLive(now) })
 }
 
-// missesHall reports whether no box of some hall has been heard of lately, though there is one.
+// hasUnreachableHall reports whether some known hall has no live box.
 func (p *peers) hasUnreachableHall(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -70,16 +70,17 @@
 	return false
 }
 
-// isCutOff reports whether a box has not read the store for too long to rely on it.
+// isCutOffFromStore reports whether a box's last read of the store is too long ago to rely on it.
 func (p *peers) isCutOffFromStore(known *peer, now time.Time) bool {
 	told, since := time.Duration(known.digest.ReadAgeMs)*time.Millisecond, now.Sub(known.heardAt)
 	limit := p.router.maxStoreDataAge()
-	// Nothing can be added to the longest length of time there is, which a box of an earlier release may tell.
+	// Checked separately: a box of an earlier release may report the longest duration, to which nothing can be added.
 	return told > limit || told+since > limit
 }
 
-// hub is the box of its hall that this one swaps with: the reader, or while no box reaches the store the first that is
-// in touch, so that an absent store does not set all boxes to swapping with all; false if that is this box itself.
+// hub returns the box of its hall that this one exchanges gossip with: the reader, or while no box reaches the store
+// the first live one, so that an unavailable store doesn't make all boxes exchange with all; false if that is this box
+// itself.
 func (p *peers) hub(now time.Time) (Digest, bool) {
 	if reader, found := p.reader(now); found {
 		return reader, true
@@ -96,7 +97,7 @@
 	return p.known[first.Address].digest, true
 }
 
-// hubOf is the hub of another hall; the caller holds the lock.
+// hallHub returns the hub of another hall; the caller holds the lock.
 func (p *peers) hallHub(hall willowwick.HallID, now time.Time) (KnownBox, bool) {
 	if reader, found := p.hallReader(hall, now); found {
 		return reader, true
@@ -104,8 +105,8 @@
 	return p.firstLiveBox(hall, now)
 }
 
-// targets are the addresses of the boxes to swap with now: the hall's hub, on a hub those of the other halls, and some
-// silent boxes that would come before them.
+// exchangeTargets returns the addresses of the boxes to exchange gossip with now: the hall's hub, on a hub those of the
+// other halls, and some silent boxes that would precede them.
 func (p *peers) exchangeTargets(now time.Time) []string {
 	hub, hasHub := p.hub(now)
 	p.mu.Lock()
@@ -122,8 +123,8 @@
 	return slices.Compact(targets)
 }
 
-// hubTargets are the addresses of what a hub swaps with: the hubs of the other halls, and some silent boxes of all
-// halls that would come before the hub of theirs. The caller holds the lock.
+// hubTargets returns the addresses that a hub exchanges gossip with: the hubs of the other halls, and some silent boxes
+// of all halls that would precede the hub of theirs. The caller holds the lock.
 func (p *peers) hubTargets(now time.Time) []string {
 	self := p.self()
 	var targets []string
@@ -141,8 +142,8 @@
 	return targets
 }
 
-// candidates are the addresses of a few boxes of a hall that were not heard of lately and would come before its hub,
-// if it has one; the hall is empty for boxes whose hall is not known. The caller holds the lock.
+// probeCandidates returns the addresses of a few silent boxes of a hall that would precede its hub, if it has one; the
+// hall is empty for boxes whose hall is not known. The caller holds the lock.
 func (p *peers) probeCandidates(hall willowwick.HallID, hub KnownBox, now time.Time) []string {
 	var silent []KnownBox
 	for _, known := range p.known {
@@ -159,8 +160,8 @@
 	return list
 }
 
-// compareTries orders boxes by who is to be tried first: the one that was not tried for longer, so that boxes that are
-// no use as a hub keep none of the others waiting. The caller holds the lock.
+// compareLastCalls orders boxes by their last call, the longest ago first, so that boxes that can't serve as a hub
+// don't keep others from being called. The caller holds the lock.
 func (p *peers) compareLastCalls(a, b KnownBox) int {
 	if order := p.known[a.Address].lastCallAt.Compare(p.known[b.Address].lastCallAt); order != 0 {
 		return order
@@ -171,7 +172,7 @@
 	return 1
 }
 
-// hallsKnown lists the halls of the known boxes; the caller holds the lock.
+// knownHalls lists the halls of the known boxes; the caller holds the lock.
 func (p *peers) knownHalls() []willowwick.HallID {
 	var halls []willowwick.HallID
 	for _, known := range p.known {
--- a/exchange/known.go
+++ b/exchange/known.go
@@ -10,53 +10,53 @@
 )
 
 const (
-	// peerFresh is how long a digest counts as the state of a live box: two missed swaps and some.
+	// peerLiveness is how long after its digest a box counts as live: two missed exchanges and some slack.
 	peerLiveness = 1300 * time.Millisecond
-	// peerKept is how long a silent box is still counted, named to others and tried.
+	// silentPeerRetention is how long a silent box is still counted, included in the roster and called.
 	silentPeerRetention = 30 * time.Second
-	// retryPeer and retryPeerMost bound the pauses between calls of a box that does not answer.
+	// minPeerRetry and maxPeerRetry bound the backoff between calls of a box that doesn't answer.
 	minPeerRetry = time.Second
 	maxPeerRetry = 8 * time.Second
 )
 
 type (
-	// KnownBox is where a box is reached, and what its place among the others goes by.
+	// KnownBox is the address of a box and what determines its position in the hub order.
 	KnownBox struct {
 		Address  string
 		Hall     willowwick.HallID
-		LinkMbps int // 0 if it is not known
+		LinkMbps int // 0 if unknown
 	}
 
-	// KnownRow is a box as one tells another of it.
+	// KnownRow is an entry of the roster that boxes send each other.
 	KnownRow struct {
 		Address  string
 		Hall     willowwick.HallID
 		LinkMbps int
-		AgeMs    int64 // since it was heard of or named, by whomever
+		AgeMs    int64 // since it was last seen by any box
 	}
 
-	// HallAge is how long ago that box of a hall was heard of or named that was not for longest, as one box knows it.
+	// HallAge is how long ago the box of a hall that was silent for longest was seen, as one box knows it.
 	HallAge struct {
 		Hall     willowwick.HallID
 		OldestMs int64
 	}
 
-	// peer is another box as this one knows it.
+	// peer is the state of another box as this one knows it.
 	peer struct {
 		box          KnownBox
-		sum          uint64 // of the box, as part of a sum over all boxes
+		sum          uint64 // checksum of the box, a term of the roster's checksum
 		digest       Digest
-		heardAt      time.Time // when its last digest came
-		namedAt      time.Time // when it, the group or another box last named it
-		nextCallAt   time.Time // not called before, after failures
-		lastCallAt   time.Time // last call
-		failures     int       // calls in a row that failed
-		isExchanging bool      // a call to it is under way
+		heardAt      time.Time // arrival of its last digest
+		namedAt      time.Time // last time that the box itself, the group or another box named it
+		nextCallAt   time.Time // backoff after failures
+		lastCallAt   time.Time
+		failures     int // consecutive failed calls
+		isExchanging bool // a call is in progress
 	}
 )
 
-// precedes reports whether a box comes before another as the hub of its hall: the one with the wider link, since a hub
-// passes on what is large to all the others, and of equal ones the one with the lower address.
+// precedes reports whether a box comes before another in hub order: the one with the wider link, since a hub forwards
+// large data to all the others, and of equal ones the one with the lower address.
 func (b KnownBox) precedes(other KnownBox) bool {
 	if b.LinkMbps != other.LinkMbps {
 		return b.LinkMbps > other.LinkMbps
@@ -64,28 +64,28 @@
 	return b.Address < other.Address
 }
 
-// isInTouch reports whether the box's digest counts as its state.
+// isLive reports whether the box's digest is recent enough to count as its state.
 func (known *peer) isLive(now time.Time) bool {
 	return now.Sub(known.heardAt) <= peerLiveness
 }
 
-// seen is when the box last answered or was named.
+// lastSeen returns when the box last answered or was named.
 func (known *peer) lastSeen() time.Time {
 	return latest(known.heardAt, known.namedAt)
 }
 
-// isKept reports whether the box was heard of or named of late.
+// isRetained reports whether the box was seen within silentPeerRetention.
 func (known *peer) isRetained(now time.Time) bool {
 	return now.Sub(known.lastSeen()) <= silentPeerRetention
 }
 
-// self is this box as the others know it.
+// self returns this box as the others know it.
 func (p *peers) self() KnownBox {
 	settings := p.router.settings
 	return KnownBox{Address: settings.Peers, Hall: settings.Hall, LinkMbps: settings.LinkMbps}
 }
 
-// list notes a box that the settings, the group or a box named, and when that was known of it.
+// noteBox records a box named by the settings, the group or another box, and when it was known to exist.
 func (p *peers) noteBox(box KnownBox, at time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -103,7 +103,7 @@
 	known.namedAt = latest(known.namedAt, at)
 }
 
-// listKnown notes boxes that another box knows, as of when it answered.
+// noteKnownRows records the roster of another box, as of the time of the call.
 func (p *peers) noteKnownRows(rows []KnownRow, asOf time.Time) {
 	for _, row := range rows {
 		at := asOf.Add(-time.Duration(row.AgeMs) * time.Millisecond)
@@ -113,7 +113,7 @@
 	}
 }
 
-// heard takes a digest that came from its box itself.
+// receiveDigest applies a digest that its own box sent.
 func (p *peers) receiveDigest(digest Digest, now time.Time) {
 	p.noteBox(digest.knownBox(), now)
 	p.mu.Lock()
@@ -141,7 +141,7 @@
 	}
 }
 
-// takeHalls keeps the newest report of each other hall; the caller holds the lock.
+// mergeHallReports keeps the newest report of each other hall; the caller holds the lock.
 func (p *peers) mergeHallReports(halls []HallReport, now time.Time) {
 	for _, hall := range halls {
 		at := now.Add(-time.Duration(hall.AgeMs) * time.Millisecond)
@@ -151,8 +151,8 @@
 	}
 }
 
-// audience lists where the other boxes are reached that were heard of or named of late: those of this box's hall, and
-// those of each other hall.
+// hintRecipients returns the addresses of the boxes that were seen recently: those of this box's hall, and those of
+// each other hall.
 func (p *peers) hintRecipients(now time.Time) (near []netip.AddrPort, far map[willowwick.HallID][]netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -175,7 +175,8 @@
 	return near, far
 }
 
-// versionOf is the version of the configuration that a box last told of, and whether it takes packed ones.
+// configVersionOf returns the configuration version that a box last reported and whether it accepts packed
+// configurations.
 func (p *peers) configVersionOf(address string) (version uint64, takesPacked, heard bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -186,7 +187,7 @@
 	return known.digest.TableVersion, known.digest.TakesPacked, true
 }
 
-// failed notes that a box does not answer, and logs the first failure of a row.
+// noteCallFailure records a failed call and schedules the next one; it logs the first of consecutive failures.
 func (p *peers) noteCallFailure(address string, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -201,7 +202,7 @@
 	}
 }
 
-// retryPause is the pause before the next call of a box after so many failures in a row; it doubles with each.
+// peerRetryPause returns the pause after a number of consecutive failures; it doubles with each.
 func peerRetryPause(failures int) time.Duration {
 	pause := minPeerRetry
 	for n := 1; n < failures && pause < maxPeerRetry; n++ {
@@ -210,7 +211,7 @@
 	return min(pause, maxPeerRetry)
 }
 
-// forget drops boxes that nobody has heard of or named for long.
+// forgetSilentPeers drops boxes that were not seen for longer than silentPeerRetention.
 func (p *peers) forgetSilentPeers(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/exchange/lead.go
+++ b/exchange/lead.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// joinEvery is how often the box renews its place in the group: thrice within the time to live.
+	// joinInterval is how often the box renews its membership of the group: three times within the TTL.
 	joinInterval = time.Second
-	// membersEvery is how often the group is listed where its generation has not changed.
+	// memberListInterval is how often the members are listed while the group's generation does not change.
 	memberListInterval = 10 * time.Second
-	// leadEvery is how often a box judges releases, and the one that leads looks for states to write.
+	// rolloutInterval is how often a box evaluates releases, and the leader checks for states to write.
 	rolloutInterval = 300 * time.Millisecond
-	// memberSeparator stands between the parts of a member's name.
+	// memberSeparator separates the parts of a member's name.
 	memberSeparator = "@"
 )
 
-// keepMembership keeps this box in the group and learns of the others until the context ends.
+// maintainMembership keeps this box in the group and learns the other members until the context is done.
 func (s *syncer) maintainMembership(ctx context.Context) {
 	member := memberName(s.router.peers.self())
 	var listedAt time.Time
@@ -33,7 +33,7 @@
 		_, isFed := s.router.peers.reader(now)
 		switch {
 		case s.maySkipCalls(now):
-			// A call would be lost; the group has dropped this box by then, or does so now.
+			// A call would fail; the group has dropped this box by then, or does so now.
 			s.setLeader(false, "the store is not reached")
 		case isFed:
 			s.leaveGroup(ctx, member)
@@ -44,19 +44,19 @@
 	}
 }
 
-// joinGroup renews this box's place in the group, lists the members if they changed or were not listed for long, and
-// returns when they were listed last.
+// joinGroup renews this box's membership of the group, lists the members if they changed or were not listed for
+// memberListInterval, and returns when they were listed last.
 func (s *syncer) joinGroup(ctx context.Context, member string, listedAt time.Time) time.Time {
 	membership, err := s.control.Join(ctx, member, s.generation)
 	now := clock.Now()
 	if err != nil {
-		s.setLeader(false, "the group does not answer")
+		s.setLeader(false, "joining the group failed")
 		return listedAt
 	}
 	s.isMember = true
 	changed := membership.Generation != s.generation
 	s.generation = membership.Generation
-	s.setLeader(membership.Leads, "the group says so")
+	s.setLeader(membership.Leads, "answer of the group")
 	if !changed && now.Sub(listedAt) <= memberListInterval {
 		return listedAt
 	}
@@ -64,14 +64,15 @@
 	return now
 }
 
-// leaveGroup hands this box's part of the group on at once, since another box of the hall keeps in touch with the store.
+// leaveGroup leaves the group at once, so that another member can become the leader, since another box of the hall
+// reads the store.
 func (s *syncer) leaveGroup(ctx context.Context, member string) {
 	if !s.isMember {
 		return
 	}
 	s.setLeader(false, "another box of the hall reads the store")
 	if err := s.control.Leave(ctx, member); err != nil {
-		slog.Info("group was not left; the store drops this box by its silence", "error", err)
+		slog.Info("leaving the group failed; the membership expires", "error", err)
 	}
 	s.isMember = false
 }
@@ -79,7 +80,7 @@
 func (s *syncer) listMembers(ctx context.Context, now time.Time) {
 	members, err := s.control.Members(ctx)
 	if err != nil {
-		slog.Info("group could not be listed", "error", err)
+		slog.Info("listing the group failed", "error", err)
 		return
 	}
 	for _, member := range members {
@@ -87,12 +88,12 @@
 	}
 }
 
-// memberName tells the others of the group where the box is reached, in which hall, and how wide its link is.
+// memberName encodes a box's address, hall and link bandwidth as its name in the group.
 func memberName(box KnownBox) string {
 	return strings.Join([]string{box.Address, string(box.Hall), strconv.Itoa(box.LinkMbps)}, memberSeparator)
 }
 
-// boxOfMember is the box that a member's name tells of; what a name does not tell is learnt once the box is heard of.
+// parseMemberName decodes a member's name; what it lacks is learnt from the box's digest.
 func parseMemberName(member string) KnownBox {
 	address, rest, _ := strings.Cut(member, memberSeparator)
 	hall, link, _ := strings.Cut(rest, memberSeparator)
@@ -118,8 +119,8 @@
 	return s.isLeader
 }
 
-// judgeReleases judges roll-outs on every box, and closes idle connections in time, until the context ends. No wait for the
-// store is part of it: a bad release gets requests for as long as nobody judges it.
+// evaluateReleases evaluates roll-outs on every box, and closes idle connections, until the context is done. It never
+// waits for the store: a bad release gets requests for as long as it is not evaluated.
 func (s *syncer) evaluateReleases(ctx context.Context) {
 	for ctx.Err() == nil {
 		now := clock.Now()
@@ -133,7 +134,7 @@
 	}
 }
 
-// lead writes the states of roll-outs on the box that leads, until the context ends.
+// writeRolloutStates writes the states of roll-outs on the leader until the context is done.
 func (s *syncer) writeRolloutStates(ctx context.Context) {
 	for ctx.Err() == nil {
 		if now := clock.Now(); s.isRolloutLeader() {
@@ -156,14 +157,14 @@
 	return statuses, nil
 }
 
-// writeDue writes a state unless the store already holds a final one; a box that led before finds that here.
+// writeState writes a state unless the store already holds a final one, which a former leader may have written.
 func (s *syncer) writeState(ctx context.Context, due dueStatus, now time.Time) {
 	if !due.lastCall && !s.hasFleetMoved(due.ReleaseStatus, now) {
 		return
 	}
 	statuses, err := s.readStatuses(ctx)
 	if err != nil {
-		slog.Info("states of roll-outs could not be read", "error", err)
+		slog.Info("reading states of roll-outs failed", "error", err)
 		return
 	}
 	for _, status := range statuses.Statuses {
@@ -172,10 +173,10 @@
 		}
 	}
 	if !slices.Contains(s.router.releases.due(clock.Now()), due) {
-		return // it was judged otherwise meanwhile
+		return // the evaluation changed meanwhile
 	}
 	if err := s.control.SetStatus(ctx, due.ReleaseStatus, statuses.End); err != nil {
-		slog.Info("state of a roll-out could not be written", "service", due.Service, "release", due.Target, "state", due.State,
+		slog.Info("writing the state of a roll-out failed", "service", due.Service, "release", due.Target, "state", due.State,
 			"after", statuses.End, "error", err)
 		return
 	}
@@ -183,7 +184,7 @@
 	s.router.releases.settle(due.ReleaseStatus, s.isCurrentEra(statuses.End), "written here")
 }
 
-// hasMoved reports whether no box in touch sends to the old release or has requests under way there.
+// hasFleetMoved reports whether no live box sends to the old release or has requests in progress there.
 func (s *syncer) hasFleetMoved(status willowwick.ReleaseStatus, now time.Time) bool {
 	if s.router.inFlightOutsideTarget(status) > 0 {
 		return false
--- a/exchange/list_gossip.go
+++ b/exchange/list_gossip.go
@@ -11,24 +11,25 @@
 )
 
 const (
-	// emptySum is the sum over a list without endpoints; 0 says that the sum is not known.
+	// emptyListSum is the checksum of an empty list; 0 stands for an unknown checksum.
 	emptyListSum = 1
-	// wholeEvery is how often a box asks for a whole list at most: a narrow link takes a part of a second for a long one.
+	// wholeListInterval is the minimum time between two requests for a whole list: a long one takes a part of a second
+	// on a narrow link.
 	wholeListInterval = 5 * time.Second
 )
 
-// EndpointList is the list of endpoints as one box passes it to another, or what changed in it.
+// EndpointList is the list of endpoints as one box sends it to another, or the changes in it.
 type EndpointList struct {
 	Endpoints []willowwick.Endpoint
-	Gone      []willowwick.EndpointID // they went before Endpoints were listed; empty where the list is whole
-	Since     willowwick.Position     // only changes after it are told; 0 if the list is whole
+	Gone      []willowwick.EndpointID // removed before Endpoints were listed; empty if the list is whole
+	Since     willowwick.Position // holds only changes after it; 0 if the list is whole
 	Next      willowwick.Position
-	From      willowwick.Position // where it last changed
-	Told      time.Time           // by the clock of the box that passes it
+	From      willowwick.Position // last change
+	Told      time.Time // by the clock of the sender
 }
 
-// listedFrom is where the list that this box has last changed, up to where it knows all changes, and a sum over the list, 0 if
-// it has changed since.
+// listPositions returns where the list of this box last changed, up to where the box knows all changes, and the
+// checksum of the list, 0 if it has changed since.
 func (s *syncer) listPositions() (from, read willowwick.Position, sum uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -38,8 +39,8 @@
 	return s.changedAt, s.readTo, s.listSum()
 }
 
-// listSum is a sum over the list by which two boxes see whether they list the same, 0 while entries have lapsed; the caller
-// holds the lock.
+// listSum returns the checksum by which two boxes compare their lists, 0 while entries have lapsed; the caller holds
+// the lock.
 func (s *syncer) listSum() uint64 {
 	if len(s.lapsed) > 0 {
 		return 0
@@ -53,25 +54,25 @@
 	return s.cachedListSum
 }
 
-// entrySum is the same for two entries of an endpoint that say the same of where and for what it is used.
+// entrySum returns a checksum of the fields that determine where and for what an endpoint is used.
 func entrySum(endpoint willowwick.Endpoint) uint64 {
 	return xxhash.Sum64String(fmt.Sprintf(
 		"%s %s %s %s %t %d", endpoint.ID, endpoint.Address, endpoint.Service, endpoint.Release, endpoint.Leaving, endpoint.Incarnation,
 	))
 }
 
-// wantsList reports whether this box asks another one for its whole list now: it reads the store for this one and lists other
-// endpoints.
+// wantsWholeList reports whether this box requests the whole list of another one now: that one is its reader and lists
+// other endpoints.
 func (s *syncer) wantsWholeList(address string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.differsFromReader && s.readerAddress == address && now.Sub(s.wholeListAt) >= wholeListInterval
 }
 
-// listFor returns the list for a box that has an older one, or asks for it: what changed since, if the box takes that and it
-// is known.
+// listForPeer returns the list for a box that has an older one or requests it: only the changes since, if they are
+// known and the box accepts them.
 func (s *syncer) listForPeer(call *SwapCall) *EndpointList {
-	// A box of an earlier release does not tell how far it has read.
+	// A box of an earlier release doesn't report EndpointsRead.
 	from := max(call.Digest.EndpointsFrom, call.Digest.EndpointsRead)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,21 +111,21 @@
 	}
 }
 
-// isPassedOn reports whether other boxes are told that an endpoint is listed. One whose entry has lapsed is not: a box that
-// could not see the store either gives it time by itself, and one that could knows whether it is gone. The caller holds the
-// lock.
+// isAdvertised reports whether other boxes are told that an endpoint is listed. One whose entry has lapsed is not: a
+// box that could not reach the store either applies its own grace period, and one that could knows whether the endpoint
+// is gone. The caller holds the lock.
 func (s *syncer) isAdvertised(id willowwick.EndpointID) bool {
 	_, isLapsed := s.lapsed[id]
 	return !isLapsed
 }
 
-// takeFromPeer takes what another box has read of the store.
+// applyPeerList applies what another box has read from the store.
 func (s *syncer) applyPeerList(reply SwapReply, now time.Time) {
 	s.mu.Lock()
 	list := reply.Endpoints
 	isNews := list != nil && s.hasUpdates(list, reply.Digest.Address)
 	if isNews {
-		// What the other box lists it has judged itself.
+		// The other box has already confirmed the endpoints that it lists.
 		for i, endpoint := range list.Endpoints {
 			delete(s.removed, endpoint.ID)
 			if !endpoint.ColdUntil.IsZero() {
@@ -152,9 +153,9 @@
 	s.router.noteWarm()
 }
 
-// isNews reports whether a list of another box holds changes beyond what this one has read, or is to take the place of its
-// list. Of an endpoint that came and went up to there this box never knew, and would never hear that it went. The caller
-// holds the lock.
+// hasUpdates reports whether a list of another box holds changes beyond what this one has read, or is to replace its
+// list. An endpoint that was added and removed up to there is unknown to this box, which would never learn of its
+// removal. The caller holds the lock.
 func (s *syncer) hasUpdates(list *EndpointList, from string) bool {
 	if list.Since == 0 && s.differsFromReader && s.readerAddress == from {
 		return list.Next >= s.readTo
@@ -162,9 +163,10 @@
 	return list.From > s.readTo && list.Since <= s.readTo
 }
 
-// compare finds out whether the box that reads the store for this one has read as far and lists other endpoints. Two
-// boxes may judge otherwise of an endpoint that was gone and came back, by how its heartbeats fell into their reads; changes
-// alone never make that good. A box that reads for itself goes by nobody's judgement but its own. The caller holds the lock.
+// compareWithReader checks whether the box that reads the store for this one has read as far and lists other endpoints.
+// Two boxes may decide differently on an endpoint that was removed and came back, depending on how its heartbeats fell
+// into their reads; changes alone never correct that. A box that reads for itself relies on its own decisions only. The
+// caller holds the lock.
 func (s *syncer) compareWithReader(digest *Digest) {
 	sum := s.listSum()
 	if digest.Address != s.readerAddress || digest.EndpointsRead < s.readTo || digest.EndpointsSum == 0 || sum == 0 {
--- a/exchange/listing.go
+++ b/exchange/listing.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// endpointsShare is the part of the time to leave an endpoint after which the list is read again, so that its news are
-	// with the whole hall within half of it.
+	// listReadShare is the share of the time to drain an endpoint after which the list is read again, so that updates
+	// reach the whole hall within half of that time.
 	listReadShare = 0.3
-	// reliedShare is the part of it after which a box no longer relies on what another box reads for it.
+	// storeDataShare is the share of it after which a box no longer relies on what another box reads for it.
 	storeDataShare = 0.6
-	// returnGrace is how long endpoints whose entries lapsed while the store was away are still used after its
-	// return: they are back within about two seconds if they live.
+	// lapsedGrace is how long after an outage of the store endpoints whose entries lapsed during it are still used:
+	// live ones are listed again within about two seconds.
 	lapsedGrace = 2200 * time.Millisecond
-	// lapsedEvery is how often a box that reads the store looks meanwhile whether they are back.
+	// lapsedReadInterval is how often a box that reads the store checks meanwhile whether they are back.
 	lapsedReadInterval = 400 * time.Millisecond
 )
 
-// followEndpoints keeps the list of endpoints until the context ends.
+// followEndpoints keeps the list of endpoints up to date until the context is done.
 func (s *syncer) followEndpoints(ctx context.Context) {
 	var pause time.Duration // after the last read, if it failed
 	for ctx.Err() == nil {
@@ -43,20 +43,20 @@
 	}
 }
 
-// takeChanges takes what the store answered to a read of the list. It holds what was so when the read was asked for certain:
-// the answer may have come in slowly.
+// applyListRead applies the store's answer to a read of the list. The data counts as of the time of the request: the
+// answer may have been slow.
 func (s *syncer) applyListRead(changes willowwick.EndpointChanges, asked, now time.Time) {
 	s.noteAnswer(endpointsRead, now)
 	s.noteEra(changes.Next, now, "endpoints")
 	s.mu.Lock()
 	if changes.Next.Era() < s.readTo.Era() {
 		s.mu.Unlock()
-		return // another box has told of a later era meanwhile
+		return // another box has reported a later era meanwhile
 	}
 	s.endpointsAsOf = latest(s.endpointsAsOf, asked)
 	s.applyChanges(changes, now)
 	if s.hasPendingChange && s.readTo > s.changedAt {
-		// Offsets compare between boxes: who has read up to here has all changes up to here.
+		// Offsets are comparable between boxes: a box that has read up to here has all changes up to here.
 		s.assignChangePosition(s.readTo)
 	}
 	if changes.Whole {
@@ -67,13 +67,13 @@
 	s.router.noteWarm()
 }
 
-// settle says up to where the list's changes so far stand; the caller holds the lock.
+// assignChangePosition assigns the pending changes of the list to a position; the caller holds the lock.
 func (s *syncer) assignChangePosition(at willowwick.Position) {
 	s.changedAt, s.hasPendingChange = at, false
 	s.history.assignPosition(at, s.listed)
 }
 
-// mustRead reports whether this box has to read the list of endpoints now.
+// mustReadList reports whether this box has to read the list of endpoints now.
 func (s *syncer) mustReadList(now time.Time) bool {
 	limit := scale(s.router.settings.Drain, listReadShare)
 	if s.hasReader(now) {
@@ -87,14 +87,14 @@
 	return s.endpointsAge(now) > limit
 }
 
-// awaitsReturns reports whether entries have lapsed that may come back.
+// hasLapsedEntries reports whether entries have lapsed that may come back.
 func (s *syncer) hasLapsedEntries() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.lapsed) > 0
 }
 
-// reliedLimit is how old what a box has read may be for others to rely on it.
+// maxStoreDataAge returns up to which age other boxes rely on what a box has read.
 func (x *Router) maxStoreDataAge() time.Duration {
 	return scale(x.settings.Drain, storeDataShare)
 }
@@ -105,7 +105,7 @@
 	return s.hasList
 }
 
-// entry is what is known of an endpoint that is listed.
+// listedEndpoint returns the listed entry of an endpoint.
 func (s *syncer) listedEndpoint(id willowwick.EndpointID) (willowwick.Endpoint, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,10 +119,11 @@
 	return s.readTo
 }
 
-// apply takes changes of the list; the caller holds the lock.
+// applyChanges applies changes of the list; the caller holds the lock.
 func (s *syncer) applyChanges(changes willowwick.EndpointChanges, now time.Time) {
 	for _, id := range changes.Gone {
-		// Another box may know it although this one does not: it came and went between two reads.
+		// Noted although the endpoint may be unknown here: it may have been added and removed between two reads, and
+		// another box may know it.
 		s.history.noteChange(id)
 		s.removeEntry(id, now)
 	}
@@ -130,14 +131,14 @@
 		s.history.noteChange(id)
 		if _, wasListed := s.listed[id]; wasListed {
 			s.dropEntry(id, now)
-			// It may live, and its next heartbeat is no late one of an endpoint that went.
+			// It may be live: its next heartbeat is not a delayed one of a removed endpoint.
 			delete(s.removed, id)
 		}
 	}
 	present := map[willowwick.EndpointID]bool{}
 	for _, endpoint := range changes.Present {
 		if s.isFormerIncarnation(endpoint) {
-			present[endpoint.ID] = true // what the newer life said holds on
+			present[endpoint.ID] = true // the state of the newer incarnation remains valid
 			continue
 		}
 		if s.isConfirmedLive(endpoint) {
@@ -156,8 +157,8 @@
 	s.readTo, s.hasList = changes.Next, true
 }
 
-// dropLapsed drops the endpoints that did not come back in time, also on a box that is told of no changes meanwhile: each of
-// its requests to one of them would be lost.
+// dropLapsed drops the endpoints that did not come back in time, also on a box that receives no changes meanwhile: each
+// request sent to one of them would fail.
 func (s *syncer) dropLapsed(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -166,8 +167,8 @@
 	}
 }
 
-// dropOverdue drops the endpoints that did not come back in time, and reports whether there were any; the caller holds
-// the lock. An entry that came back in time may have been missed by all reads that were asked before.
+// dropExpired drops the endpoints that did not come back in time, and reports whether there were any. Reads that were
+// requested before the deadline may have missed an entry that came back in time. The caller holds the lock.
 func (s *syncer) dropExpired(now time.Time) bool {
 	before := len(s.lapsed)
 	for id, until := range s.lapsed {
@@ -178,15 +179,15 @@
 	return len(s.lapsed) < before
 }
 
-// list takes the entry of an endpoint; the caller holds the lock.
+// addEntry adds or updates the entry of an endpoint; the caller holds the lock.
 func (s *syncer) addEntry(endpoint willowwick.Endpoint, at willowwick.Position) {
 	old, known := s.listed[endpoint.ID]
 	if endpoint.Incarnation == 0 {
-		endpoint.Incarnation = old.Incarnation // a box of an earlier release does not tell it
+		endpoint.Incarnation = old.Incarnation // a box of an earlier release doesn't report it
 	}
-	// Leaving is for good: a later entry that says otherwise was written before.
+	// Draining is final: an entry that arrives later and says otherwise was written before.
 	endpoint.Leaving = endpoint.Leaving || old.Leaving
-	// Boxes that were told that it lapsed have dropped it, or will, unless they are told that it is back.
+	// Boxes that were told that the entry lapsed drop the endpoint unless they learn that it is back.
 	if !known || !s.isAdvertised(endpoint.ID) || !isSameEntry(old, endpoint) {
 		s.noteChange(endpoint.ID)
 	}
@@ -198,14 +199,14 @@
 	delete(s.lapsed, endpoint.ID)
 }
 
-// noteChange notes that the entry of an endpoint changed, came or went; the caller holds the lock.
+// noteChange records that the entry of an endpoint was changed, added or removed; the caller holds the lock.
 func (s *syncer) noteChange(id willowwick.EndpointID) {
 	s.hasPendingChange, s.cachedListSum = true, 0
 	s.history.noteChange(id)
 }
 
-// isBack reports whether the entry of an endpoint counts. One that is gone may still have a heartbeat on its way, which
-// brings its entry back; only a second one after it shows that the endpoint lives. The caller holds the lock.
+// isConfirmedLive reports whether the entry of an endpoint counts. A delayed heartbeat of a removed endpoint may
+// restore its entry; only a second one shows that the endpoint is live. The caller holds the lock.
 func (s *syncer) isConfirmedLive(endpoint willowwick.Endpoint) bool {
 	last, isGone := s.removed[endpoint.ID]
 	switch {
@@ -222,14 +223,15 @@
 	}
 }
 
-// sameEntry reports whether two entries of an endpoint say the same.
+// isSameEntry reports whether two entries of an endpoint are equivalent.
 func isSameEntry(a, b willowwick.Endpoint) bool {
 	isSame := a.Address == b.Address && a.Service == b.Service && a.Release == b.Release && a.Leaving == b.Leaving
 	isSame = isSame && a.Incarnation == b.Incarnation
 	return isSame && !route.IsColdAgain(a.ColdUntil, b.ColdUntil)
 }
 
-// endpointGone drops an endpoint, or gives it time to come back if its entry may have lapsed with the store away.
+// removeEntry drops an endpoint, or marks it as lapsed if its entry may have expired during an outage of the store; the
+// caller holds the lock.
 func (s *syncer) removeEntry(id willowwick.EndpointID, now time.Time) {
 	if _, known := s.listed[id]; !known {
 		return
@@ -253,8 +255,8 @@
 	s.noteChange(id)
 }
 
-// publish gives the list to the pool; the caller holds the lock, so that the box has no list that is not in use, and none
-// takes the place of a newer one.
+// publishList passes the list to the pool. The caller holds the lock, so that the box has no list that is not in use,
+// and no older list replaces a newer one.
 func (s *syncer) publishList() {
 	list := make([]willowwick.Endpoint, 0, len(s.listed))
 	for _, endpoint := range s.listed {
--- a/exchange/peers.go
+++ b/exchange/peers.go
@@ -17,35 +17,37 @@
 )
 
 const (
-	// countAfter is how long a box that has just started takes its fleet to have at least youngFleet boxes, where
-	// escalations share the slack of repeats, and requests what cold endpoints bear: it has not heard of all of them yet.
+	// fleetDiscoveryTime is how long a box that has just started assumes that its fleet has at least assumedFleetSize
+	// boxes, for its share of the retry budget for escalations and of the requests that cold endpoints can handle: it
+	// doesn't know all boxes yet.
 	fleetDiscoveryTime = 5 * time.Second
 	assumedFleetSize   = 50
 )
 
 type (
-	// peers keeps in touch with the other boxes.
+	// peers exchanges state with the other boxes.
 	//
-	// In each hall the first box, as precedes orders them, reads the store and swaps digests with the readers of the other
-	// halls; the other boxes swap with their reader, and read the store themselves once it is silent or cut off.
+	// In each hall the first box in the order of KnownBox.precedes reads the store and exchanges digests with the
+	// readers of the other halls; the other boxes exchange with their reader, and read the store themselves once it is
+	// silent or cut off from the store.
 	peers struct {
 		router    *Router
 		transport *fleet.Transport
 		startedAt time.Time
-		startedMs int64 // the same by the time of day, as other boxes are told
+		startedMs int64 // the same in Unix milliseconds, as reported to other boxes
 		limits    *ratelimit.Peers
 		granter   *ratelimit.Granter
-		// askBox asks the box at an address for permits.
+		// askBox calls the box at an address for permits.
 		askBox         func(ctx context.Context, address string, call *ratelimit.Call) (ratelimit.Reply, error)
 		quarantine     *quarantine.Peers
-		roundRequested chan struct{} // there is news that cannot wait for the next round of swaps
+		roundRequested chan struct{} // signals that an urgent update can't wait for the next round
 
 		mu         sync.Mutex
 		known      map[string]*peer // by address
 		otherHalls map[willowwick.HallID]receivedReport
 	}
 
-	// rpcServer is the part of peers that other boxes call.
+	// rpcServer holds the methods that other boxes call.
 	rpcServer struct {
 		peers *peers
 	}
@@ -81,14 +83,14 @@
 	return nil
 }
 
-// boxes is the number of boxes that share the fleet's bounds, this one included.
+// fleetSize returns the number of boxes that share the fleet's bounds, this one included.
 func (p *peers) fleetSize() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.known) + 1
 }
 
-// hallSize is the number of the hall's boxes as far as they are known, this one included; most are known from the hub.
+// hallSize returns the number of known boxes of this hall, this one included; most are known from the hub.
 func (p *peers) hallSize() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -101,8 +103,8 @@
 	return size
 }
 
-// sharers is the number of boxes that the fleet's slack of repeats is divided by. Escalations are many and can wait
-// until a new box has counted its fleet; failovers are few, and without one a caller's answer is cut.
+// slackShares returns the number of boxes that the fleet's retry budget is divided by. Escalations are frequent and can
+// wait until a new box knows its fleet; failovers are rare, and without one a caller's answer is cut off.
 func (p *peers) slackShares(kind route.RepeatKind, now time.Time) int {
 	if kind == route.RepeatEscalation && now.Sub(p.startedAt) < fleetDiscoveryTime {
 		return max(p.fleetSize(), assumedFleetSize)
--- a/exchange/sync.go
+++ b/exchange/sync.go
@@ -11,91 +11,93 @@
 )
 
 const (
-	// heldShare is the part of the time to put a configuration in force for which the store may hold a read of the
-	// declarations. Nothing tells a read that waits from one that was lost with its connection, so this bounds what a lost
-	// one costs; the rest of the time is for the limit on its head, for the next read, and for the swaps that pass on what
-	// it brings.
+	// longPollShare is the share of the time to put a configuration in force for which the store may hold a read of the
+	// declarations (a long poll). A waiting read can't be told from one that was lost with its connection, so this
+	// bounds the cost of a lost one; the remaining time is for the response header timeout, the next read and the
+	// gossip exchanges that distribute the result.
 	longPollShare = 0.3
-	// heldMost bounds it where operators give much time: a read costs the store no more than a call then.
+	// maxLongPoll bounds a long poll where operators allow much time: beyond it a read costs the store no more than a
+	// call.
 	maxLongPoll = 20 * time.Second
-	// heldLate is how much later than that an answer may be until others of the hall read for themselves: the client's
-	// limit on the head of an answer, and time for its body.
+	// longPollMargin is how much longer than that an answer may take before other boxes of the hall read for
+	// themselves: the client's response header timeout, and time for the body.
 	longPollMargin = time.Second
-	// feedPoll is how often a box looks whether it has to read for itself.
+	// readerPollInterval is how often a box checks whether it has to read for itself.
 	readerPollInterval = 100 * time.Millisecond
-	// retryFirst and retryMost bound the pauses between reads that fail.
+	// minReadRetry and maxReadRetry bound the backoff between failed reads.
 	minReadRetry = 150 * time.Millisecond
 	maxReadRetry = 600 * time.Millisecond
-	// regainMost bounds them on the first box of a hall while another one reads for it: nobody waits for it.
+	// maxHubReadRetry is the upper bound on the first box of a hall while another one reads for it: nobody waits for
+	// it.
 	maxHubReadRetry = 2400 * time.Millisecond
-	// probeEvery is how often the boxes of a hall together look whether an absent store is back, but for the first of
-	// them; retryBehind bounds how long one of them waits for its turn.
+	// hallProbeInterval is how often the boxes of a hall together check whether an unavailable store is back, except
+	// the first of them; maxFollowerReadRetry bounds how long one of them waits for its turn.
 	hallProbeInterval    = 250 * time.Millisecond
 	maxFollowerReadRetry = 6 * time.Second
 )
 
 const (
-	// readDeclared: of configurations and orders of roll-outs.
+	// declarationsRead is a read of configurations and orders of roll-outs.
 	declarationsRead readKind = iota
-	// readEndpoints: of the list of endpoints.
+	// endpointsRead is a read of the list of endpoints.
 	endpointsRead
 	readKindCount
 )
 
 type (
-	// readKind is what a read of the store is for. One kind that is answered says nothing of the other: each has a
-	// connection of its own, and the store may turn one away and not the other.
+	// readKind is what a read of the store is for. Success of one kind says nothing about the other: each has a
+	// connection of its own, and the store may refuse one and not the other.
 	readKind int
 
-	// syncer keeps what the store holds: declarations, endpoints, the group and states of roll-outs.
+	// syncer keeps this box's copy of what the store holds: declarations, endpoints, the group and states of roll-outs.
 	syncer struct {
 		router         *Router
 		control        willowwick.Control
-		rolloutOrdered chan struct{} // a roll-out was ordered, and what became of it is to be read
+		rolloutOrdered chan struct{} // signals that a roll-out was ordered and its state has to be read
 
-		nextQuarantineRead time.Time // what is refused is not read again before; zero until it was read. Only keepHarmful uses it
+		nextQuarantineRead time.Time // no read of the quarantine before; zero until it was read; used by keepHarmful only
 
 		mu sync.Mutex
 
 		// The list of endpoints.
 		listed            map[willowwick.EndpointID]willowwick.Endpoint
-		lapsed            map[willowwick.EndpointID]time.Time // when an entry that is gone ends to count
+		lapsed            map[willowwick.EndpointID]time.Time // until when an entry that is gone still counts
 		removed           map[willowwick.EndpointID]removedEntry
 		incarnations      map[willowwick.EndpointID]endpointIncarnations
-		hasList           bool                // the list was read
-		readTo            willowwick.Position // from which it is read on
-		changedAt         willowwick.Position // where it last changed in more than heartbeats
-		hasPendingChange  bool                // it changed since, at an offset that is not known yet
-		history           *listHistory        // of what changed where
-		cachedListSum     uint64              // over the list; 0 if it is not known
-		differsFromReader bool                // another box that knows as many changes lists other endpoints
-		wholeListAt       time.Time           // when a whole list last came from another box
+		hasList           bool // the list was read
+		readTo            willowwick.Position // the next read continues here
+		changedAt         willowwick.Position // last change that is more than a heartbeat
+		hasPendingChange  bool // it changed since, at an offset that is not known yet
+		history           *listHistory // which entries changed where
+		cachedListSum     uint64 // checksum of the list; 0 if it has to be computed
+		differsFromReader bool // another box that has read as far lists other endpoints
+		wholeListAt       time.Time // when another box last sent a whole list
 
-		// Whether the store is reached.
+		// Reachability of the store.
 		answeredAt     [readKindCount]time.Time // last answer of the store to this box
-		failing        [readKindCount]bool      // the last read of the kind failed
-		endpointsAsOf  time.Time                // from when what is known of the endpoints is, read here or by another box
-		configAsOf     time.Time                // from when the configuration is, read here or by another box
-		lastFailureAt  time.Time                // last read that failed
-		lastOutageAt   time.Time                // last time that neither a read nor another box told what the store holds
-		cancelLongPoll context.CancelFunc       // ends the read that the store holds; nil if there is none
-		longPollSince  time.Time                // when the store was asked for the read that it holds; zero if there is none
-		readerAddress  string                   // address of the box that reads the store for this one; empty if it does so itself
+		failing        [readKindCount]bool // the last read of the kind failed
+		endpointsAsOf  time.Time // time of the data on endpoints, read here or by another box
+		configAsOf     time.Time // time of the configuration, read here or by another box
+		lastFailureAt  time.Time // last read that failed
+		lastOutageAt   time.Time // last time that neither a read nor another box brought the store's state
+		cancelLongPoll context.CancelFunc // cancels the running long poll; nil if there is none
+		longPollSince  time.Time // start of the running long poll; zero if there is none
+		readerAddress  string // address of the box that reads the store for this one; empty if it reads for itself
 
 		// The era of the store.
 		era            willowwick.Era // the newest that is known
-		restoringUntil time.Time      // until then the store may lack what the operator had declared
+		restoringUntil time.Time // until then the store may lack some of the operator's declarations
 
 		// The group of boxes.
-		generation uint64 // as last told
-		isMember   bool   // this box is in the group, as far as it knows
-		isLeader   bool   // this box writes the states of roll-outs
+		generation uint64 // of the last answer to Join
+		isMember   bool // this box is in the group, as far as it knows
+		isLeader   bool // this box writes the states of roll-outs
 	}
 
-	// goneEntry is what is remembered of an endpoint that is gone.
+	// removedEntry is what is remembered of an endpoint that was removed from the list.
 	removedEntry struct {
-		heartbeat uint64 // the last heartbeat seen
-		seenAgain bool   // one has come since
+		heartbeat uint64 // number of the last heartbeat seen
+		seenAgain bool // one more heartbeat has arrived since
 	}
 )
 
@@ -116,7 +118,7 @@
 	return "endpoints"
 }
 
-// followDeclarations keeps the configuration and the orders until the context ends.
+// followDeclarations keeps the configuration, evacuations, admissions and orders up to date until the context is done.
 func (s *syncer) followDeclarations(ctx context.Context) {
 	var next willowwick.Position
 	var pause time.Duration // after the last read, if it failed
@@ -149,7 +151,7 @@
 	}
 }
 
-// lookForReader waits in the first moments of a box whether another reads for it, before the store holds a read here; no
+// awaitReader waits after the start of the box for another one to read for it, before the store holds a read here; not
 // longer than the store would hold one, since a hall may follow this box already.
 func (s *syncer) awaitReader(ctx context.Context) {
 	limit := clock.Now().Add(s.longPollLimit())
@@ -158,13 +160,13 @@
 	}
 }
 
-// mayFindReader reports whether this box serves, but has just started and is not fed yet.
+// mayFindReader reports whether this box serves, but has just started and has no reader yet.
 func (s *syncer) mayFindReader(now time.Time) bool {
 	serves := s.router.table.Load() != nil && s.hasEndpointList()
 	return serves && s.router.peers.isSearchingForHub(now) && !s.hasReader(now)
 }
 
-// readDeclarations reads what was declared since an offset; wasCancelled tells that the read was ended from here.
+// readDeclarations reads what was declared since an offset; wasCancelled reports that this box cancelled the read.
 func (s *syncer) readDeclarations(
 	ctx context.Context, from willowwick.Position, wait time.Duration,
 ) (declared willowwick.Declarations, wasCancelled bool, err error) {
@@ -176,9 +178,9 @@
 	return declared, held.Err() != nil, err
 }
 
-// nextWait is how long the store may hold the next read of the declarations. An answer at once shows whether the store is
-// back; on a box that lost its reader, whether its configuration still is the newest; and where a reader may be found
-// soon, nothing is held that would be given up.
+// nextLongPoll returns how long the store may hold the next read of the declarations. It is 0 for an immediate answer:
+// after a failure, to see whether the store is back; on a box that lost its reader, to see whether its configuration is
+// still the newest; and where a reader may be found soon, since the long poll would be cancelled.
 func (s *syncer) nextLongPoll(now time.Time) time.Duration {
 	limit := s.longPollLimit()
 	if s.isReadFailing(declarationsRead) || s.declaredAge(now) > 2*limit || s.mayFindReader(now) {
@@ -187,13 +189,13 @@
 	return limit
 }
 
-// heldLimit is how long the store may hold a read of the declarations: a call lasts until something changes, and one that
-// is lost is found out while there is time to read what changed.
+// longPollLimit returns how long the store may hold a read of the declarations: a call lasts until something changes,
+// and a lost one is noticed while there is time to read the change.
 func (s *syncer) longPollLimit() time.Duration {
 	return min(scale(s.router.settings.InForce, longPollShare), maxLongPoll)
 }
 
-// backOff notes a read that failed, waits before the next one, and returns how long it waited.
+// pauseAfterFailure records a failed read, waits before the next one, and returns how long it waited.
 func (s *syncer) pauseAfterFailure(ctx context.Context, kind readKind, before time.Duration, err error) time.Duration {
 	now := clock.Now()
 	s.noteFailure(kind, now, err)
@@ -202,8 +204,8 @@
 	return pause
 }
 
-// longer is the next pause after a read that failed. Boxes that are in touch with others of their hall take turns: the
-// first of them that finds the store back reads for all.
+// nextRetryPause returns the pause after a failed read. Boxes that are in contact with others of their hall share the
+// probes: the first that finds the store back reads for all.
 func (s *syncer) nextRetryPause(pause time.Duration, now time.Time) time.Duration {
 	next := min(max(2*pause, minReadRetry), maxReadRetry)
 	if !s.router.peers.hasPredecessor(now) {
@@ -216,19 +218,19 @@
 	return min(max(next, shared), maxFollowerReadRetry)
 }
 
-// mayRest reports whether calls other than the reads of endpoints can wait: this box has not shown of late that it
-// reaches the store at all, and one before it in its hall looks for it too.
+// maySkipCalls reports whether calls other than the reads of endpoints can wait: this box has not reached the store
+// recently, and a box that precedes it in its hall probes the store too.
 func (s *syncer) maySkipCalls(now time.Time) bool {
 	return s.router.table.Load() != nil && !s.isStoreReached(now) && s.router.peers.hasPredecessor(now)
 }
 
-// mustRegain reports whether this box goes on with reads of a kind that fail although another reads for it: it is the first
-// of its hall, which the others follow for its link.
+// mustKeepReading reports whether this box retries failing reads of a kind although another box reads for it: it is the
+// first of its hall, which the others follow for the bandwidth of its link.
 func (s *syncer) mustKeepReading(kind readKind, now time.Time) bool {
 	return s.isReadFailing(kind) && !s.router.peers.hasPredecessor(now)
 }
 
-// isFed reports whether another box of the hall reads the store for this one.
+// hasReader reports whether another box of the hall reads the store for this one.
 func (s *syncer) hasReader(now time.Time) bool {
 	reader, found := s.router.peers.reader(now)
 	found = found && s.router.table.Load() != nil && s.hasEndpointList()
@@ -240,8 +242,8 @@
 	return found
 }
 
-// noteReader notes which box reads the store for this one, none if the address is empty, and ends a read that the
-// store holds for a box that is fed.
+// setReader records which box reads the store for this one, none if the address is empty, and cancels a long poll of a
+// box that has a reader.
 func (s *syncer) setReader(address string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -250,7 +252,7 @@
 		s.readerAddress = address
 	}
 	if address != "" && !s.failing[declarationsRead] && s.cancelLongPoll != nil {
-		// The box that reads for this one tells of changes; a read that the store holds here would bring them twice.
+		// The reader sends changes; a long poll here would receive them a second time.
 		s.cancelLongPoll()
 	}
 }
@@ -261,8 +263,8 @@
 	s.cancelLongPoll, s.longPollSince = cancel, since
 }
 
-// declare takes a configuration, evacuations and orders of roll-outs. Evacuations come first: a box that has just started
-// serves from its first configuration on.
+// applyDeclarations applies a configuration, evacuations, admissions and orders of roll-outs. Evacuations come first: a
+// box that has just started serves from its first configuration on.
 func (s *syncer) applyDeclarations(declared willowwick.Declarations) {
 	s.noteEra(declared.Next, clock.Now(), "declarations")
 	s.router.evacuations.declare(declared)
@@ -278,12 +280,12 @@
 	}
 	select {
 	case s.rolloutOrdered <- struct{}{}:
-	default: // they are read after this anyway
+	default: // a read is pending already
 	}
 }
 
-// followOrdered reads what became of roll-outs whenever one was ordered, which may have been long ago, until the context
-// ends. It is no part of reading the declarations: an answer that comes in slowly would keep those away, unseen.
+// followRolloutOrders reads the states of roll-outs whenever one was ordered, which may have been long ago, until the
+// context is done. It is separate from reading the declarations: a slow answer would delay those unnoticed.
 func (s *syncer) followRolloutOrders(ctx context.Context) {
 	for {
 		select {
@@ -292,7 +294,7 @@
 		case <-s.rolloutOrdered:
 		}
 		if _, err := s.readStatuses(ctx); err != nil {
-			slog.Info("states of roll-outs could not be read", "error", err)
+			slog.Info("reading states of roll-outs failed", "error", err)
 		}
 	}
 }
