--- a/exchange/declared_set.go
+++ b/exchange/declared_set.go
@@ -55,8 +55,8 @@
 	}
 )
 
-// withRead returns the set with the result of a read of the store applied, and false if the set is as new: another box
-// may have reported a later one.
+// withRead returns the set with the result of a read of the store applied, and false if the read brings nothing later:
+// another box may have reported a set as of a later position.
 func (s declaredSet[K]) withRead(isWhole bool, next willowwick.Position, changes []declaredChange[K]) (declaredSet[K], bool) {
 	if next <= s.asOf {
 		return s, false
--- a/exchange/digest.go
+++ b/exchange/digest.go
@@ -10,31 +10,32 @@
 	"github.com/willowwick/willowwick/route"
 )
 
-// longestAge is told of what was never read, or not for longer: far above all limits on ages, and sums with it stay sums.
+// maxReportedAge is reported for what was never read, or not for longer: far above all limits on ages, and small enough
+// that sums of ages don't overflow.
 const maxReportedAge = time.Hour
 
 type (
-	// Digest is what a box tells the others.
+	// Digest is the state of a box that it sends to the others.
 	Digest struct {
 		Box           willowwick.BoxID
 		Boot          willowwick.BootID
 		Hall          willowwick.HallID
 		Address       string
 		LinkMbps      int
-		StartedMs     int64  // Unix milliseconds; 0 from a box of an earlier release
-		Granter       string // on a hub, the address of the box that it takes for the one that grants permits
+		StartedMs     int64 // Unix milliseconds; 0 from a box of an earlier release
+		Granter       string // on a hub, the address of the box that it considers the granter of permits
 		TableVersion  uint64
-		TakesPacked   bool                // a box of an earlier release takes configurations as they are alone
-		ReadAgeMs     int64               // since it last showed that the box can read the store
-		StoreAgeMs    int64               // since what it knows of the endpoints was read there, by whichever box
-		ConfigAgeMs   int64               // since its configuration was the newest for certain; 0 from a box of an earlier release
-		RestoringMs   int64               // for so long the store may still lack what it lost as it came back from a copy; 0 if it lacks nothing
+		TakesPacked   bool // false from a box of an earlier release, which accepts unpacked configurations only
+		ReadAgeMs     int64 // since it last showed that the box can read the store
+		StoreAgeMs    int64 // age of its data on endpoints, whichever box read it
+		ConfigAgeMs   int64 // since its configuration was last known to be the newest; 0 from a box of an earlier release
+		RestoringMs   int64 // for how long the store may still lack what it lost in a restore from a copy; 0 if it lacks nothing
 		EndpointsFrom willowwick.Position // where its list of endpoints last changed
 		EndpointsRead willowwick.Position // up to where it knows all changes
-		EndpointsSum  uint64              // over that list; 0 while entries are in doubt
+		EndpointsSum  uint64 // checksum of that list; 0 while entries have lapsed or changes are pending
 		Evacuated     EvacuatedHalls
 		Admitted      AdmittedRequests
-		Leaving       []route.LeavingRow // endpoints that leave, of which its list does not say so yet
+		Leaving       []route.LeavingRow // draining endpoints that its list doesn't show as such yet
 		Own           Report
 		Halls         []HallReport // what a hub knows of all halls; empty on a box that has a hub
 		Progress      []ProgressRow
@@ -42,44 +43,44 @@
 		Speeds        []route.SpeedRow
 	}
 
-	// ProgressRow is a roll-out as a box believes it to be.
+	// ProgressRow is the state of a roll-out as a box knows it.
 	ProgressRow struct {
 		Status willowwick.ReleaseStatus
 		Order  willowwick.ReleaseOrder
 		AgeMs  int64 // since the order
 	}
 
-	// SwapCall is a digest with what the peer lacks, as far as is known.
+	// SwapCall is the request of a gossip exchange: a digest with what the peer lacks, as far as is known.
 	SwapCall struct {
 		Digest       Digest
-		Table        *willowwick.RoutingTable // to a box of an earlier release
-		Packed       []byte                   // the configuration for all others
-		KnownSum     uint64                   // over the boxes that the caller knows
-		TakesChanges bool                     // of the list of endpoints; a box of an earlier release takes whole lists alone
-		WantsList    bool                     // whole, since its own differs from what the peer told last
+		Table        *willowwick.RoutingTable // for a box of an earlier release
+		Packed       []byte // the configuration for all others
+		KnownSum     uint64 // checksum of the caller's roster
+		TakesChanges bool // accepts changes of the list of endpoints; a box of an earlier release accepts whole lists only
+		WantsList    bool // requests a whole list, since its own differs from the peer's last digest
 		Harm         quarantine.Call
 		Limits       ratelimit.News
 	}
 
-	// SwapReply is a peer's digest with what the caller lacks.
+	// SwapReply is the reply of a gossip exchange: the peer's digest with what the caller lacks.
 	SwapReply struct {
 		Digest    Digest
-		Table     *willowwick.RoutingTable // likewise
+		Table     *willowwick.RoutingTable // for a caller of an earlier release
 		Packed    []byte
 		Endpoints *EndpointList
-		Known     []KnownRow // all boxes, if the caller knows others
-		HallAges  []HallAge  // if it knows the same ones
+		Known     []KnownRow // the whole roster, if the caller's differs
+		HallAges  []HallAge // if the rosters are equal
 		Harm      quarantine.News
 		Limits    ratelimit.News
 	}
 )
 
-// box is the box that the digest tells of.
+// knownBox returns the box that sent the digest.
 func (d *Digest) knownBox() KnownBox {
 	return KnownBox{Address: d.Address, Hall: d.Hall, LinkMbps: d.LinkMbps}
 }
 
-// addAge makes what the digest tells of the store older by the time that it may have been under way.
+// addTransitTime adds the time that the digest may have been in transit to the ages of the store's data in it.
 func (d *Digest) addTransitTime(underWay time.Duration) {
 	d.ReadAgeMs += underWay.Milliseconds()
 	d.StoreAgeMs += underWay.Milliseconds()
@@ -88,10 +89,11 @@
 	}
 }
 
-// digest is this box's own.
+// ownDigest returns this box's digest.
 func (p *peers) ownDigest(now time.Time) Digest {
 	x := p.router
-	// Before the version: a configuration that comes into force in between is newer than the age tells, not older.
+	// Taken before the version: a configuration that comes into force in between is then newer than the reported age,
+	// not older.
 	configAge := max(x.sync.configAge(now).Milliseconds(), 1)
 	digest := Digest{
 		Box: x.settings.Box, Boot: x.settings.Boot, Hall: x.settings.Hall, Address: x.settings.Peers,
@@ -113,12 +115,12 @@
 	return digest
 }
 
-// takeTable takes the configuration that a box sent, if it sent one that is newer.
+// applyPeerTable applies the configuration that a box sent, if there is one and it is newer.
 func (p *peers) applyPeerTable(table *willowwick.RoutingTable, packed []byte, from *Digest) {
 	if len(packed) > 0 && from.TableVersion > p.router.configVersion() {
 		var err error
 		if table, err = unpackTable(packed); err != nil {
-			slog.Warn("configuration of another box cannot be read", "peer", from.Box, "version", from.TableVersion, "error", err)
+			slog.Warn("decoding the configuration of another box failed", "peer", from.Box, "version", from.TableVersion, "error", err)
 		}
 	}
 	if table != nil {
@@ -126,7 +128,7 @@
 	}
 }
 
-// tableFor returns the configuration for a box that has an older one, packed if it takes that.
+// tableForPeer returns the configuration for a box that has an older one, packed if the box accepts that.
 func (p *peers) tableForPeer(version uint64, takesPacked bool) (table *willowwick.RoutingTable, packed []byte) {
 	t := p.router.table.Load()
 	if t == nil || t.Version <= version {
--- a/exchange/evidence.go
+++ b/exchange/evidence.go
@@ -11,24 +11,26 @@
 )
 
 const (
-	// plainlyBad and plainlyBadShare withdraw a release where there is nothing to compare it with.
+	// rollbackErrors and rollbackErrorShare are the number and the share of errors that roll a release back where there
+	// is nothing to compare it with.
 	rollbackErrors     = 12
 	rollbackErrorShare = 0.3
-	// slowFactor is by how much an answer must be slower than usual on its route to count as slow.
+	// slowFactor is the ratio to the typical time to header of its route and model above which an answer counts as
+	// slow.
 	slowFactor = 3.0
-	// typicalFade is how much of the usual time of an answer one answer replaces.
+	// typicalSmoothing is the weight of one answer in the moving average of the typical time.
 	typicalSmoothing = 0.1
 )
 
 type (
-	// evidenceKey names what one kind of answer is counted under.
+	// evidenceKey identifies the answers that are counted together.
 	evidenceKey struct {
 		Service willowwick.ServiceID
 		Release willowwick.ReleaseID
 		Route   willowwick.RouteID
 	}
 
-	// typicalKey names answers that usually take alike.
+	// latencyKey identifies the answers that share a typical latency.
 	latencyKey struct {
 		route willowwick.RouteID
 		model willowwick.ModelID
@@ -40,7 +42,7 @@
 		release willowwick.ReleaseID
 		route   willowwick.RouteID
 		model   willowwick.ModelID
-		took    time.Duration // to the head
+		took    time.Duration // to the header
 		isError bool
 	}
 )
@@ -62,7 +64,7 @@
 	r.own[key] = counts
 }
 
-// isSlow compares an answer with the usual ones of its route and model; those of a new release set no measure.
+// isSlow compares an answer with the typical time of its route and model; answers of a new release don't change that.
 func (r *releases) isSlow(o observation, isTarget bool) bool {
 	key := latencyKey{route: o.route, model: o.model}
 	typical, known := r.typical[key]
@@ -81,8 +83,8 @@
 	return slow
 }
 
-// usual is how long the head of an answer usually takes on the route, 0 if that is not known yet, and how much longer it
-// may well take.
+// typicalLatency returns the typical time to the header of an answer on the route, 0 if that is not known yet, and how
+// much longer it may well take.
 func (r *releases) typicalLatency(name willowwick.RouteID, model willowwick.ModelID) (typical, lateness time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -90,14 +92,14 @@
 	return time.Duration(r.typical[key] * float64(time.Second)), r.lateness[key].Value()
 }
 
-// evidence returns what this box has counted.
+// evidence returns a copy of what this box has counted.
 func (r *releases) evidence() map[evidenceKey]rollout.Evidence {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return maps.Clone(r.own)
 }
 
-// judge looks at the evidence of all boxes and returns the services whose roll-out turned out bad.
+// evaluate checks the evidence of all boxes and returns the services whose roll-out is rolled back.
 func (r *releases) evaluate(fleet map[evidenceKey]rollout.Evidence, now time.Time) []willowwick.ReleaseStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -119,7 +121,7 @@
 	return bad
 }
 
-// judge adds what is new in the evidence to the panel of the routes.
+// evaluate adds the new evidence to the panel of the routes and reports whether the target is bad.
 func (m *move) evaluate(service willowwick.ServiceID, fleet map[evidenceKey]rollout.Evidence) (cause string, isBad bool) {
 	routes, others := m.newEvidence(service, fleet)
 	target := m.targetEvidence(service, fleet)
@@ -136,7 +138,7 @@
 	return "", false
 }
 
-// news sorts what is new in the evidence by route, and sums that on other releases over all routes.
+// newEvidence returns the evidence since the last call by route, and the sum of that on other releases over all routes.
 func (m *move) newEvidence(
 	service willowwick.ServiceID, fleet map[evidenceKey]rollout.Evidence,
 ) (routes map[rollout.Kind]rollout.News, others rollout.Evidence) {
@@ -160,7 +162,7 @@
 	return routes, others
 }
 
-// targetEvidence sums all that is known of the target, over all routes.
+// targetEvidence returns the evidence on the target, summed over all routes.
 func (m *move) targetEvidence(service willowwick.ServiceID, fleet map[evidenceKey]rollout.Evidence) rollout.Evidence {
 	var sum rollout.Evidence
 	for key, total := range fleet {
--- a/exchange/history.go
+++ b/exchange/history.go
@@ -2,16 +2,16 @@
 
 import "github.com/willowwick/willowwick"
 
-// historyMost is how many endpoints a history may name before it forgets those that are gone: several times as many as a
-// large fleet has.
+// maxHistoryEntries is how many endpoints a history may hold before it drops removed ones: several times the number of
+// endpoints of a large fleet.
 const maxHistoryEntries = 4096
 
-// listHistory is where the entries of a list of endpoints last changed, so that a box that has an older list is told of
-// these alone: news of an endpoint cost what they say, and not the size of the list.
+// listHistory records where the entries of a list of endpoints last changed, so that a box with an older list gets only
+// these: the cost of an update depends on the change, not on the size of the list.
 //
-// Positions are those up to which the box had read as it saw the change: the change itself stands there or before.
+// A position is the one up to which the box had read as it saw the change: the change itself is there or before.
 type listHistory struct {
-	knownSince willowwick.Position // what changed up to here is not known
+	knownSince willowwick.Position // changes up to here are not known
 	changedAt  map[willowwick.EndpointID]willowwick.Position
 	pending    map[willowwick.EndpointID]bool // changed, at an offset that is not known yet
 }
@@ -23,12 +23,12 @@
 	}
 }
 
-// note takes that an entry changed, came or went.
+// noteChange records that an entry was changed, added or removed.
 func (h *listHistory) noteChange(id willowwick.EndpointID) {
 	h.pending[id] = true
 }
 
-// settle says up to where the changes noted since the last time stand.
+// assignPosition assigns the pending changes to a position.
 func (h *listHistory) assignPosition(at willowwick.Position, listed map[willowwick.EndpointID]willowwick.Endpoint) {
 	for id := range h.pending {
 		h.changedAt[id] = at
@@ -39,13 +39,13 @@
 	}
 }
 
-// restart forgets what changed up to an offset: the whole list was read there, and of what came and went between that
-// and the list before nothing is known.
+// forgetUntil drops the history up to a position: the whole list was read there, and endpoints that were added and
+// removed between that read and the one before are not known.
 func (h *listHistory) forgetUntil(begin willowwick.Position) {
 	h.knownSince = max(h.knownSince, begin)
 }
 
-// forgetGone drops the entries of endpoints that are gone.
+// forgetRemoved drops the entries of endpoints that are no longer listed.
 func (h *listHistory) forgetRemoved(listed map[willowwick.EndpointID]willowwick.Endpoint) {
 	for id, at := range h.changedAt {
 		if _, isListed := listed[id]; !isListed {
@@ -55,7 +55,8 @@
 	}
 }
 
-// since lists the endpoints whose entries changed after an offset; known is false if the history does not reach back to it.
+// changedSince lists the endpoints whose entries changed after a position; known is false if the history doesn't reach
+// back to it.
 func (h *listHistory) changedSince(from willowwick.Position) (ids []willowwick.EndpointID, known bool) {
 	if from == 0 || from < h.knownSince {
 		return nil, false
--- a/exchange/incarnations.go
+++ b/exchange/incarnations.go
@@ -6,16 +6,16 @@
 	"github.com/willowwick/willowwick"
 )
 
-// endpointLife is the life that an endpoint is in, and the one before. An endpoint may start again under its id: it knows nothing of
-// before then, and nothing that was known of it holds.
+// endpointIncarnations are the current incarnation of an endpoint and the one before. An endpoint may restart under the
+// same ID: it has no state from before the restart, and nothing known about it applies any more.
 type endpointIncarnations struct {
 	current       willowwick.Incarnation
 	former        willowwick.Incarnation // 0 if none is known
-	formerDrained bool                   // that one ended by plan
+	formerDrained bool // that one ended by plan
 }
 
-// isFormerLife notes the life that an entry tells of, and reports whether it is the one before the newest that is known: its last
-// heartbeats may be written late. The caller holds the lock.
+// isFormerIncarnation records the incarnation in an entry, and reports whether it is the one before the newest known:
+// its last heartbeats may be written late. The caller holds the lock.
 func (s *syncer) isFormerIncarnation(entry willowwick.Endpoint) bool {
 	life := s.incarnations[entry.ID]
 	switch entry.Incarnation {
@@ -30,12 +30,13 @@
 	return false
 }
 
-// leaves reports whether the newest life of an endpoint that is in use leaves, by its entry or by what it said. The caller holds the lock.
+// isDraining reports whether the newest known incarnation of a listed endpoint is draining, by its entry or its own
+// report. The caller holds the lock.
 func (s *syncer) isDraining(id willowwick.EndpointID) bool {
 	return s.listed[id].Leaving || s.router.pool.IsLeaving(id)
 }
 
-// beginLife forgets what was known of the life before, if there was one; the caller holds the lock.
+// beginIncarnation drops the state of the former incarnation, if there was one; the caller holds the lock.
 func (s *syncer) beginIncarnation(entry willowwick.Endpoint, former willowwick.Incarnation) {
 	old, wasListed := s.listed[entry.ID]
 	if _, isGone := s.removed[entry.ID]; isGone || wasListed {
@@ -53,7 +54,8 @@
 	}
 }
 
-// forgetLives drops the lives of endpoints that are gone, where many are kept; the caller holds the lock.
+// forgetIncarnations drops the incarnations of endpoints that are no longer listed, once maxHistoryEntries are kept;
+// the caller holds the lock.
 func (s *syncer) forgetIncarnations() {
 	if len(s.incarnations) < maxHistoryEntries {
 		return
@@ -65,7 +67,7 @@
 	}
 }
 
-// hasStartedAgain reports whether an endpoint is in another life than this one, which did not end by plan.
+// hasRestarted reports whether an endpoint has restarted since this incarnation, which did not end by plan.
 func (s *syncer) hasRestarted(endpoint willowwick.Endpoint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/exchange/logs.go
+++ b/exchange/logs.go
@@ -10,25 +10,25 @@
 const (
 	// logQueueLines bounds the lines that wait for a slow reader: some seconds of a busy box.
 	logQueueLines = 4096
-	// tellEvery is after how many lines at the latest the log tells of those that were dropped, if its reader never
-	// catches up.
+	// dropReportLines is the number of lines after which the log reports dropped ones at the latest, if its reader
+	// never catches up.
 	dropReportLines = 1000
 )
 
-// LogQueue writes lines beside the work; when its reader is slow it drops and counts them, and a line of its own says how
-// many are missing.
+// LogQueue writes log lines asynchronously; while its reader is slow it drops and counts lines, and reports the number
+// of missing lines in a line of its own.
 type LogQueue struct {
 	lines     chan []byte
 	dropped   atomic.Uint64
-	reported  uint64 // of those that were dropped; only run uses it, as written
+	reported  uint64 // of the dropped lines; used by run only, as written
 	written   int
 	done      sync.WaitGroup
 	out       io.Writer
-	ownLogger *slog.Logger // writes to out, past the queue
+	ownLogger *slog.Logger // writes to out, bypassing the queue
 }
 
-// NewLogQueue returns a queue in front of a writer, and a function that writes what waits; the logger that loggerTo makes
-// writes the queue's own lines.
+// NewLogQueue returns a queue in front of a writer, and a function that flushes and closes it; the logger that loggerTo
+// makes writes the queue's own lines.
 func NewLogQueue(out io.Writer, loggerTo func(io.Writer) *slog.Logger) (*LogQueue, func()) {
 	q := &LogQueue{lines: make(chan []byte, logQueueLines), out: out, ownLogger: loggerTo(out)}
 	q.done.Go(q.run)
@@ -38,7 +38,7 @@
 	}
 }
 
-// Write implements io.Writer; it never waits.
+// Write implements io.Writer; it never blocks.
 func (q *LogQueue) Write(line []byte) (int, error) {
 	select {
 	case q.lines <- append([]byte(nil), line...):
@@ -48,14 +48,14 @@
 	return len(line), nil
 }
 
-// Dropped is the number of lines that were not written.
+// Dropped returns the number of lines that were not written.
 func (q *LogQueue) Dropped() uint64 {
 	return q.dropped.Load()
 }
 
 func (q *LogQueue) run() {
 	for line := range q.lines {
-		// Nowhere is left to report an error of the log itself; it shows as missing lines.
+		// An error of the log itself can't be logged; it counts as a dropped line.
 		if _, err := q.out.Write(line); err != nil {
 			q.dropped.Add(1)
 		}
@@ -65,8 +65,8 @@
 	}
 }
 
-// tellDropped says in the log itself how many of its lines are missing before this one: who looks for a request there sees
-// that its line may be among them.
+// reportDropped logs how many lines before this one are missing, so that whoever looks for a request sees that its line
+// may be among them.
 func (q *LogQueue) reportDropped() {
 	dropped := q.dropped.Load()
 	if dropped == q.reported {
--- a/exchange/metrics.go
+++ b/exchange/metrics.go
@@ -9,7 +9,7 @@
 	"github.com/willowwick/willowwick/clock"
 )
 
-// routerMetrics are the counters of one router.
+// routerMetrics are the metrics of one router.
 type routerMetrics struct {
 	set           *metrics.Set
 	retriesDenied *metrics.Counter
@@ -88,37 +88,37 @@
 	m.hintsSent.Inc()
 }
 
-// endedUnder counts a send that broke because its endpoint ended.
+// countSendCutByCrash counts a send that failed because its endpoint crashed.
 func (m *routerMetrics) countSendCutByCrash() {
 	m.set.GetOrCreateCounter("willowwick_sends_ended_with_endpoint_total").Inc()
 }
 
-// sentToLimited counts a send to an endpoint that names a limit.
+// countSendToLimited counts a send to an endpoint that has reported a rate limit.
 func (m *routerMetrics) countSendToLimited() {
 	m.set.GetOrCreateCounter("willowwick_sends_to_limited_endpoints_total").Inc()
 }
 
-// sentToLeaving counts a send to an endpoint that had said that it leaves.
+// countSendToDraining counts a send to an endpoint that had reported that it is draining.
 func (m *routerMetrics) countSendToDraining() {
 	m.set.GetOrCreateCounter("willowwick_sends_to_leaving_endpoints_total").Inc()
 }
 
-// sentToResting counts a send to an endpoint that had asked for rest.
+// countSendToBackingOff counts a send to an endpoint that had asked for backoff.
 func (m *routerMetrics) countSendToBackingOff() {
 	m.set.GetOrCreateCounter("willowwick_sends_to_resting_endpoints_total").Inc()
 }
 
-// asked counts a question for a permit by its answer.
+// countPermitAsked counts a request for permits by its answer.
 func (m *routerMetrics) countPermitAsked(answer string) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("willowwick_permits_asked_total{answer=%q}", answer)).Inc()
 }
 
-// permitsGranted counts permits that this box handed out.
+// countPermitsGranted counts permits that this box granted.
 func (m *routerMetrics) countPermitsGranted(permits int) {
 	m.set.GetOrCreateCounter("willowwick_permits_granted_total").Add(permits)
 }
 
-// listTold counts a list of endpoints that another box was told, nil for none.
+// countListSent counts a list of endpoints that was sent to another box, nil for none.
 func (m *routerMetrics) countListSent(list *EndpointList) {
 	if list == nil {
 		return
@@ -131,7 +131,7 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf("willowwick_list_entries_told_total{form=%q}", form)).Add(len(list.Endpoints) + len(list.Gone))
 }
 
-// eraBegan counts a return of the store from a copy of itself.
+// countEra counts a restore of the store from a copy.
 func (m *routerMetrics) countEra() {
 	m.set.GetOrCreateCounter("willowwick_store_eras_begun_total").Inc()
 }
--- a/exchange/report.go
+++ b/exchange/report.go
@@ -10,12 +10,12 @@
 )
 
 type (
-	// Report is what one or more boxes have seen since their start.
+	// Report is what one or more boxes have counted since their start.
 	Report struct {
 		Boxes    int
 		Evidence []EvidenceRow
 		Moves    []MoveRow
-		Kept     []sessionHash // sessions known on other releases than a roll-out's target
+		Kept     []sessionHash // sessions known to be on other releases than a roll-out's target
 	}
 
 	// HallReport is the sum of the reports of a hall's boxes.
@@ -33,22 +33,22 @@
 		Counts  rollout.Evidence
 	}
 
-	// MoveRow is how far boxes have moved to a roll-out's target.
+	// MoveRow is the progress of boxes in moving to a roll-out's target.
 	MoveRow struct {
 		Service     willowwick.ServiceID
 		Target      willowwick.ReleaseID
 		Moved       bool // all new requests go there
-		OldInFlight int  // requests under way at other releases
+		OldInFlight int // requests in progress at other releases
 	}
 
-	// heardReport is a hall's report with the time from which it is.
+	// receivedReport is a hall's report with its time.
 	receivedReport struct {
 		report Report
 		at     time.Time
 	}
 )
 
-// fleetReport sums what all halls have reported.
+// fleetReport returns the sum of the reports of all halls.
 func (p *peers) fleetReport(now time.Time) Report {
 	total := p.hallReport(now)
 	p.mu.Lock()
@@ -59,8 +59,8 @@
 	return total
 }
 
-// hallReport sums the reports of this box and of those of its hall that swap with it; on a box that does not read the
-// store it is its hub's sum, which holds this box's own.
+// hallReport returns the sum of the reports of this box and of the boxes of its hall that exchange gossip with it; on a
+// box that does not read the store it is its hub's sum, which includes this box's own.
 func (p *peers) hallReport(now time.Time) Report {
 	if hub, found := p.hub(now); found {
 		for _, hall := range hub.Halls {
@@ -80,7 +80,7 @@
 	return total
 }
 
-// ownReport is what this box has seen.
+// ownReport returns the report of this box alone.
 func (p *peers) ownReport() Report {
 	x := p.router
 	report := Report{Boxes: 1, Kept: x.releases.kept(clock.Now())}
@@ -95,7 +95,7 @@
 	return report
 }
 
-// hallReports are the sums of this box's hall and of the others, as far as they are known.
+// hallReports returns the sums of this box's hall and of the others, as far as they are known.
 func (p *peers) hallReports(now time.Time) []HallReport {
 	list := []HallReport{{Hall: p.router.settings.Hall, Report: p.hallReport(now)}}
 	p.mu.Lock()
@@ -106,7 +106,7 @@
 	return list
 }
 
-// add sums two reports; what a box counted stays true when it is gone, what it does now does not.
+// add returns the sum of two reports; the counts of a box that is gone remain, its current state does not.
 func (r Report) add(other Report, isLive bool) Report {
 	sum := Report{Boxes: r.Boxes, Evidence: slices.Clone(r.Evidence), Moves: slices.Clone(r.Moves), Kept: slices.Clone(r.Kept)}
 	for _, row := range other.Evidence {
@@ -134,7 +134,7 @@
 	return sum
 }
 
-// evidence returns the counts of the report by what was counted.
+// evidence returns the counts of the report by key.
 func (r Report) evidence() map[evidenceKey]rollout.Evidence {
 	total := make(map[evidenceKey]rollout.Evidence, len(r.Evidence))
 	for _, row := range r.Evidence {
@@ -147,7 +147,7 @@
 	return evidenceKey{Service: e.Service, Release: e.Release, Route: e.Route}
 }
 
-// oldInFlight counts the requests under way at other releases than a roll-out's target.
+// inFlightOutsideTarget counts the requests in progress at other releases than a roll-out's target.
 func (x *Router) inFlightOutsideTarget(status willowwick.ReleaseStatus) int {
 	return x.pool.InFlightWhere(status.Service, func(endpoint willowwick.Endpoint) bool {
 		return endpoint.Release != status.Target
--- a/exchange/roster.go
+++ b/exchange/roster.go
@@ -7,29 +7,29 @@
 	"github.com/willowwick/willowwick"
 )
 
-// Boxes know most others from their hub alone. In each swap the box that calls tells a sum over the boxes that it knows. Where
-// the other knows the same ones, it answers how lately it has seen those of each hall, and the caller takes them for seen as
-// lately; where it does not, it names them all. Each box is told of with the time since it was itself heard of or named,
-// so that one that is gone is forgotten by all at the same time.
+// The roster is the set of known boxes. Most boxes know the others from their hub alone. In each gossip exchange the
+// caller sends a checksum of its roster. A peer with the same roster replies how recently it has seen the boxes of each
+// hall, and the caller takes over these ages; a peer with another one replies with its whole roster. Each entry carries
+// the time since the box itself was last heard or named, so that all boxes forget a box that is gone at the same time.
 //
-// Without the ages, entries would run out one by one, and each would bring all the others with it.
+// Without the ages of halls entries would expire one by one, and each would cause the whole roster to be sent.
 
-// sum is the box's part of a sum over boxes.
+// sum returns the box's term of the roster's checksum.
 func (b KnownBox) sum() uint64 {
 	return xxhash.Sum64String(memberName(b))
 }
 
-// row tells of the box, seen so long ago.
+// knownRow returns the roster entry of the box, last seen that long ago.
 func (b KnownBox) knownRow(age time.Duration) KnownRow {
 	return KnownRow{Address: b.Address, Hall: b.Hall, LinkMbps: b.LinkMbps, AgeMs: age.Milliseconds()}
 }
 
-// isCounted reports whether a box is among those that boxes tell each other of.
+// isInRoster reports whether a box is part of the roster.
 func (known *peer) isInRoster(now time.Time) bool {
 	return known.box.Hall != "" && known.isRetained(now)
 }
 
-// knownSum is a sum over the boxes whose hall is known, this one included.
+// rosterSum returns the checksum of the roster: the boxes whose hall is known, this one included.
 func (p *peers) rosterSum(now time.Time) uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -42,7 +42,7 @@
 	return sum
 }
 
-// knownRows lists the boxes whose hall is known, this one included.
+// rosterRows lists the boxes whose hall is known, this one included.
 func (p *peers) rosterRows(now time.Time) []KnownRow {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -55,7 +55,7 @@
 	return rows
 }
 
-// hallAges tells how lately the boxes of each hall were seen.
+// hallAges returns how recently the boxes of each hall were seen.
 func (p *peers) hallAges(now time.Time) []HallAge {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -72,7 +72,7 @@
 	return ages
 }
 
-// renew takes boxes for as lately seen as by another box that knows the same ones and told their ages as of a time.
+// renewLastSeen takes over the ages of another box with the same roster, as of the given time.
 func (p *peers) renewLastSeen(ages []HallAge, asOf time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,7 +81,7 @@
 		seen[age.Hall] = asOf.Add(-time.Duration(age.OldestMs) * time.Millisecond)
 	}
 	for _, known := range p.known {
-		// One that is no longer counted is about to be forgotten: the ages don't tell of it.
+		// A box that has left the roster is about to be dropped: the ages don't include it.
 		if known.isInRoster(asOf) {
 			known.namedAt = latest(known.namedAt, seen[known.box.Hall])
 		}
--- a/exchange/table.go
+++ b/exchange/table.go
@@ -9,12 +9,12 @@
 	"github.com/willowwick/willowwick"
 )
 
-// table is a configuration with its indexes; it is never changed.
+// table is a configuration with its indexes; it is immutable.
 type table struct {
 	*willowwick.RoutingTable
-	hosts    map[string][]*willowwick.Route       // longest prefix first
+	hosts    map[string][]*willowwick.Route // by lower-case host; longest prefix first
 	accounts map[string]*willowwick.RoutedAccount // by key
-	packed   func() []byte                        // for other boxes; made once it is asked for
+	packed   func() []byte // for other boxes; computed on first use
 }
 
 func newTable(declared *willowwick.RoutingTable) *table {
@@ -41,7 +41,7 @@
 	return t
 }
 
-// route finds the route with the longest prefix of the path, or returns nil.
+// findRoute returns the route with the longest prefix of the path, or nil.
 func (t *table) findRoute(host, path string) *willowwick.Route {
 	host = strings.ToLower(host)
 	routes, known := t.hosts[host]
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// service chooses among the services of the route by their weights; equal texts get equal services.
+// chooseService chooses among the services of the route by their weights; equal texts get equal services.
 func (t *table) chooseService(route *willowwick.Route, text string) willowwick.ServiceID {
 	total := 0
 	for _, share := range route.Split {
@@ -76,7 +76,7 @@
 	return route.Split[len(route.Split)-1].Service
 }
 
-// urgency is the rank of a request; the client account's comes before the route's.
+// requestPriority returns the priority of a request; the client account's takes precedence over the route's.
 func requestPriority(route *willowwick.Route, account *willowwick.RoutedAccount) int {
 	if account != nil && account.Priority != willowwick.NoPriority {
 		return account.Priority
