--- a/exchange/declared_set.go
+++ b/exchange/declared_set.go
@@ -16,16 +16,16 @@
 	// Positions are comparable between boxes: a set as of a later one includes all that is as of an earlier one,
 	// whoever read it.
 	declaredSet[K comparable] struct {
-		asOf     willowwick.Position // includes the declarations before it
+		asOf     willowwick.Position       // includes the declarations before it
 		members  map[K]willowwick.Position // where each was declared; immutable
 		revoked  map[K]willowwick.Position // where others were revoked; immutable
-		heldOver map[K]HeldOver // kept through a restore of the store, against the copy; immutable
+		heldOver map[K]HeldOver            // kept through a restore of the store, against the copy; immutable
 	}
 
 	// HeldOver is the state of a key before the store was restored from a copy. It applies until the operator changes
 	// the key, or has had restoreTime to write again what the copy lacks.
 	HeldOver struct {
-		Stood bool // false if it had been revoked
+		Stood bool                // false if it had been revoked
 		At    willowwick.Position // where it was declared; 0 if it had been revoked
 	}
 
@@ -36,8 +36,8 @@
 		mu            sync.Mutex
 		latest        declaredSet[K]
 		settledEra    willowwick.Era // nothing is held over into this era any more
-		heldOverUntil time.Time // until then keys may be held over
-		settleTimer   *time.Timer // fires then; nil before the first set
+		heldOverUntil time.Time      // until then keys may be held over
+		settleTimer   *time.Timer    // fires then; nil before the first set
 		effective     effectiveSet[K]
 	}
 
--- a/exchange/digest.go
+++ b/exchange/digest.go
@@ -22,17 +22,17 @@
 		Hall          willowwick.HallID
 		Address       string
 		LinkMbps      int
-		StartedMs     int64 // Unix milliseconds; 0 from a box of an earlier release
+		StartedMs     int64  // Unix milliseconds; 0 from a box of an earlier release
 		Granter       string // on a hub, the address of the box that it considers the granter of permits
 		TableVersion  uint64
-		TakesPacked   bool // false from a box of an earlier release, which accepts unpacked configurations only
-		ReadAgeMs     int64 // since it last showed that the box can read the store
-		StoreAgeMs    int64 // age of its data on endpoints, whichever box read it
-		ConfigAgeMs   int64 // since its configuration was last known to be the newest; 0 from a box of an earlier release
-		RestoringMs   int64 // for how long the store may still lack what it lost in a restore from a copy; 0 if it lacks nothing
+		TakesPacked   bool                // false from a box of an earlier release, which accepts unpacked configurations only
+		ReadAgeMs     int64               // since it last showed that the box can read the store
+		StoreAgeMs    int64               // age of its data on endpoints, whichever box read it
+		ConfigAgeMs   int64               // since its configuration was last known to be the newest; 0 from a box of an earlier release
+		RestoringMs   int64               // for how long the store may still lack what it lost in a restore from a copy; 0 if it lacks nothing
 		EndpointsFrom willowwick.Position // where its list of endpoints last changed
 		EndpointsRead willowwick.Position // up to where it knows all changes
-		EndpointsSum  uint64 // checksum of that list; 0 while entries have lapsed or changes are pending
+		EndpointsSum  uint64              // checksum of that list; 0 while entries have lapsed or changes are pending
 		Evacuated     EvacuatedHalls
 		Admitted      AdmittedRequests
 		Leaving       []route.LeavingRow // draining endpoints that its list doesn't show as such yet
@@ -54,10 +54,10 @@
 	SwapCall struct {
 		Digest       Digest
 		Table        *willowwick.RoutingTable // for a box of an earlier release
-		Packed       []byte // the configuration for all others
-		KnownSum     uint64 // checksum of the caller's roster
-		TakesChanges bool // accepts changes of the list of endpoints; a box of an earlier release accepts whole lists only
-		WantsList    bool // requests a whole list, since its own differs from the peer's last digest
+		Packed       []byte                   // the configuration for all others
+		KnownSum     uint64                   // checksum of the caller's roster
+		TakesChanges bool                     // accepts changes of the list of endpoints; a box of an earlier release accepts whole lists only
+		WantsList    bool                     // requests a whole list, since its own differs from the peer's last digest
 		Harm         quarantine.Call
 		Limits       ratelimit.News
 	}
@@ -69,7 +69,7 @@
 		Packed    []byte
 		Endpoints *EndpointList
 		Known     []KnownRow // the whole roster, if the caller's differs
-		HallAges  []HallAge // if the rosters are equal
+		HallAges  []HallAge  // if the rosters are equal
 		Harm      quarantine.News
 		Limits    ratelimit.News
 	}
--- a/exchange/incarnations.go
+++ b/exchange/incarnations.go
@@ -11,7 +11,7 @@
 type endpointIncarnations struct {
 	current       willowwick.Incarnation
 	former        willowwick.Incarnation // 0 if none is known
-	formerDrained bool // that one ended by plan
+	formerDrained bool                   // that one ended by plan
 }
 
 // isFormerIncarnation records the incarnation in an entry, and reports whether it is the one before the newest known:
--- a/exchange/known.go
+++ b/exchange/known.go
@@ -50,7 +50,7 @@
 		namedAt      time.Time // last time that the box itself, the group or another box named it
 		nextCallAt   time.Time // backoff after failures
 		lastCallAt   time.Time
-		failures     int // consecutive failed calls
+		failures     int  // consecutive failed calls
 		isExchanging bool // a call is in progress
 	}
 )
--- a/exchange/list_gossip.go
+++ b/exchange/list_gossip.go
@@ -22,10 +22,10 @@
 type EndpointList struct {
 	Endpoints []willowwick.Endpoint
 	Gone      []willowwick.EndpointID // removed before Endpoints were listed; empty if the list is whole
-	Since     willowwick.Position // holds only changes after it; 0 if the list is whole
+	Since     willowwick.Position     // holds only changes after it; 0 if the list is whole
 	Next      willowwick.Position
 	From      willowwick.Position // last change
-	Told      time.Time // by the clock of the sender
+	Told      time.Time           // by the clock of the sender
 }
 
 // listPositions returns where the list of this box last changed, up to where the box knows all changes, and the
--- a/exchange/report.go
+++ b/exchange/report.go
@@ -38,7 +38,7 @@
 		Service     willowwick.ServiceID
 		Target      willowwick.ReleaseID
 		Moved       bool // all new requests go there
-		OldInFlight int // requests in progress at other releases
+		OldInFlight int  // requests in progress at other releases
 	}
 
 	// receivedReport is a hall's report with its time.
--- a/exchange/sync.go
+++ b/exchange/sync.go
@@ -64,40 +64,40 @@
 		lapsed            map[willowwick.EndpointID]time.Time // until when an entry that is gone still counts
 		removed           map[willowwick.EndpointID]removedEntry
 		incarnations      map[willowwick.EndpointID]endpointIncarnations
-		hasList           bool // the list was read
+		hasList           bool                // the list was read
 		readTo            willowwick.Position // the next read continues here
 		changedAt         willowwick.Position // last change that is more than a heartbeat
-		hasPendingChange  bool // it changed since, at an offset that is not known yet
-		history           *listHistory // which entries changed where
-		cachedListSum     uint64 // checksum of the list; 0 if it has to be computed
-		differsFromReader bool // another box that has read as far lists other endpoints
-		wholeListAt       time.Time // when another box last sent a whole list
+		hasPendingChange  bool                // it changed since, at an offset that is not known yet
+		history           *listHistory        // which entries changed where
+		cachedListSum     uint64              // checksum of the list; 0 if it has to be computed
+		differsFromReader bool                // another box that has read as far lists other endpoints
+		wholeListAt       time.Time           // when another box last sent a whole list
 
 		// Reachability of the store.
 		answeredAt     [readKindCount]time.Time // last answer of the store to this box
-		failing        [readKindCount]bool // the last read of the kind failed
-		endpointsAsOf  time.Time // time of the data on endpoints, read here or by another box
-		configAsOf     time.Time // time of the configuration, read here or by another box
-		lastFailureAt  time.Time // last read that failed
-		lastOutageAt   time.Time // last time that neither a read nor another box brought the store's state
-		cancelLongPoll context.CancelFunc // cancels the running long poll; nil if there is none
-		longPollSince  time.Time // start of the running long poll; zero if there is none
-		readerAddress  string // address of the box that reads the store for this one; empty if it reads for itself
+		failing        [readKindCount]bool      // the last read of the kind failed
+		endpointsAsOf  time.Time                // time of the data on endpoints, read here or by another box
+		configAsOf     time.Time                // time of the configuration, read here or by another box
+		lastFailureAt  time.Time                // last read that failed
+		lastOutageAt   time.Time                // last time that neither a read nor another box brought the store's state
+		cancelLongPoll context.CancelFunc       // cancels the running long poll; nil if there is none
+		longPollSince  time.Time                // start of the running long poll; zero if there is none
+		readerAddress  string                   // address of the box that reads the store for this one; empty if it reads for itself
 
 		// The era of the store.
 		era            willowwick.Era // the newest that is known
-		restoringUntil time.Time // until then the store may lack some of the operator's declarations
+		restoringUntil time.Time      // until then the store may lack some of the operator's declarations
 
 		// The group of boxes.
 		generation uint64 // of the last answer to Join
-		isMember   bool // this box is in the group, as far as it knows
-		isLeader   bool // this box writes the states of roll-outs
+		isMember   bool   // this box is in the group, as far as it knows
+		isLeader   bool   // this box writes the states of roll-outs
 	}
 
 	// removedEntry is what is remembered of an endpoint that was removed from the list.
 	removedEntry struct {
 		heartbeat uint64 // number of the last heartbeat seen
-		seenAgain bool // one more heartbeat has arrived since
+		seenAgain bool   // one more heartbeat has arrived since
 	}
 )
 
--- a/exchange/table.go
+++ b/exchange/table.go
@@ -12,9 +12,9 @@
 // table is a configuration with its indexes; it is immutable.
 type table struct {
 	*willowwick.RoutingTable
-	hosts    map[string][]*willowwick.Route // by lower-case host; longest prefix first
+	hosts    map[string][]*willowwick.Route       // by lower-case host; longest prefix first
 	accounts map[string]*willowwick.RoutedAccount // by key
-	packed   func() []byte // for other boxes; computed on first use
+	packed   func() []byte                        // for other boxes; computed on first use
 }
 
 func newTable(declared *willowwick.RoutingTable) *table {
