--- a/exchange/cut_off_test.go
+++ b/exchange/cut_off_test.go
@@ -8,12 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Seen: the boxes of a hall follow a box that has never read the store, and none of them reads declarations.
-//
-// How: the box has just started and the store turns it away, so it tells the longest time there is since its last answer.
-// The others add the time since they heard it.
-//
-// Cause: the sum is beyond what a length of time holds and comes out negative, less than any limit (isCutOff).
+// Guards against a hall that follows a box that never read the store, so that none of its boxes reads declarations. A
+// starting box that the store refuses reports the longest duration since its last answer; adding the time since its
+// digest overflowed to a negative sum, below any limit (isCutOffFromStore).
 func TestABoxThatNeverReadTheStoreIsCutOff(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	_, sites := newHall(t, 1, r.endpoint("v1"))
@@ -26,7 +23,7 @@
 	}
 }
 
-// The same with whole boxes: the first box of a hall comes back while the store turns it away, and serves the others.
+// The same with whole boxes: the first box of a hall restarts while the store refuses it, and still serves the others.
 func TestHallReadsDeclarationsWhenItsFirstBoxStartsRefused(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	control := newTestControl(testTable(1, onceRoute()), r.endpoint("v1"))
--- a/exchange/era_test.go
+++ b/exchange/era_test.go
@@ -12,19 +12,19 @@
 	"github.com/willowwick/willowwick/route"
 )
 
-// in is a place in an era.
+// positionIn returns a position in an era.
 func positionIn(era willowwick.Era, offset willowwick.Offset) willowwick.Position {
 	return willowwick.NewPosition(era, offset)
 }
 
-// evacuatedHalls is a box's knowledge of one hall's evacuation.
+// evacuatedHalls is a box's set of evacuated halls, of which the tests use one.
 type evacuatedHalls struct{ *evacuations }
 
 func newEvacuatedHalls() evacuatedHalls {
 	return evacuatedHalls{newEvacuations(route.NewPoolWith(route.NewHallFirst("hall-a", 1), route.PoolOptions{}))}
 }
 
-// read gives the box a read of the store up to a position.
+// applyRead applies a read of the store up to a position.
 func (e evacuatedHalls) applyRead(isWhole bool, next willowwick.Position, changes ...willowwick.Evacuation) {
 	e.declare(willowwick.Declarations{Whole: isWhole, Next: next, Evacuations: changes})
 }
@@ -37,16 +37,16 @@
 	return willowwick.Evacuation{Hall: "hall-a", At: at, TakenBack: true}
 }
 
-// A store that came back from a copy gave offsets out again: what was declared then had a lower one than what was known, and an
-// evacuation never came into force, or stood for good. And the copy lacks what was declared last, which holds on: the operator writes
-// it again.
+// Guards against declarations that are lost or remain for good when the store is restored from a copy: it assigns
+// offsets again, so a new declaration has a lower one than known declarations. The last declarations, which the copy
+// lacks, hold until the operator writes them again.
 func TestDeclarationsHoldThroughStoreRestore(t *testing.T) {
 	const isEvacuated, isNot = 1, 0
 	for name, test := range map[string]struct {
 		before []willowwick.Evacuation // of era 1, read up to offset 20
-		copied []willowwick.Evacuation // what the first read of era 2 holds, up to offset 8
-		after  []willowwick.Evacuation // what comes then
-		// What is in force once the first read is taken, once all is, and when the operator has had time to write again.
+		copied []willowwick.Evacuation // the first read of era 2, up to offset 8
+		after  []willowwick.Evacuation // read afterwards
+		// Halls evacuated after the first read, after all reads, and after the operator has had time to write again.
 		first, then, last int
 	}{
 		"declared after the return":            {nil, nil, []willowwick.Evacuation{declaredAt(positionIn(2, 9))}, isNot, isEvacuated, isEvacuated},
@@ -100,7 +100,7 @@
 	}
 }
 
-// Two returns within seconds: what was lost in the first holds through the second.
+// What was lost in the first of two restores within seconds holds through the second.
 func TestDeclarationsHoldThroughTwoStoreRestores(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEvacuatedHalls()
@@ -118,7 +118,7 @@
 	})
 }
 
-// The same for one that was taken back: the copy that the store comes back from twice holds its declaration.
+// The same for a revocation: the copy that the store is restored from each time holds the declaration.
 func TestRevocationsHoldThroughTwoStoreRestores(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEvacuatedHalls()
@@ -155,8 +155,8 @@
 	})
 }
 
-// The operator writes the order of a roll-out again that the store lost, at another offset. The roll-out was begun anew: sessions went
-// back to the release that had been left, and a bad one was tried again.
+// Guards against a roll-out that starts anew when the operator writes its lost order again, at another offset: sessions
+// went back to the former release, and a bad release was tried again.
 func TestRewrittenOrderRestartsNoRollout(t *testing.T) {
 	for _, state := range []willowwick.ReleaseState{willowwick.ReleaseRunning, willowwick.ReleaseCompleted, willowwick.ReleaseRolledBack} {
 		r := newTestReleases()
@@ -175,7 +175,7 @@
 	}
 }
 
-// The copy holds an order that a later one had taken the place of.
+// The copy holds an order that a later one, which it lacks, had replaced.
 func TestOrderFromCopyDoesNotReplaceLaterLostOrder(t *testing.T) {
 	newMoved := func() *releases {
 		r := newTestReleases()
@@ -196,7 +196,7 @@
 	assert.Equal(t, willowwick.ReleaseID("v2"), r.progresses(later)[0].Status.Target, "the operator ordered it anew")
 }
 
-// What boxes had written to the store is gone, and only they know it.
+// The records that boxes had written to the store are lost, and only the boxes know them.
 func TestBoxesRewriteTheirRecordsAfterRestore(t *testing.T) {
 	s := newSite(t, newRunner(t, "r1", answerText("ok")).endpoint("v1"), newRunner(t, "r2", answerText("ok")).endpoint("v2"))
 	x := s.daemon.router
@@ -218,8 +218,8 @@
 	require.Eventually(t, isWritten, patience, 5*time.Millisecond)
 }
 
-// While the operator writes again what the store lost, the newest configuration that it holds need not be the one in force: nothing is
-// refused for good by it.
+// While the operator writes the lost declarations again, the newest configuration in the store need not be the one in
+// force: nothing is refused permanently because of it.
 func TestNoConfigurationIsConfirmedDuringRestore(t *testing.T) {
 	s := newSite(t, newRunner(t, "r1", answerText("ok")).endpoint("v1"))
 	x := s.daemon.router
@@ -228,10 +228,10 @@
 	require.Eventually(t, func() bool { return !x.sync.isConfigStale(time.Now()) }, restoreTime, 5*time.Millisecond)
 }
 
-// Pattern: the store is away and comes back from a copy that lacks a tenth of the endpoints; these write their entries again within two
-// seconds. Grounds: no box may drop one of them, each may be the only one with a prompt's memory; and a leaving one must be known in
-// time, though its offset is below the former end. The store is asked no more often than by the readers as they start: for the list,
-// declarations, states of roll-outs, refused requests, the group and its members.
+// The store is restored from a copy that lacks a tenth of the endpoints; these write their entries again within two
+// seconds. No box may drop one of them meanwhile, each may be the only one with a prompt's cache; and a draining one
+// must be known in time, though its offset is below the former end. The store gets no more calls than from the readers
+// as they start: for the list, declarations, states of roll-outs, refused requests, the group and its members.
 func TestNoEndpointIsLostInStoreRestore(t *testing.T) {
 	const callsOfStart = 6
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
@@ -262,7 +262,7 @@
 	})
 }
 
-// An endpoint that had gone before, and that the copy lists again, gets nothing.
+// An endpoint that was removed before, and that the copy lists again, gets no requests.
 func TestRemovedEndpointListedByCopyIsNotUsed(t *testing.T) {
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
 		m := newMesh(1, size.boxes, size.halls, size.endpoints)
@@ -281,7 +281,7 @@
 	})
 }
 
-// A read of endpoints that was under way as the store left its era brings nothing back.
+// A read of endpoints that was in progress when the era changed restores no entry.
 func TestLateListOfFormerEraIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newMesh(1, 1, 1, 3)
@@ -296,8 +296,8 @@
 	})
 }
 
-// A box started after the store had come back, read a configuration there that the operator was yet to write again, and refused for good
-// what that did not hold; the others knew better.
+// Guards against a box that starts after a restore, reads a configuration that the operator has yet to replace, and
+// permanently refuses what it lacks; the other boxes knew better.
 func TestBoxStartedDuringRestoreRefusesNothingPermanently(t *testing.T) {
 	s := newSite(t, newRunner(t, "r1", answerText("ok")).endpoint("v1"))
 	s.control.comeBack(func() {})
--- a/exchange/for_good_test.go
+++ b/exchange/for_good_test.go
@@ -14,7 +14,7 @@
 	"github.com/willowwick/willowwick"
 )
 
-// bigRoute is a route whose requests may have bodies.
+// bigRoute returns a route whose requests may have bodies.
 func bigRoute() willowwick.Route {
 	route := againRoute()
 	route.Name, route.Prefix = "big", "/big/"
@@ -42,15 +42,11 @@
 	return control, sites
 }
 
-// Seen: routes that had been added were refused with 404, for good, by boxes of several halls, for as long as the
-// configuration that added them did not reach the boxes; their callers gave up what would have been served a moment later.
-//
-// How: reads of declarations brought nothing, here since they get no answer, while the reads of endpoints were answered. A
-// caller asked for the new route.
-//
-// Cause: a box refused for good unless what it knew of the store was old, and that age was renewed by the list of
-// endpoints. What a refusal rests on is how old the *configuration* is. The age of both beside each other in the line of
-// the refusal proved it: 200 ms for the endpoints, seconds for the configuration.
+// Guards against permanent refusals (404) of routes that were added, while the new configuration had not reached the
+// boxes; callers gave up requests that would have been served a moment later. Reads of declarations brought nothing,
+// here since they get no answer, but reads of endpoints succeeded, and a refusal was permanent unless the box's data on
+// the store was old: 200 ms for the endpoints, but seconds for the configuration. What counts is the age of the
+// configuration.
 func TestStaleConfigurationCausesNoPermanentRefusal(t *testing.T) {
 	for _, boxes := range []int{1, 3} {
 		t.Run(fmt.Sprint(boxes, " boxes"), func(t *testing.T) {
@@ -85,8 +81,8 @@
 	}
 }
 
-// While nothing fails, what does not exist is refused for good at every moment, on the box that reads and on those that it
-// reads for: their callers are not asked to come again for nothing.
+// Without failures, unknown routes and keys are refused permanently at every moment, on the reader and on its
+// followers: callers are not asked to retry in vain.
 func TestUnknownRouteIsRefusedPermanentlyByUpToDateBox(t *testing.T) {
 	const watched = 3 * time.Second
 	_, sites := newLosingHall(t, 3)
@@ -101,7 +97,7 @@
 	}
 }
 
-// partialControl is a store whose reads of declarations are answered, but with less than stands there.
+// partialControl is a store whose reads of declarations succeed with incomplete answers.
 type partialControl struct {
 	*testControl
 	isPartial atomic.Bool
@@ -116,8 +112,8 @@
 	return declared, err
 }
 
-// An answer that holds less than what stands in the store, since that is long or some of it could not be decoded, shows
-// nothing of whether the configuration is the newest.
+// An answer that is incomplete, since the data is long or some of it could not be decoded, doesn't show whether the
+// configuration is the newest.
 func TestPartialAnswerDoesNotConfirmConfiguration(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	control := &partialControl{testControl: newTestControl(testTable(1, onceRoute()), r.endpoint("v1"))}
--- a/exchange/foreign_test.go
+++ b/exchange/foreign_test.go
@@ -8,7 +8,7 @@
 	"github.com/willowwick/willowwick"
 )
 
-// An entry of another writer takes the place of an endpoint's: the endpoint gets nothing until its own next entry, and no longer.
+// An entry of another writer replaces that of an endpoint: the endpoint gets no requests until its own next entry.
 func TestAnEndpointIsNotUsedWhileAnotherWritersEntryStandsInItsPlace(t *testing.T) {
 	discardLogs(t)
 	m := newMesh(1, 1, 1, 0)
--- a/exchange/freshness_test.go
+++ b/exchange/freshness_test.go
@@ -9,6 +9,7 @@
 	"github.com/willowwick/willowwick"
 )
 
+// A read is as old as its answer may be: the store may have made one with changes as soon as the read was sent.
 func TestReadIsDatedByItsOldestPossibleAnswer(t *testing.T) {
 	const wait = 600 * time.Millisecond
 	began := time.Now()
@@ -30,7 +31,7 @@
 	}
 }
 
-// What another box knows says something of this box's configuration only if the other has none that is newer, and tells.
+// A peer's configuration age applies to this box only if the peer reports one and has no newer configuration.
 func TestAConfigurationIsAsFreshAsOneThatIsNoNewerElsewhere(t *testing.T) {
 	for name, heard := range map[string]struct {
 		digest Digest
@@ -55,7 +56,7 @@
 	}
 }
 
-// A digest that has been under way is older, but for what it does not tell.
+// Transit time is added to the ages in a digest, except to those that it doesn't report.
 func TestDigestAgesInTransit(t *testing.T) {
 	digest := Digest{ConfigAgeMs: 300}
 	digest.addTransitTime(200 * time.Millisecond)
@@ -65,8 +66,8 @@
 	assert.Zero(t, untold.ConfigAgeMs)
 }
 
-// A box that had just started once left the declarations unread for 1.5 s while it looked for another that reads for it; with
-// the swap to those that follow it that was all the time to put a configuration in force.
+// Guards against a starting box that doesn't read declarations while it searches for a reader: 1.5 s, which with the
+// gossip exchange to its followers was all the time to put a configuration in force.
 func TestStartingBoxKeepsReading(t *testing.T) {
 	s := newSite(t, newRunner(t, "r1", answerText("ok")).endpoint("v1"))
 	x := s.daemon.router
--- a/exchange/logs_test.go
+++ b/exchange/logs_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// stuckWriter takes nothing until it is released.
+// blockedWriter blocks until it is released.
 type blockedWriter struct {
 	bytes.Buffer
 	released chan struct{}
@@ -22,12 +22,13 @@
 	return w.Buffer.Write(p)
 }
 
-// Seen: a record of an incident had no line for the requests that it named, and nothing in it told whether lines were dropped.
+// Guards against a log that drops lines without saying so: the record of an incident lacked the lines of the requests
+// that it named.
 func TestLogReportsDroppedLines(t *testing.T) {
 	const dropped = 7
 	out := &blockedWriter{released: make(chan struct{})}
 	queue, flush := NewLogQueue(out, func(to io.Writer) *slog.Logger { return slog.New(slog.NewTextHandler(to, nil)) })
-	// One more than the queue holds may be with the writer already.
+	// The writer may have taken one line out of the full queue already.
 	for n := range logQueueLines + 1 + dropped {
 		_, _ = fmt.Fprintf(queue, "line %d\n", n)
 	}
--- a/exchange/lost_hall_test.go
+++ b/exchange/lost_hall_test.go
@@ -11,9 +11,9 @@
 	"github.com/willowwick/willowwick"
 )
 
-// Pattern: all runners of the box's own hall end at the same moment, 47 on the fleet where it was seen; their entries stand for some
-// seconds more. Grounds: two thirds of the fleet live, but a request was given up after eight endpoints that refused its connection, 5 ms
-// after the first; the others of the hall are likely to do the same.
+// All endpoints of the box's own hall crash at the same moment, 47 in the fleet where this was seen, while their
+// entries remain listed for some seconds. Two thirds of the fleet were live, but a request failed after eight refused
+// connections, 5 ms after the first; other endpoints of the same hall are likely to refuse too.
 func TestARequestFindsAnEndpointThatLivesThoughAHallHasEnded(t *testing.T) {
 	const ended = 47
 	living := newRunner(t, "living", func(w http.ResponseWriter, r *http.Request) { streamEvents(w, r, 1) })
--- a/exchange/lost_read_test.go
+++ b/exchange/lost_read_test.go
@@ -10,17 +10,17 @@
 	"github.com/willowwick/willowwick"
 )
 
-// headLimit is what the store's client gives the head of an answer beyond the time that the store may hold the read.
+// responseHeaderTimeout is how long the store's client waits for the header of an answer beyond the time of the long
+// poll.
 const responseHeaderTimeout = 600 * time.Millisecond
 
-// Seen: a configuration comes into force at some boxes of a hall later than operators want, after the reader's held read
-// fell silent just before.
+// Guards against a configuration that comes into force too late in a hall after the reader's long poll was lost just
+// before. The client waits for the header for 0.6 s beyond the long poll, which was half of the bound, so the reader
+// had the configuration after 1.75 s and distributed it with gossip exchanges half a second apart: longPollLimit left
+// time for the next read and the exchanges, but not for the header timeout.
 //
-// How: the client waits for the head of the answer for 0.6 s beyond the half of the bound for which the store may hold the
-// read; the reader has the configuration after 1.75 s, and passes it on with swaps that are half a second apart.
-//
-// Cause: heldLimit left room for the next read and the swaps, but not for the limit on the head. That the whole time keeps to
-// the bound is for the next test to show, which does not wait: beside much load a swap may be late by itself.
+// This test doesn't check the whole time against the bound, since an exchange may be late under load; the next one
+// does, without waiting.
 func TestAConfigurationIsInForceInAHallAfterAHeldReadIsLost(t *testing.T) {
 	const others = 7
 	r := newRunner(t, "r1", answerText("ok"))
@@ -33,7 +33,7 @@
 	for i := range others {
 		settings.Box = willowwick.BoxID(fmt.Sprint("box-", i))
 		sites = append(sites, startSite(t, control, settings))
-		// The boxes swap at different times.
+		// The boxes exchange at different times.
 		time.Sleep(gossipInterval / others)
 	}
 	awaitReaders(t, sites, 1)
@@ -53,8 +53,8 @@
 	t.Log("in force everywhere after", time.Since(accepted))
 }
 
-// The parts of that time, each at its longest: the read that is lost, the limit on its head, the pause after it, and a swap.
-// What is left is for the next read, for a box's steps, and for the way.
+// Adds up the longest durations: the lost read, its header timeout, the pause after it, and a gossip exchange. The
+// remaining time is for the next read, the processing and the transit.
 func TestALostReadLeavesTimeToPutAConfigurationInForce(t *testing.T) {
 	const rest = 100 * time.Millisecond
 	for _, inForce := range []time.Duration{2 * time.Second, 3 * time.Second, 4 * time.Second, time.Minute} {
--- a/exchange/mesh_fleet_test.go
+++ b/exchange/mesh_fleet_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// meshSizes are the fleets that mechanisms of swaps are tried at, from two boxes to hundreds.
+// meshSizes are the fleets that gossip is tested with, from two boxes to hundreds.
 var meshSizes = []meshSize{{2, 1, 4}, {6, 3, 21}, {61, 5, 100}, {295, 5, 165}}
 
 // meshSize is the size of a fleet.
@@ -27,12 +27,12 @@
 	}
 }
 
-// A box knows most others from its hub alone. Each entry that nobody had renewed for half a minute was once dropped and
-// named again with all the others in the next swap; on 295 boxes that had started in turn that was nearly each swap, and a
-// hub with nothing to tell swapped 750 KB a second. Nor does a box forget another one that lives meanwhile.
+// Guards against roster entries that expire one by one: an entry that nobody had renewed for half a minute was dropped,
+// and the next gossip exchange sent the whole roster again. On 295 boxes started one after the other that was nearly
+// every exchange, and a hub without updates sent 750 KB a second. No box may forget a live one meanwhile either.
 func TestSwapsOfACalmFleetAreSmall(t *testing.T) {
 	const steps, watched = 5, silentPeerRetention
-	const perBox = 1000 // bytes a second, all boxes' swaps counted once: a calm box of 6 swaps 690, one of 295 560
+	const perBox = 1000 // bytes a second, each exchange counted once: a calm box of 6 sends 690, one of 295 560
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
 		m := newMesh(1, 0, size.halls, size.endpoints)
 		for i := range size.boxes {
@@ -53,7 +53,7 @@
 	})
 }
 
-// Boxes that are gone are forgotten by all, though each was named by others.
+// All boxes forget boxes that are gone, though others named each of them.
 func TestBoxesThatAreGoneAreForgotten(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -72,7 +72,8 @@
 	})
 }
 
-// The list of endpoints was once sent whole to each box at each change: 21 MB for ten new endpoints of 165 on 295 boxes.
+// Guards against sending the whole list of endpoints to each box at each change: 21 MB for ten new endpoints of 165 on
+// 295 boxes.
 func TestEndpointUpdateCostIsIndependentOfListSize(t *testing.T) {
 	const changes = 4
 	const perChange = 400 // bytes for each box: a changed entry has some 150
@@ -95,9 +96,10 @@
 	})
 }
 
-// Pattern: all boxes start at once, and each reads the list from the store at a moment of its own, while heartbeats of 100 endpoints and more
-// move its topic. Grounds: a list of 3,000 endpoints has 450 KB; whole ones went from each box to the next, since it had been read
-// a little later there, and 300 boxes sent each other more than their callers' bytes of a whole day.
+// All boxes start at once, and each reads the list from the store at a moment of its own, while heartbeats of 100
+// endpoints and more advance its topic. Guards against whole lists, of 450 KB for 3,000 endpoints, that went from each
+// box to the next since that one had read a little earlier: 300 boxes sent each other more than their callers' bytes of
+// a whole day.
 func TestBoxesThatStartDoNotSendEachOtherWhatBothHaveRead(t *testing.T) {
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
 		m := newMesh(1, size.boxes, size.halls, size.endpoints)
@@ -115,7 +117,7 @@
 	})
 }
 
-// A cold endpoint is no part of what two boxes compare: it is told all the same.
+// Cold endpoints are not part of the checksum by which two boxes compare their lists, but are sent all the same.
 func TestColdEndpointIsSentToBoxWithTheSameList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newMesh(1, 2, 1, 3)
@@ -132,10 +134,10 @@
 	})
 }
 
-// Whatever happens at the store, a box that hears of it by swaps has what its reader has.
+// Whatever happens at the store, a box that gets the list by gossip has the same one as its reader.
 func TestEndpointListsConverge(t *testing.T) {
 	discardLogs(t)
-	seeds := []uint64{31, 195, 218, 681} // each showed a fault of its own
+	seeds := []uint64{31, 195, 218, 681} // each showed a different bug
 	for seed := range uint64(20) {
 		seeds = append(seeds, seed)
 	}
@@ -152,9 +154,9 @@
 	}
 }
 
-// While the store refuses a third of the boxes, readers among them, news of a leaving endpoint go by other readers or by
-// reads of the boxes themselves. At their worst they took 2.2 s of 4 s in 90 trials each on 6, 61 and 91 boxes; here swaps
-// take no time, so that a quarter of the time is left to them.
+// While the store refuses a third of the boxes, readers among them, updates of a draining endpoint arrive by other
+// readers or by the boxes' own reads. At worst they took 2.2 s of 4 s in 90 trials each on 6, 61 and 91 boxes; here
+// exchanges take no time, so a quarter of the time is left to them.
 func TestALeavingEndpointIsKnownInTimeThoughTheStoreRefusesSomeBoxes(t *testing.T) {
 	const trials, refusedPercent = 4, 35
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
@@ -170,9 +172,9 @@
 	})
 }
 
-// Pattern: nothing fails, on up to 295 boxes in five halls, of which one each reads the store. Grounds: a configuration in doubt at a
-// box turns its refusals for good into refusals for now, and callers ask in vain again; twice the time for which a read is
-// held and a swap make 1.7 s of the 2 s that a box has.
+// Without failures no box may consider its configuration stale, on up to 295 boxes in five halls with one reader each:
+// its permanent refusals would become temporary ones, and callers retry in vain. Twice the long poll and a gossip
+// exchange make 1.7 s of the 2 s that a box has.
 func TestNoConfigurationIsStaleWithoutFailures(t *testing.T) {
 	const watched = 5 * time.Second
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
@@ -191,8 +193,8 @@
 	})
 }
 
-// Once the store answers nobody, every box is in doubt as soon as a configuration may have to be in force that it does not
-// have, also where boxes go on telling each other what they know; and none is any more soon after the store's return.
+// During an outage of the store every box considers its configuration stale as soon as one that it lacks may have to be
+// in force, even while boxes keep exchanging what they know; soon after the store's return none does.
 func TestEveryConfigurationIsStaleDuringStoreOutage(t *testing.T) {
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
 		m := newMesh(1, size.boxes, size.halls, size.endpoints)
--- a/exchange/mesh_test.go
+++ b/exchange/mesh_test.go
@@ -19,34 +19,35 @@
 )
 
 const (
-	// meshStep is how often the boxes of a mesh look whether something is due.
+	// meshStep is how often the boxes of a mesh check whether something is due.
 	meshStep = readerPollInterval
-	// meshDrain is the time to leave an endpoint on fleets of hundreds of boxes.
+	// meshDrain is the time to drain an endpoint in fleets of hundreds of boxes.
 	meshDrain = 4 * time.Second
-	// meshSeeds is the number of boxes that the settings of each name.
+	// meshSeeds is the number of boxes in the settings of each box.
 	meshSeeds = 2
 )
 
 type (
-	// mesh is a fleet without network in virtual time: boxes swap by function calls, their hubs read one store.
+	// mesh is a fleet without network in virtual time: boxes exchange gossip by function calls, their hubs read one
+	// store.
 	mesh struct {
 		store          *meshStore
-		isAway         bool                           // the store answers nobody
-		isCut          bool                           // halls do not reach each other
-		advancesOffset bool                           // heartbeats move the end of the list's topic
+		isAway         bool                           // the store is unavailable
+		isCut          bool                           // halls can't reach each other
+		advancesOffset bool                           // heartbeats advance the end of the list's topic
 		readsConfig    bool                           // boxes without a reader read the configuration as well
-		heartbeats     uint64                         // heartbeats of endpoints so far
-		draining       map[willowwick.EndpointID]bool // endpoints that have ever said that they leave, which is for good
+		heartbeats     uint64                         // of all endpoints so far
+		draining       map[willowwick.EndpointID]bool // endpoints that have ever reported that they are draining, which is final
 		incarnations   map[willowwick.EndpointID]willowwick.Incarnation
 		boxes          []*meshBox
 		byAddress      map[string]*meshBox
-		starts         int // of boxes so far
+		starts         int // of all boxes so far
 		random         *rand.Rand
 
 		messages       gobCounter
-		exchangedBytes int                    // bytes of all swaps
-		parts          map[string]*gobCounter // the same by the kind of news; nil if that is not counted
-		wholeLists     int                    // lists of endpoints that went from box to box whole
+		exchangedBytes int                    // of all gossip exchanges
+		parts          map[string]*gobCounter // the same by the kind of data; nil if not counted
+		wholeLists     int                    // number of whole lists of endpoints that boxes sent each other
 	}
 
 	// meshBox is one box of a mesh.
@@ -54,12 +55,12 @@
 		*Router
 		down           bool
 		isRefused      bool      // by the store
-		nextRead       time.Time // no read of the store before
-		nextExchange   time.Time // no swap before
-		nextConfigRead time.Time // no read of the configuration before
+		nextRead       time.Time // of the list
+		nextExchange   time.Time
+		nextConfigRead time.Time
 	}
 
-	// meshStore is the list of endpoints at the store.
+	// meshStore is the list of endpoints in the store.
 	meshStore struct {
 		end     willowwick.Position
 		entries map[willowwick.EndpointID]meshEntry
@@ -68,7 +69,7 @@
 		reads   int // of the list
 	}
 
-	// meshControl is what a box does at the store of refused requests; it reads all else by the mesh.
+	// meshControl is a box's access to the store's quarantine; the mesh does all other reads.
 	meshControl struct {
 		willowwick.Control
 		mesh *mesh
@@ -80,7 +81,7 @@
 		at       willowwick.Position
 	}
 
-	// gobCounter counts the bytes of messages as net/rpc writes them, the descriptions of their types once.
+	// gobCounter counts the bytes of messages as net/rpc encodes them, the descriptions of their types once.
 	gobCounter struct {
 		encoder *gob.Encoder
 		bytes   int
@@ -92,7 +93,7 @@
 	return len(data), nil
 }
 
-// add returns how many bytes a message takes.
+// add returns the encoded size of a message.
 func (c *gobCounter) add(t *testing.T, message any) int {
 	if c.encoder == nil {
 		c.encoder = gob.NewEncoder(c)
@@ -152,7 +153,7 @@
 	return changes
 }
 
-// comeBack begins a new era with a copy of the list that lacks what was written last: so many records, and the given endpoints.
+// restoreFromCopy begins a new era with a copy of the list that lacks a number of last records and the given endpoints.
 func (s *meshStore) restoreFromCopy(records willowwick.Offset, lost ...willowwick.EndpointID) {
 	s.end = willowwick.NewPosition(s.end.Era()+1, s.end.Offset()-records)
 	for _, id := range lost {
@@ -175,7 +176,7 @@
 	}
 }
 
-// newMesh returns boxes that have not swapped yet, spread over halls, before a list of endpoints.
+// newMesh returns boxes that have not exchanged gossip yet, spread over halls, and a store with a list of endpoints.
 func newMesh(seed uint64, boxes, halls, endpoints int) *mesh {
 	m := &mesh{
 		store:     &meshStore{entries: map[willowwick.EndpointID]meshEntry{}, removed: map[willowwick.EndpointID]willowwick.Position{}},
@@ -191,7 +192,7 @@
 	return m
 }
 
-// start begins the life of a box, or a new one of a box that was there before.
+// start begins an incarnation of a box, new or restarted.
 func (m *mesh) start(i, halls int) {
 	settings := testSettings()
 	settings.Hall, settings.Drain = willowwick.HallID(fmt.Sprint("hall-", i%halls)), meshDrain
@@ -228,7 +229,7 @@
 	m.byAddress[settings.Peers] = box
 }
 
-// run lets the boxes swap and read for a length of virtual time.
+// run lets the boxes read and exchange gossip for a duration of virtual time.
 func (m *mesh) run(t *testing.T, length time.Duration) {
 	for until := time.Now().Add(length); time.Now().Before(until); time.Sleep(meshStep) {
 		if m.advancesOffset {
@@ -242,7 +243,7 @@
 	}
 }
 
-// act does what is due on a box.
+// step does what is due on a box.
 func (m *mesh) step(t *testing.T, box *meshBox) {
 	now := time.Now()
 	if !now.Before(box.nextRead) {
@@ -262,11 +263,11 @@
 		m.exchange(t, box, address, now)
 	}
 	box.peers.forgetSilentPeers(now)
-	// Real boxes drift against each other by their own work.
+	// Real boxes drift against each other through their own work.
 	box.nextExchange = now.Add(box.peers.roundPause(now)).Add(time.Duration(m.random.IntN(int(meshStep))))
 }
 
-// read looks after the list of endpoints, and reads it if it is time to.
+// read drops lapsed entries, and reads the list of endpoints if that is due.
 func (m *mesh) read(box *meshBox, now time.Time) {
 	if box.sync.dropLapsed(now); !box.sync.mustReadList(now) {
 		return
@@ -280,8 +281,8 @@
 	box.sync.applyListRead(m.store.since(box.sync.listReadTo()), now, now)
 }
 
-// readConfig reads the configuration on a box that has no reader, as old as an answer may make it: one that brings news at the
-// end of the time for which it was held.
+// readConfig reads the configuration on a box without a reader, with the greatest age that an answer may have: one with
+// changes at the end of a long poll.
 func (m *mesh) readConfig(box *meshBox, now time.Time) {
 	if now.Before(box.nextConfigRead) || box.sync.hasReader(now) {
 		return
@@ -316,7 +317,7 @@
 	}
 }
 
-// countParts adds the bytes of a swap by the kind of news, and counts whole lists.
+// countParts adds the bytes of a gossip exchange by the kind of data.
 func (m *mesh) countParts(t *testing.T, call *SwapCall, reply *SwapReply) {
 	m.count(t, "digests", []Digest{call.Digest, reply.Digest})
 	m.count(t, "boxes", reply.Known)
@@ -338,7 +339,7 @@
 	m.parts[kind].add(t, part)
 }
 
-// partsText tells the bytes of swaps by the kind of news.
+// partsText formats the bytes of gossip exchanges by the kind of data.
 func (m *mesh) partsText() string {
 	text := fmt.Sprintf("%d bytes", m.exchangedBytes)
 	for _, kind := range slices.Sorted(maps.Keys(m.parts)) {
@@ -353,7 +354,7 @@
 	t.Cleanup(func() { slog.SetDefault(before) })
 }
 
-// beatAll lets each endpoint write its heartbeat.
+// writeHeartbeats writes a heartbeat of each endpoint.
 func (m *mesh) writeHeartbeats() {
 	for _, endpoint := range m.store.list() {
 		m.heartbeats++
@@ -362,9 +363,9 @@
 	}
 }
 
-// assertListsAlike lets the store come back, and checks that all boxes list then what it lists.
+// assertListsConverge makes the store available, and checks that all boxes then have its list.
 func (m *mesh) assertListsConverge(t *testing.T, seed uint64) {
-	// An endpoint that was gone counts again after two heartbeats; every entry that lapsed is back or dropped by then.
+	// A removed endpoint counts again after two heartbeats; every lapsed entry is back or dropped by then.
 	m.isAway = false
 	for range 4 {
 		m.writeHeartbeats()
@@ -375,7 +376,7 @@
 	}
 }
 
-// withoutBeats leaves out what is not told of endpoints that only go on living.
+// withoutHeartbeats clears the heartbeats, which boxes don't send each other.
 func withoutHeartbeats(list []willowwick.Endpoint) []willowwick.Endpoint {
 	for i := range list {
 		list[i].Beat = 0
@@ -383,7 +384,7 @@
 	return list
 }
 
-// disturb changes one thing at the store.
+// injectChange makes one random change at the store or restarts a box.
 func (m *mesh) injectChange() {
 	const names = 15
 	endpoint := meshEndpoint(m.random.IntN(names), 2)
@@ -409,7 +410,7 @@
 	}
 }
 
-// startAgain lets an endpoint that is listed end and start again under its id, with heartbeats that count anew.
+// restartEndpoint crashes a listed endpoint and restarts it under its ID, with heartbeats that count from 1.
 func (m *mesh) restartEndpoint() {
 	endpoint := meshEndpoint(m.random.IntN(8), 2)
 	if _, isListed := m.store.entries[endpoint.ID]; !isListed {
@@ -425,7 +426,7 @@
 	m.store.put(endpoint)
 }
 
-// leave lets an endpoint say that it leaves, and returns how long it takes until all boxes that the store serves know.
+// drain marks an endpoint as draining, and returns how long it takes until all boxes that the store serves know.
 func (m *mesh) drain(t *testing.T, endpoint willowwick.Endpoint) time.Duration {
 	endpoint.Leaving = true
 	m.store.put(endpoint)
--- a/exchange/packed_test.go
+++ b/exchange/packed_test.go
@@ -11,7 +11,7 @@
 	"github.com/willowwick/willowwick"
 )
 
-// largeTable is a configuration with many routes.
+// largeTable returns a configuration with many routes.
 func largeTable(version uint64, routes int) *willowwick.RoutingTable {
 	table := testTable(version)
 	for i := range routes {
@@ -23,8 +23,8 @@
 	return table
 }
 
-// While a configuration of 1,900 routes was passed on, swaps with news of endpoints ended at their limit on boxes with 10 to 20
-// Mbit/s: each carried 170 KB, and a hub encoded it for each box of its hall anew.
+// Guards against large configurations that make gossip exchanges time out: with 1,900 routes each exchange carried 170
+// KB, encoded anew for each box of a hub's hall, and updates of endpoints timed out on boxes with 10 to 20 Mbit/s.
 func TestALargeConfigurationIsSmallInSwaps(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -45,7 +45,7 @@
 	})
 }
 
-// A box of an earlier release takes configurations as they are, and one that cannot be read takes the place of none.
+// Boxes of an earlier release get unpacked configurations, and one that can't be decoded replaces none.
 func TestBoxesOfAnEarlierReleaseTakeConfigurationsAsTheyAre(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
--- a/exchange/peers_test.go
+++ b/exchange/peers_test.go
@@ -12,10 +12,10 @@
 	"github.com/willowwick/willowwick/rollout"
 )
 
-// feedDrain leaves time for some swaps within the time that an endpoint may be sent to.
+// hallDrain leaves time for some gossip exchanges within the time to drain an endpoint.
 const hallDrain = 2 * time.Second
 
-// newHall starts boxes of one hall that know each other by their seeds.
+// newHall starts boxes of one hall that find each other by their seeds.
 func newHall(t *testing.T, boxes int, endpoints ...willowwick.Endpoint) (*testControl, []*site) {
 	control := newTestControl(testTable(1, onceRoute(), streamRoute()), endpoints...)
 	var sites []*site
@@ -126,7 +126,8 @@
 	require.True(t, written())
 }
 
-// With the store away no box reads it, and all boxes of a hall once swapped with all others.
+// Guards against all boxes of a hall exchanging gossip with all others during an outage of the store, when none reads
+// it.
 func TestBoxesSwapWithOneOfTheirHallWhileTheStoreIsAway(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	control, sites := newHall(t, 4, r.endpoint("v1"))
@@ -145,7 +146,8 @@
 	}, patience, 10*time.Millisecond)
 }
 
-// A reader that hears from another hall in time does not read the store itself, and once lost its hall by that.
+// A reader that gets the list from another hall in time doesn't read the store itself; it used to lose its hall for
+// that.
 func TestReaderWithDataFromAnotherHallStaysReader(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	_, sites := newHall(t, 1, r.endpoint("v1"))
@@ -165,7 +167,7 @@
 	assert.True(t, isCutOff(true), "its last read failed")
 }
 
-// With all boxes of a fleet started at once, each once tried all of the others in the same round.
+// Guards against a fleet whose boxes start at once and each call all others in the same round.
 func TestABoxTriesOnlyAFewSilentBoxesAtOnce(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	_, sites := newHall(t, 1, r.endpoint("v1"))
@@ -184,7 +186,7 @@
 	assert.Equal(t, KnownBox{Address: "10.0.0.1:8188"}, parseMemberName("10.0.0.1:8188"))
 }
 
-// A hub passes what is large on to all boxes of its hall, so the widest link does it.
+// A hub forwards large data to all boxes of its hall, so the box with the widest link is the hub.
 func TestTheWidestLinkOfAHallIsItsHub(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	control, sites := newHall(t, 2, r.endpoint("v1"))
@@ -199,7 +201,7 @@
 	}, patience, 10*time.Millisecond)
 }
 
-// A box that is fed has no use for a read that the store holds; each such read costs a call whenever something changes.
+// A box that has a reader needs no long poll; each costs a call whenever something changes.
 func TestOnlyReadersHoldReadsOfDeclarations(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	control, sites := newHall(t, 4, r.endpoint("v1"))
@@ -207,7 +209,8 @@
 	require.Eventually(t, func() bool { return control.held.Load() == 1 }, patience, 10*time.Millisecond)
 }
 
-// Boxes once asked an absent store again and again, each for itself; joins and declarations can wait for its return.
+// Guards against boxes that each probe an unavailable store for themselves; joins and declarations can wait for its
+// return.
 func TestBoxesOfAHallShareStoreProbesDuringOutage(t *testing.T) {
 	const boxes = 8
 	r := newRunner(t, "r1", answerText("ok"))
@@ -226,7 +229,7 @@
 	before := control.calls.Load()
 	const watched = 3 * time.Second
 	time.Sleep(watched)
-	// The first box asks with its usual pauses, on two topics and for the group; the others share one pause.
+	// The first box probes with its usual pauses, for two kinds of reads and the group; the others share one interval.
 	first := float64(watched)*2/float64(maxReadRetry) + float64(watched)/float64(joinInterval)
 	others := float64(watched) / float64(hallProbeInterval)
 	assert.LessOrEqual(t, float64(control.calls.Load()-before), first+others+boxes)
@@ -236,8 +239,8 @@
 	}
 }
 
-// A box that reads the store once took one before it that does not for its hub, and that one took it: the hall swapped
-// with no other hall any more.
+// Guards against a reader whose hub is a preceding box that doesn't reach the store: that one took the reader as its
+// hub, and the hall exchanged gossip with no other hall any more.
 func TestBoxThatReadsTheStoreFollowsNoneThatDoesNot(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	_, sites := newHall(t, 1, r.endpoint("v1"))
@@ -253,7 +256,7 @@
 	assert.True(t, hasHub, "one that reads and comes before is followed")
 }
 
-// Boxes that answered and were no use as a hub once kept a box from trying those after them.
+// Guards against boxes that answer but can't serve as a hub and keep a box from calling the preceding boxes after them.
 func TestAllPrecedingBoxesAreProbedInTurn(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	_, sites := newHall(t, 1, r.endpoint("v1"))
@@ -276,8 +279,8 @@
 	assert.Len(t, tried, boxes)
 }
 
-// A box that reads nothing itself once looked at its lapsed entries only as another change came in; and an endpoint that it
-// alone had given up stayed unknown to it until the endpoint changed.
+// Guards against a box with a reader that checked its lapsed entries only on other changes; an endpoint that it alone
+// had dropped stayed unknown to it until the endpoint changed.
 func TestFollowerDropsLapsedEndpointAndLearnsItIsListed(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	_, sites := newHall(t, 2, r.endpoint("v1"))
--- a/exchange/publish_test.go
+++ b/exchange/publish_test.go
@@ -9,12 +9,9 @@
 	"github.com/willowwick/willowwick"
 )
 
-// Seen: a box that had just started called itself ready and knew no endpoint to send to, once in a whole run of the tests.
-//
-// How: it had its first list from another box, and was asked in the moment between that and the list's use.
-//
-// Cause: the list was given to the pool after the lock under which it had changed was released, so that the box knew its
-// endpoints a moment before it used them; two lists that came at once could also be given in the wrong order.
+// Guards against a box that reports ready before the pool has its endpoints. The list used to be passed to the pool
+// after the lock under which it had changed was released, so a box whose first list came from another box could be
+// asked for readiness in between; two concurrent lists could also be passed in the wrong order.
 func TestABoxHasEndpointsOnceTheyAreInUse(t *testing.T) {
 	discardLogs(t)
 	endpoint := willowwick.Endpoint{ID: "r1", Hall: "hall-a", Address: "10.9.0.1:8000", Service: "work"}
--- a/exchange/regain_test.go
+++ b/exchange/regain_test.go
@@ -10,11 +10,11 @@
 	"github.com/willowwick/willowwick"
 )
 
-// turningControl is a store that turns one box away for a while, and serves the others.
+// refusingControl is a store that refuses one box for a while, and serves the others.
 type refusingControl struct {
 	*testControl
 	isRefusing   atomic.Bool
-	refusedCalls atomic.Int64 // calls while it turns the box away
+	refusedCalls atomic.Int64 // calls while it refuses the box
 }
 
 func (c *refusingControl) refuses() bool {
@@ -49,8 +49,8 @@
 	return c.testControl.Join(ctx, member, generation)
 }
 
-// turnedHall starts two boxes of one hall, the first of which has the wider link. The second one, which begins alone, has
-// read all of the store, then has a failed read of declarations, and is fed by the first from then on.
+// newRefusedHall starts two boxes of one hall, the first of which has the wider link. The second one starts alone,
+// reads all of the store, then has a failed read of declarations, and has the first as its reader from then on.
 func newRefusedHall(t *testing.T) (control *testControl, controls []*refusingControl, sites []*site) {
 	r := newRunner(t, "r1", answerText("ok"))
 	control = newTestControl(testTable(1, onceRoute()), r.endpoint("v1"))
@@ -74,15 +74,10 @@
 	return control, controls, []*site{first, second}
 }
 
-// Seen: a hall whose first box is turned away by the store has no new configuration, though its second box reads the
-// store's endpoints well.
-//
-// How: the second box had one read of declarations that failed, and was fed by the first from then on, so it read none that
-// could take the failure back. When the first box is turned away, the second one reads endpoints with success.
-//
-// Cause: a box that has not shown that it reads all of the store lets its reads of declarations rest while a box before
-// it is in touch (mayRest), and only such a read can show it: the failure of one kind is kept for good, and no answer of
-// the other kind counts against it.
+// Guards against a hall without new configurations while the store refuses its first box, though its second box reads
+// endpoints. The second box had one failed read of declarations and then the first box as its reader. A box that has
+// not shown that it reads all of the store skips reads of declarations while a live box precedes it (maySkipCalls), but
+// only such a read clears the failure: it was kept for good, whatever the answers of the other kind.
 func TestSecondBoxOfHallReadsDeclarationsWhileFirstIsRefused(t *testing.T) {
 	control, controls, sites := newRefusedHall(t)
 	controls[0].isRefusing.Store(true)
@@ -91,7 +86,7 @@
 	require.Eventually(t, func() bool { return second.configVersion() == 2 }, patience, 10*time.Millisecond)
 }
 
-// The group's lead is handed on to a box that reaches the store as well; it rests for the same reason.
+// The leadership of the group also passes to a box that reaches the store; its join was skipped for the same reason.
 func TestSecondBoxOfHallJoinsGroupWhileFirstIsRefused(t *testing.T) {
 	control, controls, sites := newRefusedHall(t)
 	controls[0].isRefusing.Store(true)
--- a/exchange/stale_test.go
+++ b/exchange/stale_test.go
@@ -13,16 +13,16 @@
 	"github.com/willowwick/willowwick"
 )
 
-// inForceWithin is within what time operators want a configuration in force: the shortest that is declared anywhere.
+// inForceWithin is the time to put a configuration in force in these tests: the shortest that is declared anywhere.
 const inForceWithin = 2 * time.Second
 
-// losingControl is a store that loses what is sent to it, or waits there, while it is away: such a read gets no answer
-// after its return either, until the client's limit on it is over. The short reads of endpoints fail after a moment.
+// losingControl is a store that loses what is sent to it, or waits there, while it is unavailable: such a read gets no
+// answer after its return either, until the client's limit. The short reads of endpoints fail after a moment.
 type losingControl struct {
 	*testControl
-	lost     chan struct{} // gets a value for each read of declarations that is lost
-	loseNext atomic.Bool   // the next read of declarations that may be held is lost
-	loseAll  atomic.Bool   // all reads of declarations are, also one that is held as it is set: a part of the log is away
+	lost     chan struct{} // gets a value for each lost read of declarations
+	loseNext atomic.Bool   // the next long poll of declarations is lost
+	loseAll  atomic.Bool   // all reads of declarations are lost, including a running long poll: a part of the log is unavailable
 }
 
 func newLosingControl(endpoints ...willowwick.Endpoint) *losingControl {
@@ -44,24 +44,20 @@
 	return willowwick.Declarations{}, errDown
 }
 
-// setAway takes the store away, or brings it back.
+// setAway makes the store unavailable or available.
 func (c *losingControl) setAway(away bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.down = away
 }
 
-// Seen: no configuration was in force anywhere for sixteen seconds after an outage of the store, while news of endpoints
-// came in time and no call failed.
-//
-// How: each hall's reader sent a read of declarations, which the store might hold for twenty seconds, in the last moment of
-// the outage. It was lost with its connection. The next read of endpoints was answered, so the store counted as
-// reached, the box as a reader to rely on, and nobody looked at the held read any more.
-//
-// Cause: what a box knows of declarations was taken to be as fresh as what it knows of endpoints. The boxes' lines and the
-// store's counts show it: not one answered read of declarations from the return on, until another outage ended them.
+// Guards against a lost long poll that goes unnoticed: after an outage no configuration was in force anywhere for
+// sixteen seconds, while updates of endpoints came in time and no call failed. Each hall's reader had sent a long poll
+// of up to twenty seconds in the last moment of the outage, which was lost with its connection. The next read of
+// endpoints succeeded, so the store counted as reached and the box as a reader: data on declarations was taken to be as
+// fresh as that on endpoints.
 func TestConfigurationIsInForceAfterAnOutageThatTookAHeldRead(t *testing.T) {
-	// Reads fail in a rhythm of their own; some of these lengths end where a read that can be lost has just begun.
+	// Reads fail in a rhythm of their own; some of these outages end when a read that can be lost has just begun.
 	for _, away := range []time.Duration{50, 300, 550, 800, 1050, 1300, 1550, 1800, 2050, 2300} {
 		t.Run(fmt.Sprint(away*time.Millisecond), func(t *testing.T) {
 			t.Parallel()
@@ -78,7 +74,7 @@
 	}
 }
 
-// A held read whose connection falls silent while nothing else fails is found out in time as well.
+// A long poll whose connection falls silent while nothing else fails is noticed in time as well.
 func TestConfigurationIsInForceAfterAHeldReadIsLost(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	control := newLosingControl(r.endpoint("v1"))
@@ -90,7 +86,7 @@
 	assert.False(t, s.daemon.router.sync.hasFailingRead())
 }
 
-// A box whose reads of declarations fail is not relied upon by its hall, also where its reads of endpoints are answered.
+// A box whose reads of declarations fail is not relied upon by its hall, even if its reads of endpoints succeed.
 func TestABoxThatReadsNoDeclarationsIsNoReader(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	_, sites := newHall(t, 1, r.endpoint("v1"))
@@ -107,7 +103,8 @@
 	assert.True(t, x.peers.reachesStore(now))
 }
 
-// The first box of a hall, which has the widest link, once left its place for good over a single read that was lost.
+// Guards against the first box of a hall, which has the widest link, losing its position for good over a single lost
+// read.
 func TestTheFirstBoxOfAHallReadsAgainAfterALostRead(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	_, sites := newHall(t, 3, r.endpoint("v1"))
--- a/exchange/statuses_test.go
+++ b/exchange/statuses_test.go
@@ -10,7 +10,7 @@
 	"github.com/willowwick/willowwick"
 )
 
-// slowStatuses is a store whose answers to reads of roll-outs' states come in slowly, over a narrow link.
+// slowStatuses is a store whose answers with the states of roll-outs arrive slowly, over a narrow link.
 type slowStatuses struct {
 	*testControl
 	asked atomic.Int64
@@ -23,12 +23,9 @@
 	return c.testControl.Statuses(ctx)
 }
 
-// Seen: by reading, after a configuration had come into force too late.
-//
-// How: a roll-out is ordered; the box that reads the declarations for its hall then reads what became of earlier roll-outs. An
-// answer of the store is read to its end however slowly it comes. A configuration is accepted meanwhile.
-//
-// Cause: the box read no declarations while it waited for the states, a wait of another kind, and counted as its hall's reader.
+// Guards against a configuration that comes into force too late, found by reading the code. After an order of a
+// roll-out the reader of a hall read the states of earlier roll-outs, an answer that is read to its end however slowly
+// it arrives, and read no declarations meanwhile although it still counted as its hall's reader.
 func TestAConfigurationIsInForceWhileStatesOfRollOutsComeInSlowly(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	control := &slowStatuses{testControl: newTestControl(testTable(1, onceRoute()), r.endpoint("v1"))}
@@ -41,8 +38,8 @@
 	require.Eventually(t, func() bool { return s.daemon.router.configVersion() == 2 }, inForceWithin, 5*time.Millisecond)
 }
 
-// The box that writes states of roll-outs once judged none of them, and closed no idle connections, while an answer of the
-// store that it needed for writing came in slowly.
+// Guards against a leader that evaluates no roll-outs and closes no idle connections while an answer of the store that
+// it needs for writing their states arrives slowly.
 func TestABadReleaseIsJudgedWhileStatesOfRollOutsComeInSlowly(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	control := &slowStatuses{testControl: newTestControl(testTable(1, onceRoute()), r.endpoint("v1"))}
--- a/exchange/sync_test.go
+++ b/exchange/sync_test.go
@@ -1,6 +1,6 @@
 package exchange
 
-// isAway reports whether a last read of the store failed.
+// hasFailingRead reports whether the last read of any kind failed.
 func (s *syncer) hasFailingRead() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/exchange/transit_test.go
+++ b/exchange/transit_test.go
@@ -11,14 +11,14 @@
 	"github.com/willowwick/willowwick"
 )
 
-// lateServer answers as another box would, but its answers are under way for a while.
+// lateServer replies as another box does, after a delay.
 type lateServer struct {
 	inner      *rpcServer
-	delay      time.Duration // setting: how long an answer is under way
-	answeredAt time.Time     // when the last answer was made
+	delay      time.Duration // setting: transit time of a reply
+	answeredAt time.Time     // when the last reply was made
 }
 
-// Swap answers a box's digest.
+// Swap replies to a box's digest.
 func (s *lateServer) Swap(call *SwapCall, reply *SwapReply) error {
 	s.answeredAt = time.Now()
 	err := s.inner.Swap(call, reply)
@@ -26,13 +26,10 @@
 	return err
 }
 
-// Seen: what a box knows of the store by another one counts as fresher than it is, by as long as the answer was under way.
-//
-// How: an answer tells how old its news is; it may take up to swapLimit, 1.2 s, and its age then counts from its arrival.
-// With reliedShare, 1.2 s, a box relies on news of 2.4 s before it reads for itself; an endpoint that leaves may be sent to
-// for 2 s.
-//
-// Cause: takeFromPeer and heard go by the time of arrival; the time at which the call was sent is what is sure.
+// Guards against store data from another box that counts as fresher than it is, by the transit time of the reply. A
+// reply reports the age of its data and may take up to gossipTimeout, 1.2 s; if the age counted from its arrival, a box
+// would rely with storeDataShare, 1.2 s, on data that is 2.4 s old, while a draining endpoint may be sent to for 2 s.
+// So applyPeerList and receiveDigest count from the time of the call.
 func TestPeerUpdatesKeepTheirAgeInTransit(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	_, tellers := newHall(t, 1, r.endpoint("v1"))
@@ -40,7 +37,7 @@
 	hearer := hearers[0].daemon.router
 	hearers[0].control.change(func() { hearers[0].control.down = true })
 	require.Eventually(t, func() bool { return hearer.sync.isReadFailing(endpointsRead) }, patience, time.Millisecond)
-	// The teller hears of the hearer by the call; the hearer's own swaps with it would bring newer news.
+	// The first box learns of the second by the call; the second one's own exchanges would bring newer data.
 	hearers[0].daemon.stop()
 	hearers[0].daemon.workers.Close()
 	server := &lateServer{inner: &rpcServer{peers: tellers[0].daemon.router.peers}, delay: gossipTimeout - 300*time.Millisecond}
@@ -59,7 +56,7 @@
 	assert.LessOrEqual(t, hearer.sync.endpointsAsOf.UnixMilli(), server.answeredAt.UnixMilli())
 }
 
-// lateEndpoints is a store whose answers with the list of endpoints come in late, over a narrow link.
+// lateEndpoints is a store whose answers with the list of endpoints arrive late, over a narrow link.
 type lateEndpoints struct {
 	*testControl
 	delay      time.Duration
@@ -75,7 +72,7 @@
 	return changes, err
 }
 
-// What a box reads itself is as old as what it hears: an answer says what was so when it was made, not when it was in.
+// A box's own read counts as of the time when its answer was made, not of its arrival.
 func TestEndpointListIsDatedByTheTimeOfItsRead(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	control := &lateEndpoints{
@@ -86,7 +83,7 @@
 	made := <-control.answeredAt
 	x.sync.mu.Lock()
 	defer x.sync.mu.Unlock()
-	// Each answer that was taken has told before.
+	// Each answer that was applied has sent its time before.
 	for len(control.answeredAt) > 0 {
 		made = <-control.answeredAt
 	}
