--- a/exchange/declared_set.go
+++ b/exchange/declared_set.go
@@ -31,7 +31,7 @@
 
 	// declaredSetKeeper keeps the newest known set and applies it. Older sets never replace it.
 	declaredSetKeeper[K comparable] struct {
-		onChange func(old, news effectiveSet[K], source string) // called under the lock, in the order of the changes
+		onChange func(old, updated effectiveSet[K], source string) // called under the lock, in the order of the changes
 
 		mu            sync.Mutex
 		latest        declaredSet[K]
@@ -61,24 +61,24 @@
 	if next <= s.asOf {
 		return s, false
 	}
-	news := declaredSet[K]{
+	updated := declaredSet[K]{
 		asOf: next, members: map[K]willowwick.Position{}, revoked: map[K]willowwick.Position{}, heldOver: maps.Clone(s.heldOver),
 	}
 	if !isWhole {
-		maps.Copy(news.members, s.members)
+		maps.Copy(updated.members, s.members)
 		changes = slices.DeleteFunc(slices.Clone(changes), s.includes)
 	}
-	maps.Copy(news.revoked, s.revoked)
+	maps.Copy(updated.revoked, s.revoked)
 	for _, change := range changes {
-		news.applyChange(change)
+		updated.applyChange(change)
 		if !isWhole {
-			delete(news.heldOver, change.key)
+			delete(updated.heldOver, change.key)
 		}
 	}
 	if next.Era() != s.asOf.Era() {
-		news.heldOver = s.heldOverFor(news.members)
+		updated.heldOver = s.heldOverFor(updated.members)
 	}
-	return news, true
+	return updated, true
 }
 
 // applyChange applies a change to the set.
@@ -108,14 +108,14 @@
 			held[key] = HeldOver{Stood: true, At: at}
 		}
 	}
-	for key, takenBack := range s.revoked {
-		if at, isCopied := copied[key]; isCopied && at.Offset() < takenBack.Offset() {
+	for key, revokedAt := range s.revoked {
+		if at, isCopied := copied[key]; isCopied && at.Offset() < revokedAt.Offset() {
 			held[key] = HeldOver{}
 		}
 	}
-	for key, before := range s.heldOver {
-		if _, isCopied := copied[key]; isCopied && !before.Stood {
-			held[key] = before
+	for key, former := range s.heldOver {
+		if _, isCopied := copied[key]; isCopied && !former.Stood {
+			held[key] = former
 		}
 	}
 	return held
@@ -155,30 +155,30 @@
 func (k *declaredSetKeeper[K]) applyRead(isWhole bool, next willowwick.Position, changes []declaredChange[K]) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if news, isNews := k.latest.withRead(isWhole, next, changes); isNews {
-		k.replace(news, "store")
+	if updated, isNewer := k.latest.withRead(isWhole, next, changes); isNewer {
+		k.replace(updated, "store")
 	}
 }
 
 // applyPeerSet applies the set of another box if it is newer.
-func (k *declaredSetKeeper[K]) applyPeerSet(news declaredSet[K], source string) {
+func (k *declaredSetKeeper[K]) applyPeerSet(updated declaredSet[K], source string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if news.asOf > k.latest.asOf {
-		k.replace(news, source)
+	if updated.asOf > k.latest.asOf {
+		k.replace(updated, source)
 	}
 }
 
 // replace keeps a set and applies it; the caller holds the lock.
-func (k *declaredSetKeeper[K]) replace(news declaredSet[K], source string) {
-	era := news.asOf.Era()
+func (k *declaredSetKeeper[K]) replace(updated declaredSet[K], source string) {
+	era := updated.asOf.Era()
 	switch {
 	case era <= k.settledEra:
-		news.heldOver = nil // a box that learnt of the era later still holds keys over
+		updated.heldOver = nil // a box that learnt of the era later still holds keys over
 	case k.settleTimer == nil || era != k.latest.asOf.Era():
 		k.scheduleSettle()
 	}
-	k.latest = news
+	k.latest = updated
 	k.updateEffective(source)
 }
 
--- a/exchange/digest.go
+++ b/exchange/digest.go
@@ -81,11 +81,11 @@
 }
 
 // addTransitTime adds the time that the digest may have been in transit to the ages of the store's data in it.
-func (d *Digest) addTransitTime(underWay time.Duration) {
-	d.ReadAgeMs += underWay.Milliseconds()
-	d.StoreAgeMs += underWay.Milliseconds()
+func (d *Digest) addTransitTime(transit time.Duration) {
+	d.ReadAgeMs += transit.Milliseconds()
+	d.StoreAgeMs += transit.Milliseconds()
 	if d.ConfigAgeMs > 0 {
-		d.ConfigAgeMs += underWay.Milliseconds()
+		d.ConfigAgeMs += transit.Milliseconds()
 	}
 }
 
--- a/exchange/evidence.go
+++ b/exchange/evidence.go
@@ -147,15 +147,15 @@
 		if key.Service != service {
 			continue
 		}
-		news := total.Since(m.seen[key])
+		added := total.Since(m.seen[key])
 		m.seen[key] = total
 		kind := rollout.Kind(key.Route)
 		counts := routes[kind]
 		if key.Release == m.order.Target {
-			counts.Version = counts.Version.Add(news)
+			counts.Version = counts.Version.Add(added)
 		} else {
-			counts.Others = counts.Others.Add(news)
-			others = others.Add(news)
+			counts.Others = counts.Others.Add(added)
+			others = others.Add(added)
 		}
 		routes[kind] = counts
 	}
--- a/exchange/freshness_test.go
+++ b/exchange/freshness_test.go
@@ -19,12 +19,12 @@
 		next willowwick.Position
 		want time.Duration // since it began
 	}{
-		"news, which may have been under way since":         {500 * time.Millisecond, wait, 8, 0},
-		"no news, after the whole wait":                     {610 * time.Millisecond, wait, 7, wait},
-		"no news, before the wait was over":                 {100 * time.Millisecond, wait, 7, 0},
-		"no news, at once, where the read may not be held":  {40 * time.Millisecond, 0, 7, 0},
-		"news that came in slowly":                          {5 * time.Second, wait, 8, 0},
-		"no news, in an answer that was long under way too": {5 * time.Second, wait, 7, wait},
+		"changes, possibly in transit since":               {500 * time.Millisecond, wait, 8, 0},
+		"no changes, after the whole wait":                 {610 * time.Millisecond, wait, 7, wait},
+		"no changes, before the wait was over":             {100 * time.Millisecond, wait, 7, 0},
+		"no changes, immediately, without long poll":       {40 * time.Millisecond, 0, 7, 0},
+		"changes that arrived slowly":                      {5 * time.Second, wait, 8, 0},
+		"no changes, in an answer that arrived slowly too": {5 * time.Second, wait, 7, wait},
 	} {
 		asOf := declarationsAsOf(began, began.Add(read.took), read.wait, 7, willowwick.Declarations{Next: read.next})
 		assert.Equal(t, read.want, asOf.Sub(began), name)
@@ -37,12 +37,12 @@
 		digest Digest
 		want   time.Duration
 	}{
-		"the same":                {Digest{TableVersion: 5, ConfigAgeMs: 300}, 300 * time.Millisecond},
-		"an older one":            {Digest{TableVersion: 4, ConfigAgeMs: 300}, 300 * time.Millisecond},
-		"a newer one":             {Digest{TableVersion: 6, ConfigAgeMs: 300}, time.Second},
-		"longer ago":              {Digest{TableVersion: 5, ConfigAgeMs: 3000}, time.Second},
-		"of an earlier release":   {Digest{TableVersion: 5}, time.Second},
-		"one that never was read": {Digest{TableVersion: 5, ConfigAgeMs: maxReportedAge.Milliseconds()}, time.Second},
+		"the same":              {Digest{TableVersion: 5, ConfigAgeMs: 300}, 300 * time.Millisecond},
+		"an older one":          {Digest{TableVersion: 4, ConfigAgeMs: 300}, 300 * time.Millisecond},
+		"a newer one":           {Digest{TableVersion: 6, ConfigAgeMs: 300}, time.Second},
+		"confirmed longer ago":  {Digest{TableVersion: 5, ConfigAgeMs: 3000}, time.Second},
+		"of an earlier release": {Digest{TableVersion: 5}, time.Second},
+		"never read":            {Digest{TableVersion: 5, ConfigAgeMs: maxReportedAge.Milliseconds()}, time.Second},
 	} {
 		x, closeRouter := newRouter(testSettings(), testCodec{})
 		defer closeRouter()
--- a/exchange/gossip.go
+++ b/exchange/gossip.go
@@ -121,7 +121,7 @@
 	call := SwapCall{
 		Digest: p.ownDigest(now), KnownSum: p.rosterSum(now), TakesChanges: true, WantsList: p.router.sync.wantsWholeList(address, now),
 	}
-	if version, takesPacked, heard := p.configVersionOf(address); heard {
+	if version, takesPacked, hasDigest := p.configVersionOf(address); hasDigest {
 		call.Table, call.Packed = p.tableForPeer(version, takesPacked)
 	}
 	call.Harm = p.quarantine.CallTo(address, now)
@@ -138,11 +138,11 @@
 	p.applyPeerTable(reply.Table, reply.Packed, &reply.Digest)
 	p.router.sync.noteConfigFromPeer(&reply.Digest, now)
 	p.router.sync.applyPeerList(reply, now)
-	isNews := p.quarantine.Took(call.Harm, reply.Harm, reply.Digest.Address, reply.Digest.Boot, now)
-	if isNews {
+	quarantineChanged := p.quarantine.Took(call.Harm, reply.Harm, reply.Digest.Address, reply.Digest.Boot, now)
+	if quarantineChanged {
 		p.router.ends.countDropped()
 	}
-	if p.limits.Took(reply.Limits, reply.Digest.Address, sent) || isNews {
+	if p.limits.Took(reply.Limits, reply.Digest.Address, sent) || quarantineChanged {
 		p.requestRound()
 	}
 }
@@ -157,12 +157,12 @@
 	reply.Table, reply.Packed = p.tableForPeer(call.Digest.TableVersion, call.Digest.TakesPacked)
 	reply.Endpoints = p.router.sync.listForPeer(call)
 	p.router.metrics.countListSent(reply.Endpoints)
-	isNews := false
-	if reply.Harm, isNews = p.quarantine.Answer(call.Harm, call.Digest.Address, now); isNews {
+	quarantineChanged := false
+	if reply.Harm, quarantineChanged = p.quarantine.Answer(call.Harm, call.Digest.Address, now); quarantineChanged {
 		p.router.ends.countDropped()
 	}
-	var isLimitNews bool
-	if reply.Limits, isLimitNews = p.limits.Answer(call.Limits, call.Digest.Address, now); isNews || isLimitNews {
+	var limitsChanged bool
+	if reply.Limits, limitsChanged = p.limits.Answer(call.Limits, call.Digest.Address, now); quarantineChanged || limitsChanged {
 		p.requestRound()
 	}
 	if call.KnownSum == p.rosterSum(now) {
--- a/exchange/hub.go
+++ b/exchange/hub.go
@@ -72,10 +72,10 @@
 
 // isCutOffFromStore reports whether a box's last read of the store is too long ago to rely on it.
 func (p *peers) isCutOffFromStore(known *peer, now time.Time) bool {
-	told, since := time.Duration(known.digest.ReadAgeMs)*time.Millisecond, now.Sub(known.heardAt)
+	readAge, since := time.Duration(known.digest.ReadAgeMs)*time.Millisecond, now.Sub(known.heardAt)
 	limit := p.router.maxStoreDataAge()
 	// Checked separately: a box of an earlier release may report the longest duration, to which nothing can be added.
-	return told > limit || told+since > limit
+	return readAge > limit || readAge+since > limit
 }
 
 // hub returns the box of its hall that this one exchanges gossip with: the reader, or while no box reaches the store
--- a/exchange/known.go
+++ b/exchange/known.go
@@ -177,7 +177,7 @@
 
 // configVersionOf returns the configuration version that a box last reported and whether it accepts packed
 // configurations.
-func (p *peers) configVersionOf(address string) (version uint64, takesPacked, heard bool) {
+func (p *peers) configVersionOf(address string) (version uint64, takesPacked, hasDigest bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known := p.known[address]
--- a/exchange/lead.go
+++ b/exchange/lead.go
@@ -30,12 +30,12 @@
 	sleep(ctx, hubSearchTime)
 	for ctx.Err() == nil {
 		now := clock.Now()
-		_, isFed := s.router.peers.reader(now)
+		_, hasReader := s.router.peers.reader(now)
 		switch {
 		case s.maySkipCalls(now):
 			// A call would fail; the group has dropped this box by then, or does so now.
 			s.setLeader(false, "the store is not reached")
-		case isFed:
+		case hasReader:
 			s.leaveGroup(ctx, member)
 		default:
 			listedAt = s.joinGroup(ctx, member, listedAt)
--- a/exchange/list_gossip.go
+++ b/exchange/list_gossip.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// isAdvertised reports whether other boxes are told that an endpoint is listed. One whose entry has lapsed is not: a
+// isAdvertised reports whether other boxes get the entry of an endpoint. One whose entry has lapsed is not: a
 // box that could not reach the store either applies its own grace period, and one that could knows whether the endpoint
 // is gone. The caller holds the lock.
 func (s *syncer) isAdvertised(id willowwick.EndpointID) bool {
@@ -123,8 +123,8 @@
 func (s *syncer) applyPeerList(reply SwapReply, now time.Time) {
 	s.mu.Lock()
 	list := reply.Endpoints
-	isNews := list != nil && s.hasUpdates(list, reply.Digest.Address)
-	if isNews {
+	hasUpdates := list != nil && s.hasUpdates(list, reply.Digest.Address)
+	if hasUpdates {
 		// The other box has already confirmed the endpoints that it lists.
 		for i, endpoint := range list.Endpoints {
 			delete(s.removed, endpoint.ID)
@@ -146,7 +146,7 @@
 	if s.hasList && reply.Digest.EndpointsFrom <= s.readTo && asOf.After(s.endpointsAsOf) {
 		s.endpointsAsOf = asOf
 	}
-	if isNews {
+	if hasUpdates {
 		s.publishList()
 	}
 	s.mu.Unlock()
--- a/exchange/listing.go
+++ b/exchange/listing.go
@@ -187,7 +187,7 @@
 	}
 	// Draining is final: an entry that arrives later and says otherwise was written before.
 	endpoint.Leaving = endpoint.Leaving || old.Leaving
-	// Boxes that were told that the entry lapsed drop the endpoint unless they learn that it is back.
+	// Boxes that received the lapse of the entry drop the endpoint unless they receive its return.
 	if !known || !s.isAdvertised(endpoint.ID) || !isSameEntry(old, endpoint) {
 		s.noteChange(endpoint.ID)
 	}
--- a/exchange/logs_test.go
+++ b/exchange/logs_test.go
@@ -38,6 +38,6 @@
 	flush()
 	text := out.String()
 	assert.Contains(t, text, `msg="log lines were dropped" lines=`+fmt.Sprint(lost)+` dropped_so_far=`+fmt.Sprint(lost))
-	assert.Equal(t, logQueueLines+1+dropped-int(lost)+1, strings.Count(text, "\n"), "each line that was taken, and the one that tells")
-	assert.Equal(t, 1, strings.Count(text, "were dropped"), "it is told once")
+	assert.Equal(t, logQueueLines+1+dropped-int(lost)+1, strings.Count(text, "\n"), "each line that was queued, and the report")
+	assert.Equal(t, 1, strings.Count(text, "were dropped"), "it is reported once")
 }
--- a/exchange/mesh_test.go
+++ b/exchange/mesh_test.go
@@ -230,8 +230,8 @@
 }
 
 // run lets the boxes read and exchange gossip for a duration of virtual time.
-func (m *mesh) run(t *testing.T, length time.Duration) {
-	for until := time.Now().Add(length); time.Now().Before(until); time.Sleep(meshStep) {
+func (m *mesh) run(t *testing.T, duration time.Duration) {
+	for until := time.Now().Add(duration); time.Now().Before(until); time.Sleep(meshStep) {
 		if m.advancesOffset {
 			m.store.end += willowwick.Position(len(m.store.entries)) * willowwick.Position(meshStep) / willowwick.Position(time.Second)
 		}
@@ -287,10 +287,10 @@
 	if now.Before(box.nextConfigRead) || box.sync.hasReader(now) {
 		return
 	}
-	held := box.sync.longPollLimit()
-	box.nextConfigRead = now.Add(held)
+	longPoll := box.sync.longPollLimit()
+	box.nextConfigRead = now.Add(longPoll)
 	if !m.isAway && !box.isRefused {
-		box.sync.noteConfigAsOf(now.Add(-held))
+		box.sync.noteConfigAsOf(now.Add(-longPoll))
 	}
 }
 
--- a/exchange/peers_test.go
+++ b/exchange/peers_test.go
@@ -34,7 +34,7 @@
 func readers(sites []*site) []*site {
 	var found []*site
 	for _, s := range sites {
-		if _, isFed := s.daemon.router.peers.reader(time.Now()); !isFed {
+		if _, hasReader := s.daemon.router.peers.reader(time.Now()); !hasReader {
 			found = append(found, s)
 		}
 	}
--- a/exchange/publish_test.go
+++ b/exchange/publish_test.go
@@ -20,7 +20,7 @@
 		"read": func(s *syncer) {
 			s.applyListRead(willowwick.EndpointChanges{Whole: true, Present: []willowwick.Endpoint{endpoint}, Next: 1}, now, now)
 		},
-		"told": func(s *syncer) {
+		"received": func(s *syncer) {
 			s.applyPeerList(SwapReply{Endpoints: &EndpointList{Endpoints: []willowwick.Endpoint{endpoint}, Next: 1, From: 1, Told: now}}, now)
 		},
 	} {
--- a/exchange/regain_test.go
+++ b/exchange/regain_test.go
@@ -65,11 +65,11 @@
 	settings.Box, settings.LinkMbps, settings.Seeds = "box-first", 200, []string{x.settings.Peers}
 	first := startSite(t, controls[0], settings)
 	require.Eventually(t, func() bool {
-		_, isFed := x.peers.reader(time.Now())
-		return isFed
+		_, hasReader := x.peers.reader(time.Now())
+		return hasReader
 	}, patience, 10*time.Millisecond)
 	time.Sleep(peerLiveness)
-	require.True(t, x.sync.isReadFailing(declarationsRead), "a box that is fed reads none that could take it back")
+	require.True(t, x.sync.isReadFailing(declarationsRead), "a box with a reader makes no read that could clear the failure")
 	controls[1].isRefusing.Store(false)
 	return control, controls, []*site{first, second}
 }
--- a/exchange/sync.go
+++ b/exchange/sync.go
@@ -12,7 +12,7 @@
 
 const (
 	// longPollShare is the share of the time to put a configuration in force for which the store may hold a read of the
-	// declarations (a long poll). A waiting read can't be told from one that was lost with its connection, so this
+	// declarations (a long poll). A waiting read can't be distinguished from one that was lost with its connection, so this
 	// bounds the cost of a lost one; the remaining time is for the response header timeout, the next read and the
 	// gossip exchanges that distribute the result.
 	longPollShare = 0.3
@@ -196,10 +196,10 @@
 }
 
 // pauseAfterFailure records a failed read, waits before the next one, and returns how long it waited.
-func (s *syncer) pauseAfterFailure(ctx context.Context, kind readKind, before time.Duration, err error) time.Duration {
+func (s *syncer) pauseAfterFailure(ctx context.Context, kind readKind, previous time.Duration, err error) time.Duration {
 	now := clock.Now()
 	s.noteFailure(kind, now, err)
-	pause := s.nextRetryPause(before, now)
+	pause := s.nextRetryPause(previous, now)
 	sleep(ctx, pause)
 	return pause
 }
@@ -209,7 +209,7 @@
 func (s *syncer) nextRetryPause(pause time.Duration, now time.Time) time.Duration {
 	next := min(max(2*pause, minReadRetry), maxReadRetry)
 	if !s.router.peers.hasPredecessor(now) {
-		if _, isFed := s.router.peers.reader(now); isFed {
+		if _, hasReader := s.router.peers.reader(now); hasReader {
 			return min(max(2*pause, minReadRetry), maxHubReadRetry)
 		}
 		return next
@@ -299,8 +299,8 @@
 	}
 }
 
-func sleep(ctx context.Context, length time.Duration) {
-	timer := time.NewTimer(length)
+func sleep(ctx context.Context, duration time.Duration) {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
