--- a/exchange/peers.go
+++ b/exchange/peers.go
@@ -103,8 +103,9 @@
 	return size
 }
 
-// slackShares returns the number of boxes that the fleet's retry budget is divided by. Escalations are frequent and can
-// wait until a new box knows its fleet; failovers are rare, and without one a caller's answer is cut off.
+// slackShares returns the number of boxes that the slack of the fleet's retry budget is divided by. Escalations are
+// frequent and can wait until a new box knows its fleet; failovers are rare, and without one a caller's answer is cut
+// off.
 func (p *peers) slackShares(kind route.RepeatKind, now time.Time) int {
 	if kind == route.RepeatEscalation && now.Sub(p.startedAt) < fleetDiscoveryTime {
 		return max(p.fleetSize(), assumedFleetSize)
--- a/exchange/sync.go
+++ b/exchange/sync.go
@@ -27,7 +27,7 @@
 	// minReadRetry and maxReadRetry bound the backoff between failed reads.
 	minReadRetry = 150 * time.Millisecond
 	maxReadRetry = 600 * time.Millisecond
-	// maxHubReadRetry is the upper bound on the first box of a hall while another one reads for it: nobody waits for
+	// maxHubReadRetry is the upper bound on the first box of a hall while another one reads for it: no box waits for
 	// it.
 	maxHubReadRetry = 2400 * time.Millisecond
 	// hallProbeInterval is how often the boxes of a hall together check whether an unavailable store is back, except
