--- a/exchange/peers.go
+++ b/exchange/peers.go
@@ -59,7 +59,8 @@
 		return dialer.DialContext(ctx, "tcp", address)
 	}, nil)
 	p := &peers{
-		router: x, transport: transport, startedAt: clock.Now(), startedMs: clock.TimeOfDay().UnixMilli(), limits: ratelimit.NewPeers(x.limits), granter: ratelimit.NewGranter(x.limits), roundRequested: make(chan struct{}, 1),
+		router: x, transport: transport, startedAt: clock.Now(), startedMs: clock.TimeOfDay().UnixMilli(),
+		limits: ratelimit.NewPeers(x.limits), granter: ratelimit.NewGranter(x.limits), roundRequested: make(chan struct{}, 1),
 		quarantine: quarantine.NewPeers(x.harm, x.settings.Boot),
 		known:      map[string]*peer{}, otherHalls: map[willowwick.HallID]receivedReport{},
 	}
