--- a/exchange/hub.go
+++ b/exchange/hub.go
@@ -78,9 +78,9 @@
 	return readAge > limit || readAge+since > limit
 }
 
-// hub returns the box of its hall that this one exchanges gossip with: the reader, or while no box reaches the store
-// the first live one, so that an unavailable store doesn't make all boxes exchange with all; false if that is this box
-// itself.
+// hub returns the digest of the box of its hall that this one exchanges gossip with: the reader, or while no box
+// reaches the store the first live one, so that an unavailable store doesn't make all boxes exchange with all; false if
+// that is this box itself.
 func (p *peers) hub(now time.Time) (Digest, bool) {
 	if reader, found := p.reader(now); found {
 		return reader, true
--- a/exchange/list_gossip.go
+++ b/exchange/list_gossip.go
@@ -111,9 +111,9 @@
 	}
 }
 
-// isAdvertised reports whether other boxes get the entry of an endpoint. One whose entry has lapsed is not: a
-// box that could not reach the store either applies its own grace period, and one that could knows whether the endpoint
-// is gone. The caller holds the lock.
+// isAdvertised reports whether other boxes get the entry of an endpoint. One whose entry has lapsed is not advertised:
+// a box that could not reach the store either applies its own grace period, and one that could knows whether the
+// endpoint is gone. The caller holds the lock.
 func (s *syncer) isAdvertised(id willowwick.EndpointID) bool {
 	_, isLapsed := s.lapsed[id]
 	return !isLapsed
@@ -154,8 +154,8 @@
 }
 
 // hasUpdates reports whether a list of another box holds changes beyond what this one has read, or is to replace its
-// list. An endpoint that was added and removed up to there is unknown to this box, which would never learn of its
-// removal. The caller holds the lock.
+// list. Older changes are ignored: they may list an endpoint that was added and removed before this box's read, and the
+// box would never learn of the removal. The caller holds the lock.
 func (s *syncer) hasUpdates(list *EndpointList, from string) bool {
 	if list.Since == 0 && s.differsFromReader && s.readerAddress == from {
 		return list.Next >= s.readTo
