--- a/exchange/gossip.go
+++ b/exchange/gossip.go
@@ -81,7 +81,8 @@
 	return min(gossipInterval, scale(p.router.settings.Drain, gossipDrainShare))
 }
 
-// beginExchange reports whether an exchange with the box may begin: the previous one must be over.
+// beginExchange marks an exchange with a box as in progress, and returns false if the previous one is not over or the
+// box is not known.
 func (p *peers) beginExchange(address string, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
