--- a/exchange/admission.go
+++ b/exchange/admission.go
@@ -19,13 +19,13 @@
 
 	// admissions keeps the newest known set of admitted requests and applies it to the ledger.
 	admissions struct {
-		standingKeeper[willowwick.Fingerprint]
+		declaredSetKeeper[willowwick.Fingerprint]
 	}
 )
 
 func newAdmissions(poison *quarantine.Ledger) *admissions {
 	a := &admissions{}
-	a.put = func(old, updated inForce[willowwick.Fingerprint], source string) {
+	a.onChange = func(old, updated effectiveSet[willowwick.Fingerprint], source string) {
 		if len(updated.members) > 0 || len(old.members) > 0 {
 			slog.Info("requests admitted by the operator", "requests", len(updated.members), "as_of", updated.asOf, "source", source)
 		}
@@ -37,19 +37,19 @@
 // set returns the newest known set; it is empty until the operator has admitted a request.
 func (a *admissions) set() AdmittedRequests {
 	known := a.newest()
-	return AdmittedRequests{AsOf: known.asOf, Requests: known.members, TakenBack: known.takenBack, HeldOver: known.heldOver}
+	return AdmittedRequests{AsOf: known.asOf, Requests: known.members, TakenBack: known.revoked, HeldOver: known.heldOver}
 }
 
 // declare applies the declarations that a read of the store returned.
 func (a *admissions) declare(declared willowwick.Declarations) {
-	changes := make([]standingChange[willowwick.Fingerprint], 0, len(declared.Admissions))
+	changes := make([]declaredChange[willowwick.Fingerprint], 0, len(declared.Admissions))
 	for _, admission := range declared.Admissions {
-		changes = append(changes, standingChange[willowwick.Fingerprint]{admission.Request, admission.TakenBack, admission.At})
+		changes = append(changes, declaredChange[willowwick.Fingerprint]{admission.Request, admission.TakenBack, admission.At})
 	}
-	a.standingKeeper.declare(declared.Whole, declared.Next, changes)
+	a.declaredSetKeeper.applyRead(declared.Whole, declared.Next, changes)
 }
 
 // receive merges the set that another box reported.
 func (a *admissions) receive(update AdmittedRequests, source string) {
-	a.standingKeeper.hear(standing[willowwick.Fingerprint]{update.AsOf, update.Requests, update.TakenBack, update.HeldOver}, source)
+	a.declaredSetKeeper.applyPeerSet(declaredSet[willowwick.Fingerprint]{update.AsOf, update.Requests, update.TakenBack, update.HeldOver}, source)
 }
--- a/exchange/call.go
+++ b/exchange/call.go
@@ -121,7 +121,7 @@
 		return nil, x.unlessStale(refusal, t, arrived)
 	}
 	c.prepare()
-	c.yieldsToUrgent = x.shortages.mustYield(c.service, urgency(c.route, c.account), arrived)
+	c.yieldsToUrgent = x.shortages.mustYield(c.service, requestPriority(c.route, c.account), arrived)
 	if refusal := c.refusePoison(arrived); refusal != nil {
 		return nil, refusal
 	}
@@ -130,7 +130,7 @@
 
 // resolveRoute looks up the request's route and client account in the configuration.
 func (c *call) resolveRoute(path string) *willowwick.Refusal {
-	if c.route = c.table.route(c.message.Host, path); c.route == nil {
+	if c.route = c.table.findRoute(c.message.Host, path); c.route == nil {
 		return willowwick.Invalid(willowwick.CodeUnknownService, "path", "no route matches host %q and path %q", c.message.Host, path)
 	}
 	if c.route.Anonymous || len(c.table.Accounts) == 0 {
@@ -146,7 +146,7 @@
 // force. Staleness is determined before the table is compared: a configuration that takes effect in between doesn't
 // make the older one current.
 func (x *Router) unlessStale(refusal *willowwick.Refusal, t *table, now time.Time) *willowwick.Refusal {
-	isStale := x.sync.isStale(now) || x.table.Load() != t
+	isStale := x.sync.isConfigStale(now) || x.table.Load() != t
 	return refusal.UnlessStale(isStale, now.Add(notReadyRetryAfter))
 }
 
@@ -206,7 +206,7 @@
 	if !c.head.Deadline.IsZero() && c.head.Deadline.Before(c.deadline) {
 		c.deadline = c.head.Deadline
 	}
-	c.service = c.table.service(c.route, string(c.head.ID))
+	c.service = c.table.chooseService(c.route, string(c.head.ID))
 	if c.head.Model == anyModel && len(c.route.Models) > 0 {
 		c.cascadeStage = 0
 	}
@@ -396,17 +396,17 @@
 // failure, or writes the refusal.
 func (c *call) finishUnanswered(refusal *willowwick.Refusal) {
 	if c.ctx.Err() != nil && !c.isPastDeadline() {
-		c.router.metrics.outcome("caller_left")
+		c.router.metrics.countOutcome("caller_left")
 		c.logCompletion("caller left", 0)
 		return
 	}
 	switch {
 	case c.out.headSent:
-		c.router.metrics.outcome("cut")
+		c.router.metrics.countOutcome("cut")
 		c.logCompletion("answer cut off", 0, "cause", refusal.Message)
 		c.out.abort()
 	case c.failure != nil:
-		c.router.metrics.outcome("endpoint_failed")
+		c.router.metrics.countOutcome("endpoint_failed")
 		c.logCompletion("endpoint's failure passed on", c.failure.status)
 		c.out.writeFailure(c.failure)
 	default:
--- a/exchange/choice.go
+++ b/exchange/choice.go
@@ -128,7 +128,7 @@
 	if m != nil {
 		choice = r.chooseInRollout(m, session, now)
 	}
-	choice.banned = r.verdicts.banned(service, now)
+	choice.banned = r.verdicts.bannedReleases(service, now)
 	key := string(service) + "/" + session
 	seen := sessionRecord{until: deadline.Add(r.settings.Session)}
 	if choice.useTarget {
@@ -143,7 +143,7 @@
 func (r *releases) isRetired(service willowwick.ServiceID, release willowwick.ReleaseID, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if slices.Contains(r.verdicts.banned(service, now), release) {
+	if slices.Contains(r.verdicts.bannedReleases(service, now), release) {
 		return true
 	}
 	m := r.rollouts[service]
--- a/exchange/crash.go
+++ b/exchange/crash.go
@@ -78,10 +78,10 @@
 // draining or no longer listed, or whose release is retired, may have been stopped by its operator and doesn't
 // count.
 func (e *crashDetector) hasCrashed(ctx context.Context, endpoint willowwick.Endpoint, brokeAt time.Time) bool {
-	if e.router.sync.hasStartedAgain(endpoint) {
+	if e.router.sync.hasRestarted(endpoint) {
 		return true
 	}
-	_, isListed := e.router.sync.entry(endpoint.ID)
+	_, isListed := e.router.sync.listedEndpoint(endpoint.ID)
 	if !isListed || e.router.pool.IsLeaving(endpoint.ID) || e.router.releases.isRetired(endpoint.Service, endpoint.Release, brokeAt) {
 		return false
 	}
--- a/exchange/daemon.go
+++ b/exchange/daemon.go
@@ -17,50 +17,52 @@
 )
 
 const (
-	// dialLimit is how long a connection to an endpoint may take: the way there and back takes some milliseconds.
-	dialLimit = 500 * time.Millisecond
-	// sendSilence is how long sent bytes may stay unacknowledged: a lost packet is sent again well before.
-	sendSilence = 1500 * time.Millisecond
-	// headerLimit bounds how long a caller may take to send its head, and headerBytes its size; the operator's
+	// dialTimeout bounds connecting to an endpoint: the round trip takes some milliseconds.
+	dialTimeout = 500 * time.Millisecond
+	// unackedTimeout bounds how long sent bytes may stay unacknowledged: a lost packet is retransmitted well before.
+	unackedTimeout = 1500 * time.Millisecond
+	// headerTimeout bounds the time to read a caller's request header, and maxHeaderBytes its size; the operator's
 	// limits are below both.
-	headerLimit = 10 * time.Second
-	headerBytes = 64 << 10
-	// idleLimit is how long a caller's connection may rest: above what operators declare.
-	idleLimit = 120 * time.Second
-	// leaveEarly is how long before the end of the grace the process ends by itself; boxes with a fifth of a core take
-	// most of it for the last steps.
-	leaveEarly = time.Second
-	// lastAnswer is how long before that the time of the last requests is up: a goroutine of a box with a fifth of a core
-	// may stand for 100 ms, and the end of a request's time and its answer are two of its steps.
-	lastAnswer = 250 * time.Millisecond
-	// DefaultTurnAway is how long the entry takes to see that a box is not ready, and callers to finish what they began.
+	headerTimeout  = 10 * time.Second
+	maxHeaderBytes = 64 << 10
+	// callerIdleTimeout bounds how long a caller's connection may be idle: above what operators declare.
+	callerIdleTimeout = 120 * time.Second
+	// exitMargin is how long before the end of the grace period the process exits by itself; boxes with a fifth of a
+	// core take most of it for the last steps.
+	exitMargin = time.Second
+	// lastAnswerMargin is how long before that the last requests time out: on a box with a fifth of a core a goroutine
+	// may be delayed by 100 ms, and the timeout of a request and its answer are two of its steps.
+	lastAnswerMargin = 250 * time.Millisecond
+	// DefaultTurnAway is how long the entry takes to notice that a box is not ready, and callers to finish what they
+	// began.
 	DefaultTurnAway = 2500 * time.Millisecond
-	// quietPoll is how often a stopping box looks whether requests are under way.
-	quietPoll = 20 * time.Millisecond
-	// quietLooks is how many looks in a row must find nothing: bytes of a request may be on their way meanwhile.
-	quietLooks = 3
-	// leaveLimit is how long leaving the group may take.
-	leaveLimit = 300 * time.Millisecond
+	// idlePollInterval is how often a stopping box checks for requests in progress.
+	idlePollInterval = 20 * time.Millisecond
+	// idlePollsRequired is how many consecutive checks must find none: bytes of a request may arrive between two of
+	// them.
+	idlePollsRequired = 3
+	// leaveGroupTimeout bounds leaving the group.
+	leaveGroupTimeout = 300 * time.Millisecond
 )
 
 type (
-	// Outside is what a daemon reaches and is reached by.
-	Outside struct {
+	// Dependencies are the store, the codec, the listeners and the connections that a daemon uses.
+	Dependencies struct {
 		Control willowwick.Control
 		Codec   willowwick.HeaderCodec
 		Callers net.Listener
 		Ready   net.Listener
 		Peers   net.Listener
 		Metrics net.Listener
-		Hints   net.PacketConn // between boxes, at the address of Peers; nil for none
-		// Counters are shown beside the daemon's own.
+		Hints   net.PacketConn // datagrams between boxes, at the address of Peers; nil for none
+		// Counters are exposed beside the daemon's own metrics.
 		Counters *metrics.Set
 	}
 
 	// Daemon is one box of the exchange.
 	Daemon struct {
 		router  *Router
-		outside Outside
+		deps    Dependencies
 		callers *callerListener
 		servers []*http.Server
 		workers fleet.Workers
@@ -69,38 +71,39 @@
 )
 
 // New returns a daemon that is not running yet, and a function that closes its connections.
-func New(settings Settings, outside Outside) (*Daemon, func()) {
+func New(settings Settings, outside Dependencies) (*Daemon, func()) {
 	x, closeRouter := newRouter(settings, outside.Codec)
 	x.sync = newSyncer(x, outside.Control)
 	var closePeers func()
 	x.peers, closePeers = newPeers(x)
 	x.hints = newHints(x, outside.Hints)
-	return &Daemon{router: x, outside: outside, callers: newCallerListener(outside.Callers)}, func() {
+	return &Daemon{router: x, deps: outside, callers: newCallerListener(outside.Callers)}, func() {
 		closePeers()
 		closeRouter()
 	}
 }
 
-// Start serves callers, the entry, peers and metrics; the function it returns stops everything at once.
+// Start serves callers, the entry's readiness checks, peers and metrics; the function it returns stops everything
+// immediately.
 func (d *Daemon) Start() func() {
 	ctx, cancel := context.WithCancel(context.Background())
 	d.cancel = cancel
 	x := d.router
 	d.serve(d.callers, x)
-	d.serve(d.outside.Ready, http.HandlerFunc(d.answerReady))
-	d.serve(d.outside.Metrics, http.HandlerFunc(d.answerMetrics))
+	d.serve(d.deps.Ready, http.HandlerFunc(d.serveReady))
+	d.serve(d.deps.Metrics, http.HandlerFunc(d.serveMetrics))
 	d.workers.Go(func() {
-		if err := x.peers.serve(d.outside.Peers); err != nil {
-			slog.Error("peers are not served", "error", err)
+		if err := x.peers.serve(d.deps.Peers); err != nil {
+			slog.Error("serving peers failed", "error", err)
 		}
 	})
-	if d.outside.Hints != nil {
+	if d.deps.Hints != nil {
 		d.workers.Go(x.hints.receive)
 		d.workers.Go(func() { x.hints.send(ctx) })
 	}
 	for _, work := range []func(context.Context){
-		x.gate.Run, x.sync.followDeclarations, x.sync.followOrdered, x.sync.followEndpoints, x.sync.keepMembership,
-		x.sync.judgeReleases, x.sync.lead, x.sync.runPoisonSync, x.peers.run,
+		x.gate.Run, x.sync.followDeclarations, x.sync.followRolloutOrders, x.sync.followEndpoints, x.sync.maintainMembership,
+		x.sync.evaluateReleases, x.sync.writeRolloutStates, x.sync.runPoisonSync, x.peers.run,
 	} {
 		d.workers.Go(func() { work(ctx) })
 	}
@@ -111,23 +114,23 @@
 	d.cancel()
 	for _, server := range d.servers {
 		if err := server.Close(); err != nil {
-			slog.Debug("server did not close", "error", err)
+			slog.Debug("closing a server failed", "error", err)
 		}
 	}
-	if err := d.outside.Peers.Close(); err != nil {
-		slog.Debug("listener for peers did not close", "error", err)
+	if err := d.deps.Peers.Close(); err != nil {
+		slog.Debug("closing the listener for peers failed", "error", err)
 	}
-	if d.outside.Hints == nil {
+	if d.deps.Hints == nil {
 		return
 	}
-	if err := d.outside.Hints.Close(); err != nil {
-		slog.Debug("datagrams of boxes did not close", "error", err)
+	if err := d.deps.Hints.Close(); err != nil {
+		slog.Debug("closing the hint socket failed", "error", err)
 	}
 }
 
 func (d *Daemon) serve(listener net.Listener, handler http.Handler) {
 	server := &http.Server{
-		Handler: handler, ReadHeaderTimeout: headerLimit, IdleTimeout: idleLimit, MaxHeaderBytes: headerBytes,
+		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}
 	if listener == d.callers {
@@ -138,68 +141,68 @@
 	d.servers = append(d.servers, server)
 	d.workers.Go(func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
-			slog.Error("server ended", "error", err)
+			slog.Error("HTTP server failed", "error", err)
 		}
 	})
 }
 
-func (d *Daemon) answerReady(w http.ResponseWriter, _ *http.Request) {
+func (d *Daemon) serveReady(w http.ResponseWriter, _ *http.Request) {
 	ok, why := d.router.ready()
 	if !ok {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 	if _, err := io.WriteString(w, why+"\n"); err != nil {
-		slog.Debug("readiness was not read", "error", err)
+		slog.Debug("writing the readiness answer failed", "error", err)
 	}
 }
 
-func (d *Daemon) answerMetrics(w http.ResponseWriter, _ *http.Request) {
+func (d *Daemon) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	d.router.metrics.set.WritePrometheus(w)
-	if d.outside.Counters != nil {
-		d.outside.Counters.WritePrometheus(w)
+	if d.deps.Counters != nil {
+		d.deps.Counters.WritePrometheus(w)
 	}
 }
 
-// Drain is the planned stop: not ready at once, still serving what comes, gone when nothing is under way any more
-// or the grace is nearly over.
+// Drain is the planned stop: the box is not ready from now on, still serves what arrives, and returns when no request
+// is in progress or the grace period is nearly over.
 func (d *Daemon) Drain() {
 	began := clock.Now()
 	x := d.router
 	slog.Info("planned stop began", "in_flight", x.inFlight.Load(), "grace_ms", x.settings.Grace.Milliseconds())
 	x.stopping.Store(true)
 	d.leaveGroup()
-	limit := began.Add(x.settings.Grace - leaveEarly)
-	x.stopAt.Store(limit.Add(-lastAnswer).UnixNano())
+	limit := began.Add(x.settings.Grace - exitMargin)
+	x.stopAt.Store(limit.Add(-lastAnswerMargin).UnixNano())
 	time.Sleep(clock.Until(earliest(began.Add(x.settings.UnreadyDelay), limit)))
 	x.refusesLate.Store(true)
-	// The listener stays: the entry uses boxes that are not ready where it has too few others. Connections at rest
-	// stay too: a request may be on its way on them.
-	awaitQuiet(&d.callers.busyConns, limit)
+	// The listener stays open: the entry uses boxes that are not ready where it has too few others. Idle connections
+	// stay open too: a request may be in transit on them.
+	awaitIdle(&d.callers.busyConns, limit)
 	if err := d.callers.Close(); err != nil {
-		slog.Debug("listener for callers did not close", "error", err)
+		slog.Debug("closing the listener for callers failed", "error", err)
 	}
 	ctx, cancel := clock.WithDeadline(context.Background(), limit)
 	defer cancel()
 	if left := d.callers.retire(ctx); left > 0 {
-		slog.Info("requests were still under way at the end", "requests", left)
+		slog.Info("requests were still in progress at the end of the grace period", "requests", left)
 	}
 	slog.Info("planned stop ended", "ms", clock.Since(began).Milliseconds())
 }
 
-// awaitQuiet waits until no caller's connection has had a request on it for some looks, or for the limit.
-func awaitQuiet(busy *atomic.Int64, limit time.Time) {
-	for quiet := 0; quiet < quietLooks && clock.Now().Before(limit); quiet++ {
+// awaitIdle waits until consecutive checks find no caller's connection with a request in progress, or until the limit.
+func awaitIdle(busy *atomic.Int64, limit time.Time) {
+	for quiet := 0; quiet < idlePollsRequired && clock.Now().Before(limit); quiet++ {
 		if busy.Load() > 0 {
 			quiet = 0
 		}
-		time.Sleep(quietPoll)
+		time.Sleep(idlePollInterval)
 	}
 }
 
 func (d *Daemon) leaveGroup() {
-	ctx, cancel := context.WithTimeout(context.Background(), leaveLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), leaveGroupTimeout)
 	defer cancel()
-	if err := d.outside.Control.Leave(ctx, memberName(d.router.peers.self())); err != nil {
-		slog.Info("group was not left", "error", err)
+	if err := d.deps.Control.Leave(ctx, memberName(d.router.peers.self())); err != nil {
+		slog.Info("leaving the group failed", "error", err)
 	}
 }
--- a/exchange/era_test.go
+++ b/exchange/era_test.go
@@ -12,20 +12,20 @@
 	"github.com/willowwick/willowwick/route"
 )
 
-// in is a place in an era.
-func in(era willowwick.Era, offset willowwick.Offset) willowwick.Position {
+// positionIn returns a position in an era.
+func positionIn(era willowwick.Era, offset willowwick.Offset) willowwick.Position {
 	return willowwick.NewPosition(era, offset)
 }
 
-// evacuatedHalls is a box's knowledge of one hall's evacuation.
+// evacuatedHalls is a box's set of evacuated halls, of which the tests use one.
 type evacuatedHalls struct{ *evacuations }
 
 func newEvacuatedHalls() evacuatedHalls {
 	return evacuatedHalls{newEvacuations(route.NewPoolWith(route.NewHallFirst("hall-a", 1), route.PoolOptions{}))}
 }
 
-// read gives the box a read of the store up to a position.
-func (e evacuatedHalls) read(isWhole bool, next willowwick.Position, changes ...willowwick.Evacuation) {
+// applyRead applies a read of the store up to a position.
+func (e evacuatedHalls) applyRead(isWhole bool, next willowwick.Position, changes ...willowwick.Evacuation) {
 	e.declare(willowwick.Declarations{Whole: isWhole, Next: next, Evacuations: changes})
 }
 
@@ -37,104 +37,104 @@
 	return willowwick.Evacuation{Hall: "hall-a", At: at, TakenBack: true}
 }
 
-// A store that came back from a copy gave offsets out again: what was declared then had a lower one than what was known, and an
-// evacuation never came into force, or stood for good. And the copy lacks what was declared last, which holds on: the operator writes
-// it again.
-func TestWhatTheOperatorDeclaredHoldsThroughAReturnOfTheStoreFromACopy(t *testing.T) {
+// Guards against declarations that are lost or remain for good when the store is restored from a copy: it assigns
+// offsets again, so a new declaration has a lower one than known declarations. The last declarations, which the copy
+// lacks, hold until the operator writes them again.
+func TestDeclarationsHoldThroughStoreRestore(t *testing.T) {
 	const isEvacuated, isNot = 1, 0
 	for name, test := range map[string]struct {
 		before []willowwick.Evacuation // of era 1, read up to offset 20
-		copied []willowwick.Evacuation // what the first read of era 2 holds, up to offset 8
-		after  []willowwick.Evacuation // what comes then
-		// What is in force once the first read is taken, once all is, and when the operator has had time to write again.
+		copied []willowwick.Evacuation // the first read of era 2, up to offset 8
+		after  []willowwick.Evacuation // read afterwards
+		// Halls evacuated after the first read, after all reads, and after the operator has had time to write again.
 		first, then, last int
 	}{
-		"declared after the return":            {nil, nil, []willowwick.Evacuation{declaredAt(in(2, 9))}, isNot, isEvacuated, isEvacuated},
-		"declared right before the first read": {nil, []willowwick.Evacuation{declaredAt(in(2, 7))}, nil, isEvacuated, isEvacuated, isEvacuated},
-		"lost and not written again":           {[]willowwick.Evacuation{declaredAt(in(1, 15))}, nil, nil, isEvacuated, isEvacuated, isNot},
+		"declared after the return":            {nil, nil, []willowwick.Evacuation{declaredAt(positionIn(2, 9))}, isNot, isEvacuated, isEvacuated},
+		"declared right before the first read": {nil, []willowwick.Evacuation{declaredAt(positionIn(2, 7))}, nil, isEvacuated, isEvacuated, isEvacuated},
+		"lost and not written again":           {[]willowwick.Evacuation{declaredAt(positionIn(1, 15))}, nil, nil, isEvacuated, isEvacuated, isNot},
 		"lost and written again": {
-			[]willowwick.Evacuation{declaredAt(in(1, 15))}, nil, []willowwick.Evacuation{declaredAt(in(2, 9))}, isEvacuated, isEvacuated, isEvacuated,
+			[]willowwick.Evacuation{declaredAt(positionIn(1, 15))}, nil, []willowwick.Evacuation{declaredAt(positionIn(2, 9))}, isEvacuated, isEvacuated, isEvacuated,
 		},
 		"in the copy": {
-			[]willowwick.Evacuation{declaredAt(in(1, 5))}, []willowwick.Evacuation{declaredAt(in(2, 5))}, nil, isEvacuated, isEvacuated, isEvacuated,
+			[]willowwick.Evacuation{declaredAt(positionIn(1, 5))}, []willowwick.Evacuation{declaredAt(positionIn(2, 5))}, nil, isEvacuated, isEvacuated, isEvacuated,
 		},
 		"taken back after the return": {
-			[]willowwick.Evacuation{declaredAt(in(1, 5))},
-			[]willowwick.Evacuation{declaredAt(in(2, 5))},
-			[]willowwick.Evacuation{takenBackAt(in(2, 9))},
+			[]willowwick.Evacuation{declaredAt(positionIn(1, 5))},
+			[]willowwick.Evacuation{declaredAt(positionIn(2, 5))},
+			[]willowwick.Evacuation{takenBackAt(positionIn(2, 9))},
 			isEvacuated, isNot, isNot,
 		},
 		"lost, and taken back after the return": {
-			[]willowwick.Evacuation{declaredAt(in(1, 15))}, nil, []willowwick.Evacuation{takenBackAt(in(2, 9))}, isEvacuated, isNot, isNot,
+			[]willowwick.Evacuation{declaredAt(positionIn(1, 15))}, nil, []willowwick.Evacuation{takenBackAt(positionIn(2, 9))}, isEvacuated, isNot, isNot,
 		},
 		"taken back before, which the copy lacks": {
-			[]willowwick.Evacuation{declaredAt(in(1, 5)), takenBackAt(in(1, 15))},
-			[]willowwick.Evacuation{declaredAt(in(2, 5))},
-			[]willowwick.Evacuation{takenBackAt(in(2, 9))},
+			[]willowwick.Evacuation{declaredAt(positionIn(1, 5)), takenBackAt(positionIn(1, 15))},
+			[]willowwick.Evacuation{declaredAt(positionIn(2, 5))},
+			[]willowwick.Evacuation{takenBackAt(positionIn(2, 9))},
 			isNot, isNot, isNot,
 		},
 		"taken back before, and declared again": {
-			[]willowwick.Evacuation{declaredAt(in(1, 5)), takenBackAt(in(1, 15))}, []willowwick.Evacuation{declaredAt(in(2, 5))}, nil, isNot, isNot, isEvacuated,
+			[]willowwick.Evacuation{declaredAt(positionIn(1, 5)), takenBackAt(positionIn(1, 15))}, []willowwick.Evacuation{declaredAt(positionIn(2, 5))}, nil, isNot, isNot, isEvacuated,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				e, other := newEvacuatedHalls(), newEvacuatedHalls()
-				e.read(true, in(1, 2))
-				e.read(false, in(1, 20), test.before...)
+				e.applyRead(true, positionIn(1, 2))
+				e.applyRead(false, positionIn(1, 20), test.before...)
 				other.receive(e.set(), "box-1")
-				e.read(true, in(2, 8), test.copied...)
+				e.applyRead(true, positionIn(2, 8), test.copied...)
 				other.receive(e.set(), "box-1")
 				assert.Equal(t, test.first, e.count(), "after the first read")
-				assert.Equal(t, test.first, other.count(), "at a box that is told of it")
-				time.Sleep(writtenAgainWithin / 2)
-				e.read(false, in(2, 40), test.after...)
+				assert.Equal(t, test.first, other.count(), "at a box that receives the set")
+				time.Sleep(restoreTime / 2)
+				e.applyRead(false, positionIn(2, 40), test.after...)
 				other.receive(e.set(), "box-1")
-				assert.Equal(t, test.then, e.count(), "after what came then")
-				assert.Equal(t, test.then, other.count(), "at a box that is told of it")
-				time.Sleep(writtenAgainWithin)
-				assert.Equal(t, test.last, e.count(), "in the end")
-				assert.Equal(t, test.last, other.count(), "at a box that was told of it")
+				assert.Equal(t, test.then, e.count(), "after the later reads")
+				assert.Equal(t, test.then, other.count(), "at a box that receives the set")
+				time.Sleep(restoreTime)
+				assert.Equal(t, test.last, e.count(), "after the restore")
+				assert.Equal(t, test.last, other.count(), "at a box that received the set")
 			})
 		})
 	}
 }
 
-// Two returns within seconds: what was lost in the first holds through the second.
-func TestWhatTheOperatorDeclaredHoldsThroughTwoReturnsOfTheStore(t *testing.T) {
+// What was lost in the first of two restores within seconds holds through the second.
+func TestDeclarationsHoldThroughTwoStoreRestores(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEvacuatedHalls()
-		e.read(true, in(1, 20), declaredAt(in(1, 15)))
-		e.read(true, in(2, 8))
+		e.applyRead(true, positionIn(1, 20), declaredAt(positionIn(1, 15)))
+		e.applyRead(true, positionIn(2, 8))
 		time.Sleep(time.Second)
-		e.read(true, in(3, 6))
+		e.applyRead(true, positionIn(3, 6))
 		assert.Equal(t, 1, e.count())
-		e.read(false, in(2, 9), takenBackAt(in(2, 8)))
-		assert.Equal(t, 1, e.count(), "a late answer of the era before says nothing")
-		time.Sleep(writtenAgainWithin - time.Second/2)
+		e.applyRead(false, positionIn(2, 9), takenBackAt(positionIn(2, 8)))
+		assert.Equal(t, 1, e.count(), "a late answer of the former era is ignored")
+		time.Sleep(restoreTime - time.Second/2)
 		assert.Equal(t, 1, e.count())
 		time.Sleep(time.Second)
 		assert.Zero(t, e.count())
 	})
 }
 
-// The same for one that was taken back: the copy that the store comes back from twice holds its declaration.
-func TestWhatTheOperatorTookBackStaysSoThroughTwoReturnsOfTheStore(t *testing.T) {
+// The same for a revocation: the copy that the store is restored from each time holds the declaration.
+func TestRevocationsHoldThroughTwoStoreRestores(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEvacuatedHalls()
-		e.read(true, in(1, 10), declaredAt(in(1, 5)))
-		e.read(false, in(1, 20), takenBackAt(in(1, 15)))
+		e.applyRead(true, positionIn(1, 10), declaredAt(positionIn(1, 5)))
+		e.applyRead(false, positionIn(1, 20), takenBackAt(positionIn(1, 15)))
 		for era := range willowwick.Era(3) {
-			e.read(true, in(2+era, 8), declaredAt(in(2+era, 5)))
+			e.applyRead(true, positionIn(2+era, 8), declaredAt(positionIn(2+era, 5)))
 			assert.Zero(t, e.count())
 			time.Sleep(time.Second)
 		}
-		time.Sleep(writtenAgainWithin)
+		time.Sleep(restoreTime)
 		assert.Equal(t, 1, e.count(), "the operator has declared it again")
 	})
 }
 
-func TestAdmittedRequestsHoldThroughAReturnOfTheStoreFromACopy(t *testing.T) {
+func TestAdmittedRequestsHoldThroughStoreRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		harm := quarantine.New()
 		a := newAdmissions(harm)
@@ -146,23 +146,23 @@
 		admission := func(at willowwick.Position) []willowwick.Admission {
 			return []willowwick.Admission{{Request: request.Request, At: at}}
 		}
-		a.declare(willowwick.Declarations{Whole: true, Next: in(1, 9), Admissions: admission(in(1, 8))})
-		a.declare(willowwick.Declarations{Whole: true, Next: in(2, 4)})
+		a.declare(willowwick.Declarations{Whole: true, Next: positionIn(1, 9), Admissions: admission(positionIn(1, 8))})
+		a.declare(willowwick.Declarations{Whole: true, Next: positionIn(2, 4)})
 		assert.False(t, harm.Refuses(request.Request))
-		a.declare(willowwick.Declarations{Next: in(2, 5), Admissions: admission(in(2, 4))})
-		time.Sleep(2 * writtenAgainWithin)
+		a.declare(willowwick.Declarations{Next: positionIn(2, 5), Admissions: admission(positionIn(2, 4))})
+		time.Sleep(2 * restoreTime)
 		assert.False(t, harm.Refuses(request.Request))
 	})
 }
 
-// The operator writes the order of a roll-out again that the store lost, at another offset. The roll-out was begun anew: sessions went
-// back to the release that had been left, and a bad one was tried again.
-func TestAnOrderThatIsWrittenAgainBeginsNothingAnew(t *testing.T) {
+// Guards against a roll-out that starts anew when the operator writes its lost order again, at another offset: sessions
+// went back to the former release, and a bad release was tried again.
+func TestRewrittenOrderRestartsNoRollout(t *testing.T) {
 	for _, state := range []willowwick.ReleaseState{willowwick.ReleaseRunning, willowwick.ReleaseCompleted, willowwick.ReleaseRolledBack} {
 		r := newTestReleases()
-		r.applyOrder(orderOf("v2", in(1, 30)), 0, testStart)
+		r.applyOrder(orderOf("v2", positionIn(1, 30)), 0, testStart)
 		r.applyStatus(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: state}, true, "test")
-		r.applyOrder(orderOf("v2", in(2, 12)), 0, at(0.35))
+		r.applyOrder(orderOf("v2", positionIn(2, 12)), 0, at(0.35))
 		progress := r.progressList(at(0.4))
 		require.Len(t, progress, 1)
 		assert.Equal(t, state, progress[0].Status.State)
@@ -170,34 +170,34 @@
 		due := r.due(at(0.4))
 		require.Len(t, due, 1, "the store may have lost the state too")
 		assert.Equal(t, state, due[0].State)
-		r.applyOrder(orderOf("v3", in(2, 13)), 0, at(0.41))
+		r.applyOrder(orderOf("v3", positionIn(2, 13)), 0, at(0.41))
 		assert.Equal(t, willowwick.ReleaseID("v3"), r.progressList(at(0.42))[0].Status.Target, "a new order counts at once")
 	}
 }
 
-// The copy holds an order that a later one had taken the place of.
-func TestAnOrderOfTheCopyDoesNotTakeThePlaceOfALaterOneThatItLacks(t *testing.T) {
+// The copy holds an order that a later one, which it lacks, had replaced.
+func TestOrderFromCopyDoesNotReplaceLaterLostOrder(t *testing.T) {
 	newMoved := func() *releases {
 		r := newTestReleases()
-		r.applyOrder(orderOf("v2", in(1, 10)), 0, testStart)
+		r.applyOrder(orderOf("v2", positionIn(1, 10)), 0, testStart)
 		r.applyStatus(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseCompleted}, true, "test")
-		r.applyOrder(orderOf("v3", in(1, 30)), 0, at(0.1))
-		r.applyOrder(orderOf("v2", in(2, 10)), 0, at(0.2))
+		r.applyOrder(orderOf("v3", positionIn(1, 30)), 0, at(0.1))
+		r.applyOrder(orderOf("v2", positionIn(2, 10)), 0, at(0.2))
 		require.Equal(t, willowwick.ReleaseID("v3"), r.progressList(at(0.2))[0].Status.Target)
 		return r
 	}
-	later := at(0.2).Add(writtenAgainWithin + time.Second)
+	later := at(0.2).Add(restoreTime + time.Second)
 	r := newMoved()
-	r.applyOrder(orderOf("v3", in(2, 14)), 0, at(0.25))
-	r.judge(nil, later)
+	r.applyOrder(orderOf("v3", positionIn(2, 14)), 0, at(0.25))
+	r.evaluate(nil, later)
 	assert.Equal(t, willowwick.ReleaseID("v3"), r.progressList(later)[0].Status.Target, "it was written again")
 	r = newMoved()
-	r.judge(nil, later)
+	r.evaluate(nil, later)
 	assert.Equal(t, willowwick.ReleaseID("v2"), r.progressList(later)[0].Status.Target, "the operator ordered it anew")
 }
 
-// What boxes had written to the store is gone, and only they know it.
-func TestWhatBoxesWroteIsWrittenAgain(t *testing.T) {
+// The records that boxes had written to the store are lost, and only the boxes know them.
+func TestBoxesRewriteTheirRecordsAfterRestore(t *testing.T) {
 	s := newSite(t, newRunner(t, "r1", answerText("ok")).endpoint("v1"), newRunner(t, "r2", answerText("ok")).endpoint("v2"))
 	x := s.daemon.router
 	request := willowwick.HarmfulRequest{Request: willowwick.Fingerprint{7}, Service: "work"}
@@ -218,21 +218,21 @@
 	require.Eventually(t, isWritten, patience, 5*time.Millisecond)
 }
 
-// While the operator writes again what the store lost, the newest configuration that it holds need not be the one in force: nothing is
-// refused for good by it.
-func TestNoConfigurationIsForCertainWhileTheOperatorWritesAgain(t *testing.T) {
+// While the operator writes the lost declarations again, the newest configuration in the store need not be the one in
+// force: nothing is refused permanently because of it.
+func TestNoConfigurationIsConfirmedDuringRestore(t *testing.T) {
 	s := newSite(t, newRunner(t, "r1", answerText("ok")).endpoint("v1"))
 	x := s.daemon.router
 	s.control.comeBack(func() {})
-	require.Eventually(t, func() bool { return x.sync.isStale(time.Now()) }, writtenAgainWithin, 5*time.Millisecond)
-	require.Eventually(t, func() bool { return !x.sync.isStale(time.Now()) }, writtenAgainWithin, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return x.sync.isConfigStale(time.Now()) }, restoreTime, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return !x.sync.isConfigStale(time.Now()) }, restoreTime, 5*time.Millisecond)
 }
 
-// Pattern: the store is away and comes back from a copy that lacks a tenth of the endpoints; these write their entries again within two
-// seconds. Grounds: no box may drop one of them, each may be the only one with a prompt's memory; and a leaving one must be known in
-// time, though its offset is below the former end. The store is asked no more often than by the readers as they start: for the list,
-// declarations, states of roll-outs, refused requests, the group and its members.
-func TestNoEndpointIsLostWhenTheStoreComesBackFromACopy(t *testing.T) {
+// The store is restored from a copy that lacks a tenth of the endpoints; these write their entries again within two
+// seconds. No box may drop one of them meanwhile, each may be the only one with a prompt's cache; and a draining one
+// must be known in time, though its offset is below the former end. The store gets no more calls than from the readers
+// as they start: for the list, declarations, states of roll-outs, refused requests, the group and its members.
+func TestNoEndpointIsLostInStoreRestore(t *testing.T) {
 	const callsOfStart = 6
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
 		m := newMesh(1, size.boxes, size.halls, size.endpoints)
@@ -243,9 +243,9 @@
 			ids = append(ids, meshEndpoint(i, size.halls).ID)
 		}
 		m.store.reads = 0
-		m.store.comeBack(willowwick.Offset(lost), ids...)
+		m.store.restoreFromCopy(willowwick.Offset(lost), ids...)
 		for step := range 4 {
-			m.run(t, returnGrace/5)
+			m.run(t, lapsedGrace/5)
 			for i := step; i < lost; i += 4 {
 				m.store.put(meshEndpoint(i, size.halls))
 			}
@@ -254,24 +254,24 @@
 			}
 		}
 		assert.LessOrEqual(t, m.store.reads, callsOfStart*size.halls)
-		assert.LessOrEqual(t, m.leave(t, meshEndpoint(lost, size.halls)), meshDrain*3/4)
-		m.run(t, returnGrace)
+		assert.LessOrEqual(t, m.drain(t, meshEndpoint(lost, size.halls)), meshDrain*3/4)
+		m.run(t, lapsedGrace)
 		for _, box := range m.boxes {
 			require.Len(t, box.pool.Endpoints(), size.endpoints, "endpoints that %s uses", box.settings.Box)
 		}
 	})
 }
 
-// An endpoint that had gone before, and that the copy lists again, gets nothing.
-func TestAnEndpointThatWasGoneIsNotUsedAgainSinceACopyListsIt(t *testing.T) {
+// An endpoint that was removed before, and that the copy lists again, gets no requests.
+func TestRemovedEndpointListedByCopyIsNotUsed(t *testing.T) {
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
 		m := newMesh(1, size.boxes, size.halls, size.endpoints)
 		m.run(t, 3*time.Second)
 		gone := meshEndpoint(0, size.halls)
 		m.store.remove(gone.ID)
 		m.run(t, meshDrain)
-		m.store.comeBack(1)
-		m.store.entries[gone.ID] = meshEntry{gone, in(1, 1)}
+		m.store.restoreFromCopy(1)
+		m.store.entries[gone.ID] = meshEntry{gone, positionIn(1, 1)}
 		for range 4 {
 			m.run(t, meshDrain/4)
 			for _, box := range m.boxes {
@@ -281,30 +281,30 @@
 	})
 }
 
-// A read of endpoints that was under way as the store left its era brings nothing back.
-func TestALateListOfTheEraBeforeIsNotTaken(t *testing.T) {
+// A read of endpoints that was in progress when the era changed restores no entry.
+func TestLateListOfFormerEraIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newMesh(1, 1, 1, 3)
 		m.run(t, time.Second)
 		box, now := m.boxes[0], time.Now()
-		m.store.comeBack(0)
-		box.sync.takeChanges(m.store.since(0), now, now)
-		box.sync.takeChanges(willowwick.EndpointChanges{Next: in(0, 99), Gone: []willowwick.EndpointID{meshEndpoint(0, 1).ID}}, now, now)
-		assert.Equal(t, willowwick.Era(1), box.sync.endpointsAt().Era())
-		m.run(t, 2*returnGrace)
+		m.store.restoreFromCopy(0)
+		box.sync.applyListRead(m.store.since(0), now, now)
+		box.sync.applyListRead(willowwick.EndpointChanges{Next: positionIn(0, 99), Gone: []willowwick.EndpointID{meshEndpoint(0, 1).ID}}, now, now)
+		assert.Equal(t, willowwick.Era(1), box.sync.listReadTo().Era())
+		m.run(t, 2*lapsedGrace)
 		assert.Len(t, box.pool.Endpoints(), 3)
 	})
 }
 
-// A box started after the store had come back, read a configuration there that the operator was yet to write again, and refused for good
-// what that did not hold; the others knew better.
-func TestABoxThatStartsWhileTheOperatorWritesAgainRefusesNothingForGood(t *testing.T) {
+// Guards against a box that starts after a restore, reads a configuration that the operator has yet to replace, and
+// permanently refuses what it lacks; the other boxes knew better.
+func TestBoxStartedDuringRestoreRefusesNothingPermanently(t *testing.T) {
 	s := newSite(t, newRunner(t, "r1", answerText("ok")).endpoint("v1"))
 	s.control.comeBack(func() {})
 	require.Eventually(t, func() bool { return s.daemon.router.sync.isRestoring(time.Now()) }, patience, time.Millisecond)
 	settings := testSettings()
 	settings.Box, settings.Seeds = "box-new", []string{s.daemon.router.settings.Peers}
 	fresh := startSite(t, s.control, settings)
-	require.Eventually(t, func() bool { return fresh.daemon.router.sync.isStale(time.Now()) }, inForceWithin/2, time.Millisecond)
+	require.Eventually(t, func() bool { return fresh.daemon.router.sync.isConfigStale(time.Now()) }, inForceWithin/2, time.Millisecond)
 	assert.Equal(t, 503, fresh.do(t, "GET", "/nowhere/", "id", "").status)
 }
--- a/exchange/evacuation.go
+++ b/exchange/evacuation.go
@@ -20,13 +20,13 @@
 
 	// evacuations keeps the newest known set of evacuated halls and applies it to the pool.
 	evacuations struct {
-		standingKeeper[willowwick.HallID]
+		declaredSetKeeper[willowwick.HallID]
 	}
 )
 
 func newEvacuations(pool *route.Pool) *evacuations {
 	e := &evacuations{}
-	e.put = func(old, updated inForce[willowwick.HallID], source string) {
+	e.onChange = func(old, updated effectiveSet[willowwick.HallID], source string) {
 		pool.SetEvacuated(slices.Collect(maps.Keys(updated.members)))
 		logEvacuations(old, updated, source)
 	}
@@ -36,30 +36,30 @@
 // set returns the newest known set.
 func (e *evacuations) set() EvacuatedHalls {
 	known := e.newest()
-	return EvacuatedHalls{AsOf: known.asOf, Halls: known.members, TakenBack: known.takenBack, HeldOver: known.heldOver}
+	return EvacuatedHalls{AsOf: known.asOf, Halls: known.members, TakenBack: known.revoked, HeldOver: known.heldOver}
 }
 
 // count returns the number of evacuated halls.
 func (e *evacuations) count() int {
-	return len(e.inForce().members)
+	return len(e.inEffect().members)
 }
 
 // declare applies the declarations that a read of the store returned.
 func (e *evacuations) declare(declared willowwick.Declarations) {
-	changes := make([]standingChange[willowwick.HallID], 0, len(declared.Evacuations))
+	changes := make([]declaredChange[willowwick.HallID], 0, len(declared.Evacuations))
 	for _, evacuation := range declared.Evacuations {
-		changes = append(changes, standingChange[willowwick.HallID]{evacuation.Hall, evacuation.TakenBack, evacuation.At})
+		changes = append(changes, declaredChange[willowwick.HallID]{evacuation.Hall, evacuation.TakenBack, evacuation.At})
 	}
-	e.standingKeeper.declare(declared.Whole, declared.Next, changes)
+	e.declaredSetKeeper.applyRead(declared.Whole, declared.Next, changes)
 }
 
 // receive merges the set that another box reported.
 func (e *evacuations) receive(update EvacuatedHalls, source string) {
-	e.standingKeeper.hear(standing[willowwick.HallID]{update.AsOf, update.Halls, update.TakenBack, update.HeldOver}, source)
+	e.declaredSetKeeper.applyPeerSet(declaredSet[willowwick.HallID]{update.AsOf, update.Halls, update.TakenBack, update.HeldOver}, source)
 }
 
 // logEvacuations logs each hall that is evacuated or whose evacuation is withdrawn.
-func logEvacuations(old, updated inForce[willowwick.HallID], source string) {
+func logEvacuations(old, updated effectiveSet[willowwick.HallID], source string) {
 	for hall, at := range updated.members {
 		if _, wasEvacuated := old.members[hall]; !wasEvacuated {
 			slog.Info("hall evacuated", "hall", hall, "offset", at, "as_of", updated.asOf, "source", source)
--- a/exchange/evacuation_test.go
+++ b/exchange/evacuation_test.go
@@ -45,12 +45,12 @@
 
 // declare gives the box what a read of the store would bring.
 func (s *site) declare(declared willowwick.Declarations) {
-	s.daemon.router.sync.declare(declared)
+	s.daemon.router.sync.applyDeclarations(declared)
 }
 
 // tell gives the box the digest of another one.
 func (s *site) tell(evacuated EvacuatedHalls) {
-	s.daemon.router.peers.heard(Digest{Box: "box-9", Hall: "hall-z", Address: "10.0.0.9:1", Evacuated: evacuated}, time.Now())
+	s.daemon.router.peers.receiveDigest(Digest{Box: "box-9", Hall: "hall-z", Address: "10.0.0.9:1", Evacuated: evacuated}, time.Now())
 }
 
 func TestAnEvacuatedHallGetsNoNewWorkUntilItIsTakenBack(t *testing.T) {
@@ -235,7 +235,7 @@
 	late := newRunner(t, "r2", answerText("late"))
 	s.control.change(func() { s.control.endpoints["r2"] = late.endpoint("v1") })
 	require.Eventually(t, func() bool {
-		_, isListed := s.daemon.router.sync.entry("r2")
+		_, isListed := s.daemon.router.sync.listedEndpoint("r2")
 		return isListed
 	}, patience, time.Millisecond)
 	for range 20 {
--- a/exchange/evidence.go
+++ b/exchange/evidence.go
@@ -11,25 +11,27 @@
 )
 
 const (
-	// plainlyBad and plainlyBadShare withdraw a release where there is nothing to compare it with.
-	plainlyBad      = 12
-	plainlyBadShare = 0.3
-	// slowFactor is by how much an answer must be slower than usual on its route to count as slow.
+	// rollbackErrors and rollbackErrorShare are the number and the share of errors that roll a release back where there
+	// is nothing to compare it with.
+	rollbackErrors     = 12
+	rollbackErrorShare = 0.3
+	// slowFactor is the ratio to the typical time to header of its route and model above which an answer counts as
+	// slow.
 	slowFactor = 3.0
-	// typicalFade is how much of the usual time of an answer one answer replaces.
-	typicalFade = 0.1
+	// typicalSmoothing is the weight of one answer in the moving average of the typical time.
+	typicalSmoothing = 0.1
 )
 
 type (
-	// evidenceKey names what one kind of answer is counted under.
+	// evidenceKey identifies the answers that are counted together.
 	evidenceKey struct {
 		Service willowwick.ServiceID
 		Release willowwick.ReleaseID
 		Route   willowwick.RouteID
 	}
 
-	// typicalKey names answers that usually take alike.
-	typicalKey struct {
+	// latencyKey identifies the answers that share a typical latency.
+	latencyKey struct {
 		route willowwick.RouteID
 		model willowwick.ModelID
 	}
@@ -40,7 +42,7 @@
 		release willowwick.ReleaseID
 		route   willowwick.RouteID
 		model   willowwick.ModelID
-		took    time.Duration // to the head
+		took    time.Duration // to the header
 		isError bool
 	}
 )
@@ -62,9 +64,9 @@
 	r.ownEvidence[key] = counts
 }
 
-// isSlow compares an answer with the usual ones of its route and model; those of a new release set no measure.
+// isSlow compares an answer with the typical time of its route and model; answers of a new release don't change that.
 func (r *releases) isSlow(o observation, isTarget bool) bool {
-	key := typicalKey{route: o.route, model: o.model}
+	key := latencyKey{route: o.route, model: o.model}
 	typical, known := r.typical[key]
 	took := o.took.Seconds()
 	if !known {
@@ -75,40 +77,40 @@
 	}
 	slow := took > slowFactor*typical
 	if !isTarget {
-		r.typical[key] = typical + typicalFade*(min(took, slowFactor*typical)-typical)
+		r.typical[key] = typical + typicalSmoothing*(min(took, slowFactor*typical)-typical)
 		r.lateness[key].Learn(o.took - time.Duration(typical*float64(time.Second)))
 	}
 	return slow
 }
 
-// usual is how long the head of an answer usually takes on the route, 0 if that is not known yet, and how much longer it
-// may well take.
-func (r *releases) usual(name willowwick.RouteID, model willowwick.ModelID) (typical, lateness time.Duration) {
+// typicalLatency returns the typical time to the header of an answer on the route, 0 if that is not known yet, and how
+// much longer it may well take.
+func (r *releases) typicalLatency(name willowwick.RouteID, model willowwick.ModelID) (typical, lateness time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	key := typicalKey{route: name, model: model}
+	key := latencyKey{route: name, model: model}
 	return time.Duration(r.typical[key] * float64(time.Second)), r.lateness[key].Value()
 }
 
-// evidence returns what this box has counted.
+// evidence returns a copy of what this box has counted.
 func (r *releases) evidence() map[evidenceKey]rollout.Evidence {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return maps.Clone(r.ownEvidence)
 }
 
-// judge looks at the evidence of all boxes and returns the services whose roll-out turned out bad.
-func (r *releases) judge(fleet map[evidenceKey]rollout.Evidence, now time.Time) []willowwick.ReleaseStatus {
+// evaluate checks the evidence of all boxes and returns the services whose roll-out is rolled back.
+func (r *releases) evaluate(fleet map[evidenceKey]rollout.Evidence, now time.Time) []willowwick.ReleaseStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.forgetSessions(now)
-	r.beginPutOff(now)
+	r.beginDeferred(now)
 	var bad []willowwick.ReleaseStatus
 	for service, m := range r.rollouts {
 		if m.state != willowwick.ReleaseRunning {
 			continue
 		}
-		if cause, isBad := m.judge(service, fleet); isBad {
+		if cause, isBad := m.evaluate(service, fleet); isBad {
 			m.state, m.persisted = willowwick.ReleaseRolledBack, false
 			r.recordVerdict(m)
 			bad = append(bad, willowwick.ReleaseStatus{Service: service, Target: m.order.Target, State: m.state})
@@ -119,9 +121,9 @@
 	return bad
 }
 
-// judge adds what is new in the evidence to the panel of the routes.
-func (m *rolloutState) judge(service willowwick.ServiceID, fleet map[evidenceKey]rollout.Evidence) (cause string, isBad bool) {
-	routes, others := m.news(service, fleet)
+// evaluate adds the new evidence to the panel of the routes and reports whether the target is bad.
+func (m *rolloutState) evaluate(service willowwick.ServiceID, fleet map[evidenceKey]rollout.Evidence) (cause string, isBad bool) {
+	routes, others := m.newEvidence(service, fleet)
 	target := m.targetEvidence(service, fleet)
 	m.targetAnswers = target.Requests
 	if finding, route := m.panel.Observe(routes, others); finding.Bad {
@@ -130,14 +132,14 @@
 		}
 		return string(route) + ": " + finding.Signal.String(), true
 	}
-	if target.Errors >= plainlyBad && float64(target.Errors) > plainlyBadShare*float64(target.Requests) {
+	if target.Errors >= rollbackErrors && float64(target.Errors) > rollbackErrorShare*float64(target.Requests) {
 		return "most answers are errors", true
 	}
 	return "", false
 }
 
-// news sorts what is new in the evidence by route, and sums that on other releases over all routes.
-func (m *rolloutState) news(
+// newEvidence returns the evidence since the last call by route, and the sum of that on other releases over all routes.
+func (m *rolloutState) newEvidence(
 	service willowwick.ServiceID, fleet map[evidenceKey]rollout.Evidence,
 ) (routes map[rollout.Kind]rollout.KindEvidence, others rollout.Evidence) {
 	routes = map[rollout.Kind]rollout.KindEvidence{}
@@ -145,22 +147,22 @@
 		if key.Service != service {
 			continue
 		}
-		news := total.Since(m.evidence[key])
+		added := total.Since(m.evidence[key])
 		m.evidence[key] = total
 		kind := rollout.Kind(key.Route)
 		counts := routes[kind]
 		if key.Release == m.order.Target {
-			counts.Version = counts.Version.Add(news)
+			counts.Version = counts.Version.Add(added)
 		} else {
-			counts.Others = counts.Others.Add(news)
-			others = others.Add(news)
+			counts.Others = counts.Others.Add(added)
+			others = others.Add(added)
 		}
 		routes[kind] = counts
 	}
 	return routes, others
 }
 
-// targetEvidence sums all that is known of the target, over all routes.
+// targetEvidence returns the evidence on the target, summed over all routes.
 func (m *rolloutState) targetEvidence(service willowwick.ServiceID, fleet map[evidenceKey]rollout.Evidence) rollout.Evidence {
 	var sum rollout.Evidence
 	for key, total := range fleet {
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -275,16 +275,16 @@
 	r := newRunner(t, "r1", answerText("a"))
 	s := newSite(t, r.endpoint("v1"))
 	s.control.change(func() { s.control.down = true })
-	require.Eventually(t, func() bool { return s.daemon.router.sync.isAway() }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return s.daemon.router.sync.hasFailingRead() }, patience, time.Millisecond)
 	// Entries expire only while the store is unreachable for longer than a heartbeat takes.
 	time.Sleep(2 * testSettings().Drain)
 	s.control.change(func() {
 		s.control.down = false
 		s.control.endpoints = map[willowwick.EndpointID]willowwick.Endpoint{}
 	})
-	require.Eventually(t, func() bool { return !s.daemon.router.sync.isAway() }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return !s.daemon.router.sync.hasFailingRead() }, patience, time.Millisecond)
 	assert.Equal(t, http.StatusOK, s.do(t, http.MethodPost, "/once/", "id", "x").status)
-	time.Sleep(returnGrace + 2*testSettings().Drain)
+	time.Sleep(lapsedGrace + 2*testSettings().Drain)
 	assert.Equal(t, http.StatusServiceUnavailable, s.do(t, http.MethodPost, "/once/", "id", "x").status)
 }
 
@@ -321,7 +321,7 @@
 	assert.Equal(t, events(3), reply.body)
 	assert.NoError(t, reply.err)
 	ended := <-drained
-	assert.Less(t, ended.Sub(began), testSettings().Grace-leaveEarly)
+	assert.Less(t, ended.Sub(began), testSettings().Grace-exitMargin)
 	assert.Len(t, r.requests(), 3)
 }
 
@@ -368,7 +368,7 @@
 	})
 	s := newSite(t, old.endpoint("v1"))
 	fresh := newRunner(t, "r2", answerText("new"))
-	time.Sleep(lookFor) // a box that has just started first checks whether a hub reads the store for it
+	time.Sleep(hubSearchTime) // a box that has just started first checks whether a hub reads the store for it
 	time.AfterFunc(50*time.Millisecond, func() {
 		s.control.change(func() {
 			s.control.endpoints["r2"] = fresh.endpoint("v2")
@@ -422,7 +422,7 @@
 	control := &testControl{endpoints: map[willowwick.EndpointID]willowwick.Endpoint{r.id: r.endpoint("v1")}}
 	control.change(func() {})
 	s := startSite(t, control, testSettings())
-	require.Eventually(t, s.daemon.router.sync.hasEndpoints, patience, time.Millisecond)
+	require.Eventually(t, s.daemon.router.sync.hasEndpointList, patience, time.Millisecond)
 	time.AfterFunc(minWarmWait/3, func() { s.daemon.router.setTable(testTable(1, onceRoute()), "test") })
 	assert.Equal(t, http.StatusOK, s.do(t, http.MethodPost, "/once/", "id", "x").status)
 }
@@ -451,18 +451,18 @@
 		return []willowwick.Endpoint{{ID: "e", Service: "work", Beat: n}}
 	}
 	isListed := func() bool {
-		_, found := s.entry("e")
+		_, found := s.listedEndpoint("e")
 		return found
 	}
-	s.apply(willowwick.EndpointChanges{Present: beat(5), Next: 1}, now)
+	s.applyChanges(willowwick.EndpointChanges{Present: beat(5), Next: 1}, now)
 	require.True(t, isListed())
-	s.apply(willowwick.EndpointChanges{Gone: []willowwick.EndpointID{"e"}, Present: beat(6), Next: 3}, now)
+	s.applyChanges(willowwick.EndpointChanges{Gone: []willowwick.EndpointID{"e"}, Present: beat(6), Next: 3}, now)
 	require.False(t, isListed(), "removed, with one heartbeat in transit")
-	s.apply(willowwick.EndpointChanges{Present: beat(6), Next: 4}, now)
+	s.applyChanges(willowwick.EndpointChanges{Present: beat(6), Next: 4}, now)
 	require.False(t, isListed(), "the same heartbeat again")
-	s.apply(willowwick.EndpointChanges{Whole: true, Present: beat(6), Next: 4}, now)
+	s.applyChanges(willowwick.EndpointChanges{Whole: true, Present: beat(6), Next: 4}, now)
 	require.False(t, isListed(), "also in the complete list")
-	s.apply(willowwick.EndpointChanges{Present: beat(7), Next: 5}, now)
+	s.applyChanges(willowwick.EndpointChanges{Present: beat(7), Next: 5}, now)
 	require.True(t, isListed(), "further heartbeats show that it is alive")
 }
 
@@ -475,22 +475,22 @@
 	x.sync = s
 	now := time.Now()
 	present := []willowwick.Endpoint{{ID: "a", Service: "work"}, {ID: "b", Service: "work"}}
-	s.noteAnswer(readEndpoints, now)
-	s.asOf = now
-	s.apply(willowwick.EndpointChanges{Present: present, Next: 1}, now)
-	s.noteFailure(readEndpoints, now, errDown)
-	s.apply(willowwick.EndpointChanges{Gone: []willowwick.EndpointID{"a"}, Next: 2}, now)
-	_, found := s.entry("a")
+	s.noteAnswer(endpointsRead, now)
+	s.endpointsAsOf = now
+	s.applyChanges(willowwick.EndpointChanges{Present: present, Next: 1}, now)
+	s.noteFailure(endpointsRead, now, errDown)
+	s.applyChanges(willowwick.EndpointChanges{Gone: []willowwick.EndpointID{"a"}, Next: 2}, now)
+	_, found := s.listedEndpoint("a")
 	require.False(t, found)
 	later := now.Add(2 * testSettings().Drain)
-	s.noteFailure(readEndpoints, later, errDown)
-	s.apply(willowwick.EndpointChanges{Gone: []willowwick.EndpointID{"b"}, Next: 3}, later)
-	_, found = s.entry("b")
+	s.noteFailure(endpointsRead, later, errDown)
+	s.applyChanges(willowwick.EndpointChanges{Gone: []willowwick.EndpointID{"b"}, Next: 3}, later)
+	_, found = s.listedEndpoint("b")
 	require.True(t, found, "it may return within the grace period")
 	s.changedAt = 3
 	older := Digest{EndpointsFrom: 2}
-	require.Empty(t, s.listFor(&SwapCall{Digest: older}).Endpoints, "in a complete list")
-	changes := s.listFor(&SwapCall{Digest: older, TakesChanges: true})
+	require.Empty(t, s.listForPeer(&SwapCall{Digest: older}).Endpoints, "in a complete list")
+	changes := s.listForPeer(&SwapCall{Digest: older, TakesChanges: true})
 	require.Empty(t, changes.Endpoints, "in a list of changes")
 	require.Contains(t, changes.Gone, willowwick.EndpointID("b"), "a box that reached the store knows whether it was removed")
 }
@@ -505,12 +505,12 @@
 	beat := func(beat uint64) []willowwick.Endpoint {
 		return []willowwick.Endpoint{{ID: "a", Service: "work", Beat: beat}}
 	}
-	s.takeChanges(willowwick.EndpointChanges{Present: beat(1), Next: 1}, now, now)
+	s.applyListRead(willowwick.EndpointChanges{Present: beat(1), Next: 1}, now, now)
 	later := now.Add(2 * testSettings().Drain)
-	s.noteFailure(readEndpoints, later, errDown)
-	s.takeChanges(willowwick.EndpointChanges{Gone: []willowwick.EndpointID{"a"}, Next: 2}, later, later)
-	s.takeChanges(willowwick.EndpointChanges{Present: beat(2), Next: 3}, later, later)
-	changes := s.listFor(&SwapCall{Digest: Digest{EndpointsFrom: 1}, TakesChanges: true})
+	s.noteFailure(endpointsRead, later, errDown)
+	s.applyListRead(willowwick.EndpointChanges{Gone: []willowwick.EndpointID{"a"}, Next: 2}, later, later)
+	s.applyListRead(willowwick.EndpointChanges{Present: beat(2), Next: 3}, later, later)
+	changes := s.listForPeer(&SwapCall{Digest: Digest{EndpointsFrom: 1}, TakesChanges: true})
 	require.NotNil(t, changes)
 	require.Equal(t, beat(2), changes.Endpoints)
 }
@@ -523,18 +523,18 @@
 	s := newSyncer(x, nil)
 	x.sync = s
 	now := time.Now()
-	s.takeChanges(willowwick.EndpointChanges{Present: []willowwick.Endpoint{{ID: "a", Service: "work"}}, Next: 1}, now, now)
-	s.takeChanges(willowwick.EndpointChanges{Gone: []willowwick.EndpointID{"b"}, Next: 3}, now, now)
+	s.applyListRead(willowwick.EndpointChanges{Present: []willowwick.Endpoint{{ID: "a", Service: "work"}}, Next: 1}, now, now)
+	s.applyListRead(willowwick.EndpointChanges{Gone: []willowwick.EndpointID{"b"}, Next: 3}, now, now)
 	behind := SwapReply{Endpoints: &EndpointList{
 		Endpoints: []willowwick.Endpoint{{ID: "b", Service: "work"}}, Since: 1, From: 2, Next: 2, Told: now,
 	}}
-	s.takeFromPeer(behind, now)
-	_, found := s.entry("b")
+	s.applyPeerList(behind, now)
+	_, found := s.listedEndpoint("b")
 	require.False(t, found)
 	ahead := behind
 	ahead.Endpoints.From, ahead.Endpoints.Next = 4, 4
-	s.takeFromPeer(ahead, now)
-	_, found = s.entry("b")
+	s.applyPeerList(ahead, now)
+	_, found = s.listedEndpoint("b")
 	require.True(t, found, "it returned after the last read of this box")
 }
 
@@ -562,7 +562,7 @@
 		s.control.endpoints[a.id] = leaving
 	})
 	require.Eventually(t, func() bool {
-		endpoint, _ := s.daemon.router.sync.entry(a.id)
+		endpoint, _ := s.daemon.router.sync.listedEndpoint(a.id)
 		return endpoint.Leaving
 	}, testSettings().Drain, 5*time.Millisecond)
 }
--- a/exchange/hints.go
+++ b/exchange/hints.go
@@ -107,8 +107,8 @@
 	if h.conn == nil || !isReading {
 		return
 	}
-	if !h.takeRowToken(reading.Added, h.router.peers.boxes(), clock.Now()) {
-		h.router.metrics.hintDropped()
+	if !h.takeRowToken(reading.Added, h.router.peers.fleetSize(), clock.Now()) {
+		h.router.metrics.countHintDropped()
 		return
 	}
 	row := hintRow{
@@ -142,7 +142,7 @@
 	select {
 	case h.queue <- waiting:
 	default:
-		h.router.metrics.hintDropped()
+		h.router.metrics.countHintDropped()
 	}
 }
 
@@ -153,7 +153,7 @@
 		case <-ctx.Done():
 			return
 		case first := <-h.queue:
-			near, far := h.router.peers.audience(clock.Now())
+			near, far := h.router.peers.hintRecipients(clock.Now())
 			sleep(ctx, max(time.Duration(len(near))*hintPausePerBox, minHintPause))
 			own, heard := h.collect(first)
 			h.sendTo(near, hintFinal, append(heard, own...))
@@ -219,7 +219,7 @@
 			slog.Debug("send readings failed", "address", box, "error", err)
 			continue
 		}
-		h.router.metrics.hintSent()
+		h.router.metrics.countHintSent()
 	}
 }
 
--- a/exchange/known.go
+++ b/exchange/known.go
@@ -10,53 +10,53 @@
 )
 
 const (
-	// peerFresh is how long a digest counts as the state of a live box: two missed swaps and some.
-	peerFresh = 1300 * time.Millisecond
-	// peerKept is how long a silent box is still counted, named to others and tried.
-	peerKept = 30 * time.Second
-	// retryPeer and retryPeerMost bound the pauses between calls of a box that does not answer.
-	retryPeer     = time.Second
-	retryPeerMost = 8 * time.Second
+	// peerLiveness is how long after its digest a box counts as live: two missed exchanges and some slack.
+	peerLiveness = 1300 * time.Millisecond
+	// silentPeerRetention is how long a silent box is still counted, included in the roster and called.
+	silentPeerRetention = 30 * time.Second
+	// minPeerRetry and maxPeerRetry bound the backoff between calls of a box that doesn't answer.
+	minPeerRetry = time.Second
+	maxPeerRetry = 8 * time.Second
 )
 
 type (
-	// KnownBox is where a box is reached, and what its place among the others goes by.
+	// KnownBox is the address of a box and what determines its position in the hub order.
 	KnownBox struct {
 		Address  string
 		Hall     willowwick.HallID
-		LinkMbps int // 0 if it is not known
+		LinkMbps int // 0 if unknown
 	}
 
-	// KnownRow is a box as one tells another of it.
+	// KnownRow is an entry of the roster that boxes send each other.
 	KnownRow struct {
 		Address  string
 		Hall     willowwick.HallID
 		LinkMbps int
-		AgeMs    int64 // since it was heard of or named, by whomever
+		AgeMs    int64 // since it was last seen by any box
 	}
 
-	// HallAge is how long ago that box of a hall was heard of or named that was not for longest, as one box knows it.
+	// HallAge is how long ago the box of a hall that was silent for longest was seen, as one box knows it.
 	HallAge struct {
 		Hall     willowwick.HallID
 		OldestMs int64
 	}
 
-	// peer is another box as this one knows it.
+	// peer is the state of another box as this one knows it.
 	peer struct {
-		box      KnownBox
-		sum      uint64 // of the box, as part of a sum over all boxes
-		digest   Digest
-		heard    time.Time // when its last digest came
-		listed   time.Time // when it, the group or another box last named it
-		tryAt    time.Time // not called before, after failures
-		triedAt  time.Time // last call
-		failures int       // calls in a row that failed
-		swapping bool      // a call to it is under way
+		box          KnownBox
+		sum          uint64 // checksum of the box, a term of the roster's checksum
+		digest       Digest
+		heardAt      time.Time // arrival of its last digest
+		namedAt      time.Time // last time that the box itself, the group or another box named it
+		nextCallAt   time.Time // backoff after failures
+		lastCallAt   time.Time
+		failures     int  // consecutive failed calls
+		isExchanging bool // a call is in progress
 	}
 )
 
-// precedes reports whether a box comes before another as the hub of its hall: the one with the wider link, since a hub
-// passes on what is large to all the others, and of equal ones the one with the lower address.
+// precedes reports whether a box comes before another in hub order: the one with the wider link, since a hub forwards
+// large data to all the others, and of equal ones the one with the lower address.
 func (b KnownBox) precedes(other KnownBox) bool {
 	if b.LinkMbps != other.LinkMbps {
 		return b.LinkMbps > other.LinkMbps
@@ -64,29 +64,29 @@
 	return b.Address < other.Address
 }
 
-// isInTouch reports whether the box's digest counts as its state.
-func (known *peer) isInTouch(now time.Time) bool {
-	return now.Sub(known.heard) <= peerFresh
+// isLive reports whether the box's digest is recent enough to count as its state.
+func (known *peer) isLive(now time.Time) bool {
+	return now.Sub(known.heardAt) <= peerLiveness
 }
 
-// seen is when the box last answered or was named.
-func (known *peer) seen() time.Time {
-	return latest(known.heard, known.listed)
+// lastSeen returns when the box last answered or was named.
+func (known *peer) lastSeen() time.Time {
+	return latest(known.heardAt, known.namedAt)
 }
 
-// isKept reports whether the box was heard of or named of late.
-func (known *peer) isKept(now time.Time) bool {
-	return now.Sub(known.seen()) <= peerKept
+// isRetained reports whether the box was seen within silentPeerRetention.
+func (known *peer) isRetained(now time.Time) bool {
+	return now.Sub(known.lastSeen()) <= silentPeerRetention
 }
 
-// self is this box as the others know it.
+// self returns this box as the others know it.
 func (p *peers) self() KnownBox {
 	settings := p.router.settings
 	return KnownBox{Address: settings.Peers, Hall: settings.Hall, LinkMbps: settings.LinkMbps}
 }
 
-// list notes a box that the settings, the group or a box named, and when that was known of it.
-func (p *peers) list(box KnownBox, at time.Time) {
+// noteBox records a box named by the settings, the group or another box, and when it was known to exist.
+func (p *peers) noteBox(box KnownBox, at time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if box.Address == p.router.settings.Peers || box.Address == "" {
@@ -100,36 +100,36 @@
 	if box.Hall != "" || known.box.Address == "" {
 		known.box, known.sum = box, box.sum()
 	}
-	known.listed = latest(known.listed, at)
+	known.namedAt = latest(known.namedAt, at)
 }
 
-// listKnown notes boxes that another box knows, as of when it answered.
-func (p *peers) listKnown(rows []KnownRow, asOf time.Time) {
+// noteKnownRows records the roster of another box, as of the time of the call.
+func (p *peers) noteKnownRows(rows []KnownRow, asOf time.Time) {
 	for _, row := range rows {
 		at := asOf.Add(-time.Duration(row.AgeMs) * time.Millisecond)
-		if clock.Since(at) <= peerKept {
-			p.list(KnownBox{Address: row.Address, Hall: row.Hall, LinkMbps: row.LinkMbps}, at)
+		if clock.Since(at) <= silentPeerRetention {
+			p.noteBox(KnownBox{Address: row.Address, Hall: row.Hall, LinkMbps: row.LinkMbps}, at)
 		}
 	}
 }
 
-// heard takes a digest that came from its box itself.
-func (p *peers) heard(digest Digest, now time.Time) {
-	p.list(digest.box(), now)
+// receiveDigest applies a digest that its own box sent.
+func (p *peers) receiveDigest(digest Digest, now time.Time) {
+	p.noteBox(digest.knownBox(), now)
 	p.mu.Lock()
 	known := p.known[digest.Address]
 	if known == nil {
 		p.mu.Unlock()
 		return
 	}
-	if now.Sub(known.heard) > peerKept {
+	if now.Sub(known.heardAt) > silentPeerRetention {
 		slog.Info("box is reached", "peer", digest.Box, "hall", digest.Hall, "address", digest.Address)
 	}
-	known.digest, known.heard, known.failures = digest, now, 0
-	p.takeHalls(digest.Halls, now)
+	known.digest, known.heardAt, known.failures = digest, now, 0
+	p.mergeHallReports(digest.Halls, now)
 	p.mu.Unlock()
 	p.router.sync.noteEra(max(digest.EndpointsRead, digest.Evacuated.AsOf), now, "peer "+string(digest.Box))
-	p.router.sync.hearRestoring(time.Duration(digest.RestoringMs)*time.Millisecond, now)
+	p.router.sync.noteRestoringFromPeer(time.Duration(digest.RestoringMs)*time.Millisecond, now)
 	p.router.evacuations.receive(digest.Evacuated, "peer "+string(digest.Box))
 	p.router.admissions.receive(digest.Admitted, "peer "+string(digest.Box))
 	p.router.receiveLeaving(digest.Leaving, "peer "+string(digest.Box))
@@ -141,24 +141,24 @@
 	}
 }
 
-// takeHalls keeps the newest report of each other hall; the caller holds the lock.
-func (p *peers) takeHalls(halls []HallReport, now time.Time) {
+// mergeHallReports keeps the newest report of each other hall; the caller holds the lock.
+func (p *peers) mergeHallReports(halls []HallReport, now time.Time) {
 	for _, hall := range halls {
 		at := now.Add(-time.Duration(hall.AgeMs) * time.Millisecond)
-		if hall.Hall != p.router.settings.Hall && at.After(p.halls[hall.Hall].at) {
-			p.halls[hall.Hall] = heardReport{hall.Report, at}
+		if hall.Hall != p.router.settings.Hall && at.After(p.otherHalls[hall.Hall].at) {
+			p.otherHalls[hall.Hall] = receivedReport{hall.Report, at}
 		}
 	}
 }
 
-// audience lists where the other boxes are reached that were heard of or named of late: those of this box's hall, and
-// those of each other hall.
-func (p *peers) audience(now time.Time) (near []netip.AddrPort, far map[willowwick.HallID][]netip.AddrPort) {
+// hintRecipients returns the addresses of the boxes that were seen recently: those of this box's hall, and those of
+// each other hall.
+func (p *peers) hintRecipients(now time.Time) (near []netip.AddrPort, far map[willowwick.HallID][]netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	far = map[willowwick.HallID][]netip.AddrPort{}
 	for _, known := range p.known {
-		if known.box.Hall == "" || !known.isKept(now) {
+		if known.box.Hall == "" || !known.isRetained(now) {
 			continue
 		}
 		address, err := netip.ParseAddrPort(known.box.Address)
@@ -175,19 +175,20 @@
 	return near, far
 }
 
-// versionOf is the version of the configuration that a box last told of, and whether it takes packed ones.
-func (p *peers) versionOf(address string) (version uint64, takesPacked, heard bool) {
+// configVersionOf returns the configuration version that a box last reported and whether it accepts packed
+// configurations.
+func (p *peers) configVersionOf(address string) (version uint64, takesPacked, hasDigest bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known := p.known[address]
-	if known == nil || known.heard.IsZero() {
+	if known == nil || known.heardAt.IsZero() {
 		return 0, false, false
 	}
 	return known.digest.TableVersion, known.digest.TakesPacked, true
 }
 
-// failed notes that a box does not answer, and logs the first failure of a row.
-func (p *peers) failed(address string, err error) {
+// noteCallFailure records a failed call and schedules the next one; it logs the first of consecutive failures.
+func (p *peers) noteCallFailure(address string, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known := p.known[address]
@@ -195,29 +196,29 @@
 		return
 	}
 	known.failures++
-	known.tryAt = clock.Now().Add(retryPause(known.failures))
+	known.nextCallAt = clock.Now().Add(peerRetryPause(known.failures))
 	if known.failures == 1 {
 		slog.Info("box is not reached", "peer", known.digest.Box, "address", address, "error", err)
 	}
 }
 
-// retryPause is the pause before the next call of a box after so many failures in a row; it doubles with each.
-func retryPause(failures int) time.Duration {
-	pause := retryPeer
-	for n := 1; n < failures && pause < retryPeerMost; n++ {
+// peerRetryPause returns the pause after a number of consecutive failures; it doubles with each.
+func peerRetryPause(failures int) time.Duration {
+	pause := minPeerRetry
+	for n := 1; n < failures && pause < maxPeerRetry; n++ {
 		pause *= 2
 	}
-	return min(pause, retryPeerMost)
+	return min(pause, maxPeerRetry)
 }
 
-// forget drops boxes that nobody has heard of or named for long.
-func (p *peers) forget(now time.Time) {
+// forgetSilentPeers drops boxes that were not seen for longer than silentPeerRetention.
+func (p *peers) forgetSilentPeers(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, known := range p.known {
-		if !known.isKept(now) {
+		if !known.isRetained(now) {
 			delete(p.known, address)
-			p.harm.Forget(address)
+			p.quarantine.Forget(address)
 			p.limits.Forget(address)
 		}
 	}
--- a/exchange/leaving_test.go
+++ b/exchange/leaving_test.go
@@ -212,18 +212,18 @@
 
 // Once the list says that an endpoint leaves, boxes no longer tell each other.
 func TestBoxesDoNotTellEachOtherWhatTheListSays(t *testing.T) {
-	quietLogs(t)
+	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
 		m := newMesh(1, 6, 2, 8)
 		m.run(t, 10*time.Second)
 		endpoint, now := meshEndpoint(0, 2), time.Now()
 		m.boxes[0].pool.ApplyNotice(now, now, endpoint, willowwick.Notice{Leaving: true})
 		m.run(t, time.Second)
-		assert.NotEmpty(t, m.boxes[5].peers.digest(time.Now()).Leaving)
-		m.leave(t, endpoint)
+		assert.NotEmpty(t, m.boxes[5].peers.ownDigest(time.Now()).Leaving)
+		m.drain(t, endpoint)
 		m.run(t, 2*time.Second)
 		for _, box := range m.boxes {
-			assert.Empty(t, box.peers.digest(time.Now()).Leaving)
+			assert.Empty(t, box.peers.ownDigest(time.Now()).Leaving)
 		}
 	})
 }
--- a/exchange/mesh_test.go
+++ b/exchange/mesh_test.go
@@ -19,56 +19,57 @@
 )
 
 const (
-	// meshStep is how often the boxes of a mesh look whether something is due.
-	meshStep = feedPoll
-	// meshDrain is the time to leave an endpoint on fleets of hundreds of boxes.
+	// meshStep is how often the boxes of a mesh check whether something is due.
+	meshStep = readerPollInterval
+	// meshDrain is the time to drain an endpoint in fleets of hundreds of boxes.
 	meshDrain = 4 * time.Second
-	// meshSeeds is the number of boxes that the settings of each name.
+	// meshSeeds is the number of boxes in the settings of each box.
 	meshSeeds = 2
 )
 
 type (
-	// mesh is a fleet without network in virtual time: boxes swap by function calls, their hubs read one store.
+	// mesh is a fleet without network in virtual time: boxes exchange gossip by function calls, their hubs read one
+	// store.
 	mesh struct {
-		store  *meshStore
-		isAway bool                           // the store answers nobody
-		isCut  bool                           // halls do not reach each other
-		moves  bool                           // heartbeats move the end of the list's topic
-		reads  bool                           // boxes without a reader read the configuration as well
-		beats  uint64                         // heartbeats of endpoints so far
-		left   map[willowwick.EndpointID]bool // endpoints that have ever said that they leave, which is for good
-		lives  map[willowwick.EndpointID]willowwick.Incarnation
-		boxes  []*meshBox
-		named  map[string]*meshBox
-		starts int // of boxes so far
-		random *rand.Rand
-
-		messages gobCounter
-		swapped  int                    // bytes of all swaps
-		parts    map[string]*gobCounter // the same by the kind of news; nil if that is not counted
-		wholes   int                    // lists of endpoints that went from box to box whole
+		store          *meshStore
+		isAway         bool                           // the store is unavailable
+		isCut          bool                           // halls can't reach each other
+		advancesOffset bool                           // heartbeats advance the end of the list's topic
+		readsConfig    bool                           // boxes without a reader read the configuration as well
+		heartbeats     uint64                         // of all endpoints so far
+		draining       map[willowwick.EndpointID]bool // endpoints that have ever reported that they are draining, which is final
+		incarnations   map[willowwick.EndpointID]willowwick.Incarnation
+		boxes          []*meshBox
+		byAddress      map[string]*meshBox
+		starts         int // of all boxes so far
+		random         *rand.Rand
+
+		messages       gobCounter
+		exchangedBytes int                    // of all gossip exchanges
+		parts          map[string]*gobCounter // the same by the kind of data; nil if not counted
+		wholeLists     int                    // number of whole lists of endpoints that boxes sent each other
 	}
 
 	// meshBox is one box of a mesh.
 	meshBox struct {
 		*Router
-		down      bool
-		isRefused bool      // by the store
-		readAt    time.Time // no read of the store before
-		swapAt    time.Time // no swap before
-		configAt  time.Time // no read of the configuration before
+		down           bool
+		isRefused      bool      // by the store
+		nextRead       time.Time // of the list
+		nextExchange   time.Time
+		nextConfigRead time.Time
 	}
 
-	// meshStore is the list of endpoints at the store.
+	// meshStore is the list of endpoints in the store.
 	meshStore struct {
 		end     willowwick.Position
 		entries map[willowwick.EndpointID]meshEntry
-		gone    map[willowwick.EndpointID]willowwick.Position
+		removed map[willowwick.EndpointID]willowwick.Position
 		harmful map[willowwick.Fingerprint]willowwick.HarmfulRequest
 		reads   int // of the list
 	}
 
-	// meshControl is what a box does at the store of refused requests; it reads all else by the mesh.
+	// meshControl is a box's access to the store's quarantine; the mesh does all other reads.
 	meshControl struct {
 		willowwick.Control
 		mesh *mesh
@@ -80,7 +81,7 @@
 		at       willowwick.Position
 	}
 
-	// gobCounter counts the bytes of messages as net/rpc writes them, the descriptions of their types once.
+	// gobCounter counts the bytes of messages as net/rpc encodes them, the descriptions of their types once.
 	gobCounter struct {
 		encoder *gob.Encoder
 		bytes   int
@@ -92,7 +93,7 @@
 	return len(data), nil
 }
 
-// add returns how many bytes a message takes.
+// add returns the encoded size of a message.
 func (c *gobCounter) add(t *testing.T, message any) int {
 	if c.encoder == nil {
 		c.encoder = gob.NewEncoder(c)
@@ -132,7 +133,7 @@
 func (s *meshStore) remove(id willowwick.EndpointID) {
 	s.end++
 	delete(s.entries, id)
-	s.gone[id] = s.end
+	s.removed[id] = s.end
 }
 
 func (s *meshStore) since(from willowwick.Position) willowwick.EndpointChanges {
@@ -144,7 +145,7 @@
 			changes.Present = append(changes.Present, entry.endpoint)
 		}
 	}
-	for id, at := range s.gone {
+	for id, at := range s.removed {
 		if !isWhole && at > from {
 			changes.Gone = append(changes.Gone, id)
 		}
@@ -152,8 +153,8 @@
 	return changes
 }
 
-// comeBack begins a new era with a copy of the list that lacks what was written last: so many records, and the given endpoints.
-func (s *meshStore) comeBack(records willowwick.Offset, lost ...willowwick.EndpointID) {
+// restoreFromCopy begins a new era with a copy of the list that lacks a number of last records and the given endpoints.
+func (s *meshStore) restoreFromCopy(records willowwick.Offset, lost ...willowwick.EndpointID) {
 	s.end = willowwick.NewPosition(s.end.Era()+1, s.end.Offset()-records)
 	for _, id := range lost {
 		delete(s.entries, id)
@@ -175,12 +176,12 @@
 	}
 }
 
-// newMesh returns boxes that have not swapped yet, spread over halls, before a list of endpoints.
+// newMesh returns boxes that have not exchanged gossip yet, spread over halls, and a store with a list of endpoints.
 func newMesh(seed uint64, boxes, halls, endpoints int) *mesh {
 	m := &mesh{
-		store: &meshStore{entries: map[willowwick.EndpointID]meshEntry{}, gone: map[willowwick.EndpointID]willowwick.Position{}},
-		named: map[string]*meshBox{}, random: rand.New(rand.NewPCG(seed, seed)), left: map[willowwick.EndpointID]bool{},
-		lives: map[willowwick.EndpointID]willowwick.Incarnation{},
+		store:     &meshStore{entries: map[willowwick.EndpointID]meshEntry{}, removed: map[willowwick.EndpointID]willowwick.Position{}},
+		byAddress: map[string]*meshBox{}, random: rand.New(rand.NewPCG(seed, seed)), draining: map[willowwick.EndpointID]bool{},
+		incarnations: map[willowwick.EndpointID]willowwick.Incarnation{},
 	}
 	for i := range endpoints {
 		m.store.put(meshEndpoint(i, halls))
@@ -191,7 +192,7 @@
 	return m
 }
 
-// start begins the life of a box, or a new one of a box that was there before.
+// start begins an incarnation of a box, new or restarted.
 func (m *mesh) start(i, halls int) {
 	settings := testSettings()
 	settings.Hall, settings.Drain = willowwick.HallID(fmt.Sprint("hall-", i%halls)), meshDrain
@@ -208,7 +209,7 @@
 	x.sync = newSyncer(x, &meshControl{mesh: m, box: box})
 	x.peers, _ = newPeers(x)
 	x.peers.askBox = func(_ context.Context, address string, call *ratelimit.Call) (reply ratelimit.Reply, err error) {
-		other := m.named[address]
+		other := m.byAddress[address]
 		if other == nil || other.down || m.isCut && other.settings.Hall != settings.Hall {
 			return reply, errDown
 		}
@@ -218,105 +219,105 @@
 	x.hints = newHints(x, nil)
 	x.setTable(testTable(1, onceRoute(), streamRoute()), "test")
 	// Real boxes start a little after each other.
-	box.readAt = time.Now().Add(time.Duration(m.random.IntN(int(meshDrain / 4))))
-	box.swapAt = box.readAt
-	if m.named[settings.Peers] == nil {
+	box.nextRead = time.Now().Add(time.Duration(m.random.IntN(int(meshDrain / 4))))
+	box.nextExchange = box.nextRead
+	if m.byAddress[settings.Peers] == nil {
 		m.boxes = append(m.boxes, box)
 	} else {
 		m.boxes[i] = box
 	}
-	m.named[settings.Peers] = box
+	m.byAddress[settings.Peers] = box
 }
 
-// run lets the boxes swap and read for a length of virtual time.
-func (m *mesh) run(t *testing.T, length time.Duration) {
-	for until := time.Now().Add(length); time.Now().Before(until); time.Sleep(meshStep) {
-		if m.moves {
+// run lets the boxes read and exchange gossip for a duration of virtual time.
+func (m *mesh) run(t *testing.T, duration time.Duration) {
+	for until := time.Now().Add(duration); time.Now().Before(until); time.Sleep(meshStep) {
+		if m.advancesOffset {
 			m.store.end += willowwick.Position(len(m.store.entries)) * willowwick.Position(meshStep) / willowwick.Position(time.Second)
 		}
 		for _, box := range m.boxes {
 			if !box.down {
-				m.act(t, box)
+				m.step(t, box)
 			}
 		}
 	}
 }
 
-// act does what is due on a box.
-func (m *mesh) act(t *testing.T, box *meshBox) {
+// step does what is due on a box.
+func (m *mesh) step(t *testing.T, box *meshBox) {
 	now := time.Now()
-	if !now.Before(box.readAt) {
-		box.readAt = now.Add(retryFirst)
+	if !now.Before(box.nextRead) {
+		box.nextRead = now.Add(minReadRetry)
 		m.read(box, now)
 	}
-	if m.reads {
+	if m.readsConfig {
 		m.readConfig(box, now)
 	}
 	if m.store.harmful != nil {
 		box.sync.syncPoison(t.Context())
 	}
-	if now.Before(box.swapAt) {
+	if now.Before(box.nextExchange) {
 		return
 	}
-	for _, address := range box.peers.targets(now) {
-		m.swap(t, box, address, now)
+	for _, address := range box.peers.exchangeTargets(now) {
+		m.exchange(t, box, address, now)
 	}
-	box.peers.forget(now)
-	// Real boxes drift against each other by their own work.
-	box.swapAt = now.Add(box.peers.pause(now)).Add(time.Duration(m.random.IntN(int(meshStep))))
+	box.peers.forgetSilentPeers(now)
+	// Real boxes drift against each other through their own work.
+	box.nextExchange = now.Add(box.peers.roundPause(now)).Add(time.Duration(m.random.IntN(int(meshStep))))
 }
 
-// read looks after the list of endpoints, and reads it if it is time to.
+// read drops lapsed entries, and reads the list of endpoints if that is due.
 func (m *mesh) read(box *meshBox, now time.Time) {
-	if box.sync.dropLapsed(now); !box.sync.mustRead(now) {
+	if box.sync.dropLapsed(now); !box.sync.mustReadList(now) {
 		return
 	}
 	if m.isAway || box.isRefused {
-		box.sync.noteFailure(readEndpoints, now, errDown)
-		box.sync.noteFailure(readDeclared, now, errDown)
+		box.sync.noteFailure(endpointsRead, now, errDown)
+		box.sync.noteFailure(declarationsRead, now, errDown)
 		return
 	}
-	box.sync.noteAnswer(readDeclared, now)
-	box.sync.takeChanges(m.store.since(box.sync.endpointsAt()), now, now)
+	box.sync.noteAnswer(declarationsRead, now)
+	box.sync.applyListRead(m.store.since(box.sync.listReadTo()), now, now)
 }
 
-// readConfig reads the configuration on a box that has no reader, as old as an answer may make it: one that brings news at the
-// end of the time for which it was held.
+// readConfig reads the configuration on a box without a reader, with the greatest age that an answer may have: one with
+// changes at the end of a long poll.
 func (m *mesh) readConfig(box *meshBox, now time.Time) {
-	if now.Before(box.configAt) || box.sync.isFed(now) {
+	if now.Before(box.nextConfigRead) || box.sync.hasReader(now) {
 		return
 	}
-	held := box.sync.heldLimit()
-	box.configAt = now.Add(held)
+	longPoll := box.sync.longPollLimit()
+	box.nextConfigRead = now.Add(longPoll)
 	if !m.isAway && !box.isRefused {
-		box.sync.noteConfig(now.Add(-held))
+		box.sync.noteConfigAsOf(now.Add(-longPoll))
 	}
 }
 
-func (m *mesh) swap(t *testing.T, box *meshBox, address string, now time.Time) {
-	if !box.peers.beginSwap(address, now) {
+func (m *mesh) exchange(t *testing.T, box *meshBox, address string, now time.Time) {
+	if !box.peers.beginExchange(address, now) {
 		return
 	}
-	defer box.peers.endSwap(address)
-	other := m.named[address]
+	defer box.peers.endExchange(address)
+	other := m.byAddress[address]
 	if other == nil || other.down || m.isCut && other.settings.Hall != box.settings.Hall {
-		box.peers.failed(address, errDown)
+		box.peers.noteCallFailure(address, errDown)
 		return
 	}
-	call := box.peers.callTo(address, now)
+	call := box.peers.swapCallFor(address, now)
 	var reply SwapReply
 	require.NoError(t, (&rpcServer{peers: other.peers}).Swap(&call, &reply))
 	if reply.Endpoints != nil && reply.Endpoints.Since == 0 {
-		m.wholes++
+		m.wholeLists++
 	}
-	box.peers.takeReply(&call, reply, now, now)
-	m.swapped += m.messages.add(t, call) + m.messages.add(t, reply)
+	box.peers.applyReply(&call, reply, now, now)
+	m.exchangedBytes += m.messages.add(t, call) + m.messages.add(t, reply)
 	if m.parts != nil {
 		m.countParts(t, &call, &reply)
 	}
 }
 
-// countParts adds the bytes of a swap by the kind of news, and counts whole lists.
+// countParts adds the bytes of a gossip exchange by the kind of data.
 func (m *mesh) countParts(t *testing.T, call *SwapCall, reply *SwapReply) {
 	m.count(t, "digests", []Digest{call.Digest, reply.Digest})
 	m.count(t, "boxes", reply.Known)
@@ -338,53 +339,53 @@
 	m.parts[kind].add(t, part)
 }
 
-// partsText tells the bytes of swaps by the kind of news.
+// partsText formats the bytes of gossip exchanges by the kind of data.
 func (m *mesh) partsText() string {
-	text := fmt.Sprintf("%d bytes", m.swapped)
+	text := fmt.Sprintf("%d bytes", m.exchangedBytes)
 	for _, kind := range slices.Sorted(maps.Keys(m.parts)) {
 		text += fmt.Sprintf(", %s %d", kind, m.parts[kind].bytes)
 	}
 	return text
 }
 
-func quietLogs(t *testing.T) {
+func discardLogs(t *testing.T) {
 	before := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	t.Cleanup(func() { slog.SetDefault(before) })
 }
 
-// beatAll lets each endpoint write its heartbeat.
-func (m *mesh) beatAll() {
+// writeHeartbeats writes a heartbeat of each endpoint.
+func (m *mesh) writeHeartbeats() {
 	for _, endpoint := range m.store.list() {
-		m.beats++
-		endpoint.Beat = m.beats
+		m.heartbeats++
+		endpoint.Beat = m.heartbeats
 		m.store.put(endpoint)
 	}
 }
 
-// assertListsAlike lets the store come back, and checks that all boxes list then what it lists.
-func (m *mesh) assertListsAlike(t *testing.T, seed uint64) {
-	// An endpoint that was gone counts again after two heartbeats; every entry that lapsed is back or dropped by then.
+// assertListsConverge makes the store available, and checks that all boxes then have its list.
+func (m *mesh) assertListsConverge(t *testing.T, seed uint64) {
+	// A removed endpoint counts again after two heartbeats; every lapsed entry is back or dropped by then.
 	m.isAway = false
 	for range 4 {
-		m.beatAll()
+		m.writeHeartbeats()
 		m.run(t, meshDrain/2)
 	}
 	for _, box := range m.boxes {
-		assert.ElementsMatch(t, withoutBeats(m.store.list()), withoutBeats(box.pool.Endpoints()), "endpoints that %s knows, seed %d", box.settings.Box, seed)
+		assert.ElementsMatch(t, withoutHeartbeats(m.store.list()), withoutHeartbeats(box.pool.Endpoints()), "endpoints that %s knows, seed %d", box.settings.Box, seed)
 	}
 }
 
-// withoutBeats leaves out what is not told of endpoints that only go on living.
-func withoutBeats(list []willowwick.Endpoint) []willowwick.Endpoint {
+// withoutHeartbeats clears the heartbeats, which boxes don't send each other.
+func withoutHeartbeats(list []willowwick.Endpoint) []willowwick.Endpoint {
 	for i := range list {
 		list[i].Beat = 0
 	}
 	return list
 }
 
-// disturb changes one thing at the store.
-func (m *mesh) disturb() {
+// injectChange makes one random change at the store or restarts a box.
+func (m *mesh) injectChange() {
 	const names = 15
 	endpoint := meshEndpoint(m.random.IntN(names), 2)
 	switch m.random.IntN(6) {
@@ -394,23 +395,23 @@
 		m.store.remove(endpoint.ID)
 	case 2:
 		if known, found := m.store.entries[endpoint.ID]; found {
-			m.beats++
-			m.left[endpoint.ID] = true
-			known.endpoint.Leaving, known.endpoint.Beat = true, m.beats
+			m.heartbeats++
+			m.draining[endpoint.ID] = true
+			known.endpoint.Leaving, known.endpoint.Beat = true, m.heartbeats
 			m.store.put(known.endpoint)
 		}
 	case 3:
 		m.start(m.random.IntN(len(m.boxes)), 2)
 	default:
-		m.beats++
-		endpoint.Incarnation = m.lives[endpoint.ID]
-		endpoint.Beat, endpoint.Leaving = m.beats, m.left[endpoint.ID]
+		m.heartbeats++
+		endpoint.Incarnation = m.incarnations[endpoint.ID]
+		endpoint.Beat, endpoint.Leaving = m.heartbeats, m.draining[endpoint.ID]
 		m.store.put(endpoint)
 	}
 }
 
-// startAgain lets an endpoint that is listed end and start again under its id, with heartbeats that count anew.
-func (m *mesh) startAgain() {
+// restartEndpoint crashes a listed endpoint and restarts it under its ID, with heartbeats that count from 1.
+func (m *mesh) restartEndpoint() {
 	endpoint := meshEndpoint(m.random.IntN(8), 2)
 	if _, isListed := m.store.entries[endpoint.ID]; !isListed {
 		return
@@ -418,27 +419,27 @@
 	if m.random.IntN(2) == 0 {
 		m.store.remove(endpoint.ID)
 	}
-	m.beats++
-	m.left[endpoint.ID] = false
-	m.lives[endpoint.ID] += willowwick.Incarnation(m.beats)
-	endpoint.Incarnation, endpoint.Beat = m.lives[endpoint.ID], 1
+	m.heartbeats++
+	m.draining[endpoint.ID] = false
+	m.incarnations[endpoint.ID] += willowwick.Incarnation(m.heartbeats)
+	endpoint.Incarnation, endpoint.Beat = m.incarnations[endpoint.ID], 1
 	m.store.put(endpoint)
 }
 
-// leave lets an endpoint say that it leaves, and returns how long it takes until all boxes that the store serves know.
-func (m *mesh) leave(t *testing.T, endpoint willowwick.Endpoint) time.Duration {
+// drain marks an endpoint as draining, and returns how long it takes until all boxes that the store serves know.
+func (m *mesh) drain(t *testing.T, endpoint willowwick.Endpoint) time.Duration {
 	endpoint.Leaving = true
 	m.store.put(endpoint)
 	began := time.Now()
-	for time.Since(began) <= meshDrain && !m.knowsLeaving(endpoint.ID) {
+	for time.Since(began) <= meshDrain && !m.allKnowDraining(endpoint.ID) {
 		m.run(t, meshStep)
 	}
 	return time.Since(began)
 }
 
-func (m *mesh) knowsLeaving(id willowwick.EndpointID) bool {
+func (m *mesh) allKnowDraining(id willowwick.EndpointID) bool {
 	for _, box := range m.boxes {
-		if entry, _ := box.sync.entry(id); !entry.Leaving && !box.isRefused {
+		if entry, _ := box.sync.listedEndpoint(id); !entry.Leaving && !box.isRefused {
 			return false
 		}
 	}
--- a/exchange/notices.go
+++ b/exchange/notices.go
@@ -38,7 +38,7 @@
 			"ms", notice.RestUntil.Sub(now).Milliseconds())
 	}
 	if changes.Limit {
-		x.peers.hurry()
+		x.peers.requestRound()
 	}
 }
 
--- a/exchange/peers.go
+++ b/exchange/peers.go
@@ -17,56 +17,59 @@
 )
 
 const (
-	// countAfter is how long a box that has just started takes its fleet to have at least youngFleet boxes, where
-	// escalations share the slack of repeats, and requests what cold endpoints bear: it has not heard of all of them yet.
-	countAfter = 5 * time.Second
-	youngFleet = 50
+	// fleetDiscoveryTime is how long a box that has just started assumes that its fleet has at least assumedFleetSize
+	// boxes, for its share of the retry budget for escalations and of the requests that cold endpoints can handle: it
+	// doesn't know all boxes yet.
+	fleetDiscoveryTime = 5 * time.Second
+	assumedFleetSize   = 50
 )
 
 type (
-	// peers keeps in touch with the other boxes.
+	// peers exchanges state with the other boxes.
 	//
-	// In each hall the first box, as precedes orders them, reads the store and swaps digests with the readers of the other
-	// halls; the other boxes swap with their reader, and read the store themselves once it is silent or cut off.
+	// In each hall the first box in the order of KnownBox.precedes reads the store and exchanges digests with the
+	// readers of the other halls; the other boxes exchange with their reader, and read the store themselves once it is
+	// silent or cut off from the store.
 	peers struct {
 		router    *Router
 		transport *fleet.Transport
-		began     time.Time
-		startedMs int64 // the same by the time of day, as other boxes are told
+		startedAt time.Time
+		startedMs int64 // the same in Unix milliseconds, as reported to other boxes
 		limits    *ratelimit.Peers
 		granter   *ratelimit.Granter
-		// askBox asks the box at an address for permits.
-		askBox func(ctx context.Context, address string, call *ratelimit.Call) (ratelimit.Reply, error)
-		harm   *quarantine.Peers
-		urgent chan struct{} // there is news that cannot wait for the next round of swaps
+		// askBox calls the box at an address for permits.
+		askBox         func(ctx context.Context, address string, call *ratelimit.Call) (ratelimit.Reply, error)
+		quarantine     *quarantine.Peers
+		roundRequested chan struct{} // signals that an urgent update can't wait for the next round
 
-		mu    sync.Mutex
-		known map[string]*peer // by address
-		halls map[willowwick.HallID]heardReport
+		mu         sync.Mutex
+		known      map[string]*peer // by address
+		otherHalls map[willowwick.HallID]receivedReport
 	}
 
-	// rpcServer is the part of peers that other boxes call.
+	// rpcServer holds the methods that other boxes call.
 	rpcServer struct {
 		peers *peers
 	}
 )
 
 func newPeers(x *Router) (*peers, func()) {
-	dialer := net.Dialer{Timeout: swapLimit}
+	dialer := net.Dialer{Timeout: gossipTimeout}
 	transport, closeTransport := fleet.NewTransport(x.settings.Key, func(ctx context.Context, address string) (net.Conn, error) {
 		return dialer.DialContext(ctx, "tcp", address)
 	}, nil)
 	p := &peers{
-		router: x, transport: transport, began: clock.Now(), startedMs: clock.TimeOfDay().UnixMilli(), limits: ratelimit.NewPeers(x.limits), granter: ratelimit.NewGranter(x.limits), urgent: make(chan struct{}, 1),
-		harm:  quarantine.NewPeers(x.poison, x.settings.Boot),
-		known: map[string]*peer{}, halls: map[willowwick.HallID]heardReport{},
+		router: x, transport: transport, startedAt: clock.Now(), startedMs: clock.TimeOfDay().UnixMilli(),
+		limits: ratelimit.NewPeers(x.limits), granter: ratelimit.NewGranter(x.limits), roundRequested: make(chan struct{}, 1),
+		quarantine: quarantine.NewPeers(x.poison, x.settings.Boot),
+		known:      map[string]*peer{}, otherHalls: map[willowwick.HallID]receivedReport{},
 	}
 	p.askBox = p.callPermit
 	if len(x.settings.Seeds) > 0 {
-		x.limits.AwaitNews(p.began.Add(lookFor))
+		x.limits.AwaitNews(p.startedAt.Add(hubSearchTime))
 	}
 	for _, address := range x.settings.Seeds {
-		p.list(KnownBox{Address: address}, clock.Now())
+		p.noteBox(KnownBox{Address: address}, clock.Now())
 	}
 	return p, closeTransport
 }
@@ -74,21 +77,21 @@
 // serve answers other boxes until the listener is closed.
 func (p *peers) serve(listener net.Listener) error {
 	server := rpc.NewServer()
-	if err := server.RegisterName(rpcName, &rpcServer{peers: p}); err != nil {
+	if err := server.RegisterName(rpcServiceName, &rpcServer{peers: p}); err != nil {
 		return errors.Wrap(err, "serve peers")
 	}
 	p.transport.Serve(listener, server)
 	return nil
 }
 
-// boxes is the number of boxes that share the fleet's bounds, this one included.
-func (p *peers) boxes() int {
+// fleetSize returns the number of boxes that share the fleet's bounds, this one included.
+func (p *peers) fleetSize() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.known) + 1
 }
 
-// hallSize is the number of the hall's boxes as far as they are known, this one included; most are known from the hub.
+// hallSize returns the number of known boxes of this hall, this one included; most are known from the hub.
 func (p *peers) hallSize() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -101,11 +104,12 @@
 	return size
 }
 
-// sharers is the number of boxes that the fleet's slack of repeats is divided by. Escalations are many and can wait
-// until a new box has counted its fleet; failovers are few, and without one a caller's answer is cut.
-func (p *peers) sharers(kind route.RetryKind, now time.Time) int {
-	if kind == route.RetryEscalation && now.Sub(p.began) < countAfter {
-		return max(p.boxes(), youngFleet)
+// slackShares returns the number of boxes that the slack of the fleet's retry budget is divided by. Escalations are
+// frequent and can wait until a new box knows its fleet; failovers are rare, and without one a caller's answer is cut
+// off.
+func (p *peers) slackShares(kind route.RetryKind, now time.Time) int {
+	if kind == route.RetryEscalation && now.Sub(p.startedAt) < fleetDiscoveryTime {
+		return max(p.fleetSize(), assumedFleetSize)
 	}
-	return p.boxes()
+	return p.fleetSize()
 }
--- a/exchange/peers_test.go
+++ b/exchange/peers_test.go
@@ -12,17 +12,17 @@
 	"github.com/willowwick/willowwick/rollout"
 )
 
-// feedDrain leaves time for some swaps within the time that an endpoint may be sent to.
-const feedDrain = 2 * time.Second
+// hallDrain leaves time for some gossip exchanges within the time to drain an endpoint.
+const hallDrain = 2 * time.Second
 
-// newHall starts boxes of one hall that know each other by their seeds.
+// newHall starts boxes of one hall that find each other by their seeds.
 func newHall(t *testing.T, boxes int, endpoints ...willowwick.Endpoint) (*testControl, []*site) {
 	control := newTestControl(testTable(1, onceRoute(), streamRoute()), endpoints...)
 	var sites []*site
 	for i := range boxes {
 		settings := testSettings()
 		settings.Box = willowwick.BoxID(fmt.Sprint("box-", i))
-		settings.Drain = feedDrain
+		settings.Drain = hallDrain
 		if i > 0 {
 			settings.Seeds = []string{sites[0].daemon.router.settings.Peers}
 		}
@@ -34,7 +34,7 @@
 func readers(sites []*site) []*site {
 	var found []*site
 	for _, s := range sites {
-		if _, isFed := s.daemon.router.peers.reader(time.Now()); !isFed {
+		if _, hasReader := s.daemon.router.peers.reader(time.Now()); !hasReader {
 			found = append(found, s)
 		}
 	}
@@ -50,11 +50,11 @@
 	r := newRunner(t, "r1", answerText("ok"))
 	control, sites := newHall(t, 4, r.endpoint("v1"))
 	awaitReaders(t, sites, 1)
-	time.Sleep(peerFresh)
+	time.Sleep(peerLiveness)
 	control.mu.Lock()
 	before := control.reads
 	control.mu.Unlock()
-	time.Sleep(feedDrain)
+	time.Sleep(hallDrain)
 	control.mu.Lock()
 	during := control.reads - before
 	control.mu.Unlock()
@@ -66,9 +66,9 @@
 	})
 	for _, s := range sites {
 		require.Eventually(t, func() bool {
-			_, found := s.daemon.router.sync.entry("r2")
+			_, found := s.daemon.router.sync.listedEndpoint("r2")
 			return found && s.daemon.router.configVersion() == 2
-		}, feedDrain, 5*time.Millisecond, "box %s", s.daemon.router.settings.Box)
+		}, hallDrain, 5*time.Millisecond, "box %s", s.daemon.router.settings.Box)
 	}
 }
 
@@ -76,7 +76,7 @@
 	r := newRunner(t, "r1", answerText("ok"))
 	control, sites := newHall(t, 3, r.endpoint("v1"))
 	reader := awaitReaders(t, sites, 1)[0]
-	time.Sleep(peerFresh)
+	time.Sleep(peerLiveness)
 	reader.stop()
 	reader.closeDaemon()
 	control.change(func() {
@@ -89,9 +89,9 @@
 			continue
 		}
 		require.Eventually(t, func() bool {
-			endpoint, _ := s.daemon.router.sync.entry("r1")
+			endpoint, _ := s.daemon.router.sync.listedEndpoint("r1")
 			return endpoint.Leaving
-		}, feedDrain, 5*time.Millisecond)
+		}, hallDrain, 5*time.Millisecond)
 	}
 }
 
@@ -126,12 +126,13 @@
 	require.True(t, written())
 }
 
-// With the store away no box reads it, and all boxes of a hall once swapped with all others.
+// Guards against all boxes of a hall exchanging gossip with all others during an outage of the store, when none reads
+// it.
 func TestBoxesSwapWithOneOfTheirHallWhileTheStoreIsAway(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	control, sites := newHall(t, 4, r.endpoint("v1"))
 	awaitReaders(t, sites, 1)
-	time.Sleep(peerFresh)
+	time.Sleep(peerLiveness)
 	control.change(func() { control.down = true })
 	require.Eventually(t, func() bool {
 		hubs, targets := 0, 0
@@ -139,33 +140,34 @@
 			if _, hasHub := s.daemon.router.peers.hub(time.Now()); !hasHub {
 				hubs++
 			}
-			targets += len(s.daemon.router.peers.targets(time.Now()))
+			targets += len(s.daemon.router.peers.exchangeTargets(time.Now()))
 		}
 		return len(readers(sites)) == len(sites) && hubs == 1 && targets == len(sites)-1
 	}, patience, 10*time.Millisecond)
 }
 
-// A reader that hears from another hall in time does not read the store itself, and once lost its hall by that.
-func TestReaderThatIsFedByAnotherHallStaysReader(t *testing.T) {
+// A reader that gets the list from another hall in time doesn't read the store itself; it used to lose its hall for
+// that.
+func TestReaderWithDataFromAnotherHallStaysReader(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	_, sites := newHall(t, 1, r.endpoint("v1"))
 	x := sites[0].daemon.router
-	require.Eventually(t, x.sync.hasEndpoints, patience, 10*time.Millisecond)
+	require.Eventually(t, x.sync.hasEndpointList, patience, 10*time.Millisecond)
 	isCutOff := func(unreachable bool) bool {
 		now := time.Now()
 		x.sync.mu.Lock()
-		for kind := range readKinds {
-			x.sync.answeredAt[kind], x.sync.failing[kind] = now.Add(-2*feedDrain), unreachable
+		for kind := range readKindCount {
+			x.sync.answeredAt[kind], x.sync.failing[kind] = now.Add(-2*hallDrain), unreachable
 		}
-		x.sync.asOf = now.Add(-feedDrain / 10)
+		x.sync.endpointsAsOf = now.Add(-hallDrain / 10)
 		x.sync.mu.Unlock()
-		return x.peers.isCutOff(&peer{digest: x.peers.digest(now), heard: now}, now)
+		return x.peers.isCutOffFromStore(&peer{digest: x.peers.ownDigest(now), heardAt: now}, now)
 	}
 	assert.False(t, isCutOff(false), "it could read, and did not have to")
 	assert.True(t, isCutOff(true), "its last read failed")
 }
 
-// With all boxes of a fleet started at once, each once tried all of the others in the same round.
+// Guards against a fleet whose boxes start at once and each call all others in the same round.
 func TestABoxTriesOnlyAFewSilentBoxesAtOnce(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	_, sites := newHall(t, 1, r.endpoint("v1"))
@@ -173,23 +175,23 @@
 	now := time.Now()
 	for i := range 60 {
 		hall := []willowwick.HallID{"hall-a", "hall-b", "hall-c", ""}[i%4]
-		p.list(KnownBox{Address: fmt.Sprintf("10.0.0.%d:1", i), Hall: hall}, now)
+		p.noteBox(KnownBox{Address: fmt.Sprintf("10.0.0.%d:1", i), Hall: hall}, now)
 	}
-	assert.LessOrEqual(t, len(p.targets(now)), 4*triedAtOnce, "two of each hall and two of no known hall")
+	assert.LessOrEqual(t, len(p.exchangeTargets(now)), 4*maxProbesPerRound, "two of each hall and two of no known hall")
 }
 
-func TestMembersTellTheirHall(t *testing.T) {
+func TestMemberNameRoundTrip(t *testing.T) {
 	box := KnownBox{Address: "10.0.0.1:8188", Hall: "hall-a", LinkMbps: 200}
-	assert.Equal(t, box, boxOfMember(memberName(box)))
-	assert.Equal(t, KnownBox{Address: "10.0.0.1:8188"}, boxOfMember("10.0.0.1:8188"))
+	assert.Equal(t, box, parseMemberName(memberName(box)))
+	assert.Equal(t, KnownBox{Address: "10.0.0.1:8188"}, parseMemberName("10.0.0.1:8188"))
 }
 
-// A hub passes what is large on to all boxes of its hall, so the widest link does it.
+// A hub forwards large data to all boxes of its hall, so the box with the widest link is the hub.
 func TestTheWidestLinkOfAHallIsItsHub(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	control, sites := newHall(t, 2, r.endpoint("v1"))
 	settings := testSettings()
-	settings.Box, settings.Drain, settings.LinkMbps = "box-wide", feedDrain, 200
+	settings.Box, settings.Drain, settings.LinkMbps = "box-wide", hallDrain, 200
 	settings.Seeds = []string{sites[0].daemon.router.settings.Peers}
 	wide := startSite(t, control, settings)
 	sites = append(sites, wide)
@@ -199,7 +201,7 @@
 	}, patience, 10*time.Millisecond)
 }
 
-// A box that is fed has no use for a read that the store holds; each such read costs a call whenever something changes.
+// A box that has a reader needs no long poll; each costs a call whenever something changes.
 func TestOnlyReadersHoldReadsOfDeclarations(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	control, sites := newHall(t, 4, r.endpoint("v1"))
@@ -207,8 +209,9 @@
 	require.Eventually(t, func() bool { return control.held.Load() == 1 }, patience, 10*time.Millisecond)
 }
 
-// Boxes once asked an absent store again and again, each for itself; joins and declarations can wait for its return.
-func TestBoxesOfAHallTakeTurnsWhileTheStoreIsAway(t *testing.T) {
+// Guards against boxes that each probe an unavailable store for themselves; joins and declarations can wait for its
+// return.
+func TestBoxesOfAHallShareStoreProbesDuringOutage(t *testing.T) {
 	const boxes = 8
 	r := newRunner(t, "r1", answerText("ok"))
 	control, sites := newHall(t, boxes, r.endpoint("v1"))
@@ -216,7 +219,7 @@
 	control.change(func() { control.down = true })
 	require.Eventually(t, func() bool {
 		for _, s := range sites {
-			if !s.daemon.router.sync.isAway() {
+			if !s.daemon.router.sync.hasFailingRead() {
 				return false
 			}
 		}
@@ -226,59 +229,59 @@
 	before := control.calls.Load()
 	const watched = 3 * time.Second
 	time.Sleep(watched)
-	// The first box asks with its usual pauses, on two topics and for the group; the others share one pause.
-	first := float64(watched)*2/float64(retryMost) + float64(watched)/float64(joinEvery)
-	others := float64(watched) / float64(probeEvery)
+	// The first box probes with its usual pauses, for two kinds of reads and the group; the others share one interval.
+	first := float64(watched)*2/float64(maxReadRetry) + float64(watched)/float64(joinInterval)
+	others := float64(watched) / float64(hallProbeInterval)
 	assert.LessOrEqual(t, float64(control.calls.Load()-before), first+others+boxes)
 	control.change(func() { control.down = false })
 	for _, s := range sites {
-		require.Eventually(t, func() bool { return !s.daemon.router.sync.isStale(time.Now()) }, patience, 10*time.Millisecond)
+		require.Eventually(t, func() bool { return !s.daemon.router.sync.isConfigStale(time.Now()) }, patience, 10*time.Millisecond)
 	}
 }
 
-// A box that reads the store once took one before it that does not for its hub, and that one took it: the hall swapped
-// with no other hall any more.
-func TestABoxThatReadsFollowsNoneThatDoesNot(t *testing.T) {
+// Guards against a reader whose hub is a preceding box that doesn't reach the store: that one took the reader as its
+// hub, and the hall exchanged gossip with no other hall any more.
+func TestBoxThatReadsTheStoreFollowsNoneThatDoesNot(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	_, sites := newHall(t, 1, r.endpoint("v1"))
 	p := sites[0].daemon.router.peers
-	require.Eventually(t, func() bool { return p.reads(time.Now()) }, patience, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return p.reachesStore(time.Now()) }, patience, 10*time.Millisecond)
 	blind := Digest{Address: "10.0.0.1:1", Hall: p.self().Hall, LinkMbps: p.self().LinkMbps + 1, ReadAgeMs: time.Hour.Milliseconds()}
-	p.heard(blind, time.Now())
+	p.receiveDigest(blind, time.Now())
 	_, hasHub := p.hub(time.Now())
 	assert.False(t, hasHub)
 	blind.ReadAgeMs = 0
-	p.heard(blind, time.Now())
+	p.receiveDigest(blind, time.Now())
 	_, hasHub = p.hub(time.Now())
 	assert.True(t, hasHub, "one that reads and comes before is followed")
 }
 
-// Boxes that answered and were no use as a hub once kept a box from trying those after them.
-func TestAllBoxesBeforeOneAreTriedInTurn(t *testing.T) {
+// Guards against boxes that answer but can't serve as a hub and keep a box from calling the preceding boxes after them.
+func TestAllPrecedingBoxesAreProbedInTurn(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	_, sites := newHall(t, 1, r.endpoint("v1"))
 	p := sites[0].daemon.router.peers
 	const boxes = 12
 	now := time.Now()
 	tried := map[string]bool{}
-	for range boxes / triedAtOnce {
+	for range boxes / maxProbesPerRound {
 		for i := range boxes {
-			p.list(KnownBox{Address: fmt.Sprintf("10.0.0.%d:1", i), Hall: "hall-a"}, now)
+			p.noteBox(KnownBox{Address: fmt.Sprintf("10.0.0.%d:1", i), Hall: "hall-a"}, now)
 		}
-		for _, address := range p.targets(now) {
+		for _, address := range p.exchangeTargets(now) {
 			tried[address] = true
-			p.beginSwap(address, now)
-			p.heard(Digest{Address: address, Hall: "hall-a", ReadAgeMs: time.Hour.Milliseconds()}, now)
-			p.endSwap(address)
+			p.beginExchange(address, now)
+			p.receiveDigest(Digest{Address: address, Hall: "hall-a", ReadAgeMs: time.Hour.Milliseconds()}, now)
+			p.endExchange(address)
 		}
-		now = now.Add(2 * peerFresh)
+		now = now.Add(2 * peerLiveness)
 	}
 	assert.Len(t, tried, boxes)
 }
 
-// A box that reads nothing itself once looked at its lapsed entries only as another change came in; and an endpoint that it
-// alone had given up stayed unknown to it until the endpoint changed.
-func TestABoxThatIsFedGivesUpALapsedEndpointAndHearsThatItIsThere(t *testing.T) {
+// Guards against a box with a reader that checked its lapsed entries only on other changes; an endpoint that it alone
+// had dropped stayed unknown to it until the endpoint changed.
+func TestFollowerDropsLapsedEndpointAndLearnsItIsListed(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	_, sites := newHall(t, 2, r.endpoint("v1"))
 	reader := awaitReaders(t, sites, 1)[0]
@@ -288,7 +291,7 @@
 	}
 	s := fed.daemon.router.sync
 	isListed := func() bool {
-		_, found := s.entry("r1")
+		_, found := s.listedEndpoint("r1")
 		return found
 	}
 	require.Eventually(t, isListed, patience, time.Millisecond)
@@ -296,5 +299,5 @@
 	s.lapsed["r1"] = time.Now()
 	s.mu.Unlock()
 	require.Eventually(t, func() bool { return !isListed() }, patience, time.Millisecond)
-	require.Eventually(t, isListed, wholeEvery+patience, time.Millisecond, "its reader lists it")
+	require.Eventually(t, isListed, wholeListInterval+patience, time.Millisecond, "its reader lists it")
 }
--- a/exchange/permits.go
+++ b/exchange/permits.go
@@ -15,7 +15,7 @@
 
 const (
 	// rpcPermit is the RPC method that requests permits.
-	rpcPermit = rpcName + ".Permit"
+	rpcPermit = rpcServiceName + ".Permit"
 	// permitTimeout is how long a request waits for its permit, which may take two round trips between halls.
 	permitTimeout = 100 * time.Millisecond
 	// maxPermitDenials is the number of denied permits after which a request uses only endpoints without a rate
@@ -43,15 +43,15 @@
 	reply, err := x.peers.requestPermit(c.ctx, x.limits.Ask(now, id, x.settings.Box), now)
 	if err != nil {
 		slog.Debug("permit could not be obtained", "endpoint", id, "error", err)
-		x.metrics.asked("unanswered")
+		x.metrics.countPermitAsked("unanswered")
 		x.limits.Unanswered(clock.Now(), id)
 		return false
 	}
 	if !x.limits.Answered(clock.Now(), now, id, reply) {
-		x.metrics.asked("denied")
+		x.metrics.countPermitAsked("denied")
 		return false
 	}
-	x.metrics.asked("granted")
+	x.metrics.countPermitAsked("granted")
 	return true
 }
 
@@ -61,7 +61,7 @@
 	if address == p.self().Address {
 		return p.grant(call, now), nil
 	}
-	return ratelimit.AskWithin(ctx, permitTimeout, swapLimit, func(ctx context.Context) (ratelimit.Reply, error) {
+	return ratelimit.AskWithin(ctx, permitTimeout, gossipTimeout, func(ctx context.Context) (ratelimit.Reply, error) {
 		return p.askBox(ctx, address, &call)
 	})
 }
@@ -89,7 +89,7 @@
 func (p *peers) grant(call ratelimit.Call, now time.Time) ratelimit.Reply {
 	p.setGranting(now, true)
 	reply := p.granter.Answer(call, p.grantedShare(now), now)
-	p.router.metrics.permitsGranted(reply.Permits)
+	p.router.metrics.countPermitsGranted(reply.Permits)
 	return reply
 }
 
@@ -114,8 +114,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	first, startedMs := p.self().Address, p.startedMs
-	for _, hall := range p.hallsKnown() {
-		hub, found := p.hubOf(hall, now)
+	for _, hall := range p.knownHalls() {
+		hub, found := p.hallHub(hall, now)
 		if !found || hall == p.router.settings.Hall {
 			continue
 		}
@@ -137,23 +137,23 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	hallFollows := map[willowwick.HallID]bool{}
-	for _, hall := range p.hallsKnown() {
-		hub, found := p.hubOf(hall, now)
+	for _, hall := range p.knownHalls() {
+		hub, found := p.hallHub(hall, now)
 		hallFollows[hall] = found && p.known[hub.Address].digest.Granter == p.self().Address
 	}
 	all, following := 1, 1
 	for _, known := range p.known {
-		if !known.isCounted(now) {
+		if !known.isInRoster(now) {
 			continue
 		}
 		all++
 		isOwnHall := known.box.Hall == p.router.settings.Hall
-		if isOwnHall && known.isInTouch(now) || !isOwnHall && hallFollows[known.box.Hall] {
+		if isOwnHall && known.isLive(now) || !isOwnHall && hallFollows[known.box.Hall] {
 			following++
 		}
 	}
-	if following == 1 && now.Sub(p.began) < countAfter {
-		all = max(all, youngFleet)
+	if following == 1 && now.Sub(p.startedAt) < fleetDiscoveryTime {
+		all = max(all, assumedFleetSize)
 	}
 	return float64(following) / float64(all)
 }
@@ -215,6 +215,6 @@
 // recordShortage records a request that was refused because all endpoints are rate-limited.
 func (c *call) recordShortage(refusal *willowwick.Refusal) {
 	if refusal.Code == willowwick.CodeRateLimited {
-		c.router.shortages.record(c.service, urgency(c.route, c.account), clock.Now())
+		c.router.shortages.record(c.service, requestPriority(c.route, c.account), clock.Now())
 	}
 }
--- a/exchange/poison.go
+++ b/exchange/poison.go
@@ -14,7 +14,7 @@
 const (
 	// poisonWriteInterval is how often a box checks for poison requests to write to the store: short, since all
 	// boxes may lose power a moment after a request was identified.
-	poisonWriteInterval = feedPoll
+	poisonWriteInterval = readerPollInterval
 	// maxTargetBytes limits what is kept and reported of a request's target, which may be as long as its headers.
 	maxTargetBytes = 512
 	// poisonRetryDelay is the delay after a failed call to the store.
@@ -31,10 +31,10 @@
 		return nil
 	}
 	x := c.router
-	if x.sync.isLeading() {
+	if x.sync.isRolloutLeader() {
 		if release, isAllowed := x.poison.Trial(c.describePoison(), x.usableReleases(c.service, now), now); isAllowed {
 			slog.Info("refused request is tried", "request", c.head.ID, "fingerprint", c.fingerprint().String(), "release", release)
-			x.peers.hurry()
+			x.peers.requestRound()
 			c.trialRelease = release
 			return nil
 		}
@@ -76,12 +76,12 @@
 
 // recordCrash records that an endpoint crashed while it had a request.
 func (x *Router) recordCrash(broken brokenSend) {
-	x.metrics.endedUnder()
+	x.metrics.countSendCutByCrash()
 	endpoint := broken.endpoint
 	x.poison.NoteEnd(broken.request, willowwick.EndpointEnd{
 		Endpoint: endpoint.ID, Incarnation: endpoint.Incarnation, Release: endpoint.Release, At: broken.at,
 	})
-	x.peers.hurry()
+	x.peers.requestRound()
 }
 
 // recordHarmless records that an endpoint has answered the request completely.
@@ -94,7 +94,7 @@
 // runPoisonSync keeps the poison requests in the store up to date until the context ends: all boxes may lose power
 // at once, and with it what they know.
 func (s *syncer) runPoisonSync(ctx context.Context) {
-	sleep(ctx, lookFor)
+	sleep(ctx, hubSearchTime)
 	for ctx.Err() == nil {
 		if !s.syncPoison(ctx) {
 			sleep(ctx, poisonRetryDelay)
@@ -110,7 +110,7 @@
 	isAnswered := true
 	if s.mustReadPoison(now) {
 		if isAnswered = s.restorePoison(ctx); isAnswered {
-			s.harmDue = now.Add(poisonReadInterval)
+			s.nextQuarantineRead = now.Add(poisonReadInterval)
 		}
 	}
 	s.router.poison.Expire(now)
@@ -120,8 +120,8 @@
 // mustReadPoison reports whether this box has to read the poison requests from the store: once after its start, and
 // then periodically while it misses a hall, which may have found requests that it cannot report here.
 func (s *syncer) mustReadPoison(now time.Time) bool {
-	isDue := s.harmDue.IsZero() || !now.Before(s.harmDue) && s.router.peers.missesHall(now)
-	return isDue && !s.isFed(now) && !s.mayRest(now)
+	isDue := s.nextQuarantineRead.IsZero() || !now.Before(s.nextQuarantineRead) && s.router.peers.hasUnreachableHall(now)
+	return isDue && !s.hasReader(now) && !s.maySkipCalls(now)
 }
 
 // restorePoison reads the poison requests from the store, and reports whether it answered.
--- a/exchange/regain_test.go
+++ b/exchange/regain_test.go
@@ -10,23 +10,23 @@
 	"github.com/willowwick/willowwick"
 )
 
-// turningControl is a store that turns one box away for a while, and serves the others.
-type turningControl struct {
+// refusingControl is a store that refuses one box for a while, and serves the others.
+type refusingControl struct {
 	*testControl
-	turnedAway atomic.Bool
-	asked      atomic.Int64 // calls while it turns the box away
+	isRefusing   atomic.Bool
+	refusedCalls atomic.Int64 // calls while it refuses the box
 }
 
-func (c *turningControl) refuses() bool {
-	if !c.turnedAway.Load() {
+func (c *refusingControl) refuses() bool {
+	if !c.isRefusing.Load() {
 		return false
 	}
-	c.asked.Add(1)
+	c.refusedCalls.Add(1)
 	return true
 }
 
 // Declarations implements willowwick.Control.
-func (c *turningControl) Declarations(ctx context.Context, from willowwick.Position, wait time.Duration) (willowwick.Declarations, error) {
+func (c *refusingControl) Declarations(ctx context.Context, from willowwick.Position, wait time.Duration) (willowwick.Declarations, error) {
 	if c.refuses() {
 		return willowwick.Declarations{}, errDown
 	}
@@ -34,7 +34,7 @@
 }
 
 // Endpoints implements willowwick.Control.
-func (c *turningControl) Endpoints(ctx context.Context, from willowwick.Position) (willowwick.EndpointChanges, error) {
+func (c *refusingControl) Endpoints(ctx context.Context, from willowwick.Position) (willowwick.EndpointChanges, error) {
 	if c.refuses() {
 		return willowwick.EndpointChanges{}, errDown
 	}
@@ -42,59 +42,54 @@
 }
 
 // Join implements willowwick.Control.
-func (c *turningControl) Join(ctx context.Context, member string, generation uint64) (willowwick.Membership, error) {
+func (c *refusingControl) Join(ctx context.Context, member string, generation uint64) (willowwick.Membership, error) {
 	if c.refuses() {
 		return willowwick.Membership{}, errDown
 	}
 	return c.testControl.Join(ctx, member, generation)
 }
 
-// turnedHall starts two boxes of one hall, the first of which has the wider link. The second one, which begins alone, has
-// read all of the store, then has a failed read of declarations, and is fed by the first from then on.
-func turnedHall(t *testing.T) (control *testControl, controls []*turningControl, sites []*site) {
+// newRefusedHall starts two boxes of one hall, the first of which has the wider link. The second one starts alone,
+// reads all of the store, then has a failed read of declarations, and has the first as its reader from then on.
+func newRefusedHall(t *testing.T) (control *testControl, controls []*refusingControl, sites []*site) {
 	r := newRunner(t, "r1", answerText("ok"))
 	control = newTestControl(testTable(1, onceRoute()), r.endpoint("v1"))
-	controls = []*turningControl{{testControl: control}, {testControl: control}}
+	controls = []*refusingControl{{testControl: control}, {testControl: control}}
 	settings := testSettings()
-	settings.Box, settings.LinkMbps, settings.Drain = "box-second", 100, feedDrain
+	settings.Box, settings.LinkMbps, settings.Drain = "box-second", 100, hallDrain
 	second := startSite(t, controls[1], settings)
 	x := second.daemon.router
 	require.Eventually(t, func() bool { return x.sync.declaredAge(time.Now()) > 0 }, patience, time.Millisecond)
-	controls[1].turnedAway.Store(true)
-	require.Eventually(t, func() bool { return x.sync.isFailing(readDeclared) }, patience, time.Millisecond)
+	controls[1].isRefusing.Store(true)
+	require.Eventually(t, func() bool { return x.sync.isReadFailing(declarationsRead) }, patience, time.Millisecond)
 	settings.Box, settings.LinkMbps, settings.Seeds = "box-first", 200, []string{x.settings.Peers}
 	first := startSite(t, controls[0], settings)
 	require.Eventually(t, func() bool {
-		_, isFed := x.peers.reader(time.Now())
-		return isFed
+		_, hasReader := x.peers.reader(time.Now())
+		return hasReader
 	}, patience, 10*time.Millisecond)
-	time.Sleep(peerFresh)
-	require.True(t, x.sync.isFailing(readDeclared), "a box that is fed reads none that could take it back")
-	controls[1].turnedAway.Store(false)
+	time.Sleep(peerLiveness)
+	require.True(t, x.sync.isReadFailing(declarationsRead), "a box with a reader makes no read that could clear the failure")
+	controls[1].isRefusing.Store(false)
 	return control, controls, []*site{first, second}
 }
 
-// Seen: a hall whose first box is turned away by the store has no new configuration, though its second box reads the
-// store's endpoints well.
-//
-// How: the second box had one read of declarations that failed, and was fed by the first from then on, so it read none that
-// could take the failure back. When the first box is turned away, the second one reads endpoints with success.
-//
-// Cause: a box that has not shown that it reads all of the store lets its reads of declarations rest while a box before
-// it is in touch (mayRest), and only such a read can show it: the failure of one kind is kept for good, and no answer of
-// the other kind counts against it.
-func TestTheSecondBoxOfAHallReadsDeclarationsWhileTheFirstIsTurnedAway(t *testing.T) {
-	control, controls, sites := turnedHall(t)
-	controls[0].turnedAway.Store(true)
+// Guards against a hall without new configurations while the store refuses its first box, though its second box reads
+// endpoints. The second box had one failed read of declarations and then the first box as its reader. A box that has
+// not shown that it reads all of the store skips reads of declarations while a live box precedes it (maySkipCalls), but
+// only such a read clears the failure: it was kept for good, whatever the answers of the other kind.
+func TestSecondBoxOfHallReadsDeclarationsWhileFirstIsRefused(t *testing.T) {
+	control, controls, sites := newRefusedHall(t)
+	controls[0].isRefusing.Store(true)
 	control.change(func() { control.table = testTable(2, againRoute()) })
 	second := sites[1].daemon.router
 	require.Eventually(t, func() bool { return second.configVersion() == 2 }, patience, 10*time.Millisecond)
 }
 
-// The group's lead is handed on to a box that reaches the store as well; it rests for the same reason.
-func TestTheSecondBoxOfAHallJoinsTheGroupWhileTheFirstIsTurnedAway(t *testing.T) {
-	control, controls, sites := turnedHall(t)
-	controls[0].turnedAway.Store(true)
+// The leadership of the group also passes to a box that reaches the store; its join was skipped for the same reason.
+func TestSecondBoxOfHallJoinsGroupWhileFirstIsRefused(t *testing.T) {
+	control, controls, sites := newRefusedHall(t)
+	controls[0].isRefusing.Store(true)
 	second := memberName(sites[1].daemon.router.peers.self())
 	require.Eventually(t, func() bool {
 		control.mu.Lock()
--- a/exchange/relay.go
+++ b/exchange/relay.go
@@ -239,7 +239,7 @@
 }
 
 func (s *send) callerDisconnected() sendResult {
-	s.router.metrics.outcome("caller_left")
+	s.router.metrics.countOutcome("caller_left")
 	s.logCompletion("caller left", 0, "event", s.lastEventID)
 	return sendResult{kind: callerLeft}
 }
@@ -247,7 +247,7 @@
 // delivered counts and logs an answer that was sent to the caller completely.
 func (s *send) delivered() {
 	took := clock.Since(s.arrived)
-	s.router.metrics.delivered(s.route, took)
+	s.router.metrics.countAnswer(s.route, took)
 	s.recordHarmless(clock.Now())
 	ahead, reading := s.ticket.Forecast()
 	s.logCompletion("answered", s.answer.Status, "endpoint", s.ticket.Endpoint.ID, "release", s.ticket.Endpoint.Release,
--- a/exchange/release.go
+++ b/exchange/release.go
@@ -37,8 +37,8 @@
 		canary          float64 // share of the sessions that try a new release first
 		verdicts        verdicts
 		ownEvidence     map[evidenceKey]rollout.Evidence
-		typical         map[typicalKey]float64 // seconds
-		lateness        map[typicalKey]*route.Lateness
+		typical         map[latencyKey]float64 // seconds
+		lateness        map[latencyKey]*route.Lateness
 		sessions        map[string]sessionRecord
 
 		era            willowwick.Era                                   // the newest era of an order
@@ -80,8 +80,8 @@
 		rollouts:       map[willowwick.ServiceID]*rolloutState{},
 		verdicts:       verdicts{},
 		ownEvidence:    map[evidenceKey]rollout.Evidence{},
-		typical:        map[typicalKey]float64{},
-		lateness:       map[typicalKey]*route.Lateness{},
+		typical:        map[latencyKey]float64{},
+		lateness:       map[latencyKey]*route.Lateness{},
 		sessions:       map[string]sessionRecord{},
 		deferredOrders: map[willowwick.ServiceID]willowwick.ReleaseOrder{},
 	}
@@ -92,7 +92,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.enterEra(order.At.Era(), now)
-	if !r.isWrittenAgain(order, now) {
+	if !r.isRewrittenOrder(order, now) {
 		r.applyNewOrder(order, age, now)
 	}
 }
@@ -108,7 +108,7 @@
 	}
 	if m != nil && m.state == willowwick.ReleaseRunning {
 		// Only one release is tried at a time: the sessions on the previous target return to the other releases.
-		r.verdicts.giveUp(releaseKey{order.Service, m.order.Target}, now)
+		r.verdicts.supersede(releaseKey{order.Service, m.order.Target}, now)
 	}
 	delete(r.verdicts, releaseKey{order.Service, order.Target})
 	r.rollouts[order.Service] = &rolloutState{
@@ -157,7 +157,7 @@
 func (r *releases) verdictRows(now time.Time) []verdictRow {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.verdicts.rows(now)
+	return r.verdicts.effectiveRows(now)
 }
 
 // receiveVerdicts merges another box's verdicts, except on releases that this box has a roll-out to.
@@ -166,7 +166,7 @@
 	defer r.mu.Unlock()
 	for _, row := range rows {
 		if m := r.rollouts[row.Key.Service]; m == nil || m.order.Target != row.Key.Release {
-			r.verdicts.hear(row)
+			r.verdicts.merge(row)
 		}
 	}
 }
--- a/exchange/report.go
+++ b/exchange/report.go
@@ -10,12 +10,12 @@
 )
 
 type (
-	// Report is what one or more boxes have seen since their start.
+	// Report is what one or more boxes have counted since their start.
 	Report struct {
 		Boxes    int
 		Evidence []EvidenceRow
 		Moves    []MoveRow
-		Kept     []sessionHash // sessions known on other releases than a roll-out's target
+		Kept     []sessionHash // sessions known to be on other releases than a roll-out's target
 	}
 
 	// HallReport is the sum of the reports of a hall's boxes.
@@ -33,34 +33,34 @@
 		Counts  rollout.Evidence
 	}
 
-	// MoveRow is how far boxes have moved to a roll-out's target.
+	// MoveRow is the progress of boxes in moving to a roll-out's target.
 	MoveRow struct {
 		Service     willowwick.ServiceID
 		Target      willowwick.ReleaseID
 		Moved       bool // all new requests go there
-		OldInFlight int  // requests under way at other releases
+		OldInFlight int  // requests in progress at other releases
 	}
 
-	// heardReport is a hall's report with the time from which it is.
-	heardReport struct {
+	// receivedReport is a hall's report with its time.
+	receivedReport struct {
 		report Report
 		at     time.Time
 	}
 )
 
-// fleetReport sums what all halls have reported.
+// fleetReport returns the sum of the reports of all halls.
 func (p *peers) fleetReport(now time.Time) Report {
 	total := p.hallReport(now)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, hall := range p.halls {
-		total = total.add(hall.report, now.Sub(hall.at) <= 2*peerFresh)
+	for _, hall := range p.otherHalls {
+		total = total.add(hall.report, now.Sub(hall.at) <= 2*peerLiveness)
 	}
 	return total
 }
 
-// hallReport sums the reports of this box and of those of its hall that swap with it; on a box that does not read the
-// store it is its hub's sum, which holds this box's own.
+// hallReport returns the sum of the reports of this box and of the boxes of its hall that exchange gossip with it; on a
+// box that does not read the store it is its hub's sum, which includes this box's own.
 func (p *peers) hallReport(now time.Time) Report {
 	if hub, found := p.hub(now); found {
 		for _, hall := range hub.Halls {
@@ -74,13 +74,13 @@
 	defer p.mu.Unlock()
 	for _, known := range p.known {
 		if known.box.Hall == p.router.settings.Hall {
-			total = total.add(known.digest.Own, known.isInTouch(now))
+			total = total.add(known.digest.Own, known.isLive(now))
 		}
 	}
 	return total
 }
 
-// ownReport is what this box has seen.
+// ownReport returns the report of this box alone.
 func (p *peers) ownReport() Report {
 	x := p.router
 	report := Report{Boxes: 1, Kept: x.releases.pinnedSessions(clock.Now())}
@@ -89,24 +89,24 @@
 	}
 	for _, own := range x.releases.progressList(clock.Now()) {
 		report.Moves = append(report.Moves, MoveRow{
-			Service: own.Status.Service, Target: own.Status.Target, Moved: own.Moved, OldInFlight: x.oldInFlight(own.Status),
+			Service: own.Status.Service, Target: own.Status.Target, Moved: own.Moved, OldInFlight: x.inFlightOutsideTarget(own.Status),
 		})
 	}
 	return report
 }
 
-// hallReports are the sums of this box's hall and of the others, as far as they are known.
+// hallReports returns the sums of this box's hall and of the others, as far as they are known.
 func (p *peers) hallReports(now time.Time) []HallReport {
 	list := []HallReport{{Hall: p.router.settings.Hall, Report: p.hallReport(now)}}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for name, hall := range p.halls {
+	for name, hall := range p.otherHalls {
 		list = append(list, HallReport{Hall: name, AgeMs: now.Sub(hall.at).Milliseconds(), Report: hall.report})
 	}
 	return list
 }
 
-// add sums two reports; what a box counted stays true when it is gone, what it does now does not.
+// add returns the sum of two reports; the counts of a box that is gone remain, its current state does not.
 func (r Report) add(other Report, isLive bool) Report {
 	sum := Report{Boxes: r.Boxes, Evidence: slices.Clone(r.Evidence), Moves: slices.Clone(r.Moves), Kept: slices.Clone(r.Kept)}
 	for _, row := range other.Evidence {
@@ -134,7 +134,7 @@
 	return sum
 }
 
-// evidence returns the counts of the report by what was counted.
+// evidence returns the counts of the report by key.
 func (r Report) evidence() map[evidenceKey]rollout.Evidence {
 	total := make(map[evidenceKey]rollout.Evidence, len(r.Evidence))
 	for _, row := range r.Evidence {
@@ -147,8 +147,8 @@
 	return evidenceKey{Service: e.Service, Release: e.Release, Route: e.Route}
 }
 
-// oldInFlight counts the requests under way at other releases than a roll-out's target.
-func (x *Router) oldInFlight(status willowwick.ReleaseStatus) int {
+// inFlightOutsideTarget counts the requests in progress at other releases than a roll-out's target.
+func (x *Router) inFlightOutsideTarget(status willowwick.ReleaseStatus) int {
 	return x.pool.InFlightWhere(status.Service, func(endpoint willowwick.Endpoint) bool {
 		return endpoint.Release != status.Target
 	})
--- a/exchange/router.go
+++ b/exchange/router.go
@@ -97,7 +97,7 @@
 
 // newRouter returns a router without configuration, and a function that closes its connections.
 func newRouter(settings Settings, codec willowwick.HeaderCodec) (*Router, func()) {
-	conns, closeConns := wire.NewPool(wire.Settings{DialLimit: dialLimit, Silence: sendSilence})
+	conns, closeConns := wire.NewPool(wire.Settings{DialLimit: dialTimeout, Silence: unackedTimeout})
 	limits := ratelimit.NewLedger()
 	x := &Router{
 		settings: settings, codec: codec, conns: conns, gate: gate.New(), warm: make(chan struct{}),
@@ -160,7 +160,7 @@
 
 // refuse writes a refusal to a caller whose request got no endpoint's answer.
 func (x *Router) refuse(out *reply, refusal *willowwick.Refusal) {
-	x.metrics.refused(refusal)
+	x.metrics.countRefusal(refusal)
 	header := out.writer.Header()
 	x.codec.EncodeOwn(header, out.id)
 	header.Set("Content-Type", "text/plain; charset=utf-8")
@@ -217,9 +217,9 @@
 
 // takeRetryBudget takes one retry from the service's budget, and reports whether it allowed it.
 func (x *Router) takeRetryBudget(c *call, kind route.RetryKind, now time.Time) bool {
-	taken := x.retryBudget(c.service).Take(now, kind, x.peers.sharers(kind, now))
+	taken := x.retryBudget(c.service).Take(now, kind, x.peers.slackShares(kind, now))
 	if !taken {
-		x.metrics.repeatDenied()
+		x.metrics.countRetryDenied()
 		slog.Info("repeat not allowed by the budget", "request", c.head.ID, "service", c.service, "kind", int(kind))
 	}
 	return taken
@@ -227,7 +227,7 @@
 
 // hasRetryBudget reports whether the budget would allow a failover.
 func (x *Router) hasRetryBudget(c *call, now time.Time) bool {
-	return x.retryBudget(c.service).Allows(now, route.RetryFailover, x.peers.sharers(route.RetryFailover, now))
+	return x.retryBudget(c.service).Allows(now, route.RetryFailover, x.peers.slackShares(route.RetryFailover, now))
 }
 
 // hasOtherEndpoint reports whether an endpoint of the service other than the given one may be tried.
@@ -263,9 +263,9 @@
 	if t == nil {
 		return
 	}
-	boxes := x.peers.boxes()
-	if now.Sub(x.peers.began) < countAfter {
-		boxes = max(boxes, youngFleet)
+	boxes := x.peers.fleetSize()
+	if now.Sub(x.peers.startedAt) < fleetDiscoveryTime {
+		boxes = max(boxes, assumedFleetSize)
 	}
 	pauses := map[willowwick.ServiceID]time.Duration{}
 	for _, service := range t.Services {
@@ -277,7 +277,7 @@
 // signalWarm releases the requests that wait for the first configuration and list of endpoints, once both are
 // known.
 func (x *Router) signalWarm() {
-	if x.table.Load() != nil && x.sync.hasEndpoints() {
+	if x.table.Load() != nil && x.sync.hasEndpointList() {
 		x.warmOnce.Do(func() { close(x.warm) })
 	}
 }
@@ -311,7 +311,7 @@
 		return false, "stopping"
 	case x.table.Load() == nil:
 		return false, "no configuration yet"
-	case !x.sync.hasEndpoints():
+	case !x.sync.hasEndpointList():
 		return false, "no endpoints known yet"
 	default:
 		return true, "ready"
--- a/exchange/send.go
+++ b/exchange/send.go
@@ -142,7 +142,7 @@
 		c.triedEndpoints[ticket.Endpoint.ID] = true
 		c.logSend(s, result)
 	}
-	c.router.metrics.send(result.kind)
+	c.router.metrics.countSend(result.kind)
 	return result
 }
 
@@ -241,7 +241,7 @@
 		head.ResumeAfter = s.lastEventID
 	}
 	if s.route.Stream {
-		head.Priority = min(urgency(s.route, s.account), lowestPriority)
+		head.Priority = min(requestPriority(s.route, s.account), lowestPriority)
 	}
 	s.router.codec.EncodeRequest(header, head, clock.Now())
 	return header
@@ -251,14 +251,14 @@
 func (s *send) countUnwantedSend() {
 	now := clock.Now()
 	if s.router.isLimited(now, s.ticket.Endpoint) {
-		s.router.metrics.sentToLimited()
+		s.router.metrics.countSendToLimited()
 	}
 	isLeaving, inBackoff := s.ticket.ReportedState(now)
 	if isLeaving {
-		s.router.metrics.sentToLeaving()
+		s.router.metrics.countSendToDraining()
 	}
 	if inBackoff {
-		s.router.metrics.sentToResting()
+		s.router.metrics.countSendToBackingOff()
 	}
 }
 
@@ -299,7 +299,7 @@
 	due, lateness, known := s.ticket.Due()
 	if !known {
 		var usual time.Duration
-		usual, lateness = s.router.releases.usual(s.route.Name, s.model)
+		usual, lateness = s.router.releases.typicalLatency(s.route.Name, s.model)
 		if usual == 0 && s.route.Stream {
 			lateness = route.DefaultAnswerTimeout
 		}
@@ -398,7 +398,7 @@
 // hasTimeFor reports whether an answer of the model, requested now, usually begins before the deadline. If not, the
 // present answer is all that the caller can get.
 func (s *send) hasTimeFor(model willowwick.ModelID, now time.Time) bool {
-	usual, _ := s.router.releases.usual(s.route.Name, model)
+	usual, _ := s.router.releases.typicalLatency(s.route.Name, model)
 	return now.Add(usual).Before(s.deadline)
 }
 
@@ -408,7 +408,7 @@
 func (s *send) requiredConfidence(now time.Time) int {
 	settings := s.router.settings
 	largest := s.route.Models[len(s.route.Models)-1]
-	usual, _ := s.router.releases.usual(s.route.Name, largest)
+	usual, _ := s.router.releases.typicalLatency(s.route.Name, largest)
 	expected := now.Sub(s.arrived) + usual
 	left := 1 - float64(expected)/float64(max(s.route.Goal, 1))
 	pressure := s.router.pool.Pressure(now, s.service, s.choice.allows)
--- a/exchange/slow_link_test.go
+++ b/exchange/slow_link_test.go
@@ -35,7 +35,7 @@
 // Endpoints implements willowwick.Control.
 func (c *slowLinkControl) Endpoints(ctx context.Context, from willowwick.Position) (willowwick.EndpointChanges, error) {
 	if c.transfers.Load() > 0 {
-		sleep(ctx, headLimit)
+		sleep(ctx, responseHeaderTimeout)
 		return willowwick.EndpointChanges{}, errDown
 	}
 	return c.testControl.Endpoints(ctx, from)
@@ -48,7 +48,7 @@
 	r := newRunner(t, "r1", answerText("ok"))
 	control := &slowLinkControl{testControl: newTestControl(testTable(1, onceRoute()), r.endpoint("v1"))}
 	settings := testSettings()
-	settings.Drain = feedDrain
+	settings.Drain = hallDrain
 	s := startSite(t, control, settings)
 	control.isSlow.Store(true)
 	control.change(func() { control.table = testTable(2, againRoute()) })
--- a/exchange/stop_random_test.go
+++ b/exchange/stop_random_test.go
@@ -83,7 +83,7 @@
 	h.endpoint = httptest.NewServer(http.HandlerFunc(h.work))
 	t.Cleanup(h.endpoint.Close)
 	settings := testSettings()
-	settings.UnreadyDelay, settings.Grace = 50*time.Millisecond, leaveEarly+lastAnswer+time.Second
+	settings.UnreadyDelay, settings.Grace = 50*time.Millisecond, exitMargin+lastAnswerMargin+time.Second
 	callers := &slowListener{Listener: listen(t), stall: stallAtRandom(seed)}
 	h.site = newStopSite(t, settings, callers, willowwick.Endpoint{
 		ID: "r1", Hall: "hall-a", Address: strings.TrimPrefix(h.endpoint.URL, "http://"), Service: "work", Release: "v1", Slots: manyCallers,
--- a/exchange/sync_test.go
+++ b/exchange/sync_test.go
@@ -1,8 +1,8 @@
 package exchange
 
-// isAway reports whether a last read of the store failed.
-func (s *syncer) isAway() bool {
+// hasFailingRead reports whether the last read of any kind failed.
+func (s *syncer) hasFailingRead() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.isUnreachable()
+	return s.isAnyReadFailing()
 }
