--- a/control.go
+++ b/control.go
@@ -62,10 +62,10 @@
 		Statuses(ctx context.Context) (ReleaseStatuses, error)
 		// SetStatus writes a state if the topic still ends at the offset; otherwise it returns ErrConflict.
 		SetStatus(ctx context.Context, status ReleaseStatus, end Position) error
-		// Harmful reads the requests that are refused since they end endpoints. They may be the store's own: nobody changes them.
-		Harmful(ctx context.Context) ([]HarmfulRequest, error)
-		// SetHarmful writes such a request; one without ends is not refused any more.
-		SetHarmful(ctx context.Context, request HarmfulRequest) error
+		// PoisonRequests reads the requests that are refused since they end endpoints. They may be the store's own: nobody changes them.
+		PoisonRequests(ctx context.Context) ([]PoisonRequest, error)
+		// SetPoisonRequest writes such a request; one without ends is not refused any more.
+		SetPoisonRequest(ctx context.Context, request PoisonRequest) error
 		// Join makes the box a member of the group, or keeps it one, and tells its part.
 		Join(ctx context.Context, member string, generation uint64) (Membership, error)
 		// Members lists the members of the group.
--- a/engine.go
+++ b/engine.go
@@ -17,8 +17,8 @@
 	Temperature *float64
 	ResumeAt    int // position of the first chunk wanted
 	Deadline    time.Time
-	// Heard takes what the head of the answer says of the endpoint, whatever the answer is; nil if nobody asks.
-	Heard func(Notice)
+	// OnNotice takes what the head of the answer says of the endpoint, whatever the answer is; nil if nobody asks.
+	OnNotice func(Notice)
 }
 
 // ChunkStream is an answer under way.
@@ -69,7 +69,7 @@
 	Body       []byte
 	Repeatable bool
 	Deadline   time.Time
-	Heard      func(Notice) // as of EngineCall
+	OnNotice   func(Notice) // as of EngineCall
 }
 
 // ServiceAnswer is the answer of a plain service; Body must be closed.
--- a/exchange/ends.go
+++ b/exchange/ends.go
@@ -41,7 +41,7 @@
 
 	// droppedSend is a send whose answer was dropped while its endpoint may have been at work on it.
 	droppedSend struct {
-		identify func() willowwick.HarmfulRequest // the fingerprint is taken only if the endpoint ended
+		identify func() willowwick.PoisonRequest // the fingerprint is taken only if the endpoint ended
 		endpoint willowwick.Endpoint
 		at       time.Time
 	}
@@ -54,7 +54,7 @@
 
 	// brokenSend is a request whose connection broke, for which reason is not known yet.
 	brokenSend struct {
-		about    willowwick.HarmfulRequest
+		about    willowwick.PoisonRequest
 		endpoint willowwick.Endpoint
 		at       time.Time
 	}
@@ -182,9 +182,9 @@
 	c, d := s.call, droppedSend{endpoint: s.ticket.Endpoint, at: clock.Now()}
 	if len(c.message.Body) > keptBody {
 		about := c.identify()
-		d.identify = func() willowwick.HarmfulRequest { return about }
+		d.identify = func() willowwick.PoisonRequest { return about }
 	} else {
-		d.identify = func() willowwick.HarmfulRequest { return c.identifyAs(c.takeFingerprint()) }
+		d.identify = func() willowwick.PoisonRequest { return c.identifyAs(c.takeFingerprint()) }
 	}
 	return d
 }
--- a/exchange/era_test.go
+++ b/exchange/era_test.go
@@ -138,9 +138,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		harm := quarantine.New()
 		a := newAdmissions(harm)
-		request := willowwick.HarmfulRequest{Request: willowwick.Fingerprint{1}}
+		request := willowwick.PoisonRequest{Request: willowwick.Fingerprint{1}}
 		for i := range quarantine.RefuseAfter {
-			harm.NoteEnd(request, willowwick.EndpointEnd{Endpoint: "gone", Incarnation: willowwick.Incarnation(i), At: time.Now()})
+			harm.NoteEnd(request, willowwick.EndpointCrash{Endpoint: "gone", Incarnation: willowwick.Incarnation(i), At: time.Now()})
 		}
 		require.True(t, harm.Refuses(request.Request))
 		admission := func(at willowwick.Position) []willowwick.Admission {
@@ -200,9 +200,9 @@
 func TestWhatBoxesWroteIsWrittenAgain(t *testing.T) {
 	s := newSite(t, newRunner(t, "r1", answerText("ok")).endpoint("v1"), newRunner(t, "r2", answerText("ok")).endpoint("v2"))
 	x := s.daemon.router
-	request := willowwick.HarmfulRequest{Request: willowwick.Fingerprint{7}, Service: "work"}
+	request := willowwick.PoisonRequest{Request: willowwick.Fingerprint{7}, Service: "work"}
 	for i := range quarantine.RefuseAfter {
-		x.harm.NoteEnd(request, willowwick.EndpointEnd{Endpoint: "gone", Incarnation: willowwick.Incarnation(i), At: time.Now()})
+		x.harm.NoteEnd(request, willowwick.EndpointCrash{Endpoint: "gone", Incarnation: willowwick.Incarnation(i), At: time.Now()})
 	}
 	s.control.change(func() { s.control.orders = []willowwick.ReleaseOrder{orderOf("v2", 1)} })
 	require.Eventually(t, func() bool { return len(x.releases.progresses(time.Now())) == 1 }, patience, 5*time.Millisecond)
--- a/exchange/harm.go
+++ b/exchange/harm.go
@@ -62,13 +62,13 @@
 }
 
 // identify says what is told of the request to other boxes and to operators.
-func (c *call) identify() willowwick.HarmfulRequest {
+func (c *call) identify() willowwick.PoisonRequest {
 	return c.identifyAs(c.fingerprint())
 }
 
 // identifyAs is identify with the request's fingerprint.
-func (c *call) identifyAs(fingerprint willowwick.Fingerprint) willowwick.HarmfulRequest {
-	return willowwick.HarmfulRequest{
+func (c *call) identifyAs(fingerprint willowwick.Fingerprint) willowwick.PoisonRequest {
+	return willowwick.PoisonRequest{
 		Request: fingerprint, Account: c.accountName(), Service: c.service, Host: c.message.Host,
 		Target: c.message.Target[:min(len(c.message.Target), mostTarget)],
 	}
@@ -78,7 +78,7 @@
 func (x *Router) noteHarm(broken brokenSend) {
 	x.metrics.endedUnder()
 	endpoint := broken.endpoint
-	x.harm.NoteEnd(broken.about, willowwick.EndpointEnd{
+	x.harm.NoteEnd(broken.about, willowwick.EndpointCrash{
 		Endpoint: endpoint.ID, Incarnation: endpoint.Incarnation, Release: endpoint.Release, At: broken.at,
 	})
 	x.peers.hurry()
@@ -126,15 +126,15 @@
 
 // restoreHarmful reads what the store holds, and reports whether that was possible.
 func (s *syncer) restoreHarmful(ctx context.Context) bool {
-	records, err := s.control.Harmful(ctx)
+	records, err := s.control.PoisonRequests(ctx)
 	if err != nil {
 		slog.Info("requests that end endpoints could not be read", "error", err)
 		return false
 	}
 	now := clock.Now()
-	restored := make([]willowwick.HarmfulRequest, len(records))
+	restored := make([]willowwick.PoisonRequest, len(records))
 	for i, record := range records {
-		restored[i] = record.WithEndTimes(func(at time.Time) time.Time { return now.Add(-clock.System(now).Sub(at)) })
+		restored[i] = record.WithCrashTimes(func(at time.Time) time.Time { return now.Add(-clock.System(now).Sub(at)) })
 	}
 	s.router.harm.Restore(restored, now)
 	return true
@@ -144,7 +144,7 @@
 func (s *syncer) writeHarmful(ctx context.Context) bool {
 	for _, request := range s.router.harm.Due() {
 		era := s.currentEra()
-		if err := s.control.SetHarmful(ctx, request.WithEndTimes(clock.System)); err != nil {
+		if err := s.control.SetPoisonRequest(ctx, request.WithCrashTimes(clock.System)); err != nil {
 			slog.Info("request that ends endpoints could not be written", "fingerprint", request.Request.String(), "error", err)
 			return false
 		}
--- a/exchange/harm_fleet_test.go
+++ b/exchange/harm_fleet_test.go
@@ -25,7 +25,7 @@
 	harmMesh struct {
 		*mesh
 		name    string
-		request willowwick.HarmfulRequest
+		request willowwick.PoisonRequest
 		pending []harmSend
 		sent    []time.Time
 		ends    []time.Time
@@ -42,7 +42,7 @@
 
 // newHarmMesh lets a request with a name of its own come to a mesh.
 func newHarmMesh(m *mesh, name string) *harmMesh {
-	return &harmMesh{mesh: m, name: name, request: willowwick.HarmfulRequest{
+	return &harmMesh{mesh: m, name: name, request: willowwick.PoisonRequest{
 		Request: willowwick.FingerprintOf(testAccount, "POST", testHost, "/stream/", []byte(name)), Account: testAccount,
 	}}
 }
@@ -83,7 +83,7 @@
 			continue
 		}
 		h.ends = append(h.ends, now)
-		s.box.harm.NoteEnd(h.request, willowwick.EndpointEnd{
+		s.box.harm.NoteEnd(h.request, willowwick.EndpointCrash{
 			Endpoint: willowwick.EndpointID(fmt.Sprint(h.name, "-", len(h.ends))), Release: "v1", At: now,
 		})
 		h.send(s.box, now, s.left)
@@ -210,7 +210,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			const boxes, halls = 9, 3
 			h := newHarmMesh(newMesh(seed, boxes, halls, 20), harmfulBody)
-			h.store.harmful = map[willowwick.Fingerprint]willowwick.HarmfulRequest{}
+			h.store.harmful = map[willowwick.Fingerprint]willowwick.PoisonRequest{}
 			h.run(t, 5*time.Second)
 			h.isCut = true
 			h.run(t, time.Duration(1+2*seed)*time.Second)
--- a/exchange/harm_test.go
+++ b/exchange/harm_test.go
@@ -239,20 +239,20 @@
 // place, boxes that read at once changed each other's times and what the store holds.
 func TestReadingWhatIsRefusedLeavesTheStoreAsItIs(t *testing.T) {
 	t.Parallel()
-	held := willowwick.HarmfulRequest{
+	held := willowwick.PoisonRequest{
 		Request: willowwick.FingerprintOf(testAccount, http.MethodPost, testHost, "/once/", []byte(harmfulBody)),
 		Account: testAccount, Service: "work", Host: testHost, Target: "/once/",
 	}
 	for i := range harmSlack {
 		at := time.Now().UTC().Truncate(time.Second).Add(-time.Duration(i+1) * time.Minute)
-		held.Ends = append(held.Ends, willowwick.EndpointEnd{Endpoint: willowwick.EndpointID(fmt.Sprint("r", i)), Release: "v1", At: at})
+		held.Crashes = append(held.Crashes, willowwick.EndpointCrash{Endpoint: willowwick.EndpointID(fmt.Sprint("r", i)), Release: "v1", At: at})
 	}
-	want := slices.Clone(held.Ends)
+	want := slices.Clone(held.Crashes)
 	control := newTestControl(testTable(1, onceRoute()))
 	control.harmful[held.Request] = held
 	s := startSite(t, control, testSettings())
 	require.Eventually(t, func() bool { return s.daemon.router.harm.Refuses(held.Request) }, patience, 5*time.Millisecond)
 	control.mu.Lock()
 	defer control.mu.Unlock()
-	assert.Equal(t, want, control.harmful[held.Request].Ends)
+	assert.Equal(t, want, control.harmful[held.Request].Crashes)
 }
--- a/exchange/mesh_test.go
+++ b/exchange/mesh_test.go
@@ -64,7 +64,7 @@
 		end     willowwick.Position
 		entries map[willowwick.EndpointID]meshEntry
 		gone    map[willowwick.EndpointID]willowwick.Position
-		harmful map[willowwick.Fingerprint]willowwick.HarmfulRequest
+		harmful map[willowwick.Fingerprint]willowwick.PoisonRequest
 		reads   int // of the list
 	}
 
@@ -107,16 +107,16 @@
 	return !c.mesh.isAway && !c.box.isRefused
 }
 
-// Harmful implements willowwick.Control.
-func (c *meshControl) Harmful(context.Context) ([]willowwick.HarmfulRequest, error) {
+// PoisonRequests implements willowwick.Control.
+func (c *meshControl) PoisonRequests(context.Context) ([]willowwick.PoisonRequest, error) {
 	if !c.isReached() {
 		return nil, errDown
 	}
 	return slices.Collect(maps.Values(c.mesh.store.harmful)), nil
 }
 
-// SetHarmful implements willowwick.Control.
-func (c *meshControl) SetHarmful(_ context.Context, request willowwick.HarmfulRequest) error {
+// SetPoisonRequest implements willowwick.Control.
+func (c *meshControl) SetPoisonRequest(_ context.Context, request willowwick.PoisonRequest) error {
 	if !c.isReached() {
 		return errDown
 	}
--- a/exchange/site_test.go
+++ b/exchange/site_test.go
@@ -103,7 +103,7 @@
 	listed    willowwick.Position
 	statuses  []willowwick.ReleaseStatus
 	written   []willowwick.ReleaseStatus
-	harmful   map[willowwick.Fingerprint]willowwick.HarmfulRequest
+	harmful   map[willowwick.Fingerprint]willowwick.PoisonRequest
 	members   []string
 	leader    string
 	reads     int // of the list of endpoints
@@ -114,7 +114,7 @@
 // newTestControl returns a store that holds a configuration, nil for none, and endpoints.
 func newTestControl(table *willowwick.RoutingTable, endpoints ...willowwick.Endpoint) *testControl {
 	control := &testControl{
-		endpoints: map[willowwick.EndpointID]willowwick.Endpoint{}, harmful: map[willowwick.Fingerprint]willowwick.HarmfulRequest{},
+		endpoints: map[willowwick.EndpointID]willowwick.Endpoint{}, harmful: map[willowwick.Fingerprint]willowwick.PoisonRequest{},
 	}
 	control.change(func() {
 		control.table = table
@@ -201,7 +201,7 @@
 	return nil
 }
 
-func (c *testControl) Harmful(context.Context) ([]willowwick.HarmfulRequest, error) {
+func (c *testControl) PoisonRequests(context.Context) ([]willowwick.PoisonRequest, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.down {
@@ -210,13 +210,13 @@
 	return slices.Collect(maps.Values(c.harmful)), nil
 }
 
-func (c *testControl) SetHarmful(_ context.Context, request willowwick.HarmfulRequest) error {
+func (c *testControl) SetPoisonRequest(_ context.Context, request willowwick.PoisonRequest) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.down {
 		return errDown
 	}
-	if len(request.Ends) == 0 {
+	if len(request.Crashes) == 0 {
 		delete(c.harmful, request.Request)
 	} else {
 		c.harmful[request.Request] = request
--- a/exchange/suspension_test.go
+++ b/exchange/suspension_test.go
@@ -66,6 +66,6 @@
 	h.control.mu.Lock()
 	defer h.control.mu.Unlock()
 	for _, request := range h.control.harmful {
-		assert.WithinDuration(t, time.Now().Round(0), request.Ends[0].At.Round(0), 10*time.Second)
+		assert.WithinDuration(t, time.Now().Round(0), request.Crashes[0].At.Round(0), 10*time.Second)
 	}
 }
--- a/fingerprint.go
+++ b/fingerprint.go
@@ -23,14 +23,14 @@
 func FingerprintOf(account AccountID, method, host, target string, body []byte) Fingerprint {
 	sum := sha256.New()
 	for _, part := range []string{string(account), method, host, target} {
-		writeSized(sum, part)
+		writeLengthPrefixed(sum, part)
 	}
 	sum.Write(body)
 	return Fingerprint(sum.Sum(nil))
 }
 
-// writeSized adds a text with its length, so that no two rows of texts read alike.
-func writeSized(sum hash.Hash, text string) {
+// writeLengthPrefixed adds a text with its length, so that no two rows of texts read alike.
+func writeLengthPrefixed(sum hash.Hash, text string) {
 	var size [8]byte
 	binary.BigEndian.PutUint64(size[:], uint64(len(text)))
 	sum.Write(size[:])
--- a/lab/harm_test.go
+++ b/lab/harm_test.go
@@ -31,7 +31,7 @@
 			begun := time.Now()
 			reply := s.ask(box, Chat{Prompt: harmfulPrompt})
 			assert.Equal(t, http.StatusBadGateway, reply.Status)
-			assert.Contains(t, reply.Detail, string(willowwick.CodeHarmful))
+			assert.Contains(t, reply.Detail, string(willowwick.CodePoison))
 			assert.Zero(t, reply.RetryAfter, "it is not to come again")
 			assert.Less(t, time.Since(begun), 50*time.Millisecond, "it is told so at once")
 			s.whole(box, Chat{})
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -67,8 +67,8 @@
 
 	// suspect is a request under which an endpoint ended.
 	suspect struct {
-		about     *willowwick.HarmfulRequest // without ends; nil if only other boxes saw the request
-		ends      map[endKey]willowwick.EndpointEnd
+		about     *willowwick.PoisonRequest // without ends; nil if only other boxes saw the request
+		ends      map[endKey]willowwick.EndpointCrash
 		clearedAt time.Time // of its newest whole answer; ends before it do not count
 		tried     map[trial]bool
 		triedAt   time.Time // of its newest trial
@@ -120,7 +120,7 @@
 
 // NoteEnd notes that an endpoint ended while this box had the request there, and reports whether the end was not known before
 // under any request.
-func (l *Ledger) NoteEnd(about willowwick.HarmfulRequest, end willowwick.EndpointEnd) (isFirst bool) {
+func (l *Ledger) NoteEnd(about willowwick.PoisonRequest, end willowwick.EndpointCrash) (isFirst bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	_, isKnown := l.known[endKey{end.Endpoint, end.Incarnation}]
@@ -152,7 +152,7 @@
 // time. It is tried on a release that it has ended no endpoint of, which may bear it, and on any where something else may have been
 // the cause of its ends: they came close together, or another request was at work at all of them.
 func (l *Ledger) Trial(
-	about willowwick.HarmfulRequest, releases []willowwick.ReleaseID, now time.Time,
+	about willowwick.PoisonRequest, releases []willowwick.ReleaseID, now time.Time,
 ) (release willowwick.ReleaseID, allowed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -203,7 +203,7 @@
 	s := l.suspects[request]
 	if s == nil {
 		l.makeRoom()
-		s = &suspect{ends: map[endKey]willowwick.EndpointEnd{}, tried: map[trial]bool{}}
+		s = &suspect{ends: map[endKey]willowwick.EndpointCrash{}, tried: map[trial]bool{}}
 		l.suspects[request] = s
 		l.isUsed.Store(true)
 	}
@@ -238,7 +238,7 @@
 }
 
 // addEnd takes the end of an endpoint under a request, and reports whether it is news; the caller holds the lock.
-func (l *Ledger) addEnd(request willowwick.Fingerprint, end willowwick.EndpointEnd, from string) bool {
+func (l *Ledger) addEnd(request willowwick.Fingerprint, end willowwick.EndpointCrash, from string) bool {
 	s := l.suspect(request, end.At)
 	key := endKey{end.Endpoint, end.Incarnation}
 	_, known := s.ends[key]
@@ -269,7 +269,7 @@
 	if len(s.ends) < RefuseAfter {
 		delete(l.likely, request)
 	}
-	l.history.add(entry{kind: kindAnswer, request: request, end: willowwick.EndpointEnd{At: at}, from: from})
+	l.history.add(entry{kind: kindAnswer, request: request, end: willowwick.EndpointCrash{At: at}, from: from})
 	return true
 }
 
@@ -283,7 +283,7 @@
 	if at.After(s.triedAt) {
 		s.triedAt = at
 	}
-	l.history.add(entry{kind: kindTrial, request: request, end: willowwick.EndpointEnd{Release: tried.release, At: at}, trial: tried.number, from: from})
+	l.history.add(entry{kind: kindTrial, request: request, end: willowwick.EndpointCrash{Release: tried.release, At: at}, trial: tried.number, from: from})
 	return true
 }
 
@@ -346,15 +346,15 @@
 }
 
 // identify keeps what is told of a request to operators, unless it is known.
-func (s *suspect) identify(about willowwick.HarmfulRequest) {
+func (s *suspect) identify(about willowwick.PoisonRequest) {
 	if s.about == nil {
-		about.Ends, about.Tried = nil, nil
+		about.Crashes, about.Tried = nil, nil
 		s.about = &about
 	}
 }
 
 // isCleared reports whether a whole answer makes an end count for nothing.
-func (s *suspect) isCleared(end willowwick.EndpointEnd) bool {
+func (s *suspect) isCleared(end willowwick.EndpointCrash) bool {
 	return !s.clearedAt.IsZero() && !end.At.After(s.clearedAt.Add(clearMargin))
 }
 
@@ -369,12 +369,12 @@
 }
 
 // sorted are the ends in the order in which they came.
-func (s *suspect) sorted() []willowwick.EndpointEnd {
-	ends := make([]willowwick.EndpointEnd, 0, len(s.ends))
+func (s *suspect) sorted() []willowwick.EndpointCrash {
+	ends := make([]willowwick.EndpointCrash, 0, len(s.ends))
 	for _, end := range s.ends {
 		ends = append(ends, end)
 	}
-	slices.SortFunc(ends, func(a, b willowwick.EndpointEnd) int { return a.At.Compare(b.At) })
+	slices.SortFunc(ends, func(a, b willowwick.EndpointCrash) int { return a.At.Compare(b.At) })
 	return ends
 }
 
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -18,21 +18,21 @@
 }
 
 // endAt is the end of an endpoint some milliseconds after the begin.
-func endAt(endpoint string, ms int) willowwick.EndpointEnd {
-	return willowwick.EndpointEnd{
+func endAt(endpoint string, ms int) willowwick.EndpointCrash {
+	return willowwick.EndpointCrash{
 		Endpoint: willowwick.EndpointID(endpoint), Release: "v1", At: began.Add(time.Duration(ms) * time.Millisecond),
 	}
 }
 
 // note notes the end of an endpoint under each of the requests.
-func (l *Ledger) note(end willowwick.EndpointEnd, bodies ...string) {
+func (l *Ledger) note(end willowwick.EndpointCrash, bodies ...string) {
 	for _, body := range bodies {
-		l.NoteEnd(willowwick.HarmfulRequest{Request: requestOf(body), Account: "ada"}, end)
+		l.NoteEnd(willowwick.PoisonRequest{Request: requestOf(body), Account: "ada"}, end)
 	}
 }
 
-func aboutOf(body string) willowwick.HarmfulRequest {
-	return willowwick.HarmfulRequest{Request: requestOf(body), Account: "ada"}
+func aboutOf(body string) willowwick.PoisonRequest {
+	return willowwick.PoisonRequest{Request: requestOf(body), Account: "ada"}
 }
 
 func (l *Ledger) refuses(body string) bool {
@@ -106,7 +106,7 @@
 	assert.False(t, l.refuses("popular"), "one that was under way elsewhere was answered")
 	due := l.Due()
 	require.Len(t, due, 1)
-	assert.Empty(t, due[0].Ends, "the store is told")
+	assert.Empty(t, due[0].Crashes, "the store is told")
 	other.Take(l.Since(Position{}, "boot", "other", began.Add(3110*time.Millisecond)), "own", began.Add(3110*time.Millisecond))
 	assert.False(t, other.refuses("popular"))
 	assert.Empty(t, other.Due(), "by the box that told it before")
@@ -255,7 +255,7 @@
 	}
 	due := l.Due()
 	require.Len(t, due, 1)
-	assert.Len(t, due[0].Ends, 3)
+	assert.Len(t, due[0].Crashes, 3)
 	assert.Equal(t, willowwick.AccountID("ada"), due[0].Account)
 	l.Written(due[0])
 	assert.Empty(t, l.Due())
@@ -267,7 +267,7 @@
 	late.Restore(due, began.Add(2*refusedKept))
 	assert.False(t, late.refuses("harmful"))
 	require.Len(t, late.Due(), 1)
-	assert.Empty(t, late.Due()[0].Ends, "what is too old is dropped at the store")
+	assert.Empty(t, late.Due()[0].Crashes, "what is too old is dropped at the store")
 }
 
 // A request may be answered whole while the store is told that it is refused.
@@ -282,7 +282,7 @@
 	l.Written(due[0])
 	due = l.Due()
 	require.Len(t, due, 1)
-	assert.Empty(t, due[0].Ends)
+	assert.Empty(t, due[0].Crashes)
 	l.Written(due[0])
 	assert.Empty(t, l.Due())
 }
--- a/quarantine/news.go
+++ b/quarantine/news.go
@@ -26,9 +26,9 @@
 	entry struct {
 		kind    kind
 		request willowwick.Fingerprint
-		end     willowwick.EndpointEnd // of an answer only the time, of a trial the time and the release
-		trial   int                    // number of a trial
-		from    string                 // the box that told of it; empty if it was seen here
+		end     willowwick.EndpointCrash // of an answer only the time, of a trial the time and the release
+		trial   int                      // number of a trial
+		from    string                   // the box that told of it; empty if it was seen here
 	}
 
 	// history is what the ledger learnt, in order.
@@ -116,13 +116,13 @@
 	at := map[endKey]int{}
 	for request, s := range l.suspects {
 		if !s.clearedAt.IsZero() {
-			news.add(entry{kind: kindAnswer, request: request, end: willowwick.EndpointEnd{At: s.clearedAt}}, at, now)
+			news.add(entry{kind: kindAnswer, request: request, end: willowwick.EndpointCrash{At: s.clearedAt}}, at, now)
 		}
 		for _, end := range s.ends {
 			news.add(entry{kind: kindEnd, request: request, end: end}, at, now)
 		}
 		for tried := range s.tried {
-			end := willowwick.EndpointEnd{Release: tried.release, At: s.triedAt}
+			end := willowwick.EndpointCrash{Release: tried.release, At: s.triedAt}
 			news.add(entry{kind: kindTrial, request: request, end: end, trial: tried.number}, at, now)
 		}
 	}
@@ -154,7 +154,7 @@
 	defer l.mu.Unlock()
 	isNews := false
 	for _, row := range news.Ends {
-		end := willowwick.EndpointEnd{Endpoint: row.Endpoint, Incarnation: row.Incarnation, Release: row.Release, At: ago(now, row.AgeMs)}
+		end := willowwick.EndpointCrash{Endpoint: row.Endpoint, Incarnation: row.Incarnation, Release: row.Release, At: ago(now, row.AgeMs)}
 		for _, request := range row.Requests {
 			isNews = l.addEnd(request, end, from) || isNews
 		}
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -8,20 +8,20 @@
 
 // Due returns what has to be written to the store: the refused requests that this box has seen itself, and those that are admitted
 // again, without ends.
-func (l *Ledger) Due() []willowwick.HarmfulRequest {
+func (l *Ledger) Due() []willowwick.PoisonRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var list []willowwick.HarmfulRequest
+	var list []willowwick.PoisonRequest
 	for request, isDue := range l.due {
 		s := l.suspects[request]
 		switch {
 		case !isDue:
 			delete(l.due, request)
 		case !l.refused[request]:
-			list = append(list, willowwick.HarmfulRequest{Request: request})
+			list = append(list, willowwick.PoisonRequest{Request: request})
 		case s != nil && s.about != nil:
 			record := *s.about
-			record.Ends, record.Tried = s.sorted(), s.trials()
+			record.Crashes, record.Tried = s.sorted(), s.trials()
 			list = append(list, record)
 		default:
 			delete(l.due, request) // a box that has seen it writes it
@@ -31,10 +31,10 @@
 }
 
 // Written notes that the store has what was due of a request. What changed meanwhile is due again.
-func (l *Ledger) Written(record willowwick.HarmfulRequest) {
+func (l *Ledger) Written(record willowwick.PoisonRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	request, holds := record.Request, len(record.Ends) > 0
+	request, holds := record.Request, len(record.Crashes) > 0
 	if holds {
 		l.stored[request] = true
 	} else {
@@ -56,7 +56,7 @@
 }
 
 // Restore takes what the store holds; what is too old to count is to be dropped there.
-func (l *Ledger) Restore(records []willowwick.HarmfulRequest, now time.Time) {
+func (l *Ledger) Restore(records []willowwick.PoisonRequest, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, record := range records {
@@ -71,9 +71,9 @@
 }
 
 // restore takes one record; the caller holds the lock.
-func (l *Ledger) restore(record willowwick.HarmfulRequest, now time.Time) {
+func (l *Ledger) restore(record willowwick.PoisonRequest, now time.Time) {
 	l.stored[record.Request] = true
-	for _, end := range record.Ends {
+	for _, end := range record.Crashes {
 		if end.At.After(now) {
 			end.At = now // clocks of boxes differ
 		}
--- a/quarantine/refusal.go
+++ b/quarantine/refusal.go
@@ -13,7 +13,7 @@
 
 // Refusal returns what the caller of a refused request is told by each box: for good, and without a promise that it has not run.
 func Refusal() *willowwick.Refusal {
-	return willowwick.Failed(willowwick.CodeHarmful, "%d endpoints ended while they ran this request; it is not sent to others", RefuseAfter)
+	return willowwick.Failed(willowwick.CodePoison, "%d endpoints ended while they ran this request; it is not sent to others", RefuseAfter)
 }
 
 // IsHarmlessBy reports whether the status of a whole answer shows that an endpoint bore the request to its end: one that rejects it
--- a/refusal.go
+++ b/refusal.go
@@ -45,8 +45,8 @@
 	CodeClaim          RefusalCode = "claim_unavailable"
 	CodeEndpoint       RefusalCode = "endpoint_error"
 	CodeCutOff         RefusalCode = "cut_off"
-	// CodeHarmful: endpoints ended while they ran the request, so that it is sent to none.
-	CodeHarmful RefusalCode = "ends_endpoints"
+	// CodePoison: endpoints ended while they ran the request, so that it is sent to none.
+	CodePoison RefusalCode = "ends_endpoints"
 )
 
 // Refusal is the typed error that a caller is given instead of an answer.
--- a/remote/engine.go
+++ b/remote/engine.go
@@ -112,7 +112,7 @@
 		cancel()
 		return nil, nil, err
 	}
-	tellNotice(call.Heard, response)
+	tellNotice(call.OnNotice, response)
 	if err := checkStatus(response); err != nil {
 		cancel()
 		_ = response.Body.Close()
@@ -174,7 +174,7 @@
 	case response.StatusCode == http.StatusOK:
 		return nil
 	case response.Header.Get(HeaderLeaving) != "":
-		return willowwick.ErrLeaving
+		return willowwick.ErrDraining
 	case response.StatusCode == http.StatusTooManyRequests || response.StatusCode == http.StatusServiceUnavailable:
 		return willowwick.ErrBusy
 	default:
--- a/remote/service.go
+++ b/remote/service.go
@@ -64,10 +64,10 @@
 	if err != nil {
 		return nil, wrapSend(err)
 	}
-	tellNotice(call.Heard, response)
+	tellNotice(call.OnNotice, response)
 	if response.StatusCode == http.StatusServiceUnavailable && response.Header.Get(HeaderLeaving) != "" {
 		_ = response.Body.Close()
-		return nil, willowwick.ErrLeaving
+		return nil, willowwick.ErrDraining
 	}
 	header := response.Header.Clone()
 	for _, name := range hopHeaders {
--- a/serve/call.go
+++ b/serve/call.go
@@ -140,7 +140,7 @@
 	stream, release, err := r.daemon.outside.Engine.Open(ctx, willowwick.EngineCall{
 		Endpoint: entered.Endpoint, Request: c.id, Version: c.version, Messages: r.request.Messages,
 		MaxTokens: r.request.MaxTokens, Temperature: r.request.Temperature,
-		ResumeAt: c.position, Deadline: r.request.Deadline, Heard: r.daemon.hears(entered.Endpoint, r.request.ID),
+		ResumeAt: c.position, Deadline: r.request.Deadline, OnNotice: r.daemon.hears(entered.Endpoint, r.request.ID),
 	})
 	if err != nil {
 		cancel()
@@ -166,7 +166,7 @@
 	c.attempts++
 	budgeted := false
 	switch {
-	case errors.Is(err, willowwick.ErrLeaving):
+	case errors.Is(err, willowwick.ErrDraining):
 		entered.Done(route.OutcomeCancelled)
 	case errors.Is(err, willowwick.ErrNotSent):
 		entered.Done(route.OutcomeFailed)
--- a/serve/harm.go
+++ b/serve/harm.go
@@ -13,14 +13,14 @@
 
 // content is a request as far as it matters to an endpoint that runs it, to be told from others by its fingerprint.
 type content struct {
-	about willowwick.HarmfulRequest // its fingerprint is taken where it is needed
+	about willowwick.PoisonRequest // its fingerprint is taken where it is needed
 	body  func() []byte
 }
 
 // contentOf is the content of a chat request.
 func contentOf(request *willowwick.Request) *content {
 	return &content{
-		about: willowwick.HarmfulRequest{Account: request.Account, Target: request.Target},
+		about: willowwick.PoisonRequest{Account: request.Account, Target: request.Target},
 		body: func() []byte {
 			body, err := json.Marshal([]any{request.Messages, request.MaxTokens, request.Temperature})
 			if err != nil {
@@ -60,7 +60,7 @@
 // be stopped by its operator at any time. It reports whether that tells anything of the release: an endpoint that ends takes all its
 // requests with it, and one of them may have ended it, so that they count as one failure and not as many.
 func (d *Daemon) noteBroken(ctx context.Context, c *content, endpoint willowwick.Endpoint, release willowwick.ReleaseID, err error) (isEvidence bool) {
-	isSent := !errors.Is(err, willowwick.ErrNotSent) && !errors.Is(err, willowwick.ErrBusy) && !errors.Is(err, willowwick.ErrLeaving)
+	isSent := !errors.Is(err, willowwick.ErrNotSent) && !errors.Is(err, willowwick.ErrBusy) && !errors.Is(err, willowwick.ErrDraining)
 	if !isSent || ctx.Err() != nil || !d.pool.Stays(endpoint.ID) {
 		return true
 	}
@@ -70,7 +70,7 @@
 		return true
 	}
 	c.fingerprint()
-	return d.node.Harm.NoteEnd(c.about, willowwick.EndpointEnd{Endpoint: endpoint.ID, Release: release, At: clock.Now()})
+	return d.node.Harm.NoteEnd(c.about, willowwick.EndpointCrash{Endpoint: endpoint.ID, Release: release, At: clock.Now()})
 }
 
 // noteHarmless notes that an endpoint has answered the request whole.
--- a/serve/services.go
+++ b/serve/services.go
@@ -127,7 +127,7 @@
 		daemon: d, request: request, account: account, service: service, repeatable: repeatable,
 		exclude: map[willowwick.EndpointID]bool{},
 		content: &content{
-			about: willowwick.HarmfulRequest{Account: request.Account, Service: service, Host: r.Method, Target: r.URL.RequestURI()},
+			about: willowwick.PoisonRequest{Account: request.Account, Service: service, Host: r.Method, Target: r.URL.RequestURI()},
 			body:  func() []byte { return body },
 		},
 		trace: d.traces.begin(d.settings.Box, request.ID, request.Account, r.Method+" "+servicePrefix+string(service)+path),
@@ -196,7 +196,7 @@
 			attempt--
 			continue
 		}
-		s.call.Endpoint, s.call.Heard = entered.Endpoint, s.daemon.hears(entered.Endpoint, s.request.ID)
+		s.call.Endpoint, s.call.OnNotice = entered.Endpoint, s.daemon.hears(entered.Endpoint, s.request.ID)
 		s.trace.add("sent", "to endpoint %s", entered.Endpoint.ID)
 		reply, err := s.try(ctx)
 		if err == nil {
@@ -255,7 +255,7 @@
 func (s *serviceRun) failed(ctx context.Context, entered *gate.Ticket, err error, attempt int) *willowwick.Refusal {
 	s.trace.add("endpoint", "%s: %v", entered.Endpoint.ID, err)
 	s.exclude[entered.Endpoint.ID] = true
-	notSent := errors.Is(err, willowwick.ErrNotSent) || errors.Is(err, willowwick.ErrLeaving)
+	notSent := errors.Is(err, willowwick.ErrNotSent) || errors.Is(err, willowwick.ErrDraining)
 	entered.Done(route.OutcomeFailed)
 	s.daemon.noteBroken(ctx, s.content, entered.Endpoint, entered.Endpoint.Release, err)
 	s.sent = s.sent || !notSent
