--- a/control.go
+++ b/control.go
@@ -8,7 +8,7 @@
 type (
 	// Declarations is what a read of the operator's declarations brought.
 	Declarations struct {
-		Whole       bool          // all that stands was read; what is not in it was taken back
+		Snapshot    bool          // all that stands was read; what is not in it was taken back
 		Table       *RoutingTable // the newest one, or nil if there was none in what was read
 		Orders      []ReleaseOrder
 		Evacuations []Evacuation // those of one hall in the order in which they were declared
@@ -19,25 +19,25 @@
 
 	// Evacuation says that a hall's endpoints are to get no new work, or that the operator took this back.
 	Evacuation struct {
-		Hall      HallID
-		TakenBack bool
-		At        Position // where it stands among the declarations
+		Hall    HallID
+		Revoked bool
+		At      Position // where it stands among the declarations
 	}
 
 	// Admission says that a request is to be sent to endpoints although it ended some, or that the operator took this back.
 	Admission struct {
-		Request   Fingerprint
-		TakenBack bool
-		At        Position // where it stands among the declarations
+		Request Fingerprint
+		Revoked bool
+		At      Position // where it stands among the declarations
 	}
 
 	// EndpointChanges is what a read of the list of endpoints brought.
 	EndpointChanges struct {
-		Whole   bool // Present is the whole list; what is not in it is gone
-		Present []Endpoint
-		Gone    []EndpointID // they went before Present was written, also where they stand there again
-		Unnamed []EndpointID // the newest entry under the name is none of an endpoint; another one may follow at any time
-		Next    Position
+		Snapshot bool // Present is the whole list; what is not in it is gone
+		Present  []Endpoint
+		Gone     []EndpointID // they went before Present was written, also where they stand there again
+		Invalid  []EndpointID // the newest entry under the name is none of an endpoint; another one may follow at any time
+		Next     Position
 	}
 
 	// ReleaseStatuses are all states of roll-outs, and where their topic ends.
@@ -49,7 +49,7 @@
 	// Membership is a box's part in the group of boxes.
 	Membership struct {
 		Generation uint64 // rises with each change of the group
-		Leads      bool   // this box looks after the roll-outs
+		IsLeader   bool   // this box looks after the roll-outs
 	}
 
 	// Control is the platform's store as the exchange needs it.
--- a/engine.go
+++ b/engine.go
@@ -35,7 +35,7 @@
 	Running  int        `json:"running"`
 	Waiting  int        `json:"waiting"`
 	Slots    int        `json:"slots"`
-	Leaving  bool       `json:"leaving,omitempty"`
+	Draining bool       `json:"leaving,omitempty"`
 	At       time.Time  `json:"at"`
 }
 
--- a/exchange/admission.go
+++ b/exchange/admission.go
@@ -43,9 +43,9 @@
 func (a *admissions) declare(declared willowwick.Declarations) {
 	changes := make([]standingChange[willowwick.Fingerprint], 0, len(declared.Admissions))
 	for _, admission := range declared.Admissions {
-		changes = append(changes, standingChange[willowwick.Fingerprint]{admission.Request, admission.TakenBack, admission.At})
+		changes = append(changes, standingChange[willowwick.Fingerprint]{admission.Request, admission.Revoked, admission.At})
 	}
-	a.standingKeeper.declare(declared.Whole, declared.Next, changes)
+	a.standingKeeper.declare(declared.Snapshot, declared.Next, changes)
 }
 
 // hear takes the set that another box knows.
--- a/exchange/era_test.go
+++ b/exchange/era_test.go
@@ -26,7 +26,7 @@
 
 // read gives the box a read of the store up to a position.
 func (e evacuatedHalls) read(isWhole bool, next willowwick.Position, changes ...willowwick.Evacuation) {
-	e.declare(willowwick.Declarations{Whole: isWhole, Next: next, Evacuations: changes})
+	e.declare(willowwick.Declarations{Snapshot: isWhole, Next: next, Evacuations: changes})
 }
 
 func declaredAt(at willowwick.Position) willowwick.Evacuation {
@@ -34,7 +34,7 @@
 }
 
 func takenBackAt(at willowwick.Position) willowwick.Evacuation {
-	return willowwick.Evacuation{Hall: "hall-a", At: at, TakenBack: true}
+	return willowwick.Evacuation{Hall: "hall-a", At: at, Revoked: true}
 }
 
 // A store that came back from a copy gave offsets out again: what was declared then had a lower one than what was known, and an
@@ -146,8 +146,8 @@
 		admission := func(at willowwick.Position) []willowwick.Admission {
 			return []willowwick.Admission{{Request: request.Request, At: at}}
 		}
-		a.declare(willowwick.Declarations{Whole: true, Next: in(1, 9), Admissions: admission(in(1, 8))})
-		a.declare(willowwick.Declarations{Whole: true, Next: in(2, 4)})
+		a.declare(willowwick.Declarations{Snapshot: true, Next: in(1, 9), Admissions: admission(in(1, 8))})
+		a.declare(willowwick.Declarations{Snapshot: true, Next: in(2, 4)})
 		assert.False(t, harm.Refuses(request.Request))
 		a.declare(willowwick.Declarations{Next: in(2, 5), Admissions: admission(in(2, 4))})
 		time.Sleep(2 * writtenAgainWithin)
--- a/exchange/evacuation.go
+++ b/exchange/evacuation.go
@@ -48,9 +48,9 @@
 func (e *evacuations) declare(declared willowwick.Declarations) {
 	changes := make([]standingChange[willowwick.HallID], 0, len(declared.Evacuations))
 	for _, evacuation := range declared.Evacuations {
-		changes = append(changes, standingChange[willowwick.HallID]{evacuation.Hall, evacuation.TakenBack, evacuation.At})
+		changes = append(changes, standingChange[willowwick.HallID]{evacuation.Hall, evacuation.Revoked, evacuation.At})
 	}
-	e.standingKeeper.declare(declared.Whole, declared.Next, changes)
+	e.standingKeeper.declare(declared.Snapshot, declared.Next, changes)
 }
 
 // hear takes the set that another box knows.
--- a/exchange/evacuation_test.go
+++ b/exchange/evacuation_test.go
@@ -189,12 +189,12 @@
 		isEmpty bool
 	}{
 		{"a whole read", func() {
-			s.declare(willowwick.Declarations{Whole: true, Next: 100, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 99}}})
+			s.declare(willowwick.Declarations{Snapshot: true, Next: 100, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 99}}})
 		}, true},
 		{"a late read of changes", func() {
-			s.declare(willowwick.Declarations{Next: 61, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 60, TakenBack: true}}})
+			s.declare(willowwick.Declarations{Next: 61, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 60, Revoked: true}}})
 		}, true},
-		{"a late whole read", func() { s.declare(willowwick.Declarations{Whole: true, Next: 70}) }, true},
+		{"a late whole read", func() { s.declare(willowwick.Declarations{Snapshot: true, Next: 70}) }, true},
 		{"another box that knows less", func() { s.tell(EvacuatedHalls{AsOf: 80}) }, true},
 		{"a box that tells nothing of it", func() { s.tell(EvacuatedHalls{}) }, true},
 		{"another box that knows more", func() { s.tell(EvacuatedHalls{AsOf: 110}) }, false},
@@ -209,15 +209,15 @@
 			s.declare(willowwick.Declarations{Next: 113, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 112}}})
 		}, true},
 		{"changes of other kinds", func() { s.declare(willowwick.Declarations{Next: 120}) }, true},
-		{"a whole read after the store forgot its history", func() { s.declare(willowwick.Declarations{Whole: true, Next: 130}) }, false},
+		{"a whole read after the store forgot its history", func() { s.declare(willowwick.Declarations{Snapshot: true, Next: 130}) }, false},
 		{"a whole read that saw a record after its end", func() {
-			s.declare(willowwick.Declarations{Whole: true, Next: 140, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 145}}})
+			s.declare(willowwick.Declarations{Snapshot: true, Next: 140, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 145}}})
 		}, true},
 		{"the records between", func() {
-			s.declare(willowwick.Declarations{Next: 142, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 141, TakenBack: true}}})
+			s.declare(willowwick.Declarations{Next: 142, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 141, Revoked: true}}})
 		}, true},
 		{"many changes at once", func() {
-			s.declare(willowwick.Declarations{Next: 150, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 145}, {Hall: hall, At: 149, TakenBack: true}}})
+			s.declare(willowwick.Declarations{Next: 150, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 145}, {Hall: hall, At: 149, Revoked: true}}})
 		}, false},
 	}
 	for _, step := range steps {
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -459,7 +459,7 @@
 	require.False(t, isListed(), "gone, and one heartbeat that was on its way")
 	s.apply(willowwick.EndpointChanges{Present: beat(6), Next: 4}, now)
 	require.False(t, isListed(), "the same one again")
-	s.apply(willowwick.EndpointChanges{Whole: true, Present: beat(6), Next: 4}, now)
+	s.apply(willowwick.EndpointChanges{Snapshot: true, Present: beat(6), Next: 4}, now)
 	require.False(t, isListed(), "in the whole list too")
 	s.apply(willowwick.EndpointChanges{Present: beat(7), Next: 5}, now)
 	require.True(t, isListed(), "it goes on: it lives")
--- a/exchange/foreign_test.go
+++ b/exchange/foreign_test.go
@@ -16,9 +16,9 @@
 	now := time.Now()
 	endpoint := meshEndpoint(1, 1)
 	endpoint.Beat = 7
-	s.takeChanges(willowwick.EndpointChanges{Whole: true, Present: []willowwick.Endpoint{endpoint}, Next: 1}, now, now)
+	s.takeChanges(willowwick.EndpointChanges{Snapshot: true, Present: []willowwick.Endpoint{endpoint}, Next: 1}, now, now)
 	assert.Len(t, m.boxes[0].pool.Endpoints(), 1)
-	s.takeChanges(willowwick.EndpointChanges{Unnamed: []willowwick.EndpointID{endpoint.ID}, Next: 2}, now, now)
+	s.takeChanges(willowwick.EndpointChanges{Invalid: []willowwick.EndpointID{endpoint.ID}, Next: 2}, now, now)
 	assert.Empty(t, m.boxes[0].pool.Endpoints())
 	endpoint.Beat = 8
 	s.takeChanges(willowwick.EndpointChanges{Present: []willowwick.Endpoint{endpoint}, Next: 3}, now, now)
--- a/exchange/lead.go
+++ b/exchange/lead.go
@@ -56,7 +56,7 @@
 	s.joined = true
 	changed := membership.Generation != s.generation
 	s.generation = membership.Generation
-	s.setLead(membership.Leads, "the group says so")
+	s.setLead(membership.IsLeader, "the group says so")
 	if !changed && now.Sub(listedAt) <= membersEvery {
 		return listedAt
 	}
--- a/exchange/leaving_test.go
+++ b/exchange/leaving_test.go
@@ -159,7 +159,7 @@
 			continue
 		}
 		now := time.Now()
-		require.True(t, b.daemon.router.pool.Hear(now, now, ticket.Endpoint, willowwick.Notice{Leaving: true}).Leaving)
+		require.True(t, b.daemon.router.pool.Hear(now, now, ticket.Endpoint, willowwick.Notice{Draining: true}).Leaving)
 		assert.Equal(t, withheld, c.sendOnce(ticket).kind)
 		c.run()
 		assert.Equal(t, http.StatusOK, recorder.Code)
@@ -190,7 +190,7 @@
 		m.run(t, time.Second)
 		endpoint, now := meshEndpoint(0, size.halls), time.Now()
 		told := m.boxes[size.boxes-1]
-		news := told.pool.Hear(now, now, endpoint, willowwick.Notice{Leaving: true})
+		news := told.pool.Hear(now, now, endpoint, willowwick.Notice{Draining: true})
 		require.True(t, news.Leaving)
 		for !m.allKnow(endpoint.ID) && time.Since(now) < 2*within {
 			m.run(t, meshStep)
@@ -217,7 +217,7 @@
 		m := newMesh(1, 6, 2, 8)
 		m.run(t, 10*time.Second)
 		endpoint, now := meshEndpoint(0, 2), time.Now()
-		m.boxes[0].pool.Hear(now, now, endpoint, willowwick.Notice{Leaving: true})
+		m.boxes[0].pool.Hear(now, now, endpoint, willowwick.Notice{Draining: true})
 		m.run(t, time.Second)
 		assert.NotEmpty(t, m.boxes[5].peers.digest(time.Now()).Leaving)
 		m.leave(t, endpoint)
--- a/exchange/listing.go
+++ b/exchange/listing.go
@@ -59,7 +59,7 @@
 		// Offsets compare between boxes: who has read up to here has all changes up to here.
 		s.settle(s.next)
 	}
-	if changes.Whole {
+	if changes.Snapshot {
 		s.history.restart(s.next)
 	}
 	s.publish()
@@ -126,7 +126,7 @@
 		s.history.note(id)
 		s.endpointGone(id, now)
 	}
-	for _, id := range changes.Unnamed {
+	for _, id := range changes.Invalid {
 		s.history.note(id)
 		if _, wasListed := s.listed[id]; wasListed {
 			s.drop(id, now)
@@ -145,7 +145,7 @@
 			s.list(endpoint, changes.Next)
 		}
 	}
-	if changes.Whole {
+	if changes.Snapshot {
 		for id := range s.listed {
 			if !present[id] {
 				s.endpointGone(id, now)
--- a/exchange/listing_swap.go
+++ b/exchange/listing_swap.go
@@ -132,7 +132,7 @@
 			}
 		}
 		s.apply(willowwick.EndpointChanges{
-			Whole: list.Since == 0, Present: list.Endpoints, Gone: list.Gone, Next: max(s.next, list.Next),
+			Snapshot: list.Since == 0, Present: list.Endpoints, Gone: list.Gone, Next: max(s.next, list.Next),
 		}, now)
 		s.settle(max(s.changedAt, list.From))
 		if list.Since == 0 {
--- a/exchange/mesh_test.go
+++ b/exchange/mesh_test.go
@@ -138,7 +138,7 @@
 func (s *meshStore) since(from willowwick.Position) willowwick.EndpointChanges {
 	s.reads++
 	isWhole := from == 0 || from.Era() != s.end.Era()
-	changes := willowwick.EndpointChanges{Whole: isWhole, Next: s.end}
+	changes := willowwick.EndpointChanges{Snapshot: isWhole, Next: s.end}
 	for _, entry := range s.entries {
 		if isWhole || entry.at > from {
 			changes.Present = append(changes.Present, entry.endpoint)
--- a/exchange/notices.go
+++ b/exchange/notices.go
@@ -34,7 +34,7 @@
 	}
 	if news.Rest {
 		slog.Info("endpoint asks for rest", "endpoint", endpoint.ID, "request", s.call.head.ID,
-			"ms", notice.RestUntil.Sub(now).Milliseconds())
+			"ms", notice.BackoffUntil.Sub(now).Milliseconds())
 	}
 	if news.Limit {
 		x.peers.hurry()
--- a/exchange/notices_test.go
+++ b/exchange/notices_test.go
@@ -76,7 +76,7 @@
 		w.Header().Set("T-Not-Run", "1")
 		w.Header().Set("T-Rest", n.rest)
 	}
-	n.arrivals = append(n.arrivals, noticeArrival{number % n.boxes, now, n.leaving, willowwick.ParseRest(n.rest, now, now)})
+	n.arrivals = append(n.arrivals, noticeArrival{number % n.boxes, now, n.leaving, willowwick.ParseRetryAfter(n.rest, now, now)})
 	return n.rest != ""
 }
 
--- a/exchange/publish_test.go
+++ b/exchange/publish_test.go
@@ -21,7 +21,7 @@
 	now := time.Now()
 	for how, take := range map[string]func(s *syncer){
 		"read": func(s *syncer) {
-			s.takeChanges(willowwick.EndpointChanges{Whole: true, Present: []willowwick.Endpoint{endpoint}, Next: 1}, now, now)
+			s.takeChanges(willowwick.EndpointChanges{Snapshot: true, Present: []willowwick.Endpoint{endpoint}, Next: 1}, now, now)
 		},
 		"told": func(s *syncer) {
 			s.takeFromPeer(SwapReply{Endpoints: &EndpointList{Endpoints: []willowwick.Endpoint{endpoint}, Next: 1, From: 1, Told: now}}, now)
--- a/exchange/rest_test.go
+++ b/exchange/rest_test.go
@@ -83,7 +83,7 @@
 	patient.Goal = 2 * time.Second
 	s := startSite(t, newTestControl(testTable(1, patient), resting.endpoint("v1"), other.endpoint("v1")), testSettings())
 	now := time.Now()
-	s.daemon.router.pool.Hear(now, now, resting.endpoint("v1"), willowwick.Notice{RestUntil: now.Add(time.Minute)})
+	s.daemon.router.pool.Hear(now, now, resting.endpoint("v1"), willowwick.Notice{BackoffUntil: now.Add(time.Minute)})
 	for range 20 {
 		s.daemon.router.budget("work").Request(now)
 	}
@@ -101,7 +101,7 @@
 	ticket, refusal := c.enter()
 	require.Nil(t, refusal)
 	now := time.Now()
-	s.daemon.router.pool.Hear(now, now, ticket.Endpoint, willowwick.Notice{RestUntil: now.Add(time.Minute)})
+	s.daemon.router.pool.Hear(now, now, ticket.Endpoint, willowwick.Notice{BackoffUntil: now.Add(time.Minute)})
 	assert.Equal(t, withheld, c.sendOnce(ticket).kind)
 	assert.Empty(t, r.requests())
 	_, refusal = c.enter()
--- a/exchange/site_test.go
+++ b/exchange/site_test.go
@@ -66,10 +66,10 @@
 	head := willowwick.AnswerHead{
 		Request: willowwick.RequestID(header.Get("T-Id")), NotRun: header.Get("T-Not-Run") != "",
 		Confidence: willowwick.NoConfidence,
-		Notice:     willowwick.Notice{Leaving: header.Get("T-Leaving") != "", RateLimit: willowwick.ParseRateLimit(header.Get("T-Limit"))},
+		Notice:     willowwick.Notice{Draining: header.Get("T-Leaving") != "", RateLimit: willowwick.ParseRateLimit(header.Get("T-Limit"))},
 	}
 	if status == http.StatusServiceUnavailable {
-		head.Notice.RestUntil = willowwick.ParseRest(header.Get("T-Rest"), at, time.Now())
+		head.Notice.BackoffUntil = willowwick.ParseRetryAfter(header.Get("T-Rest"), at, time.Now())
 	}
 	if text := header.Get("T-Confidence"); text != "" {
 		head.Confidence, _ = strconv.Atoi(text)
@@ -143,7 +143,7 @@
 	for {
 		c.mu.Lock()
 		declared := willowwick.Declarations{
-			Whole: true, Table: c.table, Orders: c.orders, Evacuations: slices.Clone(c.evacuated), Next: c.at(c.changes),
+			Snapshot: true, Table: c.table, Orders: c.orders, Evacuations: slices.Clone(c.evacuated), Next: c.at(c.changes),
 			Admissions: slices.Clone(c.admitted),
 		}
 		down := c.down
@@ -170,7 +170,7 @@
 		return willowwick.EndpointChanges{}, errDown
 	}
 	c.reads++
-	changes := willowwick.EndpointChanges{Whole: true, Next: c.at(c.listed)}
+	changes := willowwick.EndpointChanges{Snapshot: true, Next: c.at(c.listed)}
 	for _, endpoint := range c.endpoints {
 		changes.Present = append(changes.Present, endpoint)
 	}
@@ -236,14 +236,14 @@
 			if c.leader == "" {
 				c.leader = member
 			}
-			return willowwick.Membership{Generation: uint64(len(c.members)), Leads: c.leader == member}, nil
+			return willowwick.Membership{Generation: uint64(len(c.members)), IsLeader: c.leader == member}, nil
 		}
 	}
 	c.members = append(c.members, member)
 	if c.leader == "" {
 		c.leader = member
 	}
-	return willowwick.Membership{Generation: uint64(len(c.members)), Leads: c.leader == member}, nil
+	return willowwick.Membership{Generation: uint64(len(c.members)), IsLeader: c.leader == member}, nil
 }
 
 func (c *testControl) Members(context.Context) ([]string, error) {
--- a/notice_test.go
+++ b/notice_test.go
@@ -21,14 +21,14 @@
 		"NaN":    0,
 		"soon":   0,
 		"3, 4":   0,
-		"86400":  longestRest,
-		"1e12":   longestRest,
-		"Inf":    longestRest,
-		"999999": longestRest,
+		"86400":  maxBackoff,
+		"1e12":   maxBackoff,
+		"Inf":    maxBackoff,
+		"999999": maxBackoff,
 		timeOfDay.Add(8 * time.Second).Format(http.TimeFormat):  8 * time.Second,
 		timeOfDay.Add(-8 * time.Second).Format(http.TimeFormat): 0,
 	} {
-		got := ParseRest(text, now, timeOfDay)
+		got := ParseRetryAfter(text, now, timeOfDay)
 		if want == 0 {
 			assert.Zero(t, got, "%q", text)
 			continue
--- a/platform.go
+++ b/platform.go
@@ -20,11 +20,11 @@
 
 // Box is an entry of the platform's list of boxes.
 type Box struct {
-	ID      BoxID  `json:"id"`
-	Hall    HallID `json:"hall"`
-	Peer    string `json:"peer"`  // host:port for other daemons
-	Admin   string `json:"admin"` // host:port for operators and metrics
-	Leaving bool   `json:"leaving,omitempty"`
+	ID       BoxID  `json:"id"`
+	Hall     HallID `json:"hall"`
+	Peer     string `json:"peer"`  // host:port for other daemons
+	Admin    string `json:"admin"` // host:port for operators and metrics
+	Draining bool   `json:"leaving,omitempty"`
 }
 
 // Endpoint is an entry of the platform's list of endpoints.
--- a/remote/engine.go
+++ b/remote/engine.go
@@ -33,7 +33,7 @@
 )
 
 // noticeHeaders are those in which an answer tells of its endpoint.
-var noticeHeaders = willowwick.NoticeHeaders{Leaving: HeaderLeaving, Rest: HeaderRest, RateLimit: HeaderRateLimit}
+var noticeHeaders = willowwick.NoticeHeaders{Draining: HeaderLeaving, RetryAfter: HeaderRest, RateLimit: HeaderRateLimit}
 
 // Paths of a runner.
 const (
@@ -238,7 +238,7 @@
 		Running:  number(HeaderRunning),
 		Waiting:  number(HeaderWaiting),
 		Slots:    number(HeaderSlots),
-		Leaving:  header.Get(HeaderLeaving) != "",
+		Draining: header.Get(HeaderLeaving) != "",
 		At:       time.Now(),
 	}
 }
--- a/route/notice.go
+++ b/route/notice.go
@@ -49,7 +49,7 @@
 // it is news. What an earlier life of the endpoint said holds no more.
 func (p *Pool) Hear(now, sentAt time.Time, endpoint willowwick.Endpoint, notice willowwick.Notice) News {
 	news := News{Limit: p.options.Limits.Heard(now, sentAt, endpoint, notice.RateLimit)}
-	if !notice.Leaving && notice.RestUntil.IsZero() {
+	if !notice.Draining && notice.BackoffUntil.IsZero() {
 		return news
 	}
 	p.mu.Lock()
@@ -58,14 +58,14 @@
 	if s == nil || !s.isOf(endpoint) {
 		return news
 	}
-	news.Leaving = notice.Leaving && !s.leaving
-	news.Rest = notice.RestUntil.After(now) && !s.isResting(now)
-	s.leaving = s.leaving || notice.Leaving
+	news.Leaving = notice.Draining && !s.leaving
+	news.Rest = notice.BackoffUntil.After(now) && !s.isResting(now)
+	s.leaving = s.leaving || notice.Draining
 	if news.Rest {
-		s.restDelay = time.Duration(rand.Float64() * float64(min(restSpread, notice.RestUntil.Sub(now)/restSpreadPart)))
+		s.restDelay = time.Duration(rand.Float64() * float64(min(restSpread, notice.BackoffUntil.Sub(now)/restSpreadPart)))
 	}
 	// A shorter rest that is asked for later takes nothing back: each answer binds by itself.
-	if until := notice.RestUntil.Add(s.restDelay); notice.RestUntil.After(now) && until.After(s.restUntil) {
+	if until := notice.BackoffUntil.Add(s.restDelay); notice.BackoffUntil.After(now) && until.After(s.restUntil) {
 		s.restUntil = until
 	}
 	if m := p.endpoints[endpoint.ID]; m != nil && s.isResting(now) {
--- a/route/notice_test.go
+++ b/route/notice_test.go
@@ -26,7 +26,7 @@
 }
 
 // rest is a notice that asks for rest until a time.
-func rest(until time.Time) willowwick.Notice { return willowwick.Notice{RestUntil: until} }
+func rest(until time.Time) willowwick.Notice { return willowwick.Notice{BackoffUntil: until} }
 
 // usable lists the endpoints that may be given work, each once.
 func usable(pool *Pool, now time.Time) []willowwick.EndpointID {
@@ -65,7 +65,7 @@
 	assert.Equal(t, []willowwick.EndpointID{"e2"}, usable(pool, now), "its entry went and came back")
 	pool.Update([]willowwick.Endpoint{noticeEndpoint("e1", 2), other})
 	assert.Equal(t, []willowwick.EndpointID{"e1", "e2"}, usable(pool, now), "its next life has asked for nothing")
-	pool.Hear(now, now, first, willowwick.Notice{Leaving: true, RestUntil: now.Add(time.Minute)})
+	pool.Hear(now, now, first, willowwick.Notice{Draining: true, BackoffUntil: now.Add(time.Minute)})
 	assert.Equal(t, []willowwick.EndpointID{"e1", "e2"}, usable(pool, now), "an answer of the life before")
 }
 
--- a/route/pool.go
+++ b/route/pool.go
@@ -173,7 +173,7 @@
 	}
 	m.load = load
 	m.recent = 0
-	m.said.leaving = m.said.leaving || load.Leaving
+	m.said.leaving = m.said.leaving || load.Draining
 }
 
 // NoteReading takes what another box has sent to an endpoint.
--- a/serve/notices.go
+++ b/serve/notices.go
@@ -17,7 +17,7 @@
 			slog.Info("endpoint says that it leaves", "endpoint", endpoint.ID, "source", "answer", "request", request)
 		}
 		if news.Rest {
-			slog.Info("endpoint asks for rest", "endpoint", endpoint.ID, "request", request, "ms", notice.RestUntil.Sub(now).Milliseconds())
+			slog.Info("endpoint asks for rest", "endpoint", endpoint.ID, "request", request, "ms", notice.BackoffUntil.Sub(now).Milliseconds())
 		}
 	}
 }
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -391,7 +391,7 @@
 	now := time.Now()
 	if now.Sub(e.reported.At) >= loadLag {
 		e.reported = willowwick.EndpointLoad{
-			Endpoint: e.ID, Running: e.running, Waiting: e.waiting, Slots: e.Slots, Leaving: e.faults.Leaving, At: now,
+			Endpoint: e.ID, Running: e.running, Waiting: e.waiting, Slots: e.Slots, Draining: e.faults.Leaving, At: now,
 		}
 	}
 	return e.reported
--- a/standin/service.go
+++ b/standin/service.go
@@ -103,5 +103,5 @@
 	s.mu.Lock()
 	leaving := s.faults.Leaving
 	s.mu.Unlock()
-	writeJSON(w, willowwick.EndpointLoad{Endpoint: s.ID, Leaving: leaving, At: time.Now()})
+	writeJSON(w, willowwick.EndpointLoad{Endpoint: s.ID, Draining: leaving, At: time.Now()})
 }
