--- a/exchange.go
+++ b/exchange.go
@@ -12,8 +12,8 @@
 		Tokens Tokens
 	}
 
-	// ExchangeHead is what a caller's headers say of an opaque request.
-	ExchangeHead struct {
+	// RequestHead is what a caller's headers say of an opaque request.
+	RequestHead struct {
 		ID           RequestID
 		Key          string
 		Session      SessionID
@@ -25,8 +25,8 @@
 		ResumeAfter  string       // last event that the caller has of the stream
 	}
 
-	// SendHead is what the router tells an endpoint about a request.
-	SendHead struct {
+	// ForwardHead is what the router tells an endpoint about a request.
+	ForwardHead struct {
 		Account     AccountID
 		Expect      EndpointID // only this endpoint may run it
 		Model       ModelID    // replaces the caller's, if set
@@ -50,15 +50,15 @@
 	// names on the wire out of the router.
 	HeaderCodec interface {
 		// DecodeRequest reads a caller's headers; the error says which header is wrong.
-		DecodeRequest(header http.Header, arrived time.Time) (ExchangeHead, error)
+		DecodeRequest(header http.Header, arrived time.Time) (RequestHead, error)
 		// EncodeRequest takes out what callers may not set and adds what the router sets.
-		EncodeRequest(header http.Header, send SendHead, now time.Time)
+		EncodeRequest(header http.Header, send ForwardHead, now time.Time)
 		// DecodeAnswer reads the status and the headers of an endpoint's answer.
 		DecodeAnswer(status int, header http.Header, at time.Time) AnswerHead
-		// EncodeOwn marks an answer of the router's own with the request that it belongs to.
-		EncodeOwn(header http.Header, id RequestID)
-		// TakeSeal takes the endpoint's signature off an answer that is not passed on as it came.
-		TakeSeal(header http.Header)
+		// EncodeOwnAnswer marks an answer of the router's own with the request that it belongs to.
+		EncodeOwnAnswer(header http.Header, id RequestID)
+		// RemoveSignature takes the endpoint's signature off an answer that is not passed on as it came.
+		RemoveSignature(header http.Header)
 	}
 )
 
--- a/exchange/call.go
+++ b/exchange/call.go
@@ -49,7 +49,7 @@
 		router  *Router
 		ctx     context.Context
 		out     *reply
-		head    willowwick.ExchangeHead
+		head    willowwick.RequestHead
 		message wire.Message
 		table   *table
 		route   *willowwick.Route
@@ -100,7 +100,7 @@
 	}
 	t := x.table.Load()
 	if t == nil {
-		return nil, willowwick.NotRun(willowwick.CodeStale, arrived.Add(comeBackLater), "no configuration is known yet")
+		return nil, willowwick.NotRun(willowwick.CodeStaleConfiguration, arrived.Add(comeBackLater), "no configuration is known yet")
 	}
 	target, path := requestTarget(r)
 	c := &call{
@@ -143,7 +143,7 @@
 // age is taken before the configuration: one that comes into force in between makes no older one up to date.
 func (x *Router) unlessStale(refusal *willowwick.Refusal, t *table, now time.Time) *willowwick.Refusal {
 	isStale := x.sync.isStale(now) || x.table.Load() != t
-	return refusal.UnlessStale(isStale, now.Add(comeBackLater))
+	return refusal.TemporaryIfStale(isStale, now.Add(comeBackLater))
 }
 
 // requestTarget returns the request line's target and its path, both as the caller wrote them.
--- a/exchange/permits.go
+++ b/exchange/permits.go
@@ -158,7 +158,7 @@
 
 // isLimited reports whether an endpoint names a limit.
 func (x *Router) isLimited(now time.Time, endpoint willowwick.Endpoint) bool {
-	_, isLimited := x.limits.Limited(now, endpoint.ID)
+	_, isLimited := x.limits.NextAt(now, endpoint.ID)
 	return isLimited
 }
 
--- a/exchange/ratelimit_fleet_test.go
+++ b/exchange/ratelimit_fleet_test.go
@@ -45,7 +45,7 @@
 }
 
 func (l *limitMesh) name(rate willowwick.PerSecond) {
-	l.said = willowwick.RateLimit{Rate: rate, Named: true}
+	l.said = willowwick.RateLimit{Rate: rate, IsSet: true}
 }
 
 // play lets requests come to the boxes for a length of virtual time.
@@ -63,10 +63,10 @@
 
 // request lets a request come to a box, which sends it if it may.
 func (l *limitMesh) request(t *testing.T, box *meshBox, now time.Time) {
-	if !box.limits.MayUse(now, l.endpoint.ID) {
+	if !box.limits.CanAcquire(now, l.endpoint.ID) {
 		return
 	}
-	if box.limits.Use(now, l.endpoint.ID) == willowwick.PermissionToAsk && !l.ask(t, box, now) {
+	if box.limits.Acquire(now, l.endpoint.ID) == willowwick.PermitRequired && !l.ask(t, box, now) {
 		l.denied++
 		return
 	}
@@ -92,7 +92,7 @@
 			underWay = append(underWay, answer)
 			continue
 		}
-		answer.box.limits.Heard(now, answer.sentAt, l.endpoint, answer.said)
+		answer.box.limits.Observe(now, answer.sentAt, l.endpoint, answer.said)
 	}
 	l.answers = underWay
 }
--- a/exchange/relay.go
+++ b/exchange/relay.go
@@ -60,7 +60,7 @@
 	status := f.status
 	if status == http.StatusServiceUnavailable {
 		status = http.StatusBadGateway
-		r.codec.TakeSeal(f.header)
+		r.codec.RemoveSignature(f.header)
 		delete(f.header, "Retry-After")
 	}
 	r.head(status, f.header, int64(len(f.body)))
--- a/exchange/router.go
+++ b/exchange/router.go
@@ -158,7 +158,7 @@
 func (x *Router) refuse(out *reply, refusal *willowwick.Refusal) {
 	x.metrics.refused(refusal)
 	header := out.writer.Header()
-	x.codec.EncodeOwn(header, out.id)
+	x.codec.EncodeOwnAnswer(header, out.id)
 	header.Set("Content-Type", "text/plain; charset=utf-8")
 	if refusal.Kind == willowwick.KindNotRun {
 		at := refusal.RetryAt
--- a/exchange/send.go
+++ b/exchange/send.go
@@ -103,7 +103,7 @@
 	case c.timeIsUp():
 		return willowwick.Failed(willowwick.CodeDeadline, "the time was up (%s)", cause)
 	default:
-		return willowwick.Failed(willowwick.CodeEndpoint, "no endpoint answered (%s)", cause)
+		return willowwick.Failed(willowwick.CodeEndpointError, "no endpoint answered (%s)", cause)
 	}
 }
 
@@ -230,7 +230,7 @@
 
 func (s *send) encodeHeader() http.Header {
 	header := s.message.Header.Clone()
-	head := willowwick.SendHead{
+	head := willowwick.ForwardHead{
 		Account: s.accountName(), Expect: s.ticket.Endpoint.ID, Model: s.model, Deadline: s.deadline,
 		Priority: willowwick.NoPriority,
 	}
--- a/exchange/site_test.go
+++ b/exchange/site_test.go
@@ -32,8 +32,8 @@
 // testCodec implements willowwick.HeaderCodec with names of its own.
 type testCodec struct{}
 
-func (testCodec) DecodeRequest(header http.Header, arrived time.Time) (willowwick.ExchangeHead, error) {
-	head := willowwick.ExchangeHead{
+func (testCodec) DecodeRequest(header http.Header, arrived time.Time) (willowwick.RequestHead, error) {
+	head := willowwick.RequestHead{
 		ID: willowwick.RequestID(header.Get("T-Id")), Key: header.Get("T-Key"), Session: willowwick.SessionID(header.Get("T-Session")),
 		Model: willowwick.ModelID(header.Get("T-Model")), ResumeAfter: header.Get("T-Resume"),
 	}
@@ -47,7 +47,7 @@
 	return head, nil
 }
 
-func (testCodec) EncodeRequest(header http.Header, send willowwick.SendHead, now time.Time) {
+func (testCodec) EncodeRequest(header http.Header, send willowwick.ForwardHead, now time.Time) {
 	for _, name := range []string{"T-Key", "T-Account", "T-Expect"} {
 		header.Del(name)
 	}
@@ -81,11 +81,11 @@
 	return head
 }
 
-func (testCodec) EncodeOwn(header http.Header, id willowwick.RequestID) {
+func (testCodec) EncodeOwnAnswer(header http.Header, id willowwick.RequestID) {
 	header.Set("T-Id", string(id))
 }
 
-func (testCodec) TakeSeal(header http.Header) {
+func (testCodec) RemoveSignature(header http.Header) {
 	header.Del("T-Seal")
 }
 
--- a/position.go
+++ b/position.go
@@ -17,19 +17,19 @@
 )
 
 const (
-	// positionBits is how many bits of a position are the offset: a thousand records a second for 30 years. The rest is the era.
-	positionBits = 40
-	offsetMask   = 1<<positionBits - 1
+	// offsetBits is how many bits of a position are the offset: a thousand records a second for 30 years. The rest is the era.
+	offsetBits = 40
+	offsetMask = 1<<offsetBits - 1
 )
 
 // NewPosition returns the place of an offset within an era; in era 0, which stores have that tell none, it is the offset itself.
 func NewPosition(era Era, offset Offset) Position {
-	return Position(era)<<positionBits | Position(offset)&offsetMask
+	return Position(era)<<offsetBits | Position(offset)&offsetMask
 }
 
 // Era is the era of the store that the position belongs to.
 func (p Position) Era() Era {
-	return Era(p >> positionBits)
+	return Era(p >> offsetBits)
 }
 
 // Offset is the place within its era.
--- a/ratelimit/granter_test.go
+++ b/ratelimit/granter_test.go
@@ -12,7 +12,7 @@
 // newGranting returns a granter that has granted for a while, of an endpoint that takes so many a second.
 func newGranting(now time.Time, rate willowwick.PerSecond) (*Granter, *Ledger) {
 	l := NewLedger()
-	l.Heard(now, now, endpoint, named(rate))
+	l.Observe(now, now, endpoint, named(rate))
 	g := NewGranter(l)
 	g.SetGranting(now, true)
 	return g, l
--- a/ratelimit/ledger.go
+++ b/ratelimit/ledger.go
@@ -81,11 +81,11 @@
 	return now.Before(l.untoldUntil)
 }
 
-// Heard implements willowwick.RateLimiter.
+// Observe implements willowwick.RateLimiter.
 //
 // An answer without a limit ends one only if its request was sent after the limit was known: others may have been on their way
 // since before.
-func (l *Ledger) Heard(now, sentAt time.Time, endpoint willowwick.Endpoint, said willowwick.RateLimit) bool {
+func (l *Ledger) Observe(now, sentAt time.Time, endpoint willowwick.Endpoint, said willowwick.RateLimit) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.isUntold(now) {
@@ -96,12 +96,12 @@
 	case said.Unreadable != "":
 		slog.Debug("limit of an endpoint cannot be read", "endpoint", endpoint.ID, "text", said.Unreadable)
 		return false
-	case said.Named && (known == nil || !known.isNamed() || known.rate != said.Rate):
+	case said.IsSet && (known == nil || !known.isNamed() || known.rate != said.Rate):
 		known = l.entry(endpoint.ID, endpoint.Incarnation)
 		known.rate, known.namedAt = said.Rate, now
 		known.log(endpoint.ID, "answer")
 		return true
-	case !said.Named && known != nil && known.isNamed() && sentAt.After(known.namedAt):
+	case !said.IsSet && known != nil && known.isNamed() && sentAt.After(known.namedAt):
 		known.endedAt = now
 		known.log(endpoint.ID, "answer")
 		return true
@@ -157,8 +157,8 @@
 	return 0, false
 }
 
-// MayUse implements willowwick.RateLimiter.
-func (l *Ledger) MayUse(now time.Time, endpoint willowwick.EndpointID) bool {
+// CanAcquire implements willowwick.RateLimiter.
+func (l *Ledger) CanAcquire(now time.Time, endpoint willowwick.EndpointID) bool {
 	if !l.isNeeded.Load() {
 		return true
 	}
@@ -186,32 +186,32 @@
 	return k.nextAt
 }
 
-// Use implements willowwick.RateLimiter.
-func (l *Ledger) Use(now time.Time, endpoint willowwick.EndpointID) willowwick.Permission {
+// Acquire implements willowwick.RateLimiter.
+func (l *Ledger) Acquire(now time.Time, endpoint willowwick.EndpointID) willowwick.PermitState {
 	if !l.isNeeded.Load() {
-		return willowwick.PermissionFree
+		return willowwick.PermitNotNeeded
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known := l.limits[endpoint]
 	if known == nil {
 		l.noteFirst(now, endpoint)
-		return willowwick.PermissionFree
+		return willowwick.PermitNotNeeded
 	}
 	if _, isLimited := known.rateAt(now); !isLimited {
-		return willowwick.PermissionFree
+		return willowwick.PermitNotNeeded
 	}
 	if known.hasPermit(now) {
 		known.permits--
 		known.used++
-		return willowwick.PermissionHeld
+		return willowwick.PermitHeld
 	}
 	known.askingUntil = now.Add(askFor)
-	return willowwick.PermissionToAsk
+	return willowwick.PermitRequired
 }
 
-// Unasked implements willowwick.RateLimiter.
-func (l *Ledger) Unasked(endpoint willowwick.EndpointID) {
+// CancelPending implements willowwick.RateLimiter.
+func (l *Ledger) CancelPending(endpoint willowwick.EndpointID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if known := l.limits[endpoint]; known != nil {
@@ -226,8 +226,8 @@
 	}
 }
 
-// Limited implements willowwick.RateLimiter.
-func (l *Ledger) Limited(now time.Time, endpoint willowwick.EndpointID) (nextAt time.Time, isLimited bool) {
+// NextAt implements willowwick.RateLimiter.
+func (l *Ledger) NextAt(now time.Time, endpoint willowwick.EndpointID) (nextAt time.Time, isLimited bool) {
 	if !l.isNeeded.Load() {
 		return time.Time{}, false
 	}
@@ -247,8 +247,8 @@
 	return known.nextAt, true
 }
 
-// Keep implements willowwick.RateLimiter.
-func (l *Ledger) Keep(listing []willowwick.Endpoint) {
+// Retain implements willowwick.RateLimiter.
+func (l *Ledger) Retain(listing []willowwick.Endpoint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.limits) == 0 {
@@ -275,7 +275,7 @@
 	}
 }
 
-// Ask makes the question for a permit that Use has told to ask for.
+// Ask makes the question for a permit that Acquire has told to ask for.
 func (l *Ledger) Ask(now time.Time, endpoint willowwick.EndpointID, box willowwick.BoxID) Call {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/ratelimit/ledger_test.go
+++ b/ratelimit/ledger_test.go
@@ -11,7 +11,7 @@
 var endpoint = willowwick.Endpoint{ID: "e1"}
 
 func named(rate willowwick.PerSecond) willowwick.RateLimit {
-	return willowwick.RateLimit{Rate: rate, Named: true}
+	return willowwick.RateLimit{Rate: rate, IsSet: true}
 }
 
 // An answer that was under way when an endpoint named its limit says nothing of it; that is no end of the limit.
@@ -19,14 +19,14 @@
 	l := NewLedger()
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	assert.True(t, l.Heard(at(100), at(50), endpoint, named(2)))
-	assert.False(t, l.Heard(at(110), at(60), endpoint, named(2)), "it is known")
-	assert.False(t, l.Heard(at(200), at(90), endpoint, willowwick.RateLimit{}), "its request was sent before")
+	assert.True(t, l.Observe(at(100), at(50), endpoint, named(2)))
+	assert.False(t, l.Observe(at(110), at(60), endpoint, named(2)), "it is known")
+	assert.False(t, l.Observe(at(200), at(90), endpoint, willowwick.RateLimit{}), "its request was sent before")
 	assert.True(t, l.Count() == 1)
-	assert.True(t, l.Heard(at(210), at(120), endpoint, named(3)), "another rate")
-	assert.False(t, l.Heard(at(220), at(215), endpoint, willowwick.RateLimit{Unreadable: "x"}), "neither a limit nor its end")
+	assert.True(t, l.Observe(at(210), at(120), endpoint, named(3)), "another rate")
+	assert.False(t, l.Observe(at(220), at(215), endpoint, willowwick.RateLimit{Unreadable: "x"}), "neither a limit nor its end")
 	assert.True(t, l.Count() == 1)
-	assert.True(t, l.Heard(at(300), at(250), endpoint, willowwick.RateLimit{}))
+	assert.True(t, l.Observe(at(300), at(250), endpoint, willowwick.RateLimit{}))
 	assert.False(t, l.Count() == 1)
 	assert.Zero(t, l.Count())
 }
@@ -34,9 +34,9 @@
 // A limit that has ended lets more and more through, until nothing is bounded.
 func TestAnEndedLimitDoublesUntilItIsGone(t *testing.T) {
 	l, start := NewLedger(), time.Now()
-	l.Heard(start, start, endpoint, named(2))
+	l.Observe(start, start, endpoint, named(2))
 	ended := start.Add(time.Second)
-	l.Heard(ended, start.Add(time.Millisecond), endpoint, willowwick.RateLimit{})
+	l.Observe(ended, start.Add(time.Millisecond), endpoint, willowwick.RateLimit{})
 	for second, want := range []float64{2, 4, 8, 16} {
 		rate, isLimited := l.Rate(ended.Add(time.Duration(second)*time.Second), endpoint.ID)
 		assert.True(t, isLimited)
@@ -44,36 +44,36 @@
 	}
 	_, isLimited := l.Rate(ended.Add(recoverFor), endpoint.ID)
 	assert.False(t, isLimited)
-	assert.Equal(t, willowwick.PermissionFree, l.Use(ended.Add(recoverFor), endpoint.ID))
+	assert.Equal(t, willowwick.PermitNotNeeded, l.Acquire(ended.Add(recoverFor), endpoint.ID))
 }
 
 // An endpoint that starts again under its id has named nothing yet, nor has one that comes to a list anew.
 func TestLimitsOfEndpointsThatAreGoneOrStartAgainAreForgotten(t *testing.T) {
 	l, now := NewLedger(), time.Now()
 	first, second := willowwick.Endpoint{ID: "e1", Incarnation: 7}, willowwick.Endpoint{ID: "e2"}
-	l.Heard(now, now, first, named(1))
-	l.Heard(now, now, second, named(1))
-	l.Keep([]willowwick.Endpoint{first, second})
+	l.Observe(now, now, first, named(1))
+	l.Observe(now, now, second, named(1))
+	l.Retain([]willowwick.Endpoint{first, second})
 	assert.Equal(t, 2, l.Count())
 	first.Incarnation = 8
-	l.Keep([]willowwick.Endpoint{first, second})
+	l.Retain([]willowwick.Endpoint{first, second})
 	assert.Equal(t, 1, l.Count())
-	l.Keep(nil)
+	l.Retain(nil)
 	assert.Zero(t, l.Count())
 	l.Take(News{Rows: []Row{{Endpoint: "e3", Rate: 1, EndedMs: neverMs}}}, "peer", now)
-	l.Keep(nil)
+	l.Retain(nil)
 	assert.Equal(t, 1, l.Count(), "one that another box told of may not be listed here yet")
 }
 
 func TestBoxesThatHaveToldEachOtherKnowTheSame(t *testing.T) {
 	a, b, now := NewLedger(), NewLedger(), time.Now()
 	at := func(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
-	a.Heard(at(0), at(0), willowwick.Endpoint{ID: "named"}, named(3))
-	a.Heard(at(0), at(0), willowwick.Endpoint{ID: "ended"}, named(2))
-	b.Heard(at(2), at(0), willowwick.Endpoint{ID: "ended"}, named(2))
-	b.Heard(at(900), at(800), willowwick.Endpoint{ID: "ended"}, willowwick.RateLimit{})
-	b.Heard(at(10), at(0), willowwick.Endpoint{ID: "differs"}, named(8))
-	a.Heard(at(20), at(0), willowwick.Endpoint{ID: "differs"}, named(1))
+	a.Observe(at(0), at(0), willowwick.Endpoint{ID: "named"}, named(3))
+	a.Observe(at(0), at(0), willowwick.Endpoint{ID: "ended"}, named(2))
+	b.Observe(at(2), at(0), willowwick.Endpoint{ID: "ended"}, named(2))
+	b.Observe(at(900), at(800), willowwick.Endpoint{ID: "ended"}, willowwick.RateLimit{})
+	b.Observe(at(10), at(0), willowwick.Endpoint{ID: "differs"}, named(8))
+	a.Observe(at(20), at(0), willowwick.Endpoint{ID: "differs"}, named(1))
 	first := a.News(0, at(1000))
 	assert.True(t, b.Take(first, "peer a", at(1001)))
 	assert.True(t, a.Take(b.News(first.Sum, at(1002)), "peer b", at(1003)))
@@ -90,51 +90,51 @@
 // A permit is used soon after it was asked for, or not at all; while one is asked for, no other request takes the endpoint.
 func TestPermitsAreUsedSoonOrNotAtAll(t *testing.T) {
 	l, now := NewLedger(), time.Now()
-	l.Heard(now, now, endpoint, named(40))
-	assert.True(t, l.MayUse(now, endpoint.ID))
-	assert.Equal(t, willowwick.PermissionToAsk, l.Use(now, endpoint.ID))
-	assert.False(t, l.MayUse(now, endpoint.ID))
-	nextAt, isLimited := l.Limited(now, endpoint.ID)
+	l.Observe(now, now, endpoint, named(40))
+	assert.True(t, l.CanAcquire(now, endpoint.ID))
+	assert.Equal(t, willowwick.PermitRequired, l.Acquire(now, endpoint.ID))
+	assert.False(t, l.CanAcquire(now, endpoint.ID))
+	nextAt, isLimited := l.NextAt(now, endpoint.ID)
 	assert.True(t, isLimited)
 	assert.Equal(t, now, nextAt, "an answer may come at any moment")
 	row := l.Ask(now, endpoint.ID, "b1").Row
 	later := now.Add(5 * time.Millisecond)
 	assert.True(t, l.Answered(later, now, endpoint.ID, Reply{Row: row, Permits: 2}))
-	assert.Equal(t, willowwick.PermissionHeld, l.Use(later, endpoint.ID))
-	assert.Equal(t, willowwick.PermissionToAsk, l.Use(later, endpoint.ID), "both are used")
+	assert.Equal(t, willowwick.PermitHeld, l.Acquire(later, endpoint.ID))
+	assert.Equal(t, willowwick.PermitRequired, l.Acquire(later, endpoint.ID), "both are used")
 	assert.False(t, l.Answered(now.Add(time.Second), later, endpoint.ID, Reply{Row: row, Permits: 1}), "it came too late")
 	assert.False(t, l.Answered(now.Add(time.Second), now.Add(time.Second), endpoint.ID, Reply{Row: row, RetryMs: 400}))
-	assert.False(t, l.MayUse(now.Add(1300*time.Millisecond), endpoint.ID))
-	nextAt, _ = l.Limited(now.Add(1300*time.Millisecond), endpoint.ID)
+	assert.False(t, l.CanAcquire(now.Add(1300*time.Millisecond), endpoint.ID))
+	nextAt, _ = l.NextAt(now.Add(1300*time.Millisecond), endpoint.ID)
 	assert.Equal(t, now.Add(1400*time.Millisecond), nextAt)
-	assert.True(t, l.MayUse(nextAt, endpoint.ID))
-	l.Use(nextAt, endpoint.ID)
+	assert.True(t, l.CanAcquire(nextAt, endpoint.ID))
+	l.Acquire(nextAt, endpoint.ID)
 	l.Unanswered(nextAt, endpoint.ID)
-	assert.False(t, l.MayUse(nextAt, endpoint.ID))
-	assert.True(t, l.MayUse(nextAt.Add(2*askPause), endpoint.ID))
+	assert.False(t, l.CanAcquire(nextAt, endpoint.ID))
+	assert.True(t, l.CanAcquire(nextAt.Add(2*askPause), endpoint.ID))
 }
 
 // A box that has just started gives each endpoint one request until it has answered, or another box has told what it knows.
 func TestABoxThatKnowsNothingYetTriesEndpointsOnce(t *testing.T) {
 	l, now := NewLedger(), time.Now()
 	l.AwaitNews(now.Add(time.Second))
-	l.Use(now, endpoint.ID)
-	assert.False(t, l.MayUse(now, endpoint.ID))
-	assert.True(t, l.MayUse(now, "e2"))
-	l.Heard(now, now, endpoint, willowwick.RateLimit{})
-	assert.True(t, l.MayUse(now, endpoint.ID))
-	l.Use(now, endpoint.ID)
-	assert.True(t, l.MayUse(now, endpoint.ID), "it has answered")
-	l.Use(now, "e2")
-	assert.False(t, l.MayUse(now, "e2"))
+	l.Acquire(now, endpoint.ID)
+	assert.False(t, l.CanAcquire(now, endpoint.ID))
+	assert.True(t, l.CanAcquire(now, "e2"))
+	l.Observe(now, now, endpoint, willowwick.RateLimit{})
+	assert.True(t, l.CanAcquire(now, endpoint.ID))
+	l.Acquire(now, endpoint.ID)
+	assert.True(t, l.CanAcquire(now, endpoint.ID), "it has answered")
+	l.Acquire(now, "e2")
+	assert.False(t, l.CanAcquire(now, "e2"))
 	l.Take(News{}, "peer", now)
-	assert.True(t, l.MayUse(now, "e2"))
+	assert.True(t, l.CanAcquire(now, "e2"))
 }
 
 func TestALimitBeyondAllThatIsSentBoundsNothing(t *testing.T) {
 	l, now := NewLedger(), time.Now()
-	l.Heard(now, now, endpoint, named(1e9))
+	l.Observe(now, now, endpoint, named(1e9))
 	_, isLimited := l.Rate(now, endpoint.ID)
 	assert.False(t, isLimited)
-	assert.Equal(t, willowwick.PermissionFree, l.Use(now, endpoint.ID))
+	assert.Equal(t, willowwick.PermitNotNeeded, l.Acquire(now, endpoint.ID))
 }
--- a/ratelimit_test.go
+++ b/ratelimit_test.go
@@ -9,9 +9,9 @@
 func TestRateLimitIsReadOrCalledUnreadable(t *testing.T) {
 	for text, want := range map[string]RateLimit{
 		"":       {},
-		" 1.2 ":  {Rate: 1.2, Named: true},
-		"0":      {Named: true},
-		"1e9":    {Rate: 1e9, Named: true},
+		" 1.2 ":  {Rate: 1.2, IsSet: true},
+		"0":      {IsSet: true},
+		"1e9":    {Rate: 1e9, IsSet: true},
 		"-1":     {Unreadable: "-1"},
 		"many":   {Unreadable: "many"},
 		"NaN":    {Unreadable: "NaN"},
--- a/refusal.go
+++ b/refusal.go
@@ -26,25 +26,25 @@
 
 // Causes of refusal.
 const (
-	CodeBadRequest     RefusalCode = "bad_request"
-	CodeBadKey         RefusalCode = "bad_key"
-	CodeNotAllowed     RefusalCode = "not_allowed"
-	CodeUnknownModel   RefusalCode = "unknown_model"
-	CodeUnknownService RefusalCode = "unknown_service"
-	CodeTooLarge       RefusalCode = "too_large"
-	CodeDenied         RefusalCode = "denied_by_policy"
-	CodeRateLimited    RefusalCode = "rate_limited"
-	CodeOverloaded     RefusalCode = "overloaded"
-	CodeDeadline       RefusalCode = "deadline"
-	CodeNoEndpoint     RefusalCode = "no_endpoint"
-	CodeNoVersion      RefusalCode = "no_version"
-	CodeStale          RefusalCode = "configuration_not_confirmed"
-	CodeStopping       RefusalCode = "stopping"
-	CodeUsageBacklog   RefusalCode = "usage_backlog"
-	CodeDuplicate      RefusalCode = "duplicate"
-	CodeClaim          RefusalCode = "claim_unavailable"
-	CodeEndpoint       RefusalCode = "endpoint_error"
-	CodeCutOff         RefusalCode = "cut_off"
+	CodeBadRequest         RefusalCode = "bad_request"
+	CodeBadKey             RefusalCode = "bad_key"
+	CodeNotAllowed         RefusalCode = "not_allowed"
+	CodeUnknownModel       RefusalCode = "unknown_model"
+	CodeUnknownService     RefusalCode = "unknown_service"
+	CodeTooLarge           RefusalCode = "too_large"
+	CodeDeniedByPolicy     RefusalCode = "denied_by_policy"
+	CodeRateLimited        RefusalCode = "rate_limited"
+	CodeOverloaded         RefusalCode = "overloaded"
+	CodeDeadline           RefusalCode = "deadline"
+	CodeNoEndpoint         RefusalCode = "no_endpoint"
+	CodeNoVersion          RefusalCode = "no_version"
+	CodeStaleConfiguration RefusalCode = "configuration_not_confirmed"
+	CodeStopping           RefusalCode = "stopping"
+	CodeUsageBacklog       RefusalCode = "usage_backlog"
+	CodeDuplicate          RefusalCode = "duplicate"
+	CodeClaimUnavailable   RefusalCode = "claim_unavailable"
+	CodeEndpointError      RefusalCode = "endpoint_error"
+	CodeCutOff             RefusalCode = "cut_off"
 	// CodePoison: endpoints ended while they ran the request, so that it is sent to none.
 	CodePoison RefusalCode = "ends_endpoints"
 )
@@ -73,14 +73,14 @@
 	return &Refusal{Kind: KindInvalid, Code: code, Param: param, Message: fmt.Sprintf(format, args...)}
 }
 
-// UnlessStale returns the refusal, or in place of one for good that rests on a configuration one for now, if another
+// TemporaryIfStale returns the refusal, or in place of one for good that rests on a configuration one for now, if another
 // configuration may have to be in force by now. A caller that is refused for good gives up what would be served a moment
 // later, or by another box.
-func (r *Refusal) UnlessStale(isStale bool, retryAt time.Time) *Refusal {
+func (r *Refusal) TemporaryIfStale(isStale bool, retryAt time.Time) *Refusal {
 	if !isStale || r.Kind != KindInvalid {
 		return r
 	}
-	return NotRun(CodeStale, retryAt, "%s, but the configuration may be old", r.Message)
+	return NotRun(CodeStaleConfiguration, retryAt, "%s, but the configuration may be old", r.Message)
 }
 
 // Failed returns the refusal of a request that was tried without success.
--- a/route/availability.go
+++ b/route/availability.go
@@ -43,7 +43,7 @@
 	case m.said.isResting(now):
 		return availability{rests, m.said.restUntil}
 	}
-	if nextAt, limited := p.options.Limits.Limited(now, m.endpoint.ID); limited {
+	if nextAt, limited := p.options.Limits.NextAt(now, m.endpoint.ID); limited {
 		return availability{isLimited, nextAt}
 	}
 	return availability{}
--- a/route/hall.go
+++ b/route/hall.go
@@ -45,7 +45,7 @@
 	for i := range n {
 		index := (start + i) % n
 		candidate := set.At(index)
-		if !candidate.Open {
+		if !candidate.IsAvailable {
 			continue
 		}
 		if score := p.score(candidate); best == noneOpen || score < bestScore {
@@ -57,9 +57,9 @@
 
 // score is how much work stands before a new request, in shares of what an endpoint does well at once.
 func (p *HallFirst) score(c willowwick.Candidate) float64 {
-	taken := max(float64(c.Load.Running+c.Load.Waiting+c.Recent), float64(c.InFlight))
-	taken += float64(c.Ahead+readingWeight*c.Reading) / float64(slotTime)
-	score := taken/float64(min(max(c.Load.Slots, 1), busySlots)) + failingWeight*c.Failing
+	taken := max(float64(c.Load.Running+c.Load.Waiting+c.SentSinceReport), float64(c.InFlight))
+	taken += float64(c.QueueDelay+readingWeight*c.PrefillTime) / float64(slotTime)
+	score := taken/float64(min(max(c.Load.Slots, 1), busySlots)) + failingWeight*c.FailureRate
 	if c.Hall != p.hall {
 		score += otherHallLoad
 	}
--- a/route/hall_test.go
+++ b/route/hall_test.go
@@ -23,7 +23,7 @@
 }
 
 func candidate(hall string, running int) willowwick.Candidate {
-	return willowwick.Candidate{Hall: willowwick.HallID(hall), Load: load(running, 128), Open: true}
+	return willowwick.Candidate{Hall: willowwick.HallID(hall), Load: load(running, 128), IsAvailable: true}
 }
 
 func TestOwnHallIsLeftOnlyWhenItIsBusier(t *testing.T) {
@@ -33,19 +33,19 @@
 
 func TestPendingWorkAndFailuresWeigh(t *testing.T) {
 	pending := candidate("here", 0)
-	pending.Ahead = 8 * slotTime
+	pending.QueueDelay = 8 * slotTime
 	assert.Equal(t, 1, pickOf(fixedSet{pending, candidate("here", 5)}))
 	long := candidate("here", 0)
-	long.Reading = 8 * slotTime / readingWeight
+	long.PrefillTime = 8 * slotTime / readingWeight
 	assert.Equal(t, 1, pickOf(fixedSet{long, candidate("here", 5)}))
 	failing := candidate("here", 0)
-	failing.Failing = 0.4
+	failing.FailureRate = 0.4
 	assert.Equal(t, 1, pickOf(fixedSet{failing, candidate("here", 9)}))
 }
 
 func TestClosedEndpointsAreNotPicked(t *testing.T) {
 	closed := candidate("here", 0)
-	closed.Open = false
+	closed.IsAvailable = false
 	assert.Equal(t, 1, pickOf(fixedSet{closed, candidate("there", 20)}))
 	assert.Equal(t, noneOpen, pickOf(fixedSet{closed}))
 	assert.Equal(t, noneOpen, pickOf(nil))
--- a/route/notice.go
+++ b/route/notice.go
@@ -48,7 +48,7 @@
 // Hear takes what an answer says of the endpoint that gave it, to a request that was sent at the given time, and returns what of
 // it is news. What an earlier life of the endpoint said holds no more.
 func (p *Pool) Hear(now, sentAt time.Time, endpoint willowwick.Endpoint, notice willowwick.Notice) News {
-	news := News{Limit: p.options.Limits.Heard(now, sentAt, endpoint, notice.RateLimit)}
+	news := News{Limit: p.options.Limits.Observe(now, sentAt, endpoint, notice.RateLimit)}
 	if !notice.Draining && notice.BackoffUntil.IsZero() {
 		return news
 	}
--- a/route/picker.go
+++ b/route/picker.go
@@ -65,7 +65,7 @@
 	best, bestScore := noneOpen, 0.0
 	consider := func(index int, bonus float64) {
 		candidate := set.At(index)
-		if !candidate.Open {
+		if !candidate.IsAvailable {
 			return
 		}
 		score := loadOf(candidate) - bonus
@@ -84,7 +84,7 @@
 	}
 	for try, sampled := 0, 0; try < sampleTries && sampled < 2; try++ {
 		index := p.random.intN(n)
-		if set.At(index).Open {
+		if set.At(index).IsAvailable {
 			sampled++
 		}
 		consider(index, 0)
@@ -101,7 +101,7 @@
 	for i := range set.Len() {
 		candidate := set.At(i)
 		load := candidate.Load.Running + candidate.Load.Waiting
-		if candidate.Open && (best == noneOpen || load < bestLoad) {
+		if candidate.IsAvailable && (best == noneOpen || load < bestLoad) {
 			best, bestLoad = i, load
 		}
 	}
@@ -123,7 +123,7 @@
 	n := set.Len()
 	for i := range n {
 		index := (from + i) % n
-		if set.At(index).Open {
+		if set.At(index).IsAvailable {
 			return index
 		}
 	}
@@ -136,6 +136,6 @@
 	if slots == 0 {
 		return float64(c.InFlight)/defaultSlots + unknownLoadHalf
 	}
-	taken := max(c.Load.Running+c.Load.Waiting+c.Recent, c.InFlight)
+	taken := max(c.Load.Running+c.Load.Waiting+c.SentSinceReport, c.InFlight)
 	return float64(taken) / float64(slots)
 }
--- a/route/place.go
+++ b/route/place.go
@@ -38,7 +38,7 @@
 		prompt     reading
 		taken      time.Time
 		released   bool
-		permission willowwick.Permission // what it needs to be sent
+		permission willowwick.PermitState // what it needs to be sent
 
 		sentAt  time.Time         // when the work was sent; zero before
 		unread  willowwick.Tokens // tokens of the prompt that the endpoint has to read, as forecast
@@ -64,10 +64,10 @@
 func (p *Place) MustAsk() bool {
 	p.pool.mu.Lock()
 	defer p.pool.mu.Unlock()
-	if p.permission != willowwick.PermissionToAsk {
+	if p.permission != willowwick.PermitRequired {
 		return false
 	}
-	p.permission = willowwick.PermissionHeld
+	p.permission = willowwick.PermitHeld
 	return true
 }
 
@@ -186,8 +186,8 @@
 		return
 	}
 	p.released = true
-	if p.permission == willowwick.PermissionToAsk {
-		p.pool.options.Limits.Unasked(p.Endpoint.ID)
+	if p.permission == willowwick.PermitRequired {
+		p.pool.options.Limits.CancelPending(p.Endpoint.ID)
 	}
 	p.member.reader.drop(now, p)
 	p.pool.inFlight--
--- a/route/plan.go
+++ b/route/plan.go
@@ -34,7 +34,7 @@
 	decision, err := decide(r, account, request, now)
 	plan.Failure, plan.Rule, plan.Exclude = err, decision.Rule, decision.Exclude
 	if decision.Deny != "" {
-		return plan, &willowwick.Refusal{Kind: willowwick.KindNotRun, Code: willowwick.CodeDenied, Message: decision.Deny}
+		return plan, &willowwick.Refusal{Kind: willowwick.KindNotRun, Code: willowwick.CodeDeniedByPolicy, Message: decision.Deny}
 	}
 	if refusal := plan.aim(r, account, request, decision); refusal != nil {
 		return plan, refusal
--- a/route/pool.go
+++ b/route/pool.go
@@ -101,7 +101,7 @@
 
 // Update takes the platform's list; endpoints that are gone get no new work.
 func (p *Pool) Update(listing []willowwick.Endpoint) {
-	p.options.Limits.Keep(listing)
+	p.options.Limits.Retain(listing)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known := make(map[willowwick.EndpointID]*member, len(listing))
@@ -337,7 +337,7 @@
 		m.heardAt = now
 	}
 	p.noteCold(now, m)
-	permission := p.options.Limits.Use(now, m.endpoint.ID)
+	permission := p.options.Limits.Acquire(now, m.endpoint.ID)
 	m.inFlight++
 	m.recent++
 	p.busy[m] = true
--- a/route/ratelimit.go
+++ b/route/ratelimit.go
@@ -9,20 +9,20 @@
 // unlimited implements willowwick.RateLimiter where no endpoint names a limit.
 type unlimited struct{}
 
-func (unlimited) MayUse(time.Time, willowwick.EndpointID) bool { return true }
+func (unlimited) CanAcquire(time.Time, willowwick.EndpointID) bool { return true }
 
-func (unlimited) Use(time.Time, willowwick.EndpointID) willowwick.Permission {
-	return willowwick.PermissionFree
+func (unlimited) Acquire(time.Time, willowwick.EndpointID) willowwick.PermitState {
+	return willowwick.PermitNotNeeded
 }
 
-func (unlimited) Limited(time.Time, willowwick.EndpointID) (time.Time, bool) {
+func (unlimited) NextAt(time.Time, willowwick.EndpointID) (time.Time, bool) {
 	return time.Time{}, false
 }
 
-func (unlimited) Unasked(willowwick.EndpointID) {}
+func (unlimited) CancelPending(willowwick.EndpointID) {}
 
-func (unlimited) Heard(time.Time, time.Time, willowwick.Endpoint, willowwick.RateLimit) bool {
+func (unlimited) Observe(time.Time, time.Time, willowwick.Endpoint, willowwick.RateLimit) bool {
 	return false
 }
 
-func (unlimited) Keep([]willowwick.Endpoint) {}
+func (unlimited) Retain([]willowwick.Endpoint) {}
--- a/route/ratelimit_test.go
+++ b/route/ratelimit_test.go
@@ -20,8 +20,8 @@
 	}
 	pool.Update(endpoints)
 	for _, id := range limited {
-		ledger.Heard(now, now, willowwick.Endpoint{ID: id}, willowwick.RateLimit{Rate: 2, Named: true})
-		ledger.Use(now, id)
+		ledger.Observe(now, now, willowwick.Endpoint{ID: id}, willowwick.RateLimit{Rate: 2, IsSet: true})
+		ledger.Acquire(now, id)
 		row := ledger.Ask(now, id, "b1").Row
 		ledger.Answered(now, now, id, ratelimit.Reply{Row: row, RetryMs: deniedUntil.Sub(now).Milliseconds()})
 	}
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -193,7 +193,7 @@
 		require.Equal(t, pinned, version)
 	}
 	_, refusal := ChooseVersion(revision, VersionQuery{Account: "a", Model: "small", Seed: "s", Pinned: "small-2", Now: noon})
-	require.Equal(t, willowwick.CodeStale, refusal.Code, "an unconfirmed box gives nothing to a version that rolls out")
+	require.Equal(t, willowwick.CodeStaleConfiguration, refusal.Code, "an unconfirmed box gives nothing to a version that rolls out")
 	bad := func(v willowwick.VersionID) bool { return v == "small-2" }
 	version, refusal := ChooseVersion(revision, VersionQuery{Account: "a", Model: "small", Seed: "s", Pinned: "small-2", Confirmed: true, Stopped: bad, Now: noon})
 	require.Nil(t, refusal)
--- a/route/row.go
+++ b/route/row.go
@@ -42,16 +42,16 @@
 	m := r.members[index]
 	reading, _ := r.prompt.at(r.now, m)
 	return willowwick.Candidate{
-		Endpoint: m.endpoint.ID,
-		Hall:     m.endpoint.Hall,
-		Load:     m.knownLoad(r.now, r.pool.options),
-		InFlight: m.inFlight,
-		Recent:   m.recent,
-		Open: !r.exclude[m.endpoint.ID] && r.allows(m) && !r.pool.isPaused(r.now, m) && m.open(r.now, r.pool.options, r.trusting) &&
-			r.pool.options.Limits.MayUse(r.now, m.endpoint.ID),
-		Ahead:   m.reader.ahead(r.now),
-		Reading: reading,
-		Failing: m.failingShare(r.now),
+		Endpoint:        m.endpoint.ID,
+		Hall:            m.endpoint.Hall,
+		Load:            m.knownLoad(r.now, r.pool.options),
+		InFlight:        m.inFlight,
+		SentSinceReport: m.recent,
+		IsAvailable: !r.exclude[m.endpoint.ID] && r.allows(m) && !r.pool.isPaused(r.now, m) && m.open(r.now, r.pool.options, r.trusting) &&
+			r.pool.options.Limits.CanAcquire(r.now, m.endpoint.ID),
+		QueueDelay:  m.reader.ahead(r.now),
+		PrefillTime: reading,
+		FailureRate: m.failingShare(r.now),
 	}
 }
 
--- a/route/version.go
+++ b/route/version.go
@@ -37,7 +37,7 @@
 func ChooseVersion(r *config.Revision, q VersionQuery) (willowwick.VersionID, *willowwick.Refusal) {
 	if q.Pinned != "" && q.keeps(r, q.Pinned) {
 		if r.IsRollingOut(q.Pinned) && !q.Confirmed {
-			return "", willowwick.NotRun(willowwick.CodeStale, q.Now.Add(staleRetryGap),
+			return "", willowwick.NotRun(willowwick.CodeStaleConfiguration, q.Now.Add(staleRetryGap),
 				"this box cannot confirm its configuration, and the session is on a version that is rolling out")
 		}
 		return q.Pinned, nil
--- a/routing.go
+++ b/routing.go
@@ -5,15 +5,15 @@
 type (
 	// Candidate is an endpoint as the router sees it at the moment of a choice.
 	Candidate struct {
-		Endpoint EndpointID
-		Hall     HallID
-		Load     EndpointLoad
-		InFlight int           // own requests at the endpoint now
-		Recent   int           // own requests sent since the load was reported
-		Open     bool          // may be given work
-		Ahead    time.Duration // measured length: until it has read what it was sent before, as forecast
-		Reading  time.Duration // measured length: it would then read for this request, as forecast
-		Failing  float64       // share of recent calls that failed, newer ones counting more
+		Endpoint        EndpointID
+		Hall            HallID
+		Load            EndpointLoad
+		InFlight        int           // own requests at the endpoint now
+		SentSinceReport int           // own requests sent since the load was reported
+		IsAvailable     bool          // may be given work
+		QueueDelay      time.Duration // measured length: until it has read what it was sent before, as forecast
+		PrefillTime     time.Duration // measured length: it would then read for this request, as forecast
+		FailureRate     float64       // share of recent calls that failed, newer ones counting more
 	}
 
 	// CandidateSet is the row of endpoints that serve one version.
--- a/serve/call.go
+++ b/serve/call.go
@@ -188,7 +188,7 @@
 		return nil
 	}
 	if r.sent {
-		return willowwick.Failed(willowwick.CodeEndpoint, "no endpoint gave a whole answer of version %q", c.version)
+		return willowwick.Failed(willowwick.CodeEndpointError, "no endpoint gave a whole answer of version %q", c.version)
 	}
 	return willowwick.NotRun(willowwick.CodeNoEndpoint, clock.Now().Add(gate.OverloadRetry), "no endpoint took the request")
 }
--- a/serve/errors.go
+++ b/serve/errors.go
@@ -55,13 +55,13 @@
 		willowwick.CodeBadRequest:     classInvalid,
 		willowwick.CodeBadKey:         {"unauthorized", http.StatusUnauthorized, familyAuth},
 		willowwick.CodeNotAllowed:     {"forbidden", http.StatusForbidden, familyDenied},
-		willowwick.CodeDenied:         {"forbidden", http.StatusForbidden, familyDenied},
+		willowwick.CodeDeniedByPolicy: {"forbidden", http.StatusForbidden, familyDenied},
 		willowwick.CodeUnknownModel:   {"not_found", http.StatusNotFound, familyInvalid},
 		willowwick.CodeUnknownService: {"not_found", http.StatusNotFound, familyInvalid},
 		willowwick.CodeDuplicate:      {"conflict", http.StatusConflict, familyInvalid},
 		willowwick.CodeTooLarge:       {"too_large", http.StatusRequestEntityTooLarge, familyInvalid},
 		willowwick.CodeRateLimited:    {"limited", http.StatusTooManyRequests, familyLimit},
-		willowwick.CodeEndpoint:       {"failed", http.StatusBadGateway, familyServer},
+		willowwick.CodeEndpointError:  {"failed", http.StatusBadGateway, familyServer},
 		willowwick.CodeCutOff:         {"failed", http.StatusBadGateway, familyServer},
 		willowwick.CodeDeadline:       {"timeout", http.StatusGatewayTimeout, familyServer},
 	}
@@ -76,7 +76,7 @@
 	case willowwick.KindOutcomeUnknown:
 		return classOf[willowwick.CodeDuplicate]
 	case willowwick.KindFailed:
-		return classOf[willowwick.CodeEndpoint] // no promise that nothing ran
+		return classOf[willowwick.CodeEndpointError] // no promise that nothing ran
 	default:
 		return classUnavailable
 	}
--- a/serve/run.go
+++ b/serve/run.go
@@ -147,9 +147,9 @@
 func (d *Daemon) mayServe(now time.Time) *willowwick.Refusal {
 	switch {
 	case d.node.Follower.Revision().Offset == 0:
-		return willowwick.NotRun(willowwick.CodeStale, now.Add(isolatedRetry), "this box has no configuration yet")
+		return willowwick.NotRun(willowwick.CodeStaleConfiguration, now.Add(isolatedRetry), "this box has no configuration yet")
 	case d.isIsolated(now):
-		return willowwick.NotRun(willowwick.CodeStale, now.Add(isolatedRetry), "this box reaches neither the log nor half of the fleet")
+		return willowwick.NotRun(willowwick.CodeStaleConfiguration, now.Add(isolatedRetry), "this box reaches neither the log nor half of the fleet")
 	case d.isRefusing():
 		return willowwick.NotRun(willowwick.CodeStopping, now.Add(stoppingRetry), "this box is stopping")
 	case d.node.Usage.IsFull():
@@ -163,7 +163,7 @@
 // configuration: one that comes into force in between makes no older one up to date.
 func (d *Daemon) unlessStale(refusal *willowwick.Refusal, revision *config.Revision, now time.Time) *willowwick.Refusal {
 	isStale := now.Sub(d.node.Follower.Confirmed()) > inForceWithin || d.node.Follower.Revision() != revision
-	return refusal.UnlessStale(isStale, now.Add(isolatedRetry))
+	return refusal.TemporaryIfStale(isStale, now.Add(isolatedRetry))
 }
 
 // claim reserves the request's idempotency key over the whole fleet.
@@ -198,9 +198,9 @@
 	case fleet.ClaimHeld:
 		return willowwick.OutcomeUnknown(willowwick.CodeDuplicate, "a request with this idempotency key was taken on before; this one was not run")
 	case fleet.ClaimUnknown:
-		return willowwick.OutcomeUnknown(willowwick.CodeClaim, "whether a request with this idempotency key ran before is not known; this one was not run")
+		return willowwick.OutcomeUnknown(willowwick.CodeClaimUnavailable, "whether a request with this idempotency key ran before is not known; this one was not run")
 	default:
-		return willowwick.NotRun(willowwick.CodeClaim, clock.Now().Add(claimRetry), "the idempotency key cannot be reserved just now")
+		return willowwick.NotRun(willowwick.CodeClaimUnavailable, clock.Now().Add(claimRetry), "the idempotency key cannot be reserved just now")
 	}
 }
 
--- a/serve/services.go
+++ b/serve/services.go
@@ -232,7 +232,7 @@
 	if !s.sent {
 		return refusal
 	}
-	return willowwick.Failed(willowwick.CodeEndpoint, "no instance answered: %s", refusal.Message)
+	return willowwick.Failed(willowwick.CodeEndpointError, "no instance answered: %s", refusal.Message)
 }
 
 func (s *serviceRun) try(ctx context.Context) (*serviceReply, error) {
@@ -261,13 +261,13 @@
 	s.sent = s.sent || !notSent
 	switch {
 	case !notSent && !s.repeatable:
-		return willowwick.OutcomeUnknown(willowwick.CodeEndpoint, "the call was sent and its answer was lost; it may have taken effect, and is not sent again")
+		return willowwick.OutcomeUnknown(willowwick.CodeEndpointError, "the call was sent and its answer was lost; it may have taken effect, and is not sent again")
 	case ctx.Err() != nil && s.sent:
 		return willowwick.Failed(willowwick.CodeDeadline, "the deadline passed before the service answered")
 	case attempt < maxAttempts && (notSent || s.daemon.retries.Take()):
 		return nil
 	case s.sent:
-		return willowwick.Failed(willowwick.CodeEndpoint, "no instance answered")
+		return willowwick.Failed(willowwick.CodeEndpointError, "no instance answered")
 	default:
 		return willowwick.NotRun(willowwick.CodeNoEndpoint, clock.Now().Add(gate.OverloadRetry), "no instance took the call")
 	}
--- a/units.go
+++ b/units.go
@@ -14,7 +14,7 @@
 
 const (
 	charactersPerToken = 4
-	priceUnit          = 1000
+	tokensPerPriceUnit = 1000
 )
 
 // EstimateTokens returns the number of tokens that a text is taken to have before an engine counts them.
@@ -30,7 +30,7 @@
 
 // Cost returns the price of a prompt and an answer of the given sizes, rounded down.
 func (p Price) Cost(prompt, output Tokens) MicroUnits {
-	return (p.Prompt*MicroUnits(prompt) + p.Output*MicroUnits(output)) / priceUnit
+	return (p.Prompt*MicroUnits(prompt) + p.Output*MicroUnits(output)) / tokensPerPriceUnit
 }
 
 // Milliseconds converts a measured length of time for reports.
