--- a/answer.go
+++ b/answer.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// FinishReason says why an answer ended; it is empty on every chunk but the last.
+// FinishReason is the reason why an answer ended; it is empty on all chunks but the last.
 type FinishReason string
 
-// Reasons that engines give.
+// Finish reasons that engines report.
 const (
 	FinishStop   FinishReason = "stop"
 	FinishLength FinishReason = "length"
 )
 
-// Chunk is one piece of an answer as an engine sent it.
+// Chunk is one part of a streamed answer, as sent by an engine.
 type Chunk struct {
 	Request  RequestID
-	Position int // 0 for the first chunk, then one more each
+	Position int // index in the answer, from 0
 	Text     string
 	Finish   FinishReason
-	Usage    *Usage // on the last chunk
+	Usage    *Usage // set on the last chunk only
 }
 
-// Usage is what an engine counted for one call.
+// Usage is the number of tokens that an engine counted for one call.
 type Usage struct {
 	Prompt Tokens `json:"prompt_tokens"`
 	Output Tokens `json:"completion_tokens"`
 }
 
-// UsageRecord bills one request; Boot and Seq name it for good.
+// UsageRecord is the billing record of one request; Boot and Seq identify it uniquely.
 type UsageRecord struct {
 	Boot    BootID     `json:"boot"`
 	Seq     uint64     `json:"seq"`
--- a/control.go
+++ b/control.go
@@ -6,71 +6,73 @@
 )
 
 type (
-	// Declarations is what a read of the operator's declarations brought.
+	// Declarations is the result of one read of the operator's declarations.
 	Declarations struct {
-		Snapshot    bool          // all that stands was read; what is not in it was taken back
-		Table       *RoutingTable // the newest one, or nil if there was none in what was read
+		Snapshot    bool          // all current declarations were read; any that is missing here was revoked
+		Table       *RoutingTable // the newest one, or nil if the read found none
 		Orders      []ReleaseOrder
-		Evacuations []Evacuation // those of one hall in the order in which they were declared
-		Admissions  []Admission  // likewise
-		Partial     bool         // more stood there than was read so far: an answer is long, or the newest table cannot be decoded
-		Next        Position     // where the next read goes on; 0 reads everything anew
+		Evacuations []Evacuation // those of one hall are in the order of their declaration
+		Admissions  []Admission  // those of one request are in the order of their declaration
+		Partial     bool         // the store holds more than was read: the answer is long, or the newest table cannot be decoded
+		Next        Position     // where to continue reading; 0 reads everything again
 	}
 
-	// Evacuation says that a hall's endpoints are to get no new work, or that the operator took this back.
+	// Evacuation declares that a hall's endpoints get no new work, or revokes such a declaration.
 	Evacuation struct {
 		Hall    HallID
 		Revoked bool
-		At      Position // where it stands among the declarations
+		At      Position // of this declaration in its topic
 	}
 
-	// Admission says that a request is to be sent to endpoints although it ended some, or that the operator took this back.
+	// Admission declares that a request is sent to endpoints although some crashed while running it, or revokes such a
+	// declaration.
 	Admission struct {
 		Request Fingerprint
 		Revoked bool
-		At      Position // where it stands among the declarations
+		At      Position // of this declaration in its topic
 	}
 
-	// EndpointChanges is what a read of the list of endpoints brought.
+	// EndpointChanges is the result of one read of the list of endpoints.
 	EndpointChanges struct {
-		Snapshot bool // Present is the whole list; what is not in it is gone
+		Snapshot bool // Present is the complete list; any other endpoint is gone
 		Present  []Endpoint
-		Gone     []EndpointID // they went before Present was written, also where they stand there again
-		Invalid  []EndpointID // the newest entry under the name is none of an endpoint; another one may follow at any time
+		Gone     []EndpointID // removed before Present was written, also if they are listed there again
+		Invalid  []EndpointID // the newest entry under this id is not an endpoint's; a valid one may follow at any time
 		Next     Position
 	}
 
-	// ReleaseStatuses are all states of roll-outs, and where their topic ends.
+	// ReleaseStatuses are the states of all roll-outs and the end of their topic.
 	ReleaseStatuses struct {
 		Statuses []ReleaseStatus
 		End      Position
 	}
 
-	// Membership is a box's part in the group of boxes.
+	// Membership is a box's role in the group of boxes.
 	Membership struct {
-		Generation uint64 // rises with each change of the group
-		IsLeader   bool   // this box looks after the roll-outs
+		Generation uint64 // increases with each change of the group
+		IsLeader   bool   // this box is the leader for roll-outs
 	}
 
-	// Control is the platform's store as the exchange needs it.
+	// Control is the platform's store, as used by the exchange.
 	Control interface {
-		// Declarations reads what was declared since an offset and waits for it up to the given time.
+		// Declarations reads the declarations since a position; if there are none, it waits for one up to the given duration.
 		Declarations(ctx context.Context, from Position, wait time.Duration) (Declarations, error)
-		// Endpoints reads the changes of the list of endpoints since an offset, at once.
+		// Endpoints reads the changes of the list of endpoints since a position, without waiting.
 		Endpoints(ctx context.Context, from Position) (EndpointChanges, error)
-		// Statuses reads all states of roll-outs.
+		// Statuses reads the states of all roll-outs.
 		Statuses(ctx context.Context) (ReleaseStatuses, error)
-		// SetStatus writes a state if the topic still ends at the offset; otherwise it returns ErrConflict.
+		// SetStatus writes a state if the topic still ends at the given position; otherwise it returns ErrConflict.
 		SetStatus(ctx context.Context, status ReleaseStatus, end Position) error
-		// PoisonRequests reads the requests that are refused since they end endpoints. They may be the store's own: nobody changes them.
+		// PoisonRequests reads the requests that are refused because endpoints crash while running them. The result may
+		// share memory with the store and must not be modified.
 		PoisonRequests(ctx context.Context) ([]PoisonRequest, error)
-		// SetPoisonRequest writes such a request; one without ends is not refused any more.
+		// SetPoisonRequest writes a poison request; one without crashes is no longer refused.
 		SetPoisonRequest(ctx context.Context, request PoisonRequest) error
-		// Join makes the box a member of the group, or keeps it one, and tells its part.
+		// Join adds the box to the group, or renews its membership, and returns its role.
 		Join(ctx context.Context, member string, generation uint64) (Membership, error)
 		// Members lists the members of the group.
 		Members(ctx context.Context) ([]string, error)
-		// Leave takes the box out of the group.
+		// Leave removes the box from the group.
 		Leave(ctx context.Context, member string) error
 	}
 )
--- a/doc.go
+++ b/doc.go
@@ -1,3 +1,3 @@
-// Package willowwick holds the domain types of the router and the interfaces
-// behind which its behaviour varies. Implementations live in the packages below.
+// Package willowwick defines the domain types of the router and the interfaces
+// between its parts. The packages below implement them.
 package willowwick
--- a/engine.go
+++ b/engine.go
@@ -15,21 +15,21 @@
 	Messages    []Message
 	MaxTokens   Tokens
 	Temperature *float64
-	ResumeAt    int // position of the first chunk wanted
+	ResumeAt    int // position of the first chunk to send
 	Deadline    time.Time
-	// OnNotice takes what the head of the answer says of the endpoint, whatever the answer is; nil if nobody asks.
+	// OnNotice is called with the notice in the answer's headers, whatever the answer's status; it may be nil.
 	OnNotice func(Notice)
 }
 
-// ChunkStream is an answer under way.
+// ChunkStream is a streamed answer in progress.
 type ChunkStream interface {
 	// Next returns the next chunk, or io.EOF after the last.
 	Next() (Chunk, error)
-	// Load is what the runner reported at the start of the answer.
+	// Load returns the load that the runner reported at the start of the answer.
 	Load() EndpointLoad
 }
 
-// EndpointLoad is what an endpoint last said of itself.
+// EndpointLoad is the latest load report of an endpoint.
 type EndpointLoad struct {
 	Endpoint EndpointID `json:"endpoint"`
 	Running  int        `json:"running"`
@@ -39,22 +39,22 @@
 	At       time.Time  `json:"at"`
 }
 
-// Order is a fenced command to a runner.
+// Order is a command to a runner to drop a version; the runner rejects it if it has seen a higher fence.
 type Order struct {
 	Fence    Fence     `json:"fence"`
 	Withdraw VersionID `json:"withdraw"`
 	Deadline time.Time `json:"deadline"`
 }
 
-// Engine speaks to runners.
+// Engine is the client of runners.
 //
-// Open returns a clean-up function that cancels the call; it must be called once.
+// Open also returns a function that cancels the call; the caller must call it once.
 type Engine interface {
 	Open(ctx context.Context, call EngineCall) (ChunkStream, func(), error)
 	Load(ctx context.Context, endpoint Endpoint) (EndpointLoad, error)
 	Order(ctx context.Context, endpoint Endpoint, order Order) error
-	// IsListening finds out by a new connection whether anything listens at the endpoint's address; known is false if that
-	// did not show in time.
+	// IsListening opens a new connection to find out whether anything listens at the endpoint's address; known is false
+	// if that is still unclear when the context ends.
 	IsListening(ctx context.Context, endpoint Endpoint) (listens, known bool)
 }
 
@@ -69,7 +69,7 @@
 	Body       []byte
 	Repeatable bool
 	Deadline   time.Time
-	OnNotice   func(Notice) // as of EngineCall
+	OnNotice   func(Notice) // see EngineCall
 }
 
 // ServiceAnswer is the answer of a plain service; Body must be closed.
@@ -79,7 +79,7 @@
 	Body   io.ReadCloser
 }
 
-// ServiceCaller speaks to plain services.
+// ServiceCaller is the client of plain services.
 type ServiceCaller interface {
 	Call(ctx context.Context, call ServiceCall) (*ServiceAnswer, error)
 }
--- a/era.go
+++ b/era.go
@@ -8,26 +8,26 @@
 	"github.com/pkg/errors"
 )
 
-// EraTracker keeps the newest era of a store that its answers have named; several calls may use it at once.
+// EraTracker tracks the newest era of a store that its answers have reported. It is safe for concurrent use.
 type EraTracker struct {
 	mu     sync.Mutex
 	newest Era
 }
 
-// Newest is the newest era that was named, 0 if none was.
+// Newest returns the newest era reported so far, or 0 if there is none.
 func (e *EraTracker) Newest() Era {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.newest
 }
 
-// ObserveText returns the era that the text of an answer names, the newest that is known where it names none, and ErrStaleEra where the
-// store has left it.
+// ObserveText parses the era in an answer of the store and observes it. A text that is empty or no number counts as the
+// newest known era.
 func (e *EraTracker) ObserveText(text string) (Era, error) {
 	number, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
 		if text != "" {
-			slog.Warn("era of the store is no number", "era", text)
+			slog.Warn("era of the store is not a number", "era", text)
 		}
 		return e.Newest(), nil
 	}
@@ -35,12 +35,12 @@
 	return era, e.Observe(era)
 }
 
-// Observe notes the era that is told of, and returns ErrStaleEra where the store has left it.
+// Observe records a reported era, or returns ErrStaleEra if the store has already begun a later one.
 func (e *EraTracker) Observe(era Era) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if era < e.newest {
-		return errors.Wrapf(ErrStaleEra, "answer of era %d, which is %d by now", era, e.newest)
+		return errors.Wrapf(ErrStaleEra, "answer of era %d, but the store is in era %d", era, e.newest)
 	}
 	e.newest = era
 	return nil
--- a/errors.go
+++ b/errors.go
@@ -2,20 +2,20 @@
 
 import "github.com/pkg/errors"
 
-// Errors that implementations of the interfaces return, wrapped.
+// Errors that implementations of the interfaces return, usually wrapped.
 var (
-	// ErrNotSent: nothing of the call reached the endpoint.
+	// ErrNotSent means that no part of the call reached the endpoint.
 	ErrNotSent = errors.New("nothing was sent")
-	// ErrDraining: the endpoint refused the call because it is leaving.
-	ErrDraining = errors.New("endpoint is leaving")
-	// ErrBusy: the endpoint refused the call because it is full.
+	// ErrDraining means that the endpoint refused the call because it is draining.
+	ErrDraining = errors.New("endpoint is draining")
+	// ErrBusy means that the endpoint refused the call because all its slots are taken.
 	ErrBusy = errors.New("endpoint is full")
-	// ErrBroken: an answer came with a gap, a wrong id or no end.
+	// ErrBroken means that an answer has a gap, a wrong request id or no end.
 	ErrBroken = errors.New("answer is broken")
-	// ErrConflict: the topic no longer ends where the writer thought.
-	ErrConflict = errors.New("someone else wrote first")
-	// ErrStaleEra: the answer is of an era that the store has left.
+	// ErrConflict means that the topic no longer ends at the position that the writer expects.
+	ErrConflict = errors.New("conflicting write: the topic has grown since it was read")
+	// ErrStaleEra means that the answer belongs to an earlier era of the store.
 	ErrStaleEra = errors.New("the store has begun a new era")
-	// ErrFenced: the endpoint has seen an order with a higher fence.
+	// ErrFenced means that the endpoint has seen an order with a higher fence.
 	ErrFenced = errors.New("order is fenced off")
 )
--- a/exchange.go
+++ b/exchange.go
@@ -6,61 +6,61 @@
 )
 
 type (
-	// PromptPart is a part of a prompt that endpoints may keep under its name.
+	// PromptPart is a part of a prompt that endpoints may cache under its id.
 	PromptPart struct {
 		ID     string
 		Tokens Tokens
 	}
 
-	// RequestHead is what a caller's headers say of an opaque request.
+	// RequestHead holds the values of a caller's headers on an opaque request.
 	RequestHead struct {
 		ID           RequestID
 		Key          string
 		Session      SessionID
-		Deadline     time.Time // zero if the caller named none
+		Deadline     time.Time // zero if the caller set none
 		Model        ModelID
 		PromptTokens Tokens
 		MaxTokens    Tokens
-		Prompt       []PromptPart // in order; the last one is the request's or its session's own
-		ResumeAfter  string       // last event that the caller has of the stream
+		Prompt       []PromptPart // in order; the last one belongs to this request or session alone
+		ResumeAfter  string       // id of the last stream event that the caller has received
 	}
 
-	// ForwardHead is what the router tells an endpoint about a request.
+	// ForwardHead holds the header values that the router sets on a request to an endpoint.
 	ForwardHead struct {
 		Account     AccountID
-		Expect      EndpointID // only this endpoint may run it
+		Expect      EndpointID // only this endpoint may run the request
 		Model       ModelID    // replaces the caller's, if set
 		Deadline    time.Time
 		ResumeAfter string // replaces the caller's, if set
-		Priority    int    // NoPriority if the endpoint is to use its own
+		Priority    int    // NoPriority leaves it to the endpoint
 	}
 
-	// AnswerHead is what an endpoint's headers say of an answer.
+	// AnswerHead holds the values of the headers on an endpoint's answer.
 	AnswerHead struct {
 		Request    RequestID
-		NotRun     bool // the endpoint says that it did not run the request
+		NotRun     bool // the endpoint reports that it did not run the request
 		Instance   EndpointID
 		Load       EndpointLoad
 		HasLoad    bool
-		Confidence int // the model's own opinion of its answer, 0 to 100; NoConfidence if it gave none
+		Confidence int // the model's confidence in its answer, 0 to 100; NoConfidence if it reports none
 		Notice     Notice
 	}
 
-	// HeaderCodec reads and writes the headers of opaque requests; it keeps the
-	// names on the wire out of the router.
+	// HeaderCodec reads and writes the headers of opaque requests, so that the
+	// router doesn't depend on their names on the wire.
 	HeaderCodec interface {
-		// DecodeRequest reads a caller's headers; the error says which header is wrong.
+		// DecodeRequest reads a caller's headers; the error names the invalid header.
 		DecodeRequest(header http.Header, arrived time.Time) (RequestHead, error)
-		// EncodeRequest takes out what callers may not set and adds what the router sets.
+		// EncodeRequest removes the headers that callers may not set and adds those of the router.
 		EncodeRequest(header http.Header, send ForwardHead, now time.Time)
 		// DecodeAnswer reads the status and the headers of an endpoint's answer.
 		DecodeAnswer(status int, header http.Header, at time.Time) AnswerHead
-		// EncodeOwnAnswer marks an answer of the router's own with the request that it belongs to.
+		// EncodeOwnAnswer adds the request id to an answer that the router itself gives.
 		EncodeOwnAnswer(header http.Header, id RequestID)
-		// RemoveSignature takes the endpoint's signature off an answer that is not passed on as it came.
+		// RemoveSignature removes the endpoint's signature from an answer that is not relayed unchanged.
 		RemoveSignature(header http.Header)
 	}
 )
 
-// NoConfidence is the confidence of an answer that names none.
+// NoConfidence is the confidence of an answer that reports none.
 const NoConfidence = -1
--- a/fingerprint.go
+++ b/fingerprint.go
@@ -10,13 +10,13 @@
 	"github.com/pkg/errors"
 )
 
-// fingerprintBytes is the length of a fingerprint: to make a request with the fingerprint of another client account's takes
-// 2^128 tries.
+// fingerprintBytes is the length of a fingerprint: forging the fingerprint of another client account's request takes 2^128
+// tries.
 const fingerprintBytes = 16
 
-// Fingerprint names all requests of a client account that have the same target and body, whatever their ids.
+// Fingerprint identifies all requests of a client account that have the same target and body, whatever their ids.
 //
-// It is the begin of a SHA-256, so that no caller can make a request that is taken for another one's.
+// It is a truncated SHA-256, so that no caller can craft a request with the fingerprint of somebody else's.
 type Fingerprint [fingerprintBytes]byte
 
 // FingerprintOf returns the fingerprint of a request.
@@ -29,15 +29,15 @@
 	return Fingerprint(sum.Sum(nil))
 }
 
-// writeLengthPrefixed adds a text with its length, so that no two rows of texts read alike.
+// writeLengthPrefixed hashes a text with its length, so that different lists of texts never hash the same bytes.
 func writeLengthPrefixed(sum hash.Hash, text string) {
 	var size [8]byte
 	binary.BigEndian.PutUint64(size[:], uint64(len(text)))
 	sum.Write(size[:])
-	_, _ = io.WriteString(sum, text) // a hash takes everything
+	_, _ = io.WriteString(sum, text) // a hash never returns an error
 }
 
-// ParseFingerprint reads a fingerprint as String writes it.
+// ParseFingerprint parses the form that String returns.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	data, err := hex.DecodeString(text)
 	if err != nil || len(data) != fingerprintBytes {
--- a/log.go
+++ b/log.go
@@ -5,7 +5,7 @@
 // StreamID names a stream of the platform's log.
 type StreamID string
 
-// Streams that the system uses.
+// Streams of the log.
 const (
 	// StreamConfig carries declarations, roll-out steps, withdrawals, leases, rosters and snapshots.
 	StreamConfig StreamID = "config"
@@ -19,16 +19,16 @@
 	Data   []byte `json:"data"`
 }
 
-// Page is the answer to a read.
+// Page is the result of a read.
 type Page struct {
-	First   Offset  `json:"first"` // oldest offset still kept
+	First   Offset  `json:"first"` // oldest retained offset
 	Next    Offset  `json:"next"`  // offset of the next append
 	Entries []Entry `json:"entries"`
 }
 
 // Log is the platform's append-only log service.
 //
-// An error of Append leaves open whether the record was taken; only a read can tell.
+// After an error of Append the record may have been stored or not; only a read shows which.
 type Log interface {
 	Append(ctx context.Context, stream StreamID, data []byte) (Offset, error)
 	Read(ctx context.Context, stream StreamID, from Offset, limit int) (Page, error)
--- a/notice.go
+++ b/notice.go
@@ -10,26 +10,26 @@
 	"github.com/willowwick/willowwick/clock"
 )
 
-// maxBackoff bounds the rest that an endpoint may ask for: one that asks for more asks for as much.
+// maxBackoff caps the backoff that an endpoint may ask for.
 const maxBackoff = 24 * time.Hour
 
 type (
-	// Notice is what an answer says of the endpoint that gave it, whatever it says to the request.
+	// Notice is what an endpoint reports about itself in the headers of an answer.
 	Notice struct {
-		Draining     bool      // the endpoint takes no new requests any more
-		BackoffUntil time.Time // it wants no request of this box before; zero if it asked for no rest
+		Draining     bool      // the endpoint takes no more new requests
+		BackoffUntil time.Time // this box should send no request before; zero if the endpoint asks for no backoff
 		RateLimit    RateLimit
 	}
 
-	// NoticeHeaders names the headers of a protocol that hold a notice.
+	// NoticeHeaders are the names of the headers that hold a notice in a protocol.
 	NoticeHeaders struct {
-		Draining   string // 1 where the endpoint leaves
-		RetryAfter string // in a 503, as ParseRetryAfter reads it
-		RateLimit  string // as ParseRateLimit reads it
+		Draining   string // set and not 0 if the endpoint is draining
+		RetryAfter string // read from a 503 only, by ParseRetryAfter
+		RateLimit  string // read by ParseRateLimit
 	}
 )
 
-// Read reads the notice of an answer that has come now.
+// Read reads the notice from an answer that arrived at the given time.
 func (n NoticeHeaders) Read(status int, header http.Header, now time.Time) Notice {
 	leaving := strings.TrimSpace(header.Get(n.Draining))
 	notice := Notice{Draining: leaving != "" && leaving != "0", RateLimit: ParseRateLimit(header.Get(n.RateLimit))}
@@ -39,8 +39,8 @@
 	return notice
 }
 
-// ParseRetryAfter reads until when an endpoint that turned a request away wants no other, from a Retry-After of seconds, with fractions
-// or without, or of a date; zero if it is empty or cannot be read, or asks for no time. The time of day is that of now.
+// ParseRetryAfter returns the end of the backoff that a Retry-After header asks for, in seconds, which may have a fraction,
+// or as a date. It returns zero if the text is empty, invalid or asks for no delay. timeOfDay is the wall-clock time at now.
 func ParseRetryAfter(text string, now, timeOfDay time.Time) time.Time {
 	text = strings.TrimSpace(text)
 	seconds, err := strconv.ParseFloat(text, 64)
--- a/platform.go
+++ b/platform.go
@@ -6,9 +6,10 @@
 )
 
 type (
-	// EndpointKind tells runners from instances of plain services.
+	// EndpointKind is the kind of an endpoint: a runner or an instance of a plain service.
 	EndpointKind string
-	// Incarnation tells the lives of an endpoint apart: the Unix millisecond of its start by its own clock; 0 if it tells none.
+	// Incarnation identifies one start of an endpoint: the Unix time of the start in milliseconds by the endpoint's clock,
+	// or 0 if it reports none.
 	Incarnation int64
 )
 
@@ -27,7 +28,7 @@
 	Draining bool   `json:"leaving,omitempty"`
 }
 
-// Endpoint is an entry of the platform's list of endpoints.
+// Endpoint is an entry of the platform's list of endpoints. Boxes send it to each other by gob, under these field names.
 type Endpoint struct {
 	ID            EndpointID   `json:"id"`
 	Kind          EndpointKind `json:"kind"`
@@ -38,26 +39,26 @@
 	Leaving       bool         `json:"leaving,omitempty"`
 	ChecksFencing bool         `json:"checks_fencing,omitempty"`
 	Release       ReleaseID    `json:"release,omitempty"`   // of its software
-	Slots         int          `json:"slots,omitempty"`     // requests that it works on at once
-	Beat          uint64       `json:"beat,omitempty"`      // heartbeats so far
-	ColdUntil     time.Time    `json:"cold_until,omitzero"` // until when it bears few requests; zero if it is not cold
+	Slots         int          `json:"slots,omitempty"`     // concurrent requests that it can run
+	Beat          uint64       `json:"beat,omitempty"`      // number of heartbeats so far
+	ColdUntil     time.Time    `json:"cold_until,omitzero"` // end of its warm-up, in which it can take few requests; zero if it is warm
 	Incarnation   Incarnation  `json:"incarnation,omitempty"`
 }
 
-// Listing is one state of the platform's list; it lags behind the truth.
+// Listing is one revision of the platform's list, which lags behind the actual state.
 type Listing struct {
 	Revision  string     `json:"revision"`
 	Boxes     []Box      `json:"boxes"`
 	Endpoints []Endpoint `json:"endpoints"`
 }
 
-// LiveList is the platform's list of live and leaving boxes and endpoints.
+// LiveList is the platform's list of live and draining boxes and endpoints.
 type LiveList interface {
-	// List returns the listing, or changed=false if it still is at the known revision.
+	// List returns the current listing, or changed=false if its revision is the known one.
 	List(ctx context.Context, known string) (listing Listing, changed bool, err error)
 }
 
-// RatingRequest asks for the quality of one answer.
+// RatingRequest asks the rater for the quality of one answer.
 type RatingRequest struct {
 	Request RequestID `json:"request"`
 	Account AccountID `json:"account"`
--- a/poison.go
+++ b/poison.go
@@ -6,7 +6,7 @@
 )
 
 type (
-	// EndpointCrash says that an endpoint ended by itself.
+	// EndpointCrash records that an endpoint crashed.
 	EndpointCrash struct {
 		Endpoint    EndpointID  `json:"endpoint"`
 		Incarnation Incarnation `json:"incarnation,omitempty"`
@@ -14,7 +14,7 @@
 		At          time.Time   `json:"at"`
 	}
 
-	// PoisonRequest is a request under which endpoints ended, with what operators need to find its caller.
+	// PoisonRequest is a request that endpoints were running when they crashed, with what operators need to find its caller.
 	PoisonRequest struct {
 		Request Fingerprint     `json:"fingerprint"`
 		Account AccountID       `json:"account,omitempty"`
@@ -22,15 +22,15 @@
 		Host    string          `json:"host"`
 		Target  string          `json:"target"`
 		Crashes []EndpointCrash `json:"ends"`
-		Tried   []ReleaseID     `json:"tried,omitempty"` // releases on which it was tried since, in order
+		Tried   []ReleaseID     `json:"tried,omitempty"` // releases on which it was retried since, in order
 	}
 )
 
-// WithCrashTimes is the request with the times of its ends as another clock shows them; the ends of the original stay as they are.
+// WithCrashTimes returns a copy of the request with the times of its crashes converted to another clock.
 func (h PoisonRequest) WithCrashTimes(convert func(time.Time) time.Time) PoisonRequest {
 	h.Crashes = slices.Clone(h.Crashes)
-	for i, end := range h.Crashes {
-		h.Crashes[i].At = convert(end.At)
+	for i, crash := range h.Crashes {
+		h.Crashes[i].At = convert(crash.At)
 	}
 	return h
 }
--- a/position.go
+++ b/position.go
@@ -6,33 +6,34 @@
 )
 
 type (
-	// Era counts how often a store has come back from a copy of itself, which holds less than it had acknowledged and gives offsets
-	// out again.
+	// Era counts how often a store was restored from a backup, which may lack records that the store had acknowledged, so
+	// that it assigns their offsets again.
 	Era uint64
-	// Position is a place on a topic of the platform's store: an offset within an era.
+	// Position is a position in a topic of the platform's store: an offset within an era.
 	//
-	// Positions compare by era first, so what was read in a later era goes before all that was known of the one before; offsets
-	// alone would not compare between eras. The zero position is before everything.
+	// Positions compare by era first, so a record read in a later era supersedes all those of earlier ones; offsets alone
+	// can't be compared between eras. The zero position comes before all others.
 	Position uint64
 )
 
 const (
-	// offsetBits is how many bits of a position are the offset: a thousand records a second for 30 years. The rest is the era.
+	// offsetBits is the number of bits for the offset, enough for 1000 records a second for 30 years. The rest is the era.
 	offsetBits = 40
 	offsetMask = 1<<offsetBits - 1
 )
 
-// NewPosition returns the place of an offset within an era; in era 0, which stores have that tell none, it is the offset itself.
+// NewPosition returns the position of an offset in an era. Stores that report no era are in era 0, where the position equals
+// the offset.
 func NewPosition(era Era, offset Offset) Position {
 	return Position(era)<<offsetBits | Position(offset)&offsetMask
 }
 
-// Era is the era of the store that the position belongs to.
+// Era returns the era of the position.
 func (p Position) Era() Era {
 	return Era(p >> offsetBits)
 }
 
-// Offset is the place within its era.
+// Offset returns the offset of the position within its era.
 func (p Position) Offset() Offset {
 	return Offset(p & offsetMask)
 }
--- a/ratelimit.go
+++ b/ratelimit.go
@@ -11,47 +11,48 @@
 	// PerSecond is a rate of requests.
 	PerSecond float64
 
-	// RateLimit is what an answer of an endpoint says of the requests that the endpoint takes from all boxes together.
+	// RateLimit is the limit on requests from all boxes together that an endpoint reports in an answer.
 	RateLimit struct {
-		Rate  PerSecond // of a limit that is named
+		Rate  PerSecond // valid if IsSet
 		IsSet bool
-		// Unreadable is what stands in the answer in place of a rate; such an answer tells nothing of the limit.
+		// Unreadable is a header value that is not a rate; such an answer doesn't change the known limit.
 		Unreadable string
 	}
 
-	// PermitState is what a request needs in order to be sent to an endpoint.
+	// PermitState says whether a request needs a permit to be sent to an endpoint. A permit is the right to send one request
+	// to an endpoint with a rate limit; boxes request it from the box that grants those of the endpoint.
 	PermitState int
 
-	// RateLimiter knows the endpoints that name limits, and who may send to them.
+	// RateLimiter tracks the rate limits of endpoints and the permits to send to them.
 	RateLimiter interface {
-		// Observe takes what an answer says of its endpoint's limit, to a request that was sent at the given time, and reports
-		// whether it is news.
+		// Observe records the limit in an answer to a request that was sent at the given time, and reports whether it changed
+		// what is known.
 		Observe(now, sentAt time.Time, endpoint Endpoint, said RateLimit) bool
-		// CanAcquire reports whether a request may be given the endpoint: it names no limit, a permit is at hand, or one may be
-		// asked for.
+		// CanAcquire reports whether a request may use the endpoint: it has no limit, a permit is available, or one may be
+		// requested.
 		CanAcquire(now time.Time, endpoint EndpointID) bool
-		// Acquire gives a request the endpoint; CanAcquire must have allowed it.
+		// Acquire assigns the endpoint to a request; CanAcquire must have returned true.
 		Acquire(now time.Time, endpoint EndpointID) PermitState
-		// CancelPending takes back PermitRequired of a request for which none was asked.
+		// CancelPending undoes an Acquire that returned PermitRequired and for which no permit was requested.
 		CancelPending(endpoint EndpointID)
-		// NextAt reports whether the endpoint names a limit, and when a request may next be given it.
+		// NextAt reports whether the endpoint has a limit, and when the next request may use it.
 		NextAt(now time.Time, endpoint EndpointID) (nextAt time.Time, isLimited bool)
-		// Retain takes the platform's list: limits of endpoints that are gone, or have started again, are forgotten.
+		// Retain drops the limits of endpoints that are not on the platform's list or have started again.
 		Retain(listing []Endpoint)
 	}
 )
 
-// Permissions.
+// States of the permit of a request.
 const (
-	// PermitNotNeeded: the endpoint names no limit.
+	// PermitNotNeeded means that the endpoint has no limit.
 	PermitNotNeeded PermitState = iota
-	// PermitHeld: a permit was at hand, and is used.
+	// PermitHeld means that a permit was available and is used.
 	PermitHeld
-	// PermitRequired: a permit must be asked for before the request is sent.
+	// PermitRequired means that a permit must be requested before the request is sent.
 	PermitRequired
 )
 
-// ParseRateLimit reads the limit in an answer; no text names none.
+// ParseRateLimit parses the limit in an answer; an empty text means that there is none.
 func ParseRateLimit(text string) RateLimit {
 	text = strings.TrimSpace(text)
 	if text == "" {
--- a/refusal.go
+++ b/refusal.go
@@ -6,7 +6,7 @@
 )
 
 type (
-	// RefusalKind tells the caller what is known of the effect of its request.
+	// RefusalKind tells the caller what is known about the effect of its request.
 	RefusalKind string
 	// RefusalCode is the cause of a refusal.
 	RefusalCode string
@@ -14,13 +14,13 @@
 
 // Kinds of refusal.
 const (
-	// KindInvalid: the request is wrong and will be wrong again.
+	// KindInvalid means that the request is invalid and a retry would fail again.
 	KindInvalid RefusalKind = "invalid"
-	// KindNotRun: nothing was sent to any endpoint.
+	// KindNotRun means that nothing was sent to any endpoint.
 	KindNotRun RefusalKind = "not_run"
-	// KindOutcomeUnknown: something was sent, and its effect is not known.
+	// KindOutcomeUnknown means that the request was sent and its effect is unknown.
 	KindOutcomeUnknown RefusalKind = "outcome_unknown"
-	// KindFailed: it was tried and no whole answer came of it.
+	// KindFailed means that the request was tried and gave no complete answer.
 	KindFailed RefusalKind = "failed"
 )
 
@@ -45,17 +45,17 @@
 	CodeClaimUnavailable   RefusalCode = "claim_unavailable"
 	CodeEndpointError      RefusalCode = "endpoint_error"
 	CodeCutOff             RefusalCode = "cut_off"
-	// CodePoison: endpoints ended while they ran the request, so that it is sent to none.
+	// CodePoison means that endpoints crashed while running the request, which is therefore sent to none.
 	CodePoison RefusalCode = "ends_endpoints"
 )
 
-// Refusal is the typed error that a caller is given instead of an answer.
+// Refusal is the error that a caller gets instead of an answer.
 type Refusal struct {
 	Kind    RefusalKind
 	Code    RefusalCode
 	Message string
-	Param   string    // field or header that is wrong
-	RetryAt time.Time // when a retry makes sense; zero if it does not help
+	Param   string    // the invalid field or header
+	RetryAt time.Time // when to retry; zero if a retry doesn't help
 }
 
 // Error implements error.
@@ -63,27 +63,26 @@
 	return fmt.Sprintf("%s (%s): %s", r.Kind, r.Code, r.Message)
 }
 
-// NotRun returns the refusal of a request of which nothing was sent.
+// NotRun returns the refusal of a request that was not sent to any endpoint.
 func NotRun(code RefusalCode, retryAt time.Time, format string, args ...any) *Refusal {
 	return &Refusal{Kind: KindNotRun, Code: code, RetryAt: retryAt, Message: fmt.Sprintf(format, args...)}
 }
 
-// Invalid returns the refusal of a request that is wrong in itself.
+// Invalid returns the refusal of an invalid request.
 func Invalid(code RefusalCode, param, format string, args ...any) *Refusal {
 	return &Refusal{Kind: KindInvalid, Code: code, Param: param, Message: fmt.Sprintf(format, args...)}
 }
 
-// TemporaryIfStale returns the refusal, or in place of one for good that rests on a configuration one for now, if another
-// configuration may have to be in force by now. A caller that is refused for good gives up what would be served a moment
-// later, or by another box.
+// TemporaryIfStale turns a permanent refusal into a temporary one if the configuration behind it may be out of date: a
+// caller that is refused permanently gives up a request that this box would serve a moment later, or another box at once.
 func (r *Refusal) TemporaryIfStale(isStale bool, retryAt time.Time) *Refusal {
 	if !isStale || r.Kind != KindInvalid {
 		return r
 	}
-	return NotRun(CodeStaleConfiguration, retryAt, "%s, but the configuration may be old", r.Message)
+	return NotRun(CodeStaleConfiguration, retryAt, "%s, but the configuration may be out of date", r.Message)
 }
 
-// Failed returns the refusal of a request that was tried without success.
+// Failed returns the refusal of a request that was tried and gave no complete answer.
 func Failed(code RefusalCode, format string, args ...any) *Refusal {
 	return &Refusal{Kind: KindFailed, Code: code, Message: fmt.Sprintf(format, args...)}
 }
--- a/request.go
+++ b/request.go
@@ -21,21 +21,21 @@
 	PromptTokens   Tokens
 	Temperature    *float64
 	Session        SessionID
-	Pinned         VersionID // version of the session by its token, if it carries one
+	Pinned         VersionID // the session's version according to its token, if there is one
 	IdempotencyKey string
 	Arrived        time.Time
 	Deadline       time.Time
 }
 
-// TargetAuto leaves the choice of cascade to the policy of the client account.
+// TargetAuto lets the policy of the client account choose the cascade.
 const TargetAuto = "auto"
 
-// EstimatedTokens is what the request is taken to cost an engine, for queueing and limits.
+// EstimatedTokens returns the prompt's estimated tokens plus the maximum of the answer, for queueing and rate limits.
 func (r *Request) EstimatedTokens() Tokens {
 	return r.PromptTokens + r.MaxTokens
 }
 
-// PromptText joins the messages, for prefix hashing and estimates.
+// PromptText joins the contents of the messages, each followed by a newline, for prefix hashing and estimates.
 func PromptText(messages []Message) string {
 	size := 0
 	for _, m := range messages {
--- a/routes.go
+++ b/routes.go
@@ -5,60 +5,61 @@
 type (
 	// RouteID names a declared route of opaque requests.
 	RouteID string
-	// ReleaseID names a release of an endpoint's software, weights included.
+	// ReleaseID names a release of an endpoint's software, including its model weights.
 	ReleaseID string
 
-	// ServiceShare is the part of a route's requests that goes to a service.
+	// ServiceShare is the share of a route's requests that goes to a service.
 	ServiceShare struct {
 		Service ServiceID
 		Weight  int
 	}
 
-	// Route is a declared path that opaque requests take to a service.
+	// Route is a declared host and path prefix whose requests go to one or more services. Boxes send tables and their parts
+	// to each other by gob, under these field names.
 	Route struct {
 		Name       RouteID
 		Host       string
 		Prefix     string // begins and ends with a slash
-		Stream     bool   // answered by a series of events
-		Repeatable bool   // may run more than once
-		Resumable  bool   // a stream may go on after an event at another endpoint
-		MaxRuns    int    // most endpoints that one request may run on
+		Stream     bool   // answered by a stream of events
+		Repeatable bool   // idempotent: may run more than once
+		Resumable  bool   // another endpoint can continue a stream after a given event
+		MaxRuns    int    // maximum number of endpoints that one request may run on
 		Priority   int    // 0 is the most urgent
 		Anonymous  bool   // needs no key
-		Affinity   bool   // endpoints keep what they have read of a prompt
+		Affinity   bool   // endpoints cache prompts that they have read
 		Models     []ModelID
 		Split      []ServiceShare
-		Timeout    time.Duration // setting: the longest time that a request may be held
-		Goal       time.Duration // setting: an answer, or its first event, earns its full worth within this time
-		GapGoal    time.Duration // setting: longest pause between events of an answer in time
+		Timeout    time.Duration // longest time that a request may take, including its wait
+		Goal       time.Duration // an answer, or its first event, is on time within this duration
+		GapGoal    time.Duration // longest pause between events of an answer that is on time
 	}
 
-	// RoutedService is a service that routes lead to.
+	// RoutedService is a service that routes send requests to.
 	RoutedService struct {
 		Name           ServiceID
 		HealthPath     string
 		MaxConnections int     // of one endpoint, from all boxes together
-		ColdPerSecond  float64 // requests that a cold endpoint bears from all boxes together; 0 if it bears any
-		Slots          int     // requests that a runner works on at once; 0 if it did not say
+		ColdPerSecond  float64 // requests per second that a cold endpoint takes from all boxes together; 0 if unlimited
+		Slots          int     // concurrent requests that a runner can run; 0 if not declared
 		Prices         map[ModelID]float64
 	}
 
-	// RoutedAccount is a client account as the operator of the routes declares it.
+	// RoutedAccount is a client account as declared with the routes.
 	RoutedAccount struct {
 		Name     AccountID
 		Keys     []string
-		Priority int // comes before the route's; NoPriority if none was declared
+		Priority int // overrides the route's; NoPriority if not declared
 	}
 
-	// RoutingLimits bound what a caller may send and how long it may stay idle.
+	// RoutingLimits bound the size of a caller's requests and the time that a caller may stay idle.
 	RoutingLimits struct {
 		HeaderBytes   int
 		BodyBytes     int64
-		HeaderTimeout time.Duration // setting
-		IdleTimeout   time.Duration // setting
+		HeaderTimeout time.Duration
+		IdleTimeout   time.Duration
 	}
 
-	// RoutingTable is one whole configuration of routes; a higher version replaces a lower one.
+	// RoutingTable is a complete configuration of routes; a higher version replaces a lower one.
 	RoutingTable struct {
 		Version  uint64
 		Routes   []Route
@@ -67,18 +68,18 @@
 		Limits   RoutingLimits
 	}
 
-	// ReleaseState is how far a roll-out of a release has come.
+	// ReleaseState is the state of the roll-out of a release.
 	ReleaseState string
 
-	// ReleaseOrder asks for a service's requests to move to a release within a period.
+	// ReleaseOrder is an operator's order to move a service's requests to a release within a period.
 	ReleaseOrder struct {
 		Service ServiceID
 		Target  ReleaseID
-		Period  time.Duration // setting: from the order to its deadline
-		At      Position      // where it stands among the declarations; a later order takes the place of an earlier one
+		Period  time.Duration // from the order to its deadline
+		At      Position      // of the order in the declarations; a later order replaces an earlier one
 	}
 
-	// ReleaseStatus is what the fleet has written of a roll-out.
+	// ReleaseStatus is the state of a roll-out as the fleet has written it to the store.
 	ReleaseStatus struct {
 		Service ServiceID
 		Target  ReleaseID
@@ -86,7 +87,7 @@
 	}
 )
 
-// NoPriority is the priority of a client account that declares none.
+// NoPriority is the priority of a client account without a declared one.
 const NoPriority = -1
 
 // States of a roll-out of a release.
--- a/units.go
+++ b/units.go
@@ -8,7 +8,7 @@
 	Tokens int64
 	// MicroUnits is money in millionths of the billing currency.
 	MicroUnits int64
-	// Score is the rater's opinion of an answer, from 0 to 1.
+	// Score is the rater's score of an answer, from 0 to 1.
 	Score float64
 )
 
@@ -17,12 +17,12 @@
 	tokensPerPriceUnit = 1000
 )
 
-// EstimateTokens returns the number of tokens that a text is taken to have before an engine counts them.
+// EstimateTokens estimates the number of tokens of a text that no engine has counted yet.
 func EstimateTokens(text string) Tokens {
 	return Tokens(len(text)/charactersPerToken + 1)
 }
 
-// Price is what a version costs per thousand tokens.
+// Price is the price of a version per 1000 tokens.
 type Price struct {
 	Prompt MicroUnits `json:"prompt" yaml:"prompt"`
 	Output MicroUnits `json:"output" yaml:"output"`
@@ -33,7 +33,7 @@
 	return (p.Prompt*MicroUnits(prompt) + p.Output*MicroUnits(output)) / tokensPerPriceUnit
 }
 
-// Milliseconds converts a measured length of time for reports.
+// Milliseconds converts a duration for reports.
 func Milliseconds(d time.Duration) float64 {
 	return float64(d) / float64(time.Millisecond)
 }
