--- a/cmd/willowctl/show.go
+++ b/cmd/willowctl/show.go
@@ -114,7 +114,7 @@
 func writeStatuses(w io.Writer, statuses []boxStatus) {
 	fmt.Fprintf(w, "%-12s %-10s %-7s %8s %8s %9s %6s  %s\n", "BOX", "HALL", "READY", "OFFSET", "EPOCH", "IN FLIGHT", "LEASE", "NOTE")
 	for _, s := range statuses {
-		note := s.Reason
+		note := s.Readiness
 		if s.Error != "" {
 			note = s.Error
 		}
--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -304,7 +304,7 @@
 		running++
 		status := box.Daemon.Status()
 		if !status.Ready || status.Offset < state.Offset {
-			return string(box.ID) + ": " + status.Reason
+			return string(box.ID) + ": " + status.Readiness
 		}
 		if !state.Roster.IsMember(status.Boot) || status.Epoch != state.Roster.Epoch {
 			return string(box.ID) + " is not on the roster"
--- a/serve/admin.go
+++ b/serve/admin.go
@@ -26,7 +26,7 @@
 		Boot         willowwick.BootID       `json:"boot"`
 		Hall         willowwick.HallID       `json:"hall"`
 		Ready        bool                    `json:"ready"`
-		Reason       string                  `json:"why"`
+		Readiness    string                  `json:"why"`
 		Offset       willowwick.Offset       `json:"offset"`
 		Confirmed    bool                    `json:"confirmed"`
 		ConfirmedAt  time.Time               `json:"confirmedAt"`
@@ -99,7 +99,7 @@
 	_, holds := d.node.Lease.Fence(now)
 	hash, _ := r.Hash()
 	status := Status{
-		Box: d.settings.Box, Boot: d.settings.Boot, Hall: d.settings.Hall, Ready: ready, Reason: why,
+		Box: d.settings.Box, Boot: d.settings.Boot, Hall: d.settings.Hall, Ready: ready, Readiness: why,
 		Offset: r.Offset, Confirmed: d.node.Confirmed(now), ConfirmedAt: d.node.Follower.Confirmed(),
 		Epoch: r.Roster.Epoch, LeaseHolder: r.Lease.Box, HoldsLease: holds, Live: d.node.Table.Live(now),
 		InFlight: d.inFlight.Load(), UsageOwn: own, UsageHeld: held, StateHash: hash,
--- a/serve/call.go
+++ b/serve/call.go
@@ -35,7 +35,7 @@
 // end without a finish breaks the attempt, and the answer is resumed at the
 // last good position.
 type resumableCall struct {
-	run          *chatRun
+	run          *run
 	ctx          context.Context
 	version      willowwick.VersionID
 	exclude      map[willowwick.EndpointID]bool
@@ -68,7 +68,7 @@
 }
 
 // open finds a runner that begins the answer.
-func (r *chatRun) open(ctx context.Context, version willowwick.VersionID) (*resumableCall, *willowwick.Refusal) {
+func (r *run) open(ctx context.Context, version willowwick.VersionID) (*resumableCall, *willowwick.Refusal) {
 	c := &resumableCall{run: r, ctx: ctx, version: version, exclude: map[willowwick.EndpointID]bool{}, startedAt: clock.Now()}
 	if refusal := c.connect(); refusal != nil {
 		return nil, refusal
@@ -181,7 +181,7 @@
 		budgeted = true
 		r.sent = true
 		entered.Done(route.OutcomeFailed)
-		c.recordFailedAttempt(entered.Endpoint, err)
+		c.recordFailure(entered.Endpoint, err)
 	}
 	if c.attempts < maxAttempts && (!budgeted || r.daemon.retries.Take()) {
 		r.daemon.metrics.retries.Inc()
@@ -262,7 +262,7 @@
 		return c.timedOut()
 	}
 	r.daemon.metrics.resumes.Inc()
-	c.recordFailedAttempt(endpoint, err)
+	c.recordFailure(endpoint, err)
 	c.attempts++
 	if c.attempts >= maxAttempts || !r.daemon.retries.Take() {
 		return willowwick.Failed(willowwick.CodeCutOff, "the answer broke off and could not be resumed")
@@ -274,10 +274,10 @@
 }
 
 // noteBroken counts an attempt that broke as evidence on the version, the end of an endpoint once.
-func (c *resumableCall) recordFailedAttempt(endpoint willowwick.Endpoint, err error) {
+func (c *resumableCall) recordFailure(endpoint willowwick.Endpoint, err error) {
 	r := c.run
 	if r.daemon.recordFailure(c.ctx, r.content, endpoint, willowwick.ReleaseID(c.version), err) {
-		r.daemon.watcher.add(c.version, rollout.Evidence{Requests: 1, Errors: 1})
+		r.daemon.versionWatcher.add(c.version, rollout.Evidence{Requests: 1, Errors: 1})
 	}
 }
 
@@ -309,7 +309,7 @@
 	if slow {
 		seen.Slow, outcome = 1, route.OutcomeSlow
 	}
-	r.daemon.watcher.add(c.version, seen)
+	r.daemon.versionWatcher.add(c.version, seen)
 	r.daemon.recordCompleted(r.content)
 	r.daemon.retries.Succeeded()
 	r.daemon.learner.Took(r.subject(c.version), now.Sub(c.startedAt))
--- a/serve/cascade.go
+++ b/serve/cascade.go
@@ -12,7 +12,7 @@
 )
 
 // cascade asks the stages in turn, cheap to strong.
-func (r *chatRun) cascade(ctx context.Context) (*Answer, *willowwick.Refusal) {
+func (r *run) cascade(ctx context.Context) (*Answer, *willowwick.Refusal) {
 	var best *stageAnswer
 	var refusal *willowwick.Refusal
 	for i, model := range r.plan.Stages {
@@ -54,7 +54,7 @@
 }
 
 // honest corrects a refusal that says not run when an earlier stage was asked.
-func (r *chatRun) correctRefusal(refusal *willowwick.Refusal) *willowwick.Refusal {
+func (r *run) correctRefusal(refusal *willowwick.Refusal) *willowwick.Refusal {
 	if !r.sent || refusal.Kind != willowwick.KindNotRun {
 		return refusal
 	}
@@ -70,12 +70,12 @@
 }
 
 // chooseVersion picks the version of a model and keeps the session on it.
-func (r *chatRun) chooseVersion(ctx context.Context, model willowwick.ModelID) (willowwick.VersionID, *willowwick.Refusal) {
+func (r *run) chooseVersion(ctx context.Context, model willowwick.ModelID) (willowwick.VersionID, *willowwick.Refusal) {
 	now := clock.Now()
 	query := route.VersionQuery{
 		Account: r.request.Account, Model: model, Seed: string(r.request.ID), Pinned: r.token.Versions[model],
 		Confirmed: r.daemon.node.Confirmed(now), Exclude: r.plan.Exclude, Now: now,
-		Stopped: r.daemon.watcher.isBad, Held: r.daemon.watcher.isStopped,
+		Stopped: r.daemon.versionWatcher.isBad, Held: r.daemon.versionWatcher.isStopped,
 	}
 	// The newest configuration counts, also for a request that has waited.
 	revision := r.daemon.node.Follower.Revision()
@@ -110,7 +110,7 @@
 }
 
 // weigh decides whether a cheap stage is worth it.
-func (r *chatRun) chooseVerdict(version willowwick.VersionID, next willowwick.ModelID) route.Verdict {
+func (r *run) chooseVerdict(version willowwick.VersionID, next willowwick.ModelID) route.Verdict {
 	strong, ok := r.revision.Settled(next)
 	if !ok {
 		return route.TryStage
@@ -129,11 +129,11 @@
 	})
 }
 
-func (r *chatRun) subject(version willowwick.VersionID) route.Subject {
+func (r *run) subject(version willowwick.VersionID) route.Subject {
 	return route.Subject{Account: r.request.Account, Class: r.request.Class, Version: version}
 }
 
-func (r *chatRun) expectedCost(version willowwick.VersionID) willowwick.MicroUnits {
+func (r *run) expectedCost(version willowwick.VersionID) willowwick.MicroUnits {
 	declared, ok := r.revision.Version(version)
 	if !ok {
 		return 0
@@ -142,7 +142,7 @@
 }
 
 // try collects the answer of a cheap version and has it judged.
-func (r *chatRun) tryStage(ctx context.Context, version willowwick.VersionID) (tried *stageAnswer, passed bool) {
+func (r *run) tryStage(ctx context.Context, version willowwick.VersionID) (tried *stageAnswer, passed bool) {
 	r.willBeRated = true
 	defer func() { r.willBeRated = false }()
 	call, refusal := r.open(ctx, version)
@@ -167,7 +167,7 @@
 }
 
 // judge has an answer rated; without a rating the learnt pass rate decides.
-func (r *chatRun) passes(ctx context.Context, version willowwick.VersionID, text string) bool {
+func (r *run) passes(ctx context.Context, version willowwick.VersionID, text string) bool {
 	score, err := r.daemon.rate(ctx, r.rating(version, text))
 	if err == nil {
 		passed := score >= r.passThreshold()
@@ -180,14 +180,14 @@
 	return lower >= float64(r.plan.Quality)
 }
 
-func (r *chatRun) rating(version willowwick.VersionID, text string) willowwick.RatingRequest {
+func (r *run) rating(version willowwick.VersionID, text string) willowwick.RatingRequest {
 	return willowwick.RatingRequest{
 		Request: r.request.ID, Account: r.request.Account, Class: r.request.Class,
 		Version: version, Prompt: r.prompt, Answer: text,
 	}
 }
 
-func (r *chatRun) passThreshold() willowwick.Score {
+func (r *run) passThreshold() willowwick.Score {
 	if r.plan.Pass > 0 {
 		return r.plan.Pass
 	}
@@ -196,7 +196,7 @@
 
 // learn takes a rating: the learner wants all, the evidence on versions only a
 // sample that does not depend on why the answer was rated.
-func (r *chatRun) recordRating(version willowwick.VersionID, passed bool) {
+func (r *run) recordRating(version willowwick.VersionID, passed bool) {
 	r.daemon.learner.Rated(r.subject(version), passed)
 	if !r.daemon.isSampled(r.request.ID, version) {
 		return
@@ -205,11 +205,11 @@
 	if !passed {
 		seen.Low = 1
 	}
-	r.daemon.watcher.add(version, seen)
+	r.daemon.versionWatcher.add(version, seen)
 }
 
 // streamNewest opens the answer of a version or, if that was withdrawn while the request waited, of the one after it.
-func (r *chatRun) streamNewest(ctx context.Context, model willowwick.ModelID, version willowwick.VersionID) (*Answer, *willowwick.Refusal) {
+func (r *run) streamNewest(ctx context.Context, model willowwick.ModelID, version willowwick.VersionID) (*Answer, *willowwick.Refusal) {
 	answer, refusal := r.stream(ctx, version)
 	if refusal == nil || r.sent || refusal.Code != willowwick.CodeNoVersion {
 		return answer, refusal
--- a/serve/daemon.go
+++ b/serve/daemon.go
@@ -35,26 +35,26 @@
 type (
 	// Daemon is one willowwickd.
 	Daemon struct {
-		settings Settings
-		deps     Dependencies
-		node     *fleet.Node
-		pool     *route.Pool
-		gate     *gate.Gate
-		learner  *route.Learner
-		limiter  *route.AccountLimiter
-		retries  *route.RetryBudget
-		sessions *sessions
-		traces   *traces
-		watcher  *versionWatcher
-		rater    *raterHealth
-		metrics  *daemonMetrics
+		settings       Settings
+		deps           Dependencies
+		node           *fleet.Node
+		pool           *route.Pool
+		gate           *gate.Gate
+		learner        *route.Learner
+		limiter        *route.AccountLimiter
+		retries        *route.RetryBudget
+		sessions       *sessions
+		traces         *traces
+		versionWatcher *versionWatcher
+		rater          *raterHealth
+		metrics        *daemonMetrics
 
 		inFlight           atomic.Int64
 		nextID             atomic.Uint64
 		notReady           atomic.Bool // a planned stop has begun
 		refusing           atomic.Bool // and new requests are refused
 		requestSlots       chan struct{}
-		activeConns        activeConns
+		activeConns        connTracker
 		callers            *http.Server
 		admin              *http.Server
 		orderedWithdrawals map[withdrawalKey]bool
@@ -71,7 +71,7 @@
 	//
 	// A handler returns before that; and net/http takes a connection for idle, and closes it, while it serves a request
 	// that it has read together with the one before.
-	activeConns struct {
+	connTracker struct {
 		mu    sync.Mutex
 		conns map[net.Conn]bool
 	}
@@ -87,27 +87,27 @@
 )
 
 // New returns a daemon that is not running yet, and a function that closes its connections to peers.
-func New(settings Settings, outside Dependencies) (*Daemon, func()) {
+func New(settings Settings, deps Dependencies) (*Daemon, func()) {
 	settings = settings.WithDefaults()
 	seed := xxhash.Sum64String(string(settings.Boot))
 	d := &Daemon{
-		settings: settings, deps: outside,
+		settings: settings, deps: deps,
 		gate: gate.New(), learner: route.NewLearner(), limiter: route.NewAccountLimiter(),
 		retries: route.NewRetryBudget(), traces: newTraces(), rater: newRaterHealth(),
 		requestSlots: make(chan struct{}, settings.MaxRequests), orderedWithdrawals: map[withdrawalKey]bool{},
 	}
 	d.endpointNames.Store(&map[fleet.NameHash]willowwick.EndpointID{})
-	transport, closeTransport := fleet.NewTransport(settings.Key, outside.Dial, settings.PeerTLS)
+	transport, closeTransport := fleet.NewTransport(settings.Key, deps.Dial, settings.PeerTLS)
 	self := fleet.Identity{
 		Box: settings.Box, Boot: settings.Boot, Hall: settings.Hall, Peer: settings.PeerAddress, Started: clock.Now(),
 	}
 	d.node = fleet.NewNode(fleet.Settings{
-		Self: self, Log: outside.Log, Live: outside.Live, Listener: outside.Peers,
+		Self: self, Log: deps.Log, Live: deps.Live, Listener: deps.Peers,
 		OnRevision: d.onRevision, OnListing: d.onListing, Fill: d.fillDigest, OnDigests: d.onDigests, Lead: d.runLeaderTasks,
 	}, transport)
 	d.pool = route.NewPoolWith(route.NewPowerOfTwo(settings.Hall, true, seed), route.PoolOptions{Limits: d.node.Limits})
 	d.sessions = newSessions(settings.Key, d.node)
-	d.watcher = newVersionWatcher(d)
+	d.versionWatcher = newVersionWatcher(d)
 	d.metrics = newDaemonMetrics(d)
 	return d, closeTransport
 }
@@ -174,7 +174,7 @@
 	})
 }
 
-func (a *activeConns) add(conn net.Conn) {
+func (a *connTracker) add(conn net.Conn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.conns == nil {
@@ -184,7 +184,7 @@
 }
 
 // noteState is the server's hook; it hears of these states once an answer is written.
-func (a *activeConns) onStateChange(conn net.Conn, state http.ConnState) {
+func (a *connTracker) onStateChange(conn net.Conn, state http.ConnState) {
 	if state != http.StateIdle && state != http.StateClosed && state != http.StateHijacked {
 		return
 	}
@@ -193,7 +193,7 @@
 	delete(a.conns, conn)
 }
 
-func (a *activeConns) count() int64 {
+func (a *connTracker) count() int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return int64(len(a.conns))
@@ -303,7 +303,7 @@
 	for account, rate := range d.limiter.Measure(now) {
 		digest.Demand.Add(fleet.HashName(account), rate)
 	}
-	digest.Evidence = d.watcher.counts()
+	digest.Evidence = d.versionWatcher.counts()
 	digest.Leaving = d.pool.Leaving()
 	for _, load := range d.polledLoads() {
 		digest.Loads.Add(load, now)
@@ -402,7 +402,7 @@
 
 func (d *Daemon) watchVersions(ctx context.Context) {
 	for ctx.Err() == nil {
-		d.watcher.evaluate(clock.Now(), d.node.Follower.Revision())
+		d.versionWatcher.evaluate(clock.Now(), d.node.Follower.Revision())
 		d.logReadiness()
 		pause(ctx, evaluationInterval)
 	}
@@ -420,7 +420,7 @@
 // lead runs on the holder of the lease: it advances roll-outs and orders withdrawals.
 func (d *Daemon) runLeaderTasks(ctx context.Context, fence willowwick.Fence) {
 	r := d.node.Follower.Revision()
-	for _, step := range d.watcher.readySteps(r) {
+	for _, step := range d.versionWatcher.readySteps(r) {
 		step.Fence = fence
 		data, err := config.Record{Kind: config.RecordRollout, Rollout: &step}.Encode()
 		if err != nil {
@@ -468,9 +468,9 @@
 
 // Evidence returns what this box has seen of a version.
 func (d *Daemon) Evidence(version willowwick.VersionID) rollout.Evidence {
-	d.watcher.mu.Lock()
-	defer d.watcher.mu.Unlock()
-	return d.watcher.ownEvidence[version]
+	d.versionWatcher.mu.Lock()
+	defer d.versionWatcher.mu.Unlock()
+	return d.versionWatcher.ownEvidence[version]
 }
 
 // Node returns the daemon's part in the fleet.
--- a/serve/poison.go
+++ b/serve/poison.go
@@ -12,14 +12,14 @@
 )
 
 // content is a request as far as it matters to an endpoint that runs it, to be told from others by its fingerprint.
-type requestContent struct {
+type content struct {
 	poison willowwick.PoisonRequest // its fingerprint is taken where it is needed
 	body   func() []byte
 }
 
 // contentOf is the content of a chat request.
-func chatContent(request *willowwick.Request) *requestContent {
-	return &requestContent{
+func chatContent(request *willowwick.Request) *content {
+	return &content{
 		poison: willowwick.PoisonRequest{Account: request.Account, Target: request.Target},
 		body: func() []byte {
 			body, err := json.Marshal([]any{request.Messages, request.MaxTokens, request.Temperature})
@@ -33,7 +33,7 @@
 }
 
 // fingerprint names the content.
-func (c *requestContent) fingerprint() willowwick.Fingerprint {
+func (c *content) fingerprint() willowwick.Fingerprint {
 	if c.poison.Request == (willowwick.Fingerprint{}) {
 		c.poison.Request = willowwick.FingerprintOf(c.poison.Account, "", c.poison.Host, c.poison.Target, c.body())
 	}
@@ -42,7 +42,7 @@
 
 // refuseHarmful refuses a request that ends the endpoints that run it, as all boxes do. The box that holds the lease tries it
 // now and then on a release of the service or version on which it may run after all.
-func (d *Daemon) refusePoison(c *requestContent, release willowwick.ReleaseID) *willowwick.Refusal {
+func (d *Daemon) refusePoison(c *content, release willowwick.ReleaseID) *willowwick.Refusal {
 	harm := d.node.Harm
 	if harm.IsEmpty() || !harm.Refuses(c.fingerprint()) {
 		return nil
@@ -59,7 +59,7 @@
 // noteBroken finds out whether an endpoint ended under a request whose answer broke off, and notes that. One that leaves may
 // be stopped by its operator at any time. It reports whether that tells anything of the release: an endpoint that ends takes all its
 // requests with it, and one of them may have ended it, so that they count as one failure and not as many.
-func (d *Daemon) recordFailure(ctx context.Context, c *requestContent, endpoint willowwick.Endpoint, release willowwick.ReleaseID, err error) (isEvidence bool) {
+func (d *Daemon) recordFailure(ctx context.Context, c *content, endpoint willowwick.Endpoint, release willowwick.ReleaseID, err error) (isEvidence bool) {
 	isSent := !errors.Is(err, willowwick.ErrNotSent) && !errors.Is(err, willowwick.ErrBusy) && !errors.Is(err, willowwick.ErrDraining)
 	if !isSent || ctx.Err() != nil || !d.pool.Stays(endpoint.ID) {
 		return true
@@ -74,7 +74,7 @@
 }
 
 // noteHarmless notes that an endpoint has answered the request whole.
-func (d *Daemon) recordCompleted(c *requestContent) {
+func (d *Daemon) recordCompleted(c *content) {
 	if !d.node.Harm.IsEmpty() {
 		d.node.Harm.NoteAnswer(c.fingerprint(), clock.Now())
 	}
--- a/serve/rating.go
+++ b/serve/rating.go
@@ -97,7 +97,7 @@
 
 // sampleRating has some answers rated that nobody waits for, as evidence on
 // their version; all of those of a version that is rolling out.
-func (d *Daemon) sampleRating(r *chatRun, version willowwick.VersionID, text string) {
+func (d *Daemon) sampleRating(r *run, version willowwick.VersionID, text string) {
 	if r.willBeRated || !d.isSampled(r.request.ID, version) || !d.rater.isUp(clock.Now()) {
 		return
 	}
--- a/serve/run.go
+++ b/serve/run.go
@@ -28,8 +28,8 @@
 
 type (
 	// run is one chat request on its way through the daemon.
-	chatRun struct {
-		content     *requestContent
+	run struct {
+		content     *content
 		daemon      *Daemon
 		request     *willowwick.Request
 		revision    *config.Revision
@@ -55,7 +55,7 @@
 		Version      willowwick.VersionID
 		SessionToken string
 
-		run    *chatRun
+		run    *run
 		source chunkSource
 		first  *willowwick.Chunk
 		finish func()
@@ -103,7 +103,7 @@
 }
 
 // beginRun checks what can be known before anything is reserved.
-func (d *Daemon) beginRun(request *willowwick.Request, token string) (*chatRun, *willowwick.Refusal) {
+func (d *Daemon) beginRun(request *willowwick.Request, token string) (*run, *willowwick.Refusal) {
 	now := clock.Now()
 	revision := d.node.Follower.Revision()
 	if refusal := d.checkServing(now); refusal != nil {
@@ -114,7 +114,7 @@
 		refusal := willowwick.Invalid(willowwick.CodeBadKey, "Authorization", "the client account is not declared any more")
 		return nil, d.temporaryIfStale(refusal, revision, now)
 	}
-	r := &chatRun{
+	r := &run{
 		daemon: d, request: request, revision: revision, account: account,
 		prompt: willowwick.PromptText(request.Messages),
 		trace:  d.traces.begin(d.settings.Box, request.ID, request.Account, request.Target),
@@ -167,14 +167,14 @@
 }
 
 // claim reserves the request's idempotency key over the whole fleet.
-func (r *chatRun) claim(ctx context.Context) *willowwick.Refusal {
+func (r *run) claim(ctx context.Context) *willowwick.Refusal {
 	if r.request.IdempotencyKey == "" {
 		return nil
 	}
 	return r.daemon.claimKey(ctx, claimKeyOf(r.request.Account, "chat", r.request.IdempotencyKey), r.request.ID)
 }
 
-func (r *chatRun) releaseClaim(ctx context.Context) {
+func (r *run) releaseClaim(ctx context.Context) {
 	if r.request.IdempotencyKey != "" && !r.sent {
 		r.daemon.node.Unclaim(ctx, claimKeyOf(r.request.Account, "chat", r.request.IdempotencyKey), r.request.ID)
 	}
@@ -205,7 +205,7 @@
 }
 
 // stream opens the answer that goes to the caller as it comes; its first chunk is there when it returns.
-func (r *chatRun) stream(ctx context.Context, version willowwick.VersionID) (*Answer, *willowwick.Refusal) {
+func (r *run) stream(ctx context.Context, version willowwick.VersionID) (*Answer, *willowwick.Refusal) {
 	call, refusal := r.open(ctx, version)
 	if refusal != nil {
 		return nil, refusal
@@ -220,11 +220,11 @@
 	return answer, nil
 }
 
-func (r *chatRun) answerOf(c *stageAnswer) *Answer {
+func (r *run) answerOf(c *stageAnswer) *Answer {
 	return r.newAnswer(c.version, &collectedAnswer{chunks: c.chunks})
 }
 
-func (r *chatRun) newAnswer(version willowwick.VersionID, source chunkSource) *Answer {
+func (r *run) newAnswer(version willowwick.VersionID, source chunkSource) *Answer {
 	answer := &Answer{Request: r.request.ID, Version: version, run: r, source: source, finish: func() {}}
 	if r.request.Session != "" || len(r.token.Versions) > 0 {
 		if declared, ok := r.revision.Version(version); ok {
@@ -276,7 +276,7 @@
 }
 
 // bill records the usage of the request, once.
-func (r *chatRun) bill(version willowwick.VersionID) {
+func (r *run) bill(version willowwick.VersionID) {
 	if r.billed {
 		return
 	}
@@ -292,7 +292,7 @@
 }
 
 // noteQuality tells the learner how good the answer is expected to be.
-func (r *chatRun) recordQuality(version willowwick.VersionID) {
+func (r *run) recordQuality(version willowwick.VersionID) {
 	if !r.rated {
 		r.quality, r.rated = r.daemon.learner.Expected(r.subject(version))
 	}
--- a/serve/services.go
+++ b/serve/services.go
@@ -30,7 +30,7 @@
 type (
 	// serviceRun is one call of a plain service on its way.
 	serviceRun struct {
-		content    *requestContent
+		content    *content
 		daemon     *Daemon
 		request    *willowwick.Request
 		account    *config.ClientAccount
@@ -126,7 +126,7 @@
 	return &serviceRun{
 		daemon: d, request: request, account: account, service: service, repeatable: repeatable,
 		exclude: map[willowwick.EndpointID]bool{},
-		content: &requestContent{
+		content: &content{
 			poison: willowwick.PoisonRequest{Account: request.Account, Service: service, Host: r.Method, Target: r.URL.RequestURI()},
 			body:   func() []byte { return body },
 		},
