--- a/serve/call.go
+++ b/serve/call.go
@@ -126,7 +126,7 @@
 	})
 }
 
-func (c *resumableCall) openAt(ticket *gate.Ticket) error {
+func (c *resumableCall) openAt(acquired *gate.Ticket) error {
 	r := c.run
 	// The version may have been withdrawn while the request waited in the queue.
 	if !r.daemon.node.Follower.Revision().Usable(r.request.Account, c.version) {
@@ -138,18 +138,18 @@
 	stalled := time.AfterFunc(firstChunkStallFactor*r.daemon.settings.StallTimeout, cancel)
 	defer stalled.Stop()
 	stream, release, err := r.daemon.deps.Engine.Open(ctx, willowwick.EngineCall{
-		Endpoint: ticket.Endpoint, Request: c.id, Version: c.version, Messages: r.request.Messages,
+		Endpoint: acquired.Endpoint, Request: c.id, Version: c.version, Messages: r.request.Messages,
 		MaxTokens: r.request.MaxTokens, Temperature: r.request.Temperature,
-		ResumeAt: c.position, Deadline: r.request.Deadline, OnNotice: r.daemon.onNotice(ticket.Endpoint, r.request.ID),
+		ResumeAt: c.position, Deadline: r.request.Deadline, OnNotice: r.daemon.onNotice(acquired.Endpoint, r.request.ID),
 	})
 	if err != nil {
 		cancel()
 		return err
 	}
 	r.sent = true
-	c.ticket, c.stream, c.release, c.cancel = ticket, stream, release, cancel
+	c.ticket, c.stream, c.release, c.cancel = acquired, stream, release, cancel
 	r.daemon.pool.Report(stream.Load())
-	r.trace.add("sent", "%s to endpoint %s at position %d", c.version, ticket.Endpoint.ID, c.position)
+	r.trace.add("sent", "%s to endpoint %s at position %d", c.version, acquired.Endpoint.ID, c.position)
 	return nil
 }
 
--- a/units.go
+++ b/units.go
@@ -22,7 +22,7 @@
 	return Tokens(len(text)/charactersPerToken + 1)
 }
 
-// Price is the price of a version per 1000 tokens.
+// Price is the price of a version per thousand tokens.
 type Price struct {
 	Prompt MicroUnits `json:"prompt" yaml:"prompt"`
 	Output MicroUnits `json:"output" yaml:"output"`
