--- a/poison.go
+++ b/poison.go
@@ -27,10 +27,10 @@
 )
 
 // WithCrashTimes returns a copy of the request with the times of its crashes converted to another clock.
-func (h PoisonRequest) WithCrashTimes(convert func(time.Time) time.Time) PoisonRequest {
-	h.Crashes = slices.Clone(h.Crashes)
-	for i, crash := range h.Crashes {
-		h.Crashes[i].At = convert(crash.At)
+func (p PoisonRequest) WithCrashTimes(convert func(time.Time) time.Time) PoisonRequest {
+	p.Crashes = slices.Clone(p.Crashes)
+	for i, crash := range p.Crashes {
+		p.Crashes[i].At = convert(crash.At)
 	}
-	return h
+	return p
 }
--- a/ratelimit.go
+++ b/ratelimit.go
@@ -27,7 +27,7 @@
 	RateLimiter interface {
 		// Observe records the limit in an answer to a request that was sent at the given time, and reports whether it changed
 		// what is known.
-		Observe(now, sentAt time.Time, endpoint Endpoint, said RateLimit) bool
+		Observe(now, sentAt time.Time, endpoint Endpoint, reported RateLimit) bool
 		// CanAcquire reports whether a request may use the endpoint: it has no limit, a permit is available, or one may be
 		// requested.
 		CanAcquire(now time.Time, endpoint EndpointID) bool
--- a/serve/api.go
+++ b/serve/api.go
@@ -116,7 +116,7 @@
 	id, account, ok := revision.Authenticate(strings.TrimPrefix(authorization, bearerPrefix))
 	if !ok {
 		if revision.Offset == 0 {
-			return nil, nil, willowwick.NotRun(willowwick.CodeStaleConfiguration, now.Add(isolatedRetry), "this box has no configuration yet")
+			return nil, nil, willowwick.NotRun(willowwick.CodeStaleConfiguration, now.Add(isolatedRetryDelay), "this box has no configuration yet")
 		}
 		refusal := willowwick.Invalid(willowwick.CodeBadKey, "Authorization", "no client account has this key")
 		return nil, nil, d.temporaryIfStale(refusal, revision, now)
--- a/serve/caller_test.go
+++ b/serve/caller_test.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	readyTime  = time.Minute
-	settleTime = 10 * time.Second
+	readyTimeout = time.Minute
+	settleTime   = 10 * time.Second
 	// callerGoneTime is longer than the caller timeout and the deadline of any request.
 	callerGoneTime = 5 * time.Minute
 	// slowPause is the pause between reads or writes of a caller that is slow but makes progress.
@@ -42,7 +42,7 @@
 		require.NoError(t, err)
 		defer closeFleet()
 		require.NoError(t, fleet.Apply(examples.Declarations))
-		require.NoError(t, fleet.WaitReady(readyTime))
+		require.NoError(t, fleet.WaitReady(readyTimeout))
 		// The request of a disconnected caller ends only once another box holds its usage record.
 		defer time.Sleep(settleTime)
 		test(t, fleet.Boxes[0], network)
@@ -88,8 +88,8 @@
 				conn := dialBox(t, box, network)
 				defer func() { _ = conn.Close() }()
 				go func() { _, _ = io.Copy(io.Discard, conn) }()
-				begin := strings.Replace(chatHead(len(chatBody())), "/v1/chat/completions", path, 1)
-				_, err := io.WriteString(conn, begin+chatBody()[:10])
+				start := strings.Replace(chatHead(len(chatBody())), "/v1/chat/completions", path, 1)
+				_, err := io.WriteString(conn, start+chatBody()[:10])
 				require.NoError(t, err)
 				time.Sleep(callerGoneTime)
 				assert.Zero(t, box.Daemon.Status().InFlight)
--- a/serve/cascade.go
+++ b/serve/cascade.go
@@ -95,13 +95,13 @@
 	if refusal != nil || version == query.Pinned {
 		return version, refusal
 	}
-	kept := r.daemon.sessions.pin(ctx, key, version, false)
-	if kept != version {
-		query.Pinned = kept
+	pinned := r.daemon.sessions.pin(ctx, key, version, false)
+	if pinned != version {
+		query.Pinned = pinned
 		if version, refusal = route.ChooseVersion(revision, query); refusal != nil {
 			return "", refusal
 		}
-		if version != kept {
+		if version != pinned {
 			r.daemon.sessions.pin(ctx, key, version, true)
 		}
 	}
--- a/serve/daemon.go
+++ b/serve/daemon.go
@@ -24,7 +24,7 @@
 	evaluationInterval = time.Second
 	loadPollInterval   = 500 * time.Millisecond
 	loadTimeout        = time.Second
-	loadWorkers        = 16
+	maxConcurrentPolls = 16
 	drainPollInterval  = 20 * time.Millisecond
 	leaveTimeout       = 4 * time.Second
 	readHeaderTimeout  = 10 * time.Second
@@ -376,7 +376,7 @@
 func (d *Daemon) pollLoads(ctx context.Context) {
 	for ctx.Err() == nil {
 		var polls sync.WaitGroup
-		places := make(chan struct{}, loadWorkers)
+		places := make(chan struct{}, maxConcurrentPolls)
 		for _, endpoint := range d.polledEndpoints() {
 			places <- struct{}{}
 			polls.Go(func() {
--- a/serve/drain_test.go
+++ b/serve/drain_test.go
@@ -23,9 +23,9 @@
 	clientKey = "demo-lab-coimbra"
 	// slowReadDelay is the time until a slow caller reads its answer: longer than the server's own shutdown may take.
 	slowReadDelay = 20 * time.Second
-	drainWait     = time.Second
-	// drainLimit is the maximum duration of a planned stop.
-	drainLimit = time.Minute
+	drainDelay    = time.Second
+	// drainTimeout is the maximum duration of a planned stop.
+	drainTimeout = time.Minute
 )
 
 // drainScenario is a fleet in virtual time and the raw connection of a caller.
@@ -48,7 +48,7 @@
 		network := lab.NewMemory()
 		fleet, closeFleet, err := lab.NewFleet(lab.Options{
 			Network: network, Boxes: 2, Halls: 1, Services: map[willowwick.ServiceID]int{"bookkeeping": 1},
-			Settings: serve.Settings{DrainDelay: drainWait, DrainTimeout: drainLimit, CallerTimeout: callerTimeout},
+			Settings: serve.Settings{DrainDelay: drainDelay, DrainTimeout: drainTimeout, CallerTimeout: callerTimeout},
 		})
 		require.NoError(t, err)
 		defer closeFleet()
@@ -133,13 +133,13 @@
 }
 
 func TestDrainTimesOutIfCallerNeverReads(t *testing.T) {
-	runDrainScenarioWith(t, 2*drainLimit, func(s *drainScenario) {
+	runDrainScenarioWith(t, 2*drainTimeout, func(s *drainScenario) {
 		s.send(serviceCall("never"))
 		s.awaitRun("never")
 		began := time.Now()
 		err := s.Boxes[0].Daemon.Drain(context.Background())
 		assert.ErrorContains(t, err, "under way at the limit")
-		assert.InDelta(t, drainLimit.Seconds(), time.Since(began).Seconds(), 1)
+		assert.InDelta(t, drainTimeout.Seconds(), time.Since(began).Seconds(), 1)
 	})
 }
 
--- a/serve/run.go
+++ b/serve/run.go
@@ -17,10 +17,10 @@
 	// configPropagationLimit is the time within which a change is promised to be in force on all boxes, of which there may be
 	// 390.
 	configPropagationLimit = 16 * time.Second
-	isolatedRetry          = 2 * time.Second
-	claimRetry             = time.Second
-	stoppingRetry          = time.Second
-	backlogRetry           = 10 * time.Second
+	isolatedRetryDelay     = 2 * time.Second
+	claimRetryDelay        = time.Second
+	stoppingRetryDelay     = time.Second
+	backlogRetryDelay      = 10 * time.Second
 	maxClaimAge            = fleet.ClaimWindow / 2
 	defaultPassThreshold   = willowwick.Score(0.5)
 	rateTimeout            = 3 * time.Second
@@ -83,7 +83,7 @@
 // Complete starts the answer of a chat request, or returns a refusal.
 func (d *Daemon) Complete(ctx context.Context, request *willowwick.Request, token string) (*Answer, *willowwick.Refusal) {
 	ctx, cancel := clock.WithDeadline(ctx, request.Deadline)
-	r, refusal := d.beginRun(request, token)
+	r, refusal := d.newRun(request, token)
 	if refusal == nil {
 		refusal = r.claim(ctx)
 	}
@@ -103,8 +103,8 @@
 	return answer, nil
 }
 
-// beginRun makes the checks that need no reservation of the request's idempotency key, and plans the stages.
-func (d *Daemon) beginRun(request *willowwick.Request, token string) (*run, *willowwick.Refusal) {
+// newRun makes the checks that need no reservation of the request's idempotency key, and plans the stages.
+func (d *Daemon) newRun(request *willowwick.Request, token string) (*run, *willowwick.Refusal) {
 	now := clock.Now()
 	revision := d.node.Follower.Revision()
 	if refusal := d.checkServing(now); refusal != nil {
@@ -118,7 +118,7 @@
 	r := &run{
 		daemon: d, request: request, revision: revision, account: account,
 		prompt: willowwick.PromptText(request.Messages),
-		trace:  d.traces.begin(d.settings.Box, request.ID, request.Account, request.Target),
+		trace:  d.traces.start(d.settings.Box, request.ID, request.Account, request.Target),
 	}
 	r.prefix = prefixHash(request.Messages)
 	r.content = chatContent(request)
@@ -148,13 +148,13 @@
 func (d *Daemon) checkServing(now time.Time) *willowwick.Refusal {
 	switch {
 	case d.node.Follower.Revision().Offset == 0:
-		return willowwick.NotRun(willowwick.CodeStaleConfiguration, now.Add(isolatedRetry), "this box has no configuration yet")
+		return willowwick.NotRun(willowwick.CodeStaleConfiguration, now.Add(isolatedRetryDelay), "this box has no configuration yet")
 	case d.isIsolated(now):
-		return willowwick.NotRun(willowwick.CodeStaleConfiguration, now.Add(isolatedRetry), "this box reaches neither the log nor half of the fleet")
+		return willowwick.NotRun(willowwick.CodeStaleConfiguration, now.Add(isolatedRetryDelay), "this box reaches neither the log nor half of the fleet")
 	case d.isRefusing():
-		return willowwick.NotRun(willowwick.CodeStopping, now.Add(stoppingRetry), "this box is stopping")
+		return willowwick.NotRun(willowwick.CodeStopping, now.Add(stoppingRetryDelay), "this box is stopping")
 	case d.node.Usage.IsFull():
-		return willowwick.NotRun(willowwick.CodeUsageBacklog, now.Add(backlogRetry), "the log is unavailable and the backlog of usage records is full")
+		return willowwick.NotRun(willowwick.CodeUsageBacklog, now.Add(backlogRetryDelay), "the log is unavailable and the backlog of usage records is full")
 	}
 	return nil
 }
@@ -164,7 +164,7 @@
 // before the current revision, so that a revision that comes into force in between can't make an older one seem up to date.
 func (d *Daemon) temporaryIfStale(refusal *willowwick.Refusal, revision *config.Revision, now time.Time) *willowwick.Refusal {
 	isStale := now.Sub(d.node.Follower.Confirmed()) > configPropagationLimit || d.node.Follower.Revision() != revision
-	return refusal.TemporaryIfStale(isStale, now.Add(isolatedRetry))
+	return refusal.TemporaryIfStale(isStale, now.Add(isolatedRetryDelay))
 }
 
 // claim reserves the request's idempotency key across the fleet.
@@ -189,9 +189,9 @@
 
 // claimKey reserves a key; a reservation that took longer than maxClaimAge counts as unavailable.
 func (d *Daemon) claimKey(ctx context.Context, key string, id willowwick.RequestID) *willowwick.Refusal {
-	begun := clock.Now()
+	started := clock.Now()
 	status := d.node.Claim(ctx, key, id)
-	if status == fleet.ClaimGranted && clock.Since(begun) > maxClaimAge {
+	if status == fleet.ClaimGranted && clock.Since(started) > maxClaimAge {
 		status = fleet.ClaimUnavailable
 	}
 	switch status {
@@ -202,7 +202,7 @@
 	case fleet.ClaimUnknown:
 		return willowwick.OutcomeUnknown(willowwick.CodeClaimUnavailable, "a request with this idempotency key may have run before; this one was not run")
 	default:
-		return willowwick.NotRun(willowwick.CodeClaimUnavailable, clock.Now().Add(claimRetry), "the idempotency key cannot be reserved at the moment")
+		return willowwick.NotRun(willowwick.CodeClaimUnavailable, clock.Now().Add(claimRetryDelay), "the idempotency key cannot be reserved at the moment")
 	}
 }
 
@@ -251,7 +251,7 @@
 		return chunk, refusal
 	}
 	if chunk.Finish != "" {
-		a.run.bill(a.Version)
+		a.run.recordUsage(a.Version)
 		a.source.close()
 		a.source = nil
 	}
@@ -272,13 +272,13 @@
 	if a.source != nil {
 		a.source.close()
 		a.source = nil
-		a.run.bill(a.Version)
+		a.run.recordUsage(a.Version)
 	}
 	a.finish()
 }
 
-// bill records the usage of the request, once.
-func (r *run) bill(version willowwick.VersionID) {
+// recordUsage records the usage of the request, once.
+func (r *run) recordUsage(version willowwick.VersionID) {
 	if r.billed {
 		return
 	}
--- a/serve/services.go
+++ b/serve/services.go
@@ -61,7 +61,7 @@
 }
 
 func (d *Daemon) serveService(w http.ResponseWriter, r *http.Request, service willowwick.ServiceID) {
-	run, refusal := d.beginService(r, service)
+	run, refusal := d.newServiceRun(r, service)
 	if refusal != nil {
 		writeRefusal(w, d.countRefusal(refusal), "")
 		return
@@ -82,8 +82,8 @@
 	_, _ = w.Write(reply.body)
 }
 
-// beginService makes the checks that need no reservation of the request's idempotency key.
-func (d *Daemon) beginService(r *http.Request, service willowwick.ServiceID) (*serviceRun, *willowwick.Refusal) {
+// newServiceRun makes the checks that need no reservation of the request's idempotency key.
+func (d *Daemon) newServiceRun(r *http.Request, service willowwick.ServiceID) (*serviceRun, *willowwick.Refusal) {
 	deadline, refusal := deadlineHeader(r)
 	if refusal != nil {
 		return nil, refusal
@@ -130,7 +130,7 @@
 			poison: willowwick.PoisonRequest{Account: request.Account, Service: service, Host: r.Method, Target: r.URL.RequestURI()},
 			body:   func() []byte { return body },
 		},
-		trace: d.traces.begin(d.settings.Box, request.ID, request.Account, r.Method+" "+servicePrefix+string(service)+path),
+		trace: d.traces.start(d.settings.Box, request.ID, request.Account, r.Method+" "+servicePrefix+string(service)+path),
 		call: willowwick.ServiceCall{
 			Request: request.ID, Method: r.Method, Path: path, Query: r.URL.RawQuery, Header: r.Header,
 			Body: body, Repeatable: repeatable, Deadline: request.Deadline,
--- a/serve/trace.go
+++ b/serve/trace.go
@@ -46,7 +46,7 @@
 	return &traces{byID: map[willowwick.RequestID]*Trace{}, ring: make([]willowwick.RequestID, maxTraces)}
 }
 
-func (t *traces) begin(box willowwick.BoxID, id willowwick.RequestID, account willowwick.AccountID, target string) *Trace {
+func (t *traces) start(box willowwick.BoxID, id willowwick.RequestID, account willowwick.AccountID, target string) *Trace {
 	trace := &Trace{Request: id, Account: account, Target: target, Box: box}
 	t.mu.Lock()
 	defer t.mu.Unlock()
