--- a/serve/cascade.go
+++ b/serve/cascade.go
@@ -47,7 +47,7 @@
 		}
 	}
 	if best != nil {
-		r.trace.add("answer", "of %s, which was rated too low; no stronger model answered", best.version)
+		r.trace.add("answer", "of %s, which did not pass; no stronger model answered", best.version)
 		return r.answerOf(best), nil
 	}
 	return nil, r.correctRefusal(refusal)
@@ -65,7 +65,7 @@
 
 var verdictNames = map[route.Verdict]string{
 	route.SkipStage:  "skipped",
-	route.TryStage:   "tried and rated",
+	route.TryStage:   "tried and evaluated",
 	route.TrustStage: "trusted",
 }
 
