--- a/control.go
+++ b/control.go
@@ -13,7 +13,7 @@
 		Orders      []ReleaseOrder
 		Evacuations []Evacuation // those of one hall are in the order of their declaration
 		Admissions  []Admission  // those of one request are in the order of their declaration
-		Partial     bool         // the store holds more than was read: the answer is long, or the newest table cannot be decoded
+		Partial     bool         // the store holds more: the answer is long, or the newest table cannot be decoded
 		Next        Position     // where to continue reading; 0 reads everything again
 	}
 
--- a/platform.go
+++ b/platform.go
@@ -41,7 +41,7 @@
 	Release       ReleaseID    `json:"release,omitempty"`   // of its software
 	Slots         int          `json:"slots,omitempty"`     // concurrent requests that it can run
 	Beat          uint64       `json:"beat,omitempty"`      // number of heartbeats so far
-	ColdUntil     time.Time    `json:"cold_until,omitzero"` // end of its warm-up, in which it can take few requests; zero if it is warm
+	ColdUntil     time.Time    `json:"cold_until,omitzero"` // it takes few requests until then; zero if it is not cold
 	Incarnation   Incarnation  `json:"incarnation,omitempty"`
 }
 
--- a/serve/caller_timeout.go
+++ b/serve/caller_timeout.go
@@ -18,15 +18,15 @@
 	callerWriter struct {
 		http.ResponseWriter
 		control *http.ResponseController
-		timeout time.Duration // setting
+		timeout time.Duration
 	}
 
 	// callerBody reads a request's body with a timeout for each read.
 	callerBody struct {
 		io.ReadCloser
 		control *http.ResponseController
-		timeout time.Duration // setting
-		isDone  bool          // the body was read to its end, or a read failed
+		timeout time.Duration
+		isDone  bool // the body was read to its end, or a read failed
 	}
 )
 
--- a/serve/drain_test.go
+++ b/serve/drain_test.go
@@ -103,9 +103,9 @@
 	return func() { require.NoError(s.t, <-ended) }
 }
 
-// Guards against a planned stop that cuts off the answer of a call that has run, minutes before the stop's timeout. The caller
-// reads slowly, so the last bytes are still unwritten when the handler has returned; the stop waited only for handlers until its
-// timeout, and for the writing of the rest no longer than 5 s.
+// Guards against a planned stop that cuts off the answer of a call that has run, minutes before the stop's timeout. The
+// caller reads slowly, so the last bytes are still unwritten when the handler has returned; the stop waited only for
+// handlers until its timeout, and for the writing of the rest no longer than 5 s.
 func TestDrainWaitsForSlowlyReadAnswer(t *testing.T) {
 	runDrainScenario(t, func(s *drainScenario) {
 		s.send(serviceCall("slow"))
--- a/serve/settings.go
+++ b/serve/settings.go
@@ -34,7 +34,7 @@
 		PeerTLS        *tls.Config
 		MaxBody        int64
 		MaxRequests    int
-		DrainDelay     time.Duration // from not being ready until new requests are refused: the time that the balancer needs to notice
+		DrainDelay     time.Duration // from reporting not ready to refusing requests, for the balancer to notice
 		DrainTimeout   time.Duration // maximum duration of a planned stop
 		SlowFirstToken time.Duration // an answer whose first token takes longer is slow
 		SlowTokenGap   time.Duration // an answer whose mean time between tokens is longer is slow
--- a/serve/version_watcher.go
+++ b/serve/version_watcher.go
@@ -23,7 +23,7 @@
 		processed      map[willowwick.VersionID]rollout.Evidence // ownEvidence at the last evaluation
 		tracker        *fleet.EvidenceTracker
 		monitors       map[willowwick.VersionID]*rollout.Monitor
-		previousDeltas map[willowwick.VersionID]rollout.Evidence // deltas of the last evaluation, the baseline of a version without siblings
+		previousDeltas map[willowwick.VersionID]rollout.Evidence // of the last evaluation, as baseline of a lone version
 		steps          map[willowwick.RolloutID]stepState
 		stopped        map[willowwick.VersionID]bool
 
