--- a/answer.go
+++ b/answer.go
@@ -26,7 +26,8 @@
 	Output Tokens `json:"completion_tokens"`
 }
 
-// UsageRecord is the billing record of one request; Boot and Seq identify it uniquely.
+// UsageRecord is the billing record of one request; Boot and Seq identify it uniquely. Boxes send it to each other by gob,
+// under these field names.
 type UsageRecord struct {
 	Boot    BootID     `json:"boot"`
 	Seq     uint64     `json:"seq"`
--- a/era.go
+++ b/era.go
@@ -21,8 +21,8 @@
 	return e.newest
 }
 
-// ObserveText parses the era in an answer of the store and observes it. A text that is empty or no number counts as the
-// newest known era.
+// ObserveText parses the era in an answer of the store and observes it, see Observe. A text that is empty or not a number
+// counts as the newest known era.
 func (e *EraTracker) ObserveText(text string) (Era, error) {
 	number, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
--- a/routes.go
+++ b/routes.go
@@ -30,7 +30,7 @@
 		Models     []ModelID
 		Split      []ServiceShare
 		Timeout    time.Duration // longest time that a request may take, including its wait
-		Goal       time.Duration // an answer, or its first event, is on time within this duration
+		Goal       time.Duration // an answer, or its first event, has its full value within this duration
 		GapGoal    time.Duration // longest pause between events of an answer that is on time
 	}
 
@@ -71,7 +71,8 @@
 	// ReleaseState is the state of the roll-out of a release.
 	ReleaseState string
 
-	// ReleaseOrder is an operator's order to move a service's requests to a release within a period.
+	// ReleaseOrder is an operator's order to move a service's requests to a release within a period. Boxes send it and
+	// ReleaseStatus to each other by gob, under these field names.
 	ReleaseOrder struct {
 		Service ServiceID
 		Target  ReleaseID
--- a/serve/body.go
+++ b/serve/body.go
@@ -125,7 +125,7 @@
 	return &remote.ChatUsage{Usage: a.run.usage, Total: a.run.usage.Prompt + a.run.usage.Output}
 }
 
-// collectBody reads the whole answer and returns it as one JSON body.
+// collectBody reads the whole answer, before anything is sent to the caller, and returns it as one JSON body.
 func collectBody(answer *Answer, model string) (io.ReadCloser, *willowwick.Refusal) {
 	defer answer.Close()
 	var text bytes.Buffer
--- a/serve/run.go
+++ b/serve/run.go
@@ -103,7 +103,8 @@
 	return answer, nil
 }
 
-// newRun makes the checks that need no reservation of the request's idempotency key, and plans the stages.
+// newRun makes the checks that need no reservation of the request's idempotency key, plans the stages, and charges the
+// request to the rate limit of its client account.
 func (d *Daemon) newRun(request *willowwick.Request, token string) (*run, *willowwick.Refusal) {
 	now := clock.Now()
 	revision := d.node.Follower.Revision()
