--- a/exchange/era_test.go
+++ b/exchange/era_test.go
@@ -140,7 +140,7 @@
 		a := newAdmissions(harm)
 		request := willowwick.HarmfulRequest{Request: willowwick.Fingerprint{1}}
 		for i := range quarantine.RefuseAfter {
-			harm.NoteEnd(request, willowwick.EndpointEnd{Endpoint: "gone", Incarnation: willowwick.Incarnation(i), At: time.Now()})
+			harm.RecordCrash(request, willowwick.EndpointEnd{Endpoint: "gone", Incarnation: willowwick.Incarnation(i), At: time.Now()})
 		}
 		require.True(t, harm.Refuses(request.Request))
 		admission := func(at willowwick.Position) []willowwick.Admission {
@@ -202,7 +202,7 @@
 	x := s.daemon.router
 	request := willowwick.HarmfulRequest{Request: willowwick.Fingerprint{7}, Service: "work"}
 	for i := range quarantine.RefuseAfter {
-		x.harm.NoteEnd(request, willowwick.EndpointEnd{Endpoint: "gone", Incarnation: willowwick.Incarnation(i), At: time.Now()})
+		x.harm.RecordCrash(request, willowwick.EndpointEnd{Endpoint: "gone", Incarnation: willowwick.Incarnation(i), At: time.Now()})
 	}
 	s.control.change(func() { s.control.orders = []willowwick.ReleaseOrder{orderOf("v2", 1)} })
 	require.Eventually(t, func() bool { return len(x.releases.progresses(time.Now())) == 1 }, patience, 5*time.Millisecond)
--- a/exchange/harm.go
+++ b/exchange/harm.go
@@ -78,7 +78,7 @@
 func (x *Router) noteHarm(broken brokenSend) {
 	x.metrics.endedUnder()
 	endpoint := broken.endpoint
-	x.harm.NoteEnd(broken.about, willowwick.EndpointEnd{
+	x.harm.RecordCrash(broken.about, willowwick.EndpointEnd{
 		Endpoint: endpoint.ID, Incarnation: endpoint.Incarnation, Release: endpoint.Release, At: broken.at,
 	})
 	x.peers.hurry()
@@ -87,7 +87,7 @@
 // noteHarmless notes that an endpoint has answered the request whole.
 func (s *send) noteHarmless(now time.Time) {
 	if quarantine.IsHarmlessBy(s.answer.Status) && !s.router.harm.IsEmpty() {
-		s.router.harm.NoteAnswer(s.fingerprint(), now)
+		s.router.harm.RecordAnswer(s.fingerprint(), now)
 	}
 }
 
--- a/exchange/harm_fleet_test.go
+++ b/exchange/harm_fleet_test.go
@@ -83,7 +83,7 @@
 			continue
 		}
 		h.ends = append(h.ends, now)
-		s.box.harm.NoteEnd(h.request, willowwick.EndpointEnd{
+		s.box.harm.RecordCrash(h.request, willowwick.EndpointEnd{
 			Endpoint: willowwick.EndpointID(fmt.Sprint(h.name, "-", len(h.ends))), Release: "v1", At: now,
 		})
 		h.send(s.box, now, s.left)
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -118,9 +118,9 @@
 	return len(l.suspects), len(l.refused)
 }
 
-// NoteEnd notes that an endpoint ended while this box had the request there, and reports whether the end was not known before
+// RecordCrash notes that an endpoint ended while this box had the request there, and reports whether the end was not known before
 // under any request.
-func (l *Ledger) NoteEnd(about willowwick.HarmfulRequest, end willowwick.EndpointEnd) (isFirst bool) {
+func (l *Ledger) RecordCrash(about willowwick.HarmfulRequest, end willowwick.EndpointEnd) (isFirst bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	_, isKnown := l.known[endKey{end.Endpoint, end.Incarnation}]
@@ -139,8 +139,8 @@
 	return at, isKnown
 }
 
-// NoteAnswer notes that an endpoint has answered the request whole: what ended others before was something else.
-func (l *Ledger) NoteAnswer(request willowwick.Fingerprint, now time.Time) {
+// RecordAnswer notes that an endpoint has answered the request whole: what ended others before was something else.
+func (l *Ledger) RecordAnswer(request willowwick.Fingerprint, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.clear(request, now, "") {
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -27,7 +27,7 @@
 // note notes the end of an endpoint under each of the requests.
 func (l *Ledger) note(end willowwick.EndpointEnd, bodies ...string) {
 	for _, body := range bodies {
-		l.NoteEnd(willowwick.HarmfulRequest{Request: requestOf(body), Account: "ada"}, end)
+		l.RecordCrash(willowwick.HarmfulRequest{Request: requestOf(body), Account: "ada"}, end)
 	}
 }
 
@@ -78,7 +78,7 @@
 	later := began.Add(10 * time.Second)
 	_, isAllowed := l.Trial(aboutOf("victim"), releases, later)
 	require.True(t, isAllowed)
-	l.NoteAnswer(requestOf("victim"), later)
+	l.RecordAnswer(requestOf("victim"), later)
 	assert.False(t, l.refuses("victim"))
 	assert.True(t, l.refuses("harmful"))
 	_, isAllowed = l.Trial(aboutOf("harmful"), releases, later)
@@ -89,7 +89,7 @@
 	l := New()
 	l.note(endAt("a", 0), "popular")
 	l.note(endAt("b", 1), "popular")
-	l.NoteAnswer(requestOf("popular"), began.Add(20*time.Millisecond))
+	l.RecordAnswer(requestOf("popular"), began.Add(20*time.Millisecond))
 	l.note(endAt("c", 2), "popular")
 	assert.False(t, l.refuses("popular"), "an end before the answer")
 	for i, endpoint := range []string{"d", "e", "f"} {
@@ -102,7 +102,7 @@
 	other := New()
 	other.Take(l.Since(Position{}, "boot", "other", began.Add(3010*time.Millisecond)), "own", began.Add(3010*time.Millisecond))
 	require.True(t, other.refuses("popular"))
-	l.NoteAnswer(requestOf("popular"), began.Add(3100*time.Millisecond))
+	l.RecordAnswer(requestOf("popular"), began.Add(3100*time.Millisecond))
 	assert.False(t, l.refuses("popular"), "one that was under way elsewhere was answered")
 	due := l.Due()
 	require.Len(t, due, 1)
@@ -129,7 +129,7 @@
 	assert.False(t, isAllowed, "once")
 	_, isAllowed = l.Trial(aboutOf("harmful"), releases, later)
 	assert.False(t, isAllowed, "its ends came one after the other")
-	l.NoteAnswer(requestOf("popular"), later)
+	l.RecordAnswer(requestOf("popular"), later)
 	assert.False(t, l.refuses("popular"))
 }
 
@@ -184,7 +184,7 @@
 			body := fmt.Sprint("body ", random.IntN(3))
 			switch random.IntN(10) {
 			case 0:
-				ledgers[at].NoteAnswer(requestOf(body), now)
+				ledgers[at].RecordAnswer(requestOf(body), now)
 			case 1, 2, 3:
 				ledgers[at].note(endAt(fmt.Sprint("e", step), int(now.Sub(began).Milliseconds())), body)
 			case 4:
@@ -278,7 +278,7 @@
 	}
 	due := l.Due()
 	require.Len(t, due, 1)
-	l.NoteAnswer(requestOf("popular"), began.Add(5*time.Second))
+	l.RecordAnswer(requestOf("popular"), began.Add(5*time.Second))
 	l.Written(due[0])
 	due = l.Due()
 	require.Len(t, due, 1)
--- a/serve/harm.go
+++ b/serve/harm.go
@@ -70,12 +70,12 @@
 		return true
 	}
 	c.fingerprint()
-	return d.node.Harm.NoteEnd(c.about, willowwick.EndpointEnd{Endpoint: endpoint.ID, Release: release, At: clock.Now()})
+	return d.node.Harm.RecordCrash(c.about, willowwick.EndpointEnd{Endpoint: endpoint.ID, Release: release, At: clock.Now()})
 }
 
 // noteHarmless notes that an endpoint has answered the request whole.
 func (d *Daemon) noteHarmless(c *content) {
 	if !d.node.Harm.IsEmpty() {
-		d.node.Harm.NoteAnswer(c.fingerprint(), clock.Now())
+		d.node.Harm.RecordAnswer(c.fingerprint(), clock.Now())
 	}
 }
