--- a/exchange/born_test.go
+++ b/exchange/born_test.go
@@ -111,7 +111,7 @@
 	var b *bornSite
 	r := newRunner(t, "r1", func(w http.ResponseWriter, _ *http.Request) { hangUp(w) })
 	b = newBornSite(t, r.endpoint("v1"))
-	for range quarantine.RefuseAfter {
+	for range quarantine.RefuseAfterCrashes {
 		b.do(t, http.MethodPost, "/once/", "id", "harmful")
 		require.Equal(t, b.endpoint.Incarnation, b.daemon.router.pool.Endpoints()[0].Incarnation)
 		b.write(restart)
--- a/exchange/digest.go
+++ b/exchange/digest.go
@@ -58,7 +58,7 @@
 		TakesChanges bool                     // of the list of endpoints; a box of an earlier release takes whole lists alone
 		WantsList    bool                     // whole, since its own differs from what the peer told last
 		Harm         quarantine.Call
-		Limits       ratelimit.News
+		Limits       ratelimit.Updates
 	}
 
 	// SwapReply is a peer's digest with what the caller lacks.
@@ -69,8 +69,8 @@
 		Endpoints *EndpointList
 		Known     []KnownRow // all boxes, if the caller knows others
 		HallAges  []HallAge  // if it knows the same ones
-		Harm      quarantine.News
-		Limits    ratelimit.News
+		Harm      quarantine.Updates
+		Limits    ratelimit.Updates
 	}
 )
 
--- a/exchange/ends.go
+++ b/exchange/ends.go
@@ -124,7 +124,7 @@
 // look makes the check; an endpoint of which nothing shows in time counts as alive. It goes on if the caller of the request that
 // makes it leaves: others wait for what it shows, and would send the request to one more endpoint.
 func (e *endChecks) look(ctx context.Context, check *endCheck, address string) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), quarantine.CheckLimit)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), quarantine.CrashCheckTimeout)
 	defer cancel()
 	listens, known := e.router.conns.IsListening(ctx, address)
 	check.ended = known && !listens
@@ -195,7 +195,7 @@
 	var ended []brokenSend
 	e.mu.Lock()
 	e.drops = slices.DeleteFunc(e.drops, func(d droppedSend) bool {
-		at, isKnown := e.router.harm.EndOf(d.endpoint.ID, d.endpoint.Incarnation)
+		at, isKnown := e.router.harm.CrashTime(d.endpoint.ID, d.endpoint.Incarnation)
 		if isKnown && at.Sub(d.at).Abs() <= dropKept {
 			ended = append(ended, brokenSend{about: d.identify(), endpoint: d.endpoint, at: at})
 		}
--- a/exchange/era.go
+++ b/exchange/era.go
@@ -20,7 +20,7 @@
 	}
 	x := s.router
 	x.metrics.eraBegan()
-	rewritten := x.releases.beginEra(at.Era(), now) + x.harm.WriteAgain()
+	rewritten := x.releases.beginEra(at.Era(), now) + x.harm.MarkRefusedPending()
 	slog.Warn("store has come back from a copy of itself", "era", at.Era(), "former", former, "source", source,
 		"endpoints_read_to", s.endpointsAt(), "declarations_read_to", x.evacuations.newest().asOf, "to_write_again", rewritten)
 }
--- a/exchange/era_test.go
+++ b/exchange/era_test.go
@@ -139,7 +139,7 @@
 		harm := quarantine.New()
 		a := newAdmissions(harm)
 		request := willowwick.HarmfulRequest{Request: willowwick.Fingerprint{1}}
-		for i := range quarantine.RefuseAfter {
+		for i := range quarantine.RefuseAfterCrashes {
 			harm.RecordCrash(request, willowwick.EndpointEnd{Endpoint: "gone", Incarnation: willowwick.Incarnation(i), At: time.Now()})
 		}
 		require.True(t, harm.Refuses(request.Request))
@@ -201,7 +201,7 @@
 	s := newSite(t, newRunner(t, "r1", answerText("ok")).endpoint("v1"), newRunner(t, "r2", answerText("ok")).endpoint("v2"))
 	x := s.daemon.router
 	request := willowwick.HarmfulRequest{Request: willowwick.Fingerprint{7}, Service: "work"}
-	for i := range quarantine.RefuseAfter {
+	for i := range quarantine.RefuseAfterCrashes {
 		x.harm.RecordCrash(request, willowwick.EndpointEnd{Endpoint: "gone", Incarnation: willowwick.Incarnation(i), At: time.Now()})
 	}
 	s.control.change(func() { s.control.orders = []willowwick.ReleaseOrder{orderOf("v2", 1)} })
--- a/exchange/harm.go
+++ b/exchange/harm.go
@@ -32,7 +32,7 @@
 	}
 	x := c.router
 	if x.sync.isLeading() {
-		if release, isAllowed := x.harm.Trial(c.identify(), x.releasesOf(c.service, now), now); isAllowed {
+		if release, isAllowed := x.harm.AllowTrial(c.identify(), x.releasesOf(c.service, now), now); isAllowed {
 			slog.Info("refused request is tried", "request", c.head.ID, "fingerprint", c.fingerprint().String(), "release", release)
 			x.peers.hurry()
 			c.trial = release
@@ -86,7 +86,7 @@
 
 // noteHarmless notes that an endpoint has answered the request whole.
 func (s *send) noteHarmless(now time.Time) {
-	if quarantine.IsHarmlessBy(s.answer.Status) && !s.router.harm.IsEmpty() {
+	if quarantine.IsCompletedRun(s.answer.Status) && !s.router.harm.IsEmpty() {
 		s.router.harm.RecordAnswer(s.fingerprint(), now)
 	}
 }
@@ -142,14 +142,14 @@
 
 // writeHarmful writes what is due, and reports whether the store took it.
 func (s *syncer) writeHarmful(ctx context.Context) bool {
-	for _, request := range s.router.harm.Due() {
+	for _, request := range s.router.harm.PendingWrites() {
 		era := s.currentEra()
 		if err := s.control.SetHarmful(ctx, request.WithEndTimes(clock.System)); err != nil {
 			slog.Info("request that ends endpoints could not be written", "fingerprint", request.Request.String(), "error", err)
 			return false
 		}
 		if era == s.currentEra() {
-			s.router.harm.Written(request)
+			s.router.harm.MarkWritten(request)
 		}
 	}
 	return true
--- a/exchange/mesh_test.go
+++ b/exchange/mesh_test.go
@@ -321,7 +321,7 @@
 	m.count(t, "digests", []Digest{call.Digest, reply.Digest})
 	m.count(t, "boxes", reply.Known)
 	m.count(t, "ages of halls", reply.HallAges)
-	m.count(t, "limits", []ratelimit.News{call.Limits, reply.Limits})
+	m.count(t, "limits", []ratelimit.Updates{call.Limits, reply.Limits})
 	switch {
 	case reply.Endpoints == nil:
 	case reply.Endpoints.Since == 0:
--- a/exchange/peers.go
+++ b/exchange/peers.go
@@ -63,7 +63,7 @@
 	}
 	p.askBox = p.callForPermit
 	if len(x.settings.Seeds) > 0 {
-		x.limits.AwaitNews(p.began.Add(lookFor))
+		x.limits.AwaitUpdates(p.began.Add(lookFor))
 	}
 	for _, address := range x.settings.Seeds {
 		p.list(KnownBox{Address: address}, clock.Now())
--- a/exchange/permits.go
+++ b/exchange/permits.go
@@ -39,14 +39,14 @@
 	}
 	x, id := c.router, ticket.Endpoint.ID
 	now := clock.Now()
-	reply, err := x.peers.askPermit(c.ctx, x.limits.Ask(now, id, x.settings.Box), now)
+	reply, err := x.peers.askPermit(c.ctx, x.limits.NewCall(now, id, x.settings.Box), now)
 	if err != nil {
 		slog.Debug("no permit was had", "endpoint", id, "error", err)
 		x.metrics.asked("unanswered")
-		x.limits.Unanswered(clock.Now(), id)
+		x.limits.HandleNoReply(clock.Now(), id)
 		return false
 	}
-	if !x.limits.Answered(clock.Now(), now, id, reply) {
+	if !x.limits.HandleReply(clock.Now(), now, id, reply) {
 		x.metrics.asked("denied")
 		return false
 	}
--- a/exchange/ratelimit_fleet_test.go
+++ b/exchange/ratelimit_fleet_test.go
@@ -76,12 +76,12 @@
 }
 
 func (l *limitMesh) ask(t *testing.T, box *meshBox, now time.Time) bool {
-	reply, err := box.peers.askPermit(t.Context(), box.limits.Ask(now, l.endpoint.ID, box.settings.Box), now)
+	reply, err := box.peers.askPermit(t.Context(), box.limits.NewCall(now, l.endpoint.ID, box.settings.Box), now)
 	if err != nil {
-		box.limits.Unanswered(clock.Now(), l.endpoint.ID)
+		box.limits.HandleNoReply(clock.Now(), l.endpoint.ID)
 		return false
 	}
-	return box.limits.Answered(clock.Now(), now, l.endpoint.ID, reply)
+	return box.limits.HandleReply(clock.Now(), now, l.endpoint.ID, reply)
 }
 
 // answer lets the answers come whose time it is.
--- a/exchange/swap.go
+++ b/exchange/swap.go
@@ -120,8 +120,8 @@
 	if version, takesPacked, heard := p.versionOf(address); heard {
 		call.Table, call.Packed = p.tableFor(version, takesPacked)
 	}
-	call.Harm = p.harm.CallTo(address, now)
-	call.Limits = p.limits.CallTo(address, now)
+	call.Harm = p.harm.NewCall(address, now)
+	call.Limits = p.limits.NewCall(address, now)
 	return call
 }
 
@@ -134,11 +134,11 @@
 	p.takeTable(reply.Table, reply.Packed, &reply.Digest)
 	p.router.sync.hearConfig(&reply.Digest, now)
 	p.router.sync.takeFromPeer(reply, now)
-	isNews := p.harm.Took(call.Harm, reply.Harm, reply.Digest.Address, reply.Digest.Boot, now)
+	isNews := p.harm.HandleAnswer(call.Harm, reply.Harm, reply.Digest.Address, reply.Digest.Boot, now)
 	if isNews {
 		p.router.ends.countDropped()
 	}
-	if p.limits.Took(reply.Limits, reply.Digest.Address, sent) || isNews {
+	if p.limits.HandleAnswer(reply.Limits, reply.Digest.Address, sent) || isNews {
 		p.hurry()
 	}
 }
--- a/fleet/digest.go
+++ b/fleet/digest.go
@@ -100,7 +100,7 @@
 		HallMarks []HallMark
 		Halls     []HallDigest
 		Harm      quarantine.Call
-		Limits    ratelimit.News
+		Limits    ratelimit.Updates
 	}
 
 	// ExchangeReply brings what the caller lacked and asks for what the answerer lacks.
@@ -111,8 +111,8 @@
 		Halls     []HallDigest
 		Want      []NameHash
 		Boot      willowwick.BootID
-		Harm      quarantine.News
-		Limits    ratelimit.News
+		Harm      quarantine.Updates
+		Limits    ratelimit.Updates
 	}
 
 	// PushArgs brings digests that were asked for.
--- a/fleet/gossip.go
+++ b/fleet/gossip.go
@@ -95,8 +95,8 @@
 		args.Halls = []HallDigest{n.Table.HallDigest(now)}
 		args.HallMarks = append(args.HallMarks, HallMark{Hall: n.Self.Hall, Stamp: hallStamp(now)})
 	}
-	args.Harm = n.harm.CallTo(with.Peer, now)
-	args.Limits = n.limits.CallTo(with.Peer, now)
+	args.Harm = n.harm.NewCall(with.Peer, now)
+	args.Limits = n.limits.NewCall(with.Peer, now)
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var reply ExchangeReply
@@ -105,8 +105,8 @@
 	}
 	n.noteTouch(clock.Now())
 	n.merge(clock.Now(), reply.Digests, reply.Halls)
-	n.limits.Took(reply.Limits, with.Peer, now)
-	n.harm.Took(args.Harm, reply.Harm, with.Peer, reply.Boot, clock.Now())
+	n.limits.HandleAnswer(reply.Limits, with.Peer, now)
+	n.harm.HandleAnswer(args.Harm, reply.Harm, with.Peer, reply.Boot, clock.Now())
 	n.heardOffset(callCtx, with.Peer, reply.Offset, reply.ConfirmMs)
 	if len(reply.Want) > 0 {
 		_ = n.Transport.Call(callCtx, with.Peer, rpcName+".Push", PushArgs{Digests: n.Table.Select(reply.Want)}, &Nothing{})
--- a/fleet/permits.go
+++ b/fleet/permits.go
@@ -27,13 +27,13 @@
 // to all boxes; where nobody does, each box grants itself its equal share.
 func (n *Node) ObtainPermit(ctx context.Context, endpoint willowwick.EndpointID) bool {
 	now := clock.Now()
-	reply, err := n.askPermit(ctx, n.Limits.Ask(now, endpoint, n.Self.Box), now)
+	reply, err := n.askPermit(ctx, n.Limits.NewCall(now, endpoint, n.Self.Box), now)
 	if err != nil {
 		slog.Debug("no permit was had", "endpoint", endpoint, "error", err)
-		n.Limits.Unanswered(clock.Now(), endpoint)
+		n.Limits.HandleNoReply(clock.Now(), endpoint)
 		return false
 	}
-	return n.Limits.Answered(clock.Now(), now, endpoint, reply)
+	return n.Limits.HandleReply(clock.Now(), now, endpoint, reply)
 }
 
 func (n *Node) askPermit(ctx context.Context, call ratelimit.Call, now time.Time) (ratelimit.Reply, error) {
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -13,66 +13,66 @@
 )
 
 const (
-	// RefuseAfter is how many endpoints a request must have ended, without a whole answer since, to be refused. Operators allow
+	// RefuseAfterCrashes is how many endpoints a request must have ended, without a whole answer since, to be refused. Operators allow
 	// three; one that fails by itself takes some requests with it that are as good as any others.
-	RefuseAfter = 3
-	// togetherWithin is the time within which ends are rather a failure of the endpoints, by a rack or a release: a request
+	RefuseAfterCrashes = 3
+	// correlationWindow is the time within which ends are rather a failure of the endpoints, by a rack or a release: a request
 	// that comes to many of them at once is refused, but is tried again.
-	togetherWithin = time.Second
-	// trialAfter is how long after its last end a refused request may be tried: by then all boxes refuse it.
-	trialAfter = 2 * time.Second
-	// trialGrowth is by how much the pause before each further trial is longer: 2 s, 20 s, 3 min. Each may end one more endpoint
+	correlationWindow = time.Second
+	// firstTrialDelay is how long after its last end a refused request may be tried: by then all boxes refuse it.
+	firstTrialDelay = 2 * time.Second
+	// trialBackoffFactor is by how much the pause before each further trial is longer: 2 s, 20 s, 3 min. Each may end one more endpoint
 	// with all that is at work there; operators allow three, of which one is left for boxes that have not been told.
-	trialGrowth = 10
-	// clearMargin is how much later than a whole answer an end still counts as before it: boxes tell each other how long ago
+	trialBackoffFactor = 10
+	// clearTolerance is how much later than a whole answer an end still counts as before it: boxes tell each other how long ago
 	// something was, and news may be under way for a swap.
-	clearMargin = time.Second
-	// suspectKept is how long ends count that have not led to a refusal: callers repeat for less than a minute.
-	suspectKept = 10 * time.Minute
-	// refusedKept is how long a request is refused after its last end. Within a day somebody has seen why endpoints end.
-	refusedKept = 24 * time.Hour
-	// expireEvery is how often what is too old to count is looked for.
-	expireEvery = time.Minute
-	// mostSuspects bounds the requests that are kept: 40 ends of endpoints with a hundred requests each, in 1 MB.
-	mostSuspects = 4096
-	// mostRefused bounds the requests that are refused; an endpoint has to end three times for each.
-	mostRefused = 256
-	// mostEnds bounds the ends that are kept of a request: more prove nothing.
-	mostEnds = 8
+	clearTolerance = time.Second
+	// suspectTTL is how long ends count that have not led to a refusal: callers repeat for less than a minute.
+	suspectTTL = 10 * time.Minute
+	// refusedTTL is how long a request is refused after its last end. Within a day somebody has seen why endpoints end.
+	refusedTTL = 24 * time.Hour
+	// expireInterval is how often what is too old to count is looked for.
+	expireInterval = time.Minute
+	// maxSuspects bounds the requests that are kept: 40 ends of endpoints with a hundred requests each, in 1 MB.
+	maxSuspects = 4096
+	// maxRefused bounds the requests that are refused; an endpoint has to end three times for each.
+	maxRefused = 256
+	// maxCrashes bounds the ends that are kept of a request: more prove nothing.
+	maxCrashes = 8
 )
 
 type (
 	// Ledger remembers under which requests endpoints ended; all boxes tell each other what they noted, and so come to the
 	// same opinion of a request, in whatever order the news reach them.
 	Ledger struct {
-		isUsed atomic.Bool // anything is kept
-
-		mu       sync.Mutex
-		suspects map[willowwick.Fingerprint]*suspect
-		likely   map[willowwick.Fingerprint]*suspect // those with enough ends to be refused
-		refused  map[willowwick.Fingerprint]bool
-		admitted map[willowwick.Fingerprint]willowwick.Position // by the operator
-		known    map[endKey]time.Time                           // ends of endpoints under whatever request
-		history  history
-		due      map[willowwick.Fingerprint]bool // what of them is kept at the store has to be written
-		stored   map[willowwick.Fingerprint]bool // the store holds it, as far as this box wrote or read it
-		expireAt time.Time                       // not looked for what is too old before
-	}
-
-	// endKey names the end of one life of an endpoint.
-	endKey struct {
+		hasSuspects atomic.Bool // anything is kept
+
+		mu            sync.Mutex
+		suspects      map[willowwick.Fingerprint]*suspect
+		candidates    map[willowwick.Fingerprint]*suspect // those with enough ends to be refused
+		refused       map[willowwick.Fingerprint]bool
+		admitted      map[willowwick.Fingerprint]willowwick.Position // by the operator
+		knownCrashes  map[crashKey]time.Time                         // ends of endpoints under whatever request
+		history       history
+		pendingWrites map[willowwick.Fingerprint]bool // what of them is kept at the store has to be written
+		stored        map[willowwick.Fingerprint]bool // the store holds it, as far as this box wrote or read it
+		nextExpiry    time.Time                       // not looked for what is too old before
+	}
+
+	// crashKey names the end of one life of an endpoint.
+	crashKey struct {
 		endpoint    willowwick.EndpointID
 		incarnation willowwick.Incarnation
 	}
 
 	// suspect is a request under which an endpoint ended.
 	suspect struct {
-		about     *willowwick.HarmfulRequest // without ends; nil if only other boxes saw the request
-		ends      map[endKey]willowwick.EndpointEnd
-		clearedAt time.Time // of its newest whole answer; ends before it do not count
-		tried     map[trial]bool
-		triedAt   time.Time // of its newest trial
-		updated   time.Time
+		details     *willowwick.HarmfulRequest // without ends; nil if only other boxes saw the request
+		crashes     map[crashKey]willowwick.EndpointEnd
+		clearedAt   time.Time // of its newest whole answer; ends before it do not count
+		trials      map[trial]bool
+		lastTrialAt time.Time // of its newest trial
+		updatedAt   time.Time
 	}
 
 	// trial is one of the sends of a refused request that find out whether it still ends endpoints.
@@ -85,15 +85,15 @@
 // New returns an empty ledger.
 func New() *Ledger {
 	return &Ledger{
-		suspects: map[willowwick.Fingerprint]*suspect{}, likely: map[willowwick.Fingerprint]*suspect{},
-		refused: map[willowwick.Fingerprint]bool{}, due: map[willowwick.Fingerprint]bool{}, known: map[endKey]time.Time{},
+		suspects: map[willowwick.Fingerprint]*suspect{}, candidates: map[willowwick.Fingerprint]*suspect{},
+		refused: map[willowwick.Fingerprint]bool{}, pendingWrites: map[willowwick.Fingerprint]bool{}, knownCrashes: map[crashKey]time.Time{},
 		stored: map[willowwick.Fingerprint]bool{},
 	}
 }
 
 // IsEmpty reports whether no request is suspected, so that none needs to be told from others.
 func (l *Ledger) IsEmpty() bool {
-	return !l.isUsed.Load()
+	return !l.hasSuspects.Load()
 }
 
 // Refuses reports whether a request is sent to no endpoint.
@@ -123,19 +123,19 @@
 func (l *Ledger) RecordCrash(about willowwick.HarmfulRequest, end willowwick.EndpointEnd) (isFirst bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_, isKnown := l.known[endKey{end.Endpoint, end.Incarnation}]
-	s := l.suspect(about.Request, end.At)
-	s.identify(about)
-	l.addEnd(about.Request, end, "")
-	l.judge(end.At, "seen here")
+	_, isKnown := l.knownCrashes[crashKey{end.Endpoint, end.Incarnation}]
+	s := l.ensureSuspect(about.Request, end.At)
+	s.setDetails(about)
+	l.addCrash(about.Request, end, "")
+	l.updateRefused(end.At, "seen here")
 	return !isKnown
 }
 
-// EndOf returns when one life of an endpoint ended, if it is known to have ended under any request.
-func (l *Ledger) EndOf(endpoint willowwick.EndpointID, incarnation willowwick.Incarnation) (at time.Time, isKnown bool) {
+// CrashTime returns when one life of an endpoint ended, if it is known to have ended under any request.
+func (l *Ledger) CrashTime(endpoint willowwick.EndpointID, incarnation willowwick.Incarnation) (at time.Time, isKnown bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	at, isKnown = l.known[endKey{endpoint, incarnation}]
+	at, isKnown = l.knownCrashes[crashKey{endpoint, incarnation}]
 	return at, isKnown
 }
 
@@ -143,30 +143,30 @@
 func (l *Ledger) RecordAnswer(request willowwick.Fingerprint, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.clear(request, now, "") {
-		l.judge(now, "answered here")
+	if l.applyAnswer(request, now, "") {
+		l.updateRefused(now, "answered here")
 	}
 }
 
-// Trial returns the release on whose endpoints a refused request may be tried, if there is one; no other box may ask at the same
+// AllowTrial returns the release on whose endpoints a refused request may be tried, if there is one; no other box may ask at the same
 // time. It is tried on a release that it has ended no endpoint of, which may bear it, and on any where something else may have been
 // the cause of its ends: they came close together, or another request was at work at all of them.
-func (l *Ledger) Trial(
+func (l *Ledger) AllowTrial(
 	about willowwick.HarmfulRequest, releases []willowwick.ReleaseID, now time.Time,
 ) (release willowwick.ReleaseID, allowed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	request := about.Request
 	s := l.suspects[request]
-	if s == nil || !l.refused[request] || now.Before(s.nextTrial()) {
+	if s == nil || !l.refused[request] || now.Before(s.nextTrialAt()) {
 		return "", false
 	}
-	s.identify(about)
-	isDoubtful := s.cameTogether() || l.hasTwin(s)
+	s.setDetails(about)
+	isDoubtful := s.hasCorrelatedCrashes() || l.hasEqualCandidate(s)
 	for _, release := range releases {
-		if isDoubtful || !s.endedOn(release) {
-			l.addTrial(request, trial{release, len(s.tried)}, now, "")
-			l.due[request] = true
+		if isDoubtful || !s.crashedOn(release) {
+			l.addTrial(request, trial{release, len(s.trials)}, now, "")
+			l.pendingWrites[request] = true
 			return release, true
 		}
 	}
@@ -177,125 +177,125 @@
 func (l *Ledger) Expire(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now.Before(l.expireAt) {
+	if now.Before(l.nextExpiry) {
 		return
 	}
-	l.expireAt = now.Add(expireEvery)
+	l.nextExpiry = now.Add(expireInterval)
 	for request, s := range l.suspects {
-		kept := suspectKept
+		kept := suspectTTL
 		if l.refused[request] {
-			kept = refusedKept
+			kept = refusedTTL
 		}
-		if now.Sub(s.updated) > kept {
-			l.forget(request)
+		if now.Sub(s.updatedAt) > kept {
+			l.remove(request)
 		}
 	}
-	for key, at := range l.known {
-		if now.Sub(at) > suspectKept {
-			delete(l.known, key)
+	for key, at := range l.knownCrashes {
+		if now.Sub(at) > suspectTTL {
+			delete(l.knownCrashes, key)
 		}
 	}
-	l.judge(now, "too old")
+	l.updateRefused(now, "too old")
 }
 
-// suspect returns what is kept of a request, from now on if it is new; the caller holds the lock.
-func (l *Ledger) suspect(request willowwick.Fingerprint, now time.Time) *suspect {
+// ensureSuspect returns what is kept of a request, from now on if it is new; the caller holds the lock.
+func (l *Ledger) ensureSuspect(request willowwick.Fingerprint, now time.Time) *suspect {
 	s := l.suspects[request]
 	if s == nil {
-		l.makeRoom()
-		s = &suspect{ends: map[endKey]willowwick.EndpointEnd{}, tried: map[trial]bool{}}
+		l.evictLeastSuspect()
+		s = &suspect{crashes: map[crashKey]willowwick.EndpointEnd{}, trials: map[trial]bool{}}
 		l.suspects[request] = s
-		l.isUsed.Store(true)
+		l.hasSuspects.Store(true)
 	}
-	if now.After(s.updated) {
-		s.updated = now
+	if now.After(s.updatedAt) {
+		s.updatedAt = now
 	}
 	return s
 }
 
-// makeRoom forgets the request with the fewest ends, of these the oldest, where as many are kept as may be; the caller holds
+// evictLeastSuspect forgets the request with the fewest ends, of these the oldest, where as many are kept as may be; the caller holds
 // the lock.
-func (l *Ledger) makeRoom() {
-	if len(l.suspects) < mostSuspects {
+func (l *Ledger) evictLeastSuspect() {
+	if len(l.suspects) < maxSuspects {
 		return
 	}
 	var least willowwick.Fingerprint
 	var found *suspect
 	for request, s := range l.suspects {
-		isLess := found == nil || len(s.ends) < len(found.ends) || len(s.ends) == len(found.ends) && s.updated.Before(found.updated)
+		isLess := found == nil || len(s.crashes) < len(found.crashes) || len(s.crashes) == len(found.crashes) && s.updatedAt.Before(found.updatedAt)
 		if isLess {
 			least, found = request, s
 		}
 	}
-	l.forget(least)
+	l.remove(least)
 }
 
-// forget drops a request; the caller holds the lock.
-func (l *Ledger) forget(request willowwick.Fingerprint) {
+// remove drops a request; the caller holds the lock.
+func (l *Ledger) remove(request willowwick.Fingerprint) {
 	delete(l.suspects, request)
-	delete(l.likely, request)
-	l.isUsed.Store(len(l.suspects) > 0)
+	delete(l.candidates, request)
+	l.hasSuspects.Store(len(l.suspects) > 0)
 }
 
-// addEnd takes the end of an endpoint under a request, and reports whether it is news; the caller holds the lock.
-func (l *Ledger) addEnd(request willowwick.Fingerprint, end willowwick.EndpointEnd, from string) bool {
-	s := l.suspect(request, end.At)
-	key := endKey{end.Endpoint, end.Incarnation}
-	_, known := s.ends[key]
-	if known || s.isCleared(end) || len(s.ends) >= mostEnds {
+// addCrash takes the end of an endpoint under a request, and reports whether it is news; the caller holds the lock.
+func (l *Ledger) addCrash(request willowwick.Fingerprint, end willowwick.EndpointEnd, from string) bool {
+	s := l.ensureSuspect(request, end.At)
+	key := crashKey{end.Endpoint, end.Incarnation}
+	_, known := s.crashes[key]
+	if known || s.isCleared(end) || len(s.crashes) >= maxCrashes {
 		return false
 	}
-	s.ends[key] = end
-	l.known[key] = end.At
-	if len(s.ends) >= RefuseAfter {
-		l.likely[request] = s
+	s.crashes[key] = end
+	l.knownCrashes[key] = end.At
+	if len(s.crashes) >= RefuseAfterCrashes {
+		l.candidates[request] = s
 	}
-	l.history.add(entry{kind: kindEnd, request: request, end: end, from: from})
+	l.history.add(entry{kind: kindCrash, request: request, crash: end, from: from})
 	return true
 }
 
-// clear takes that a request was answered whole at a moment, and reports whether it is news; the caller holds the lock.
-func (l *Ledger) clear(request willowwick.Fingerprint, at time.Time, from string) bool {
+// applyAnswer takes that a request was answered whole at a moment, and reports whether it is news; the caller holds the lock.
+func (l *Ledger) applyAnswer(request willowwick.Fingerprint, at time.Time, from string) bool {
 	s := l.suspects[request]
-	if s == nil || len(s.ends) == 0 || !at.After(s.clearedAt) {
+	if s == nil || len(s.crashes) == 0 || !at.After(s.clearedAt) {
 		return false
 	}
-	s.clearedAt, s.updated = at, at
-	for key, end := range s.ends {
+	s.clearedAt, s.updatedAt = at, at
+	for key, end := range s.crashes {
 		if s.isCleared(end) {
-			delete(s.ends, key)
+			delete(s.crashes, key)
 		}
 	}
-	if len(s.ends) < RefuseAfter {
-		delete(l.likely, request)
+	if len(s.crashes) < RefuseAfterCrashes {
+		delete(l.candidates, request)
 	}
-	l.history.add(entry{kind: kindAnswer, request: request, end: willowwick.EndpointEnd{At: at}, from: from})
+	l.history.add(entry{kind: kindAnswer, request: request, crash: willowwick.EndpointEnd{At: at}, from: from})
 	return true
 }
 
 // addTrial takes that a request is tried, and reports whether it is news; the caller holds the lock.
 func (l *Ledger) addTrial(request willowwick.Fingerprint, tried trial, at time.Time, from string) bool {
 	s := l.suspects[request]
-	if s == nil || s.tried[tried] {
+	if s == nil || s.trials[tried] {
 		return false
 	}
-	s.tried[tried] = true
-	if at.After(s.triedAt) {
-		s.triedAt = at
+	s.trials[tried] = true
+	if at.After(s.lastTrialAt) {
+		s.lastTrialAt = at
 	}
-	l.history.add(entry{kind: kindTrial, request: request, end: willowwick.EndpointEnd{Release: tried.release, At: at}, trial: tried.number, from: from})
+	l.history.add(entry{kind: kindTrial, request: request, crash: willowwick.EndpointEnd{Release: tried.release, At: at}, trial: tried.number, from: from})
 	return true
 }
 
-// judge finds the requests that are refused now; the caller holds the lock.
-func (l *Ledger) judge(now time.Time, source string) {
+// updateRefused finds the requests that are refused now; the caller holds the lock.
+func (l *Ledger) updateRefused(now time.Time, source string) {
 	for request := range l.refused {
-		if l.likely[request] == nil || l.isVictim(l.likely[request]) {
+		if l.candidates[request] == nil || l.isExplainedByOther(l.candidates[request]) {
 			l.admit(request, source)
 		}
 	}
-	for request, s := range l.likely {
-		if !l.refused[request] && !l.isVictim(s) && len(l.refused) < mostRefused {
+	for request, s := range l.candidates {
+		if !l.refused[request] && !l.isExplainedByOther(s) && len(l.refused) < maxRefused {
 			l.refuse(request, s, now, source)
 		}
 	}
@@ -304,15 +304,15 @@
 // refuse notes that a request is refused from now on; the caller holds the lock.
 func (l *Ledger) refuse(request willowwick.Fingerprint, s *suspect, now time.Time, source string) {
 	l.refused[request] = true
-	l.due[request] = true
-	attributes := []any{"fingerprint", request.String(), "ends", len(s.ends), "source", source, "last_end_ms_ago", now.Sub(s.lastEnd()).Milliseconds()}
+	l.pendingWrites[request] = true
+	attributes := []any{"fingerprint", request.String(), "ends", len(s.crashes), "source", source, "last_end_ms_ago", now.Sub(s.lastCrash()).Milliseconds()}
 	var endpoints []string
-	for _, end := range s.sorted() {
+	for _, end := range s.sortedCrashes() {
 		endpoints = append(endpoints, string(end.Endpoint))
 	}
 	attributes = append(attributes, "endpoints", endpoints)
-	if s.about != nil {
-		attributes = append(attributes, "account", s.about.Account, "service", s.about.Service, "host", s.about.Host, "target", s.about.Target)
+	if s.details != nil {
+		attributes = append(attributes, "account", s.details.Account, "service", s.details.Service, "host", s.details.Host, "target", s.details.Target)
 	}
 	slog.Warn("request is refused from now on: endpoints ended while they ran it", attributes...)
 }
@@ -320,68 +320,68 @@
 // admit notes that a request is sent to endpoints again; the caller holds the lock.
 func (l *Ledger) admit(request willowwick.Fingerprint, source string) {
 	delete(l.refused, request)
-	l.due[request] = l.stored[request] // others drop what they wrote
+	l.pendingWrites[request] = l.stored[request] // others drop what they wrote
 	slog.Info("request is sent to endpoints again", "fingerprint", request.String(), "source", source)
 }
 
-// isVictim reports whether another request was at work wherever endpoints ended under this one, and at more ends besides: they
+// isExplainedByOther reports whether another request was at work wherever endpoints ended under this one, and at more ends besides: they
 // are that one's doing. The caller holds the lock.
-func (l *Ledger) isVictim(s *suspect) bool {
-	for _, other := range l.likely {
-		if len(other.ends) > len(s.ends) && other.holds(s) {
+func (l *Ledger) isExplainedByOther(s *suspect) bool {
+	for _, other := range l.candidates {
+		if len(other.crashes) > len(s.crashes) && other.includesCrashesOf(s) {
 			return true
 		}
 	}
 	return false
 }
 
-// hasTwin reports whether another request was at work at the same ends, and at no others; the caller holds the lock.
-func (l *Ledger) hasTwin(s *suspect) bool {
-	for _, other := range l.likely {
-		if other != s && len(other.ends) == len(s.ends) && other.holds(s) {
+// hasEqualCandidate reports whether another request was at work at the same ends, and at no others; the caller holds the lock.
+func (l *Ledger) hasEqualCandidate(s *suspect) bool {
+	for _, other := range l.candidates {
+		if other != s && len(other.crashes) == len(s.crashes) && other.includesCrashesOf(s) {
 			return true
 		}
 	}
 	return false
 }
 
-// identify keeps what is told of a request to operators, unless it is known.
-func (s *suspect) identify(about willowwick.HarmfulRequest) {
-	if s.about == nil {
+// setDetails keeps what is told of a request to operators, unless it is known.
+func (s *suspect) setDetails(about willowwick.HarmfulRequest) {
+	if s.details == nil {
 		about.Ends, about.Tried = nil, nil
-		s.about = &about
+		s.details = &about
 	}
 }
 
 // isCleared reports whether a whole answer makes an end count for nothing.
 func (s *suspect) isCleared(end willowwick.EndpointEnd) bool {
-	return !s.clearedAt.IsZero() && !end.At.After(s.clearedAt.Add(clearMargin))
+	return !s.clearedAt.IsZero() && !end.At.After(s.clearedAt.Add(clearTolerance))
 }
 
-// holds reports whether all ends of another request are among those of this one.
-func (s *suspect) holds(other *suspect) bool {
-	for key := range other.ends {
-		if _, found := s.ends[key]; !found {
+// includesCrashesOf reports whether all ends of another request are among those of this one.
+func (s *suspect) includesCrashesOf(other *suspect) bool {
+	for key := range other.crashes {
+		if _, found := s.crashes[key]; !found {
 			return false
 		}
 	}
 	return true
 }
 
-// sorted are the ends in the order in which they came.
-func (s *suspect) sorted() []willowwick.EndpointEnd {
-	ends := make([]willowwick.EndpointEnd, 0, len(s.ends))
-	for _, end := range s.ends {
+// sortedCrashes are the ends in the order in which they came.
+func (s *suspect) sortedCrashes() []willowwick.EndpointEnd {
+	ends := make([]willowwick.EndpointEnd, 0, len(s.crashes))
+	for _, end := range s.crashes {
 		ends = append(ends, end)
 	}
 	slices.SortFunc(ends, func(a, b willowwick.EndpointEnd) int { return a.At.Compare(b.At) })
 	return ends
 }
 
-// lastEnd is when the last endpoint ended under the request; zero if none did.
-func (s *suspect) lastEnd() time.Time {
+// lastCrash is when the last endpoint ended under the request; zero if none did.
+func (s *suspect) lastCrash() time.Time {
 	var last time.Time
-	for _, end := range s.ends {
+	for _, end := range s.crashes {
 		if end.At.After(last) {
 			last = end.At
 		}
@@ -389,23 +389,23 @@
 	return last
 }
 
-// nextTrial is when the request may be tried again.
-func (s *suspect) nextTrial() time.Time {
-	pause := trialAfter
-	for range s.tried {
-		pause = min(trialGrowth*pause, refusedKept)
+// nextTrialAt is when the request may be tried again.
+func (s *suspect) nextTrialAt() time.Time {
+	pause := firstTrialDelay
+	for range s.trials {
+		pause = min(trialBackoffFactor*pause, refusedTTL)
 	}
-	last := s.lastEnd()
-	if s.triedAt.After(last) {
-		last = s.triedAt
+	last := s.lastCrash()
+	if s.lastTrialAt.After(last) {
+		last = s.lastTrialAt
 	}
 	return last.Add(pause)
 }
 
-// trials are the releases on which the request was tried, in the order of the trials.
-func (s *suspect) trials() []willowwick.ReleaseID {
+// triedReleases are the releases on which the request was tried, in the order of the triedReleases.
+func (s *suspect) triedReleases() []willowwick.ReleaseID {
 	var list []willowwick.ReleaseID
-	for _, tried := range slices.SortedFunc(maps.Keys(s.tried), compareTrials) {
+	for _, tried := range slices.SortedFunc(maps.Keys(s.trials), compareTrials) {
 		list = append(list, tried.release)
 	}
 	return list
@@ -415,9 +415,9 @@
 	return cmp.Or(cmp.Compare(a.number, b.number), cmp.Compare(a.release, b.release))
 }
 
-// endedOn reports whether an endpoint of the release ended under the request.
-func (s *suspect) endedOn(release willowwick.ReleaseID) bool {
-	for _, end := range s.ends {
+// crashedOn reports whether an endpoint of the release ended under the request.
+func (s *suspect) crashedOn(release willowwick.ReleaseID) bool {
+	for _, end := range s.crashes {
 		if end.Release == release {
 			return true
 		}
@@ -425,8 +425,8 @@
 	return false
 }
 
-// cameTogether reports whether all ends came within a moment.
-func (s *suspect) cameTogether() bool {
-	ends := s.sorted()
-	return len(ends) > 0 && ends[len(ends)-1].At.Sub(ends[0].At) < togetherWithin
+// hasCorrelatedCrashes reports whether all ends came within a moment.
+func (s *suspect) hasCorrelatedCrashes() bool {
+	ends := s.sortedCrashes()
+	return len(ends) > 0 && ends[len(ends)-1].At.Sub(ends[0].At) < correlationWindow
 }
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -76,12 +76,12 @@
 		l.note(endAt(endpoint, 2000*i), "harmful", "victim")
 	}
 	later := began.Add(10 * time.Second)
-	_, isAllowed := l.Trial(aboutOf("victim"), releases, later)
+	_, isAllowed := l.AllowTrial(aboutOf("victim"), releases, later)
 	require.True(t, isAllowed)
 	l.RecordAnswer(requestOf("victim"), later)
 	assert.False(t, l.refuses("victim"))
 	assert.True(t, l.refuses("harmful"))
-	_, isAllowed = l.Trial(aboutOf("harmful"), releases, later)
+	_, isAllowed = l.AllowTrial(aboutOf("harmful"), releases, later)
 	assert.False(t, isAllowed, "nothing else is left that may have done it")
 }
 
@@ -96,20 +96,20 @@
 		l.note(endAt(endpoint, 3000+i), "popular")
 	}
 	require.True(t, l.refuses("popular"))
-	for _, record := range l.Due() {
-		l.Written(record)
+	for _, record := range l.PendingWrites() {
+		l.MarkWritten(record)
 	}
 	other := New()
-	other.Take(l.Since(Position{}, "boot", "other", began.Add(3010*time.Millisecond)), "own", began.Add(3010*time.Millisecond))
+	other.Merge(l.UpdatesSince(Position{}, "boot", "other", began.Add(3010*time.Millisecond)), "own", began.Add(3010*time.Millisecond))
 	require.True(t, other.refuses("popular"))
 	l.RecordAnswer(requestOf("popular"), began.Add(3100*time.Millisecond))
 	assert.False(t, l.refuses("popular"), "one that was under way elsewhere was answered")
-	due := l.Due()
+	due := l.PendingWrites()
 	require.Len(t, due, 1)
 	assert.Empty(t, due[0].Ends, "the store is told")
-	other.Take(l.Since(Position{}, "boot", "other", began.Add(3110*time.Millisecond)), "own", began.Add(3110*time.Millisecond))
+	other.Merge(l.UpdatesSince(Position{}, "boot", "other", began.Add(3110*time.Millisecond)), "own", began.Add(3110*time.Millisecond))
 	assert.False(t, other.refuses("popular"))
-	assert.Empty(t, other.Due(), "by the box that told it before")
+	assert.Empty(t, other.PendingWrites(), "by the box that told it before")
 }
 
 // Many endpoints that end at once are rather a failure of theirs, and a popular request is at all of them.
@@ -120,14 +120,14 @@
 		l.note(endAt(endpoint, i), "popular")
 		l.note(endAt("other-"+endpoint, 900*i), "harmful")
 	}
-	_, isAllowed := l.Trial(aboutOf("popular"), releases, began.Add(time.Second))
+	_, isAllowed := l.AllowTrial(aboutOf("popular"), releases, began.Add(time.Second))
 	assert.False(t, isAllowed, "some boxes may not refuse it yet")
 	later := began.Add(8 * time.Second)
-	_, isAllowed = l.Trial(aboutOf("popular"), releases, later)
+	_, isAllowed = l.AllowTrial(aboutOf("popular"), releases, later)
 	assert.True(t, isAllowed)
-	_, isAllowed = l.Trial(aboutOf("popular"), releases, later)
+	_, isAllowed = l.AllowTrial(aboutOf("popular"), releases, later)
 	assert.False(t, isAllowed, "once")
-	_, isAllowed = l.Trial(aboutOf("harmful"), releases, later)
+	_, isAllowed = l.AllowTrial(aboutOf("harmful"), releases, later)
 	assert.False(t, isAllowed, "its ends came one after the other")
 	l.RecordAnswer(requestOf("popular"), later)
 	assert.False(t, l.refuses("popular"))
@@ -140,18 +140,18 @@
 	}
 	releases := []willowwick.ReleaseID{"v1", "v2"}
 	later := began.Add(10 * time.Second)
-	release, isAllowed := l.Trial(aboutOf("harmful"), releases, later)
+	release, isAllowed := l.AllowTrial(aboutOf("harmful"), releases, later)
 	assert.True(t, isAllowed)
 	assert.Equal(t, willowwick.ReleaseID("v2"), release)
 	end := endAt("d", 10_100)
 	end.Release = "v2"
 	l.note(end, "harmful")
-	_, isAllowed = l.Trial(aboutOf("harmful"), releases, later.Add(time.Minute))
+	_, isAllowed = l.AllowTrial(aboutOf("harmful"), releases, later.Add(time.Minute))
 	assert.False(t, isAllowed)
 	assert.True(t, l.refuses("harmful"))
 	anew := New()
-	anew.Restore(l.Due(), later)
-	_, isAllowed = anew.Trial(aboutOf("harmful"), releases, later.Add(time.Minute))
+	anew.Restore(l.PendingWrites(), later)
+	_, isAllowed = anew.AllowTrial(aboutOf("harmful"), releases, later.Add(time.Minute))
 	assert.False(t, isAllowed, "nor by a box that starts anew")
 }
 
@@ -172,10 +172,10 @@
 		}
 		now := began
 		tell := func(from, to int, isLost bool) {
-			call := peers[from].CallTo(fmt.Sprint(to), now)
+			call := peers[from].NewCall(fmt.Sprint(to), now)
 			answer, _ := peers[to].Answer(call, fmt.Sprint(from), now)
 			if !isLost {
-				peers[from].Took(call, answer, fmt.Sprint(to), peers[to].boot, now)
+				peers[from].HandleAnswer(call, answer, fmt.Sprint(to), peers[to].boot, now)
 			}
 		}
 		for step := range steps {
@@ -215,14 +215,14 @@
 func TestNewsAreToldOnce(t *testing.T) {
 	a, b := New(), New()
 	a.note(endAt("a", 0), "one", "two")
-	news := a.Since(Position{}, "boot", "b", began)
+	news := a.UpdatesSince(Position{}, "boot", "b", began)
 	require.Len(t, news.Ends, 1)
 	assert.Len(t, news.Ends[0].Requests, 2, "a row for each end, not for each request")
-	assert.True(t, b.Take(news, "a", began))
-	assert.False(t, b.Take(news, "a", began))
-	assert.Empty(t, b.Since(Position{}, "", "a", began).Ends, "not told back to where it came from")
-	assert.Empty(t, a.Since(news.Position, "boot", "b", began).Ends)
-	assert.Equal(t, News{}, New().Since(Position{}, "boot", "b", began), "nothing on a calm day")
+	assert.True(t, b.Merge(news, "a", began))
+	assert.False(t, b.Merge(news, "a", began))
+	assert.Empty(t, b.UpdatesSince(Position{}, "", "a", began).Ends, "not told back to where it came from")
+	assert.Empty(t, a.UpdatesSince(news.Position, "boot", "b", began).Ends)
+	assert.Equal(t, Updates{}, New().UpdatesSince(Position{}, "boot", "b", began), "nothing on a calm day")
 }
 
 // A caller can fill the ledger with requests that were at an endpoint that ended once, and forces out nothing that counts.
@@ -230,20 +230,20 @@
 	l := New()
 	l.note(endAt("a", 0), "harmful")
 	l.note(endAt("b", 1000), "harmful")
-	for i := range 2 * mostSuspects {
+	for i := range 2 * maxSuspects {
 		l.note(endAt("c", 2000+i), fmt.Sprint("body ", i))
 	}
 	suspected, _ := l.Counts()
-	assert.Equal(t, mostSuspects, suspected)
-	assert.LessOrEqual(t, len(l.history.entries), mostHistory)
+	assert.Equal(t, maxSuspects, suspected)
+	assert.LessOrEqual(t, len(l.history.entries), maxHistory)
 	l.note(endAt("d", 3000), "harmful")
 	assert.True(t, l.refuses("harmful"))
 	l.Expire(began)
-	l.Expire(began.Add(2 * suspectKept))
+	l.Expire(began.Add(2 * suspectTTL))
 	suspected, refused := l.Counts()
 	assert.Equal(t, 1, suspected)
 	assert.Equal(t, 1, refused)
-	l.Expire(began.Add(2 * refusedKept))
+	l.Expire(began.Add(2 * refusedTTL))
 	assert.True(t, l.IsEmpty())
 	assert.False(t, l.refuses("harmful"))
 }
@@ -253,21 +253,21 @@
 	for i, endpoint := range []string{"a", "b", "c"} {
 		l.note(endAt(endpoint, 1000*i), "harmful")
 	}
-	due := l.Due()
+	due := l.PendingWrites()
 	require.Len(t, due, 1)
 	assert.Len(t, due[0].Ends, 3)
 	assert.Equal(t, willowwick.AccountID("ada"), due[0].Account)
-	l.Written(due[0])
-	assert.Empty(t, l.Due())
+	l.MarkWritten(due[0])
+	assert.Empty(t, l.PendingWrites())
 	anew := New()
 	anew.Restore(due, began.Add(time.Minute))
 	assert.True(t, anew.refuses("harmful"))
-	assert.Empty(t, anew.Due())
+	assert.Empty(t, anew.PendingWrites())
 	late := New()
-	late.Restore(due, began.Add(2*refusedKept))
+	late.Restore(due, began.Add(2*refusedTTL))
 	assert.False(t, late.refuses("harmful"))
-	require.Len(t, late.Due(), 1)
-	assert.Empty(t, late.Due()[0].Ends, "what is too old is dropped at the store")
+	require.Len(t, late.PendingWrites(), 1)
+	assert.Empty(t, late.PendingWrites()[0].Ends, "what is too old is dropped at the store")
 }
 
 // A request may be answered whole while the store is told that it is refused.
@@ -276,15 +276,15 @@
 	for i, endpoint := range []string{"a", "b", "c"} {
 		l.note(endAt(endpoint, 1000*i), "popular")
 	}
-	due := l.Due()
+	due := l.PendingWrites()
 	require.Len(t, due, 1)
 	l.RecordAnswer(requestOf("popular"), began.Add(5*time.Second))
-	l.Written(due[0])
-	due = l.Due()
+	l.MarkWritten(due[0])
+	due = l.PendingWrites()
 	require.Len(t, due, 1)
 	assert.Empty(t, due[0].Ends)
-	l.Written(due[0])
-	assert.Empty(t, l.Due())
+	l.MarkWritten(due[0])
+	assert.Empty(t, l.PendingWrites())
 }
 
 func TestNoCallerHasAnotherOnesRequestRefused(t *testing.T) {
@@ -315,7 +315,7 @@
 	const most = 2 // of the three sends that operators allow, one is left for boxes that have not been told
 	try := func(at int) {
 		release := willowwick.ReleaseID(fmt.Sprint("v", 2+at/10))
-		if _, isAllowed := l.Trial(aboutOf("harmful"), []willowwick.ReleaseID{"v1", release}, began.Add(time.Duration(at)*time.Second)); isAllowed {
+		if _, isAllowed := l.AllowTrial(aboutOf("harmful"), []willowwick.ReleaseID{"v1", release}, began.Add(time.Duration(at)*time.Second)); isAllowed {
 			tried++
 			end := endAt(fmt.Sprint("end ", at), 1000*at+100)
 			end.Release = release
@@ -337,14 +337,14 @@
 		l.note(endAt(endpoint, i), "popular")
 	}
 	releases := []willowwick.ReleaseID{"v1"}
-	_, isAllowed := l.Trial(aboutOf("popular"), releases, began.Add(3*time.Second))
+	_, isAllowed := l.AllowTrial(aboutOf("popular"), releases, began.Add(3*time.Second))
 	require.True(t, isAllowed)
-	_, isAllowed = l.Trial(aboutOf("popular"), releases, began.Add(10*time.Second))
+	_, isAllowed = l.AllowTrial(aboutOf("popular"), releases, began.Add(10*time.Second))
 	assert.False(t, isAllowed)
-	_, isAllowed = l.Trial(aboutOf("popular"), releases, began.Add(time.Minute))
+	_, isAllowed = l.AllowTrial(aboutOf("popular"), releases, began.Add(time.Minute))
 	assert.True(t, isAllowed)
 	anew := New()
-	anew.Restore(l.Due(), began.Add(time.Minute))
-	_, isAllowed = anew.Trial(aboutOf("popular"), releases, began.Add(2*time.Minute))
+	anew.Restore(l.PendingWrites(), began.Add(time.Minute))
+	_, isAllowed = anew.AllowTrial(aboutOf("popular"), releases, began.Add(2*time.Minute))
 	assert.False(t, isAllowed, "a box that starts anew knows how often it was tried")
 }
--- a/quarantine/peers.go
+++ b/quarantine/peers.go
@@ -13,59 +13,59 @@
 		ledger *Ledger
 		boot   willowwick.BootID
 
-		mu   sync.Mutex
-		told map[string]told // by the other box's address
+		mu     sync.Mutex
+		states map[string]peerState // by the other box's address
 	}
 
 	// Call is what a box tells another one that it calls.
 	Call struct {
-		News  News
+		News  Updates
 		Known Position // up to where the caller knows what the other one has learnt
 	}
 
-	// told is how far two boxes know each other's news.
-	told struct {
-		theirs Position          // up to where this box knows what the other one has learnt
-		own    Position          // up to where the other one knows what this box has learnt
-		boot   willowwick.BootID // the life of the other one that knows it
+	// peerState is how far two boxes know each other's news.
+	peerState struct {
+		received     Position          // up to where this box knows what the other one has learnt
+		acknowledged Position          // up to where the other one knows what this box has learnt
+		boot         willowwick.BootID // the life of the other one that knows it
 	}
 )
 
 // NewPeers returns what a box in one of its lives tells others of a ledger.
 func NewPeers(ledger *Ledger, boot willowwick.BootID) *Peers {
-	return &Peers{ledger: ledger, boot: boot, told: map[string]told{}}
+	return &Peers{ledger: ledger, boot: boot, states: map[string]peerState{}}
 }
 
-// CallTo returns what this box tells another one.
-func (p *Peers) CallTo(address string, now time.Time) Call {
+// NewCall returns what this box tells another one.
+func (p *Peers) NewCall(address string, now time.Time) Call {
 	p.mu.Lock()
-	known := p.told[address]
+	known := p.states[address]
 	p.mu.Unlock()
-	return Call{News: p.ledger.Since(known.own, p.boot, address, now), Known: known.theirs}
+	return Call{News: p.ledger.UpdatesSince(known.acknowledged, p.boot, address, now), Known: known.received}
 }
 
 // Answer takes what a box tells that calls, and returns what it does not know; isNews says whether this box did not know it.
-func (p *Peers) Answer(call Call, from string, now time.Time) (answer News, isNews bool) {
-	isNews = p.ledger.Take(call.News, from, now)
-	return p.ledger.Since(call.Known, p.boot, from, now), isNews
+func (p *Peers) Answer(call Call, from string, now time.Time) (answer Updates, isNews bool) {
+	isNews = p.ledger.Merge(call.News, from, now)
+	return p.ledger.UpdatesSince(call.Known, p.boot, from, now), isNews
 }
 
-// Took takes the answer of a box, in one of its lives, to a call, and reports whether it was news. A box that was started anew
+// HandleAnswer takes the answer of a box, in one of its lives, to a call, and reports whether it was news. A box that was started anew
 // meanwhile knows nothing of what was told before.
-func (p *Peers) Took(call Call, answer News, address string, boot willowwick.BootID, now time.Time) (isNews bool) {
+func (p *Peers) HandleAnswer(call Call, answer Updates, address string, boot willowwick.BootID, now time.Time) (isNews bool) {
 	p.mu.Lock()
 	own := call.News.Position
-	if p.told[address].boot != boot {
+	if p.states[address].boot != boot {
 		own = Position{}
 	}
-	p.told[address] = told{theirs: answer.Position, own: own, boot: boot}
+	p.states[address] = peerState{received: answer.Position, acknowledged: own, boot: boot}
 	p.mu.Unlock()
-	return p.ledger.Take(answer, address, now)
+	return p.ledger.Merge(answer, address, now)
 }
 
 // Forget drops what is kept of a box that is gone.
 func (p *Peers) Forget(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.told, address)
+	delete(p.states, address)
 }
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -6,32 +6,32 @@
 	"github.com/willowwick/willowwick"
 )
 
-// Due returns what has to be written to the store: the refused requests that this box has seen itself, and those that are admitted
+// PendingWrites returns what has to be written to the store: the refused requests that this box has seen itself, and those that are admitted
 // again, without ends.
-func (l *Ledger) Due() []willowwick.HarmfulRequest {
+func (l *Ledger) PendingWrites() []willowwick.HarmfulRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var list []willowwick.HarmfulRequest
-	for request, isDue := range l.due {
+	for request, isDue := range l.pendingWrites {
 		s := l.suspects[request]
 		switch {
 		case !isDue:
-			delete(l.due, request)
+			delete(l.pendingWrites, request)
 		case !l.refused[request]:
 			list = append(list, willowwick.HarmfulRequest{Request: request})
-		case s != nil && s.about != nil:
-			record := *s.about
-			record.Ends, record.Tried = s.sorted(), s.trials()
+		case s != nil && s.details != nil:
+			record := *s.details
+			record.Ends, record.Tried = s.sortedCrashes(), s.triedReleases()
 			list = append(list, record)
 		default:
-			delete(l.due, request) // a box that has seen it writes it
+			delete(l.pendingWrites, request) // a box that has seen it writes it
 		}
 	}
 	return list
 }
 
-// Written notes that the store has what was due of a request. What changed meanwhile is due again.
-func (l *Ledger) Written(record willowwick.HarmfulRequest) {
+// MarkWritten notes that the store has what was due of a request. What changed meanwhile is due again.
+func (l *Ledger) MarkWritten(record willowwick.HarmfulRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	request, holds := record.Request, len(record.Ends) > 0
@@ -41,16 +41,16 @@
 		delete(l.stored, request)
 	}
 	s := l.suspects[request]
-	isCurrent := holds == l.refused[request] && (!holds || len(record.Tried) == len(s.tried))
-	l.due[request] = !isCurrent
+	isCurrent := holds == l.refused[request] && (!holds || len(record.Tried) == len(s.trials))
+	l.pendingWrites[request] = !isCurrent
 }
 
-// WriteAgain makes all that is refused due, since the store has lost it, and returns how much that is.
-func (l *Ledger) WriteAgain() int {
+// MarkRefusedPending makes all that is refused due, since the store has lost it, and returns how much that is.
+func (l *Ledger) MarkRefusedPending() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for request := range l.refused {
-		l.due[request] = true
+		l.pendingWrites[request] = true
 	}
 	return len(l.refused)
 }
@@ -62,10 +62,10 @@
 	for _, record := range records {
 		l.restore(record, now)
 	}
-	l.judge(now, "store")
+	l.updateRefused(now, "store")
 	for _, record := range records {
 		if l.refused[record.Request] {
-			delete(l.due, record.Request)
+			delete(l.pendingWrites, record.Request)
 		}
 	}
 }
@@ -77,12 +77,12 @@
 		if end.At.After(now) {
 			end.At = now // clocks of boxes differ
 		}
-		if now.Sub(end.At) > refusedKept {
-			l.due[record.Request] = true
+		if now.Sub(end.At) > refusedTTL {
+			l.pendingWrites[record.Request] = true
 			continue
 		}
-		l.suspect(record.Request, end.At).identify(record)
-		l.addEnd(record.Request, end, "")
+		l.ensureSuspect(record.Request, end.At).setDetails(record)
+		l.addCrash(record.Request, end, "")
 	}
 	for number, release := range record.Tried {
 		l.addTrial(record.Request, trial{release, number}, now, "")
--- a/quarantine/news.go
+++ b/quarantine/updates.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// kindEnd: an endpoint ended under the request.
-	kindEnd kind = iota
+	// kindCrash: an endpoint ended under the request.
+	kindCrash kind = iota
 	// kindAnswer: the request was answered whole.
 	kindAnswer
 	// kindTrial: the request is tried on a release.
 	kindTrial
 )
 
-// mostHistory bounds what is kept to be told to other boxes one by one; to a box that is further behind all is told.
-const mostHistory = 2 * mostSuspects
+// maxHistory bounds what is kept to be told to other boxes one by one; to a box that is further behind all is told.
+const maxHistory = 2 * maxSuspects
 
 type (
 	// kind is what an entry of the history says.
@@ -26,7 +26,7 @@
 	entry struct {
 		kind    kind
 		request willowwick.Fingerprint
-		end     willowwick.EndpointEnd // of an answer only the time, of a trial the time and the release
+		crash   willowwick.EndpointEnd // of an answer only the time, of a trial the time and the release
 		trial   int                    // number of a trial
 		from    string                 // the box that told of it; empty if it was seen here
 	}
@@ -43,16 +43,16 @@
 		Next uint64
 	}
 
-	// News is what one box tells another.
-	News struct {
+	// Updates is what one box tells another.
+	Updates struct {
 		Position Position // of the box that tells, after these news
-		Ends     []EndRow
+		Ends     []CrashRow
 		Answers  []AnswerRow
 		Trials   []TrialRow
 	}
 
-	// EndRow is the end of an endpoint with the requests that were at work there: 16 bytes each on the wire.
-	EndRow struct {
+	// CrashRow is the end of an endpoint with the requests that were at work there: 16 bytes each on the wire.
+	CrashRow struct {
 		Endpoint    willowwick.EndpointID
 		Incarnation willowwick.Incarnation
 		Release     willowwick.ReleaseID
@@ -78,8 +78,8 @@
 // add appends an entry.
 func (h *history) add(e entry) {
 	h.entries = append(h.entries, e)
-	if len(h.entries) > mostHistory {
-		dropped := len(h.entries) - mostHistory/2
+	if len(h.entries) > maxHistory {
+		dropped := len(h.entries) - maxHistory/2
 		h.entries = append([]entry(nil), h.entries[dropped:]...)
 		h.first += uint64(dropped)
 	}
@@ -90,19 +90,19 @@
 	return h.first + uint64(len(h.entries))
 }
 
-// Since returns what another box does not know, which has told how far it does; what it told itself is left out.
-func (l *Ledger) Since(known Position, boot willowwick.BootID, to string, now time.Time) News {
+// UpdatesSince returns what another box does not know, which has told how far it does; what it told itself is left out.
+func (l *Ledger) UpdatesSince(known Position, boot willowwick.BootID, to string, now time.Time) Updates {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.history.next() == 0 {
-		return News{} // on a calm day this costs swaps nothing
+		return Updates{} // on a calm day this costs swaps nothing
 	}
-	news := News{Position: Position{Boot: boot, Next: l.history.next()}}
+	news := Updates{Position: Position{Boot: boot, Next: l.history.next()}}
 	if known.Boot != boot || known.Next < l.history.first {
-		l.addAll(&news, now)
+		l.addEverything(&news, now)
 		return news
 	}
-	at := map[endKey]int{}
+	at := map[crashKey]int{}
 	for _, e := range l.history.entries[min(known.Next, l.history.next())-l.history.first:] {
 		if e.from == "" || e.from != to {
 			news.add(e, at, now)
@@ -111,52 +111,52 @@
 	return news
 }
 
-// addAll adds all that is known; the caller holds the lock.
-func (l *Ledger) addAll(news *News, now time.Time) {
-	at := map[endKey]int{}
+// addEverything adds all that is known; the caller holds the lock.
+func (l *Ledger) addEverything(news *Updates, now time.Time) {
+	at := map[crashKey]int{}
 	for request, s := range l.suspects {
 		if !s.clearedAt.IsZero() {
-			news.add(entry{kind: kindAnswer, request: request, end: willowwick.EndpointEnd{At: s.clearedAt}}, at, now)
+			news.add(entry{kind: kindAnswer, request: request, crash: willowwick.EndpointEnd{At: s.clearedAt}}, at, now)
 		}
-		for _, end := range s.ends {
-			news.add(entry{kind: kindEnd, request: request, end: end}, at, now)
+		for _, end := range s.crashes {
+			news.add(entry{kind: kindCrash, request: request, crash: end}, at, now)
 		}
-		for tried := range s.tried {
-			end := willowwick.EndpointEnd{Release: tried.release, At: s.triedAt}
-			news.add(entry{kind: kindTrial, request: request, end: end, trial: tried.number}, at, now)
+		for tried := range s.trials {
+			end := willowwick.EndpointEnd{Release: tried.release, At: s.lastTrialAt}
+			news.add(entry{kind: kindTrial, request: request, crash: end, trial: tried.number}, at, now)
 		}
 	}
 }
 
 // add adds an entry; at is where the rows of ends stand.
-func (n *News) add(e entry, at map[endKey]int, now time.Time) {
-	age := now.Sub(e.end.At).Milliseconds()
+func (n *Updates) add(e entry, at map[crashKey]int, now time.Time) {
+	age := now.Sub(e.crash.At).Milliseconds()
 	switch e.kind {
 	case kindAnswer:
 		n.Answers = append(n.Answers, AnswerRow{e.request, age})
 	case kindTrial:
-		n.Trials = append(n.Trials, TrialRow{e.request, e.end.Release, e.trial, age})
+		n.Trials = append(n.Trials, TrialRow{e.request, e.crash.Release, e.trial, age})
 	default:
-		key := endKey{e.end.Endpoint, e.end.Incarnation}
+		key := crashKey{e.crash.Endpoint, e.crash.Incarnation}
 		row, found := at[key]
 		if !found {
 			row = len(n.Ends)
 			at[key] = row
-			n.Ends = append(n.Ends, EndRow{Endpoint: key.endpoint, Incarnation: key.incarnation, Release: e.end.Release, AgeMs: age})
+			n.Ends = append(n.Ends, CrashRow{Endpoint: key.endpoint, Incarnation: key.incarnation, Release: e.crash.Release, AgeMs: age})
 		}
 		n.Ends[row].Requests = append(n.Ends[row].Requests, e.request)
 	}
 }
 
-// Take takes what another box told, and reports whether it was news.
-func (l *Ledger) Take(news News, from string, now time.Time) bool {
+// Merge takes what another box told, and reports whether it was news.
+func (l *Ledger) Merge(news Updates, from string, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	isNews := false
 	for _, row := range news.Ends {
 		end := willowwick.EndpointEnd{Endpoint: row.Endpoint, Incarnation: row.Incarnation, Release: row.Release, At: ago(now, row.AgeMs)}
 		for _, request := range row.Requests {
-			isNews = l.addEnd(request, end, from) || isNews
+			isNews = l.addCrash(request, end, from) || isNews
 		}
 	}
 	for _, row := range news.Trials {
@@ -164,10 +164,10 @@
 	}
 	// Answers come last: they may clear ends that came with them.
 	for _, row := range news.Answers {
-		isNews = l.clear(row.Request, ago(now, row.AgeMs), from) || isNews
+		isNews = l.applyAnswer(row.Request, ago(now, row.AgeMs), from) || isNews
 	}
 	if isNews {
-		l.judge(now, "peer "+from)
+		l.updateRefused(now, "peer "+from)
 	}
 	return isNews
 }
--- a/ratelimit/granter_test.go
+++ b/ratelimit/granter_test.go
@@ -36,10 +36,10 @@
 	start := time.Now()
 	for _, rate := range []willowwick.PerSecond{0.5, 2, 40, 2000} {
 		g, _ := newGranting(start, rate)
-		begun := start.Add(settleFor)
-		assert.Zero(t, granted(g, 1, start, settleFor, 100), "another box may grant yet")
+		begun := start.Add(takeoverDelay)
+		assert.Zero(t, granted(g, 1, start, takeoverDelay, 100), "another box may grant yet")
 		got := granted(g, 1, begun, 20*time.Second, 100)
-		assert.InDelta(t, 20*float64(rate), got, 2+float64(rate)*burstFor.Seconds(), "at %v a second", rate)
+		assert.InDelta(t, 20*float64(rate), got, 2+float64(rate)*burstWindow.Seconds(), "at %v a second", rate)
 	}
 }
 
@@ -47,7 +47,7 @@
 func TestAPartOfTheBoxesGetsAPartOfTheLimit(t *testing.T) {
 	start := time.Now()
 	g, _ := newGranting(start, 12)
-	got := granted(g, 1.0/3, start.Add(settleFor), 20*time.Second, 5)
+	got := granted(g, 1.0/3, start.Add(takeoverDelay), 20*time.Second, 5)
 	assert.InDelta(t, 80, got, 4)
 }
 
@@ -58,7 +58,7 @@
 	g, _ := newGranting(start, rate)
 	next := make([]time.Time, boxes)
 	asks, permits := 0, 0
-	for at := start.Add(settleFor); at.Before(start.Add(settleFor + length)); at = at.Add(10 * time.Millisecond) {
+	for at := start.Add(takeoverDelay); at.Before(start.Add(takeoverDelay + length)); at = at.Add(10 * time.Millisecond) {
 		for box := range next {
 			if at.Before(next[box]) {
 				continue
@@ -84,7 +84,7 @@
 	g, l := newGranting(start, 0)
 	rate, isLimited := l.Rate(start, endpoint.ID)
 	require.True(t, isLimited)
-	assert.Equal(t, leastRate, rate)
-	got := granted(g, 1, start.Add(settleFor), 100*time.Second, 1)
+	assert.Equal(t, minRate, rate)
+	got := granted(g, 1, start.Add(takeoverDelay), 100*time.Second, 1)
 	assert.InDelta(t, 10, got, 3, "only an answer shows that it takes something")
 }
--- a/ratelimit/ledger_test.go
+++ b/ratelimit/ledger_test.go
@@ -42,9 +42,9 @@
 		assert.True(t, isLimited)
 		assert.InDelta(t, want, float64(rate), 0.01)
 	}
-	_, isLimited := l.Rate(ended.Add(recoverFor), endpoint.ID)
+	_, isLimited := l.Rate(ended.Add(recoveryPeriod), endpoint.ID)
 	assert.False(t, isLimited)
-	assert.Equal(t, willowwick.PermissionFree, l.Use(ended.Add(recoverFor), endpoint.ID))
+	assert.Equal(t, willowwick.PermissionFree, l.Use(ended.Add(recoveryPeriod), endpoint.ID))
 }
 
 // An endpoint that starts again under its id has named nothing yet, nor has one that comes to a list anew.
@@ -60,7 +60,7 @@
 	assert.Equal(t, 1, l.Count())
 	l.Keep(nil)
 	assert.Zero(t, l.Count())
-	l.Take(News{Rows: []Row{{Endpoint: "e3", Rate: 1, EndedMs: neverMs}}}, "peer", now)
+	l.Merge(Updates{Rows: []Row{{Endpoint: "e3", Rate: 1, EndedMs: neverMs}}}, "peer", now)
 	l.Keep(nil)
 	assert.Equal(t, 1, l.Count(), "one that another box told of may not be listed here yet")
 }
@@ -74,12 +74,12 @@
 	b.Heard(at(900), at(800), willowwick.Endpoint{ID: "ended"}, willowwick.RateLimit{})
 	b.Heard(at(10), at(0), willowwick.Endpoint{ID: "differs"}, named(8))
 	a.Heard(at(20), at(0), willowwick.Endpoint{ID: "differs"}, named(1))
-	first := a.News(0, at(1000))
-	assert.True(t, b.Take(first, "peer a", at(1001)))
-	assert.True(t, a.Take(b.News(first.Sum, at(1002)), "peer b", at(1003)))
-	sumOf := func(l *Ledger) uint64 { return l.News(0, at(1004)).Sum }
+	first := a.UpdatesFor(0, at(1000))
+	assert.True(t, b.Merge(first, "peer a", at(1001)))
+	assert.True(t, a.Merge(b.UpdatesFor(first.Sum, at(1002)), "peer b", at(1003)))
+	sumOf := func(l *Ledger) uint64 { return l.UpdatesFor(0, at(1004)).Sum }
 	assert.Equal(t, sumOf(a), sumOf(b))
-	assert.Empty(t, a.News(sumOf(b), at(1005)).Rows, "there is nothing to tell")
+	assert.Empty(t, a.UpdatesFor(sumOf(b), at(1005)).Rows, "there is nothing to tell")
 	for _, l := range []*Ledger{a, b} {
 		assert.Equal(t, 2, l.Count())
 		rate, _ := l.Rate(at(1010), "differs")
@@ -97,27 +97,27 @@
 	nextAt, isLimited := l.Limited(now, endpoint.ID)
 	assert.True(t, isLimited)
 	assert.Equal(t, now, nextAt, "an answer may come at any moment")
-	row := l.Ask(now, endpoint.ID, "b1").Row
+	row := l.NewCall(now, endpoint.ID, "b1").Row
 	later := now.Add(5 * time.Millisecond)
-	assert.True(t, l.Answered(later, now, endpoint.ID, Reply{Row: row, Permits: 2}))
+	assert.True(t, l.HandleReply(later, now, endpoint.ID, Reply{Row: row, Permits: 2}))
 	assert.Equal(t, willowwick.PermissionHeld, l.Use(later, endpoint.ID))
 	assert.Equal(t, willowwick.PermissionToAsk, l.Use(later, endpoint.ID), "both are used")
-	assert.False(t, l.Answered(now.Add(time.Second), later, endpoint.ID, Reply{Row: row, Permits: 1}), "it came too late")
-	assert.False(t, l.Answered(now.Add(time.Second), now.Add(time.Second), endpoint.ID, Reply{Row: row, RetryMs: 400}))
+	assert.False(t, l.HandleReply(now.Add(time.Second), later, endpoint.ID, Reply{Row: row, Permits: 1}), "it came too late")
+	assert.False(t, l.HandleReply(now.Add(time.Second), now.Add(time.Second), endpoint.ID, Reply{Row: row, RetryMs: 400}))
 	assert.False(t, l.MayUse(now.Add(1300*time.Millisecond), endpoint.ID))
 	nextAt, _ = l.Limited(now.Add(1300*time.Millisecond), endpoint.ID)
 	assert.Equal(t, now.Add(1400*time.Millisecond), nextAt)
 	assert.True(t, l.MayUse(nextAt, endpoint.ID))
 	l.Use(nextAt, endpoint.ID)
-	l.Unanswered(nextAt, endpoint.ID)
+	l.HandleNoReply(nextAt, endpoint.ID)
 	assert.False(t, l.MayUse(nextAt, endpoint.ID))
-	assert.True(t, l.MayUse(nextAt.Add(2*askPause), endpoint.ID))
+	assert.True(t, l.MayUse(nextAt.Add(2*minAskDelay), endpoint.ID))
 }
 
 // A box that has just started gives each endpoint one request until it has answered, or another box has told what it knows.
 func TestABoxThatKnowsNothingYetTriesEndpointsOnce(t *testing.T) {
 	l, now := NewLedger(), time.Now()
-	l.AwaitNews(now.Add(time.Second))
+	l.AwaitUpdates(now.Add(time.Second))
 	l.Use(now, endpoint.ID)
 	assert.False(t, l.MayUse(now, endpoint.ID))
 	assert.True(t, l.MayUse(now, "e2"))
@@ -127,7 +127,7 @@
 	assert.True(t, l.MayUse(now, endpoint.ID), "it has answered")
 	l.Use(now, "e2")
 	assert.False(t, l.MayUse(now, "e2"))
-	l.Take(News{}, "peer", now)
+	l.Merge(Updates{}, "peer", now)
 	assert.True(t, l.MayUse(now, "e2"))
 }
 
--- a/ratelimit/peers.go
+++ b/ratelimit/peers.go
@@ -21,26 +21,26 @@
 	return &Peers{ledger: ledger, sums: map[string]uint64{}}
 }
 
-// CallTo returns what this box tells another one.
-func (p *Peers) CallTo(address string, now time.Time) News {
+// NewCall returns what this box tells another one.
+func (p *Peers) NewCall(address string, now time.Time) Updates {
 	p.mu.Lock()
 	theirs := p.sums[address]
 	p.mu.Unlock()
-	return p.ledger.News(theirs, now)
+	return p.ledger.UpdatesFor(theirs, now)
 }
 
 // Answer takes what a box tells that calls, and returns what it does not know; isNews says whether this box did not know it.
-func (p *Peers) Answer(call News, from string, now time.Time) (answer News, isNews bool) {
-	isNews = p.Took(call, from, now)
-	return p.ledger.News(call.Sum, now), isNews
+func (p *Peers) Answer(call Updates, from string, now time.Time) (answer Updates, isNews bool) {
+	isNews = p.HandleAnswer(call, from, now)
+	return p.ledger.UpdatesFor(call.Sum, now), isNews
 }
 
-// Took takes what a box told at a time, and reports whether it was news.
-func (p *Peers) Took(news News, from string, toldAt time.Time) (isNews bool) {
+// HandleAnswer takes what a box told at a time, and reports whether it was news.
+func (p *Peers) HandleAnswer(news Updates, from string, toldAt time.Time) (isNews bool) {
 	p.mu.Lock()
 	p.sums[from] = news.Sum
 	p.mu.Unlock()
-	return p.ledger.Take(news, "peer "+from, toldAt)
+	return p.ledger.Merge(news, "peer "+from, toldAt)
 }
 
 // Forget drops what is kept of a box that is gone.
@@ -50,8 +50,8 @@
 	delete(p.sums, address)
 }
 
-// answered is what came of a question.
-type answered struct {
+// callResult is what came of a question.
+type callResult struct {
 	reply Reply
 	err   error
 }
@@ -61,12 +61,12 @@
 func AskWithin(
 	ctx context.Context, limit, longest time.Duration, ask func(ctx context.Context) (Reply, error),
 ) (Reply, error) {
-	results := make(chan answered, 1)
+	results := make(chan callResult, 1)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), longest)
 		defer cancel()
 		reply, err := ask(ctx)
-		results <- answered{reply, err}
+		results <- callResult{reply, err}
 	}()
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
--- a/ratelimit/news.go
+++ b/ratelimit/updates.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// agesDiffer is by how much the same moment may seem to differ between boxes: their ages grow by the time on the way.
-	agesDiffer = 500 * time.Millisecond
+	// ageTolerance is by how much the same moment may seem to differ between boxes: their ages grow by the time on the way.
+	ageTolerance = 500 * time.Millisecond
 	// neverMs is the age of what has not happened.
 	neverMs = -1
 )
@@ -26,8 +26,8 @@
 		EndedMs     int64 // ago; negative if it has not ended
 	}
 
-	// News is what boxes tell each other of limits: a sum over all that one knows, and all of it where the other's sum differs.
-	News struct {
+	// Updates is what boxes tell each other of limits: a sum over all that one knows, and all of it where the other's sum differs.
+	Updates struct {
 		Sum  uint64
 		Rows []Row
 	}
@@ -73,11 +73,11 @@
 	return xxhash.Sum64(strconv.AppendBool(append(text, '/'), k.isNamed()))
 }
 
-// News tells another box, whose sum is given, what this one knows.
-func (l *Ledger) News(theirs uint64, now time.Time) News {
+// UpdatesFor tells another box, whose sum is given, what this one knows.
+func (l *Ledger) UpdatesFor(theirs uint64, now time.Time) Updates {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	news := News{}
+	news := Updates{}
 	for id, known := range l.limits {
 		news.Sum += known.sum(id)
 	}
@@ -90,21 +90,21 @@
 	return news
 }
 
-// Take takes what another box told at the given time, and reports whether it is news.
-func (l *Ledger) Take(news News, source string, toldAt time.Time) bool {
+// Merge takes what another box told at the given time, and reports whether it is news.
+func (l *Ledger) Merge(news Updates, source string, toldAt time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.untoldUntil = time.Time{}
-	clear(l.unanswered)
+	l.awaitUntil = time.Time{}
+	clear(l.awaitingFirstAnswer)
 	isNews := false
 	for _, row := range news.Rows {
-		isNews = l.merge(row, source, toldAt) || isNews
+		isNews = l.mergeRow(row, source, toldAt) || isNews
 	}
 	return isNews
 }
 
-// merge takes a row that was told at the given time; the caller holds the lock.
-func (l *Ledger) merge(row Row, source string, toldAt time.Time) bool {
+// mergeRow takes a row that was told at the given time; the caller holds the lock.
+func (l *Ledger) mergeRow(row Row, source string, toldAt time.Time) bool {
 	if row.Rate < 0 || row.NamedMs < 0 {
 		return false // an unknownRow
 	}
@@ -115,9 +115,9 @@
 	if known != nil && row.Incarnation > known.incarnation {
 		delete(l.limits, row.Endpoint)
 	}
-	known = l.entry(row.Endpoint, row.Incarnation)
+	known = l.ensureLimit(row.Endpoint, row.Incarnation)
 	before := *known
-	known.takeNamed(row.Rate, toldAt.Add(-time.Duration(row.NamedMs)*time.Millisecond))
+	known.mergeRate(row.Rate, toldAt.Add(-time.Duration(row.NamedMs)*time.Millisecond))
 	if row.EndedMs >= 0 {
 		if at := toldAt.Add(-time.Duration(row.EndedMs) * time.Millisecond); at.After(known.endedAt) {
 			known.endedAt = at
@@ -130,12 +130,12 @@
 	return isNews
 }
 
-// takeNamed takes the rate that was named later; of two that were named at about the same time, the lower one.
-func (k *limit) takeNamed(rate willowwick.PerSecond, at time.Time) {
+// mergeRate takes the rate that was named later; of two that were named at about the same time, the lower one.
+func (k *limit) mergeRate(rate willowwick.PerSecond, at time.Time) {
 	switch apart := at.Sub(k.namedAt); {
-	case apart > agesDiffer:
+	case apart > ageTolerance:
 		k.rate, k.namedAt = rate, at
-	case apart >= -agesDiffer && rate < k.rate:
+	case apart >= -ageTolerance && rate < k.rate:
 		k.rate = rate
 	}
 }
--- a/route/ratelimit_test.go
+++ b/route/ratelimit_test.go
@@ -22,8 +22,8 @@
 	for _, id := range limited {
 		ledger.Heard(now, now, willowwick.Endpoint{ID: id}, willowwick.RateLimit{Rate: 2, Named: true})
 		ledger.Use(now, id)
-		row := ledger.Ask(now, id, "b1").Row
-		ledger.Answered(now, now, id, ratelimit.Reply{Row: row, RetryMs: deniedUntil.Sub(now).Milliseconds()})
+		row := ledger.NewCall(now, id, "b1").Row
+		ledger.HandleReply(now, now, id, ratelimit.Reply{Row: row, RetryMs: deniedUntil.Sub(now).Milliseconds()})
 	}
 	return pool
 }
--- a/serve/harm.go
+++ b/serve/harm.go
@@ -49,7 +49,7 @@
 	}
 	now := clock.Now()
 	if _, holdsLease := d.node.Lease.Fence(now); holdsLease {
-		if _, isAllowed := harm.Trial(c.about, []willowwick.ReleaseID{release}, now); isAllowed {
+		if _, isAllowed := harm.AllowTrial(c.about, []willowwick.ReleaseID{release}, now); isAllowed {
 			return nil
 		}
 	}
@@ -64,7 +64,7 @@
 	if !isSent || ctx.Err() != nil || !d.pool.Stays(endpoint.ID) {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(ctx, quarantine.CheckLimit)
+	ctx, cancel := context.WithTimeout(ctx, quarantine.CrashCheckTimeout)
 	defer cancel()
 	if listens, known := d.outside.Engine.IsListening(ctx, endpoint); listens || !known {
 		return true
--- a/serve/services.go
+++ b/serve/services.go
@@ -202,7 +202,7 @@
 		if err == nil {
 			entered.Done(route.OutcomeGood)
 			s.daemon.retries.Succeeded()
-			if quarantine.IsHarmlessBy(reply.status) {
+			if quarantine.IsCompletedRun(reply.status) {
 				s.daemon.noteHarmless(s.content)
 			}
 			return reply, nil
