--- a/exchange/rest_test.go
+++ b/exchange/backoff_test.go
@@ -13,9 +13,9 @@
 	"github.com/willowwick/willowwick"
 )
 
-// newRestSite starts a box before one runner that first turns requests away and asks for rest, and after it answers. The route lets
+// newBackoffSite starts a box before one runner that first turns requests away and asks for rest, and after it answers. The route lets
 // requests wait for half a second.
-func newRestSite(t *testing.T, rest time.Duration, hasRun bool) (*site, *runner) {
+func newBackoffSite(t *testing.T, rest time.Duration, hasRun bool) (*site, *runner) {
 	var turnedAway atomic.Bool
 	r := newRunner(t, "r1", func(w http.ResponseWriter, _ *http.Request) {
 		if turnedAway.Swap(true) {
@@ -34,10 +34,10 @@
 }
 
 // A request whose time leaves enough after the rest waits for its end; one whose time does not is refused, with the end of the rest.
-func TestARequestWaitsForAShortRestAlone(t *testing.T) {
+func TestRequestWaitsForShortBackoffOnly(t *testing.T) {
 	for rest, status := range map[time.Duration]int{100 * time.Millisecond: http.StatusOK, time.Second: http.StatusServiceUnavailable} {
 		t.Run(rest.String(), func(t *testing.T) {
-			s, r := newRestSite(t, rest, false)
+			s, r := newBackoffSite(t, rest, false)
 			began := time.Now()
 			reply := s.do(t, http.MethodPost, "/once/", "first", "x")
 			assert.Equal(t, status, reply.status, reply.body)
@@ -47,7 +47,7 @@
 				assert.GreaterOrEqual(t, time.Since(began), rest)
 				return
 			}
-			assert.Less(t, time.Since(began), limitLast, "it is refused at once")
+			assert.Less(t, time.Since(began), refusalMax, "it is refused at once")
 			seconds, err := strconv.ParseFloat(reply.header.Get("Retry-After"), 64)
 			require.NoError(t, err)
 			assert.InDelta(t, 1.5*rest.Seconds(), seconds, rest.Seconds()/2+0.2, "the time of its return")
@@ -57,8 +57,8 @@
 }
 
 // A 503 that does not say that nothing ran asks for rest all the same.
-func TestA503ThatMayHaveRunAsksForRest(t *testing.T) {
-	s, r := newRestSite(t, time.Second, true)
+func TestBackoffIsHonoredFrom503ThatMayHaveRun(t *testing.T) {
+	s, r := newBackoffSite(t, time.Second, true)
 	assert.Equal(t, http.StatusBadGateway, s.do(t, http.MethodPost, "/once/", "first", "x").status, "what may have run promises nothing")
 	for n := range 5 {
 		assert.Equal(t, http.StatusServiceUnavailable, s.do(t, http.MethodPost, "/once/", fmt.Sprint(n), "x").status)
@@ -67,7 +67,7 @@
 }
 
 // Where all other endpoints rest, a request that one has turned away goes there again after a moment.
-func TestARequestIsSentAgainToAFullEndpointWhileAllOthersRest(t *testing.T) {
+func TestRetryToFullEndpointIsDelayedWhenOthersBackOff(t *testing.T) {
 	const full = 150 * time.Millisecond
 	began := time.Now()
 	resting := newRunner(t, "r1", answerText("ok"))
@@ -94,7 +94,7 @@
 }
 
 // A rest that is asked for between the choice of an endpoint and the send holds for that request.
-func TestARequestIsNotSentToAnEndpointThatAskedForRestMeanwhile(t *testing.T) {
+func TestRequestIsWithheldWhenChosenEndpointBacksOff(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	s := newSite(t, r.endpoint("v1"))
 	c, _ := s.newCall(t, "/once/", "meanwhile")
@@ -111,7 +111,7 @@
 
 // All endpoints but one leave, and that one is full for a moment: a request was sent there eight times within two milliseconds, each time on
 // the fleet's budget of repeats, and then failed.
-func TestARequestIsSentAgainToTheOnlyEndpointAfterAMoment(t *testing.T) {
+func TestRetryToOnlyEndpointIsDelayed(t *testing.T) {
 	const full = 150 * time.Millisecond
 	began := time.Now()
 	r := newRunner(t, "r1", func(w http.ResponseWriter, _ *http.Request) {
--- a/exchange/cold_test.go
+++ b/exchange/cold_test.go
@@ -12,7 +12,7 @@
 )
 
 // A new endpoint once got all requests of the first moments, since it was the least loaded, and fell over.
-func TestColdEndpointIsGivenLittleUntilItIsWarm(t *testing.T) {
+func TestColdEndpointGetsFewRequests(t *testing.T) {
 	const requests = 30
 	warm, cold := newRunner(t, "r1", answerText("ok")), newRunner(t, "r2", answerText("ok"))
 	s := newSite(t, warm.endpoint("v1"))
@@ -27,7 +27,7 @@
 	require.Eventually(t, func() bool {
 		_, found := s.daemon.router.sync.entry(cold.id)
 		return found && s.daemon.router.configVersion() == 2
-	}, patience, time.Millisecond)
+	}, waitTimeout, time.Millisecond)
 	for i := range requests {
 		require.Equal(t, http.StatusOK, s.do(t, http.MethodPost, "/once/", fmt.Sprint(i), "x").status)
 	}
@@ -36,7 +36,7 @@
 }
 
 // The time of day differs between boxes, so what is left of it counts, not when it ends.
-func TestBoxThatIsFedKnowsForHowLongAnEndpointIsCold(t *testing.T) {
+func TestColdTimeIsCorrectedForClockSkew(t *testing.T) {
 	const left, ahead = 3 * time.Second, time.Hour
 	r := newRunner(t, "r1", answerText("ok"))
 	_, sites := newHall(t, 1, r.endpoint("v1"))
--- a/exchange/cut_off_test.go
+++ b/exchange/cut_off_test.go
@@ -33,14 +33,14 @@
 	settings := testSettings()
 	settings.Box, settings.LinkMbps, settings.Drain = "box-second", 100, feedDrain
 	second := startSite(t, control, settings).daemon.router
-	require.Eventually(t, func() bool { return second.peers.reads(time.Now()) }, patience, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return second.peers.reads(time.Now()) }, waitTimeout, 10*time.Millisecond)
 	settings.Box, settings.LinkMbps = "box-first", 200
 	settings.Seeds = []string{second.settings.Peers}
 	own := &turningControl{testControl: control}
 	own.turnedAway.Store(true)
 	first := startSite(t, own, settings).daemon.router
 	time.Sleep(peerFresh)
-	control.change(func() { control.table = testTable(2, againRoute()) })
-	require.Eventually(t, func() bool { return second.configVersion() == 2 }, patience, 10*time.Millisecond)
-	assert.Eventually(t, func() bool { return first.configVersion() == 2 }, patience, 10*time.Millisecond)
+	control.change(func() { control.table = testTable(2, retryRoute()) })
+	require.Eventually(t, func() bool { return second.configVersion() == 2 }, waitTimeout, 10*time.Millisecond)
+	assert.Eventually(t, func() bool { return first.configVersion() == 2 }, waitTimeout, 10*time.Millisecond)
 }
--- a/exchange/leaving_test.go
+++ b/exchange/draining_test.go
@@ -15,27 +15,27 @@
 	"github.com/willowwick/willowwick/route"
 )
 
-// newLeavingSite starts a box before two runners, of which the first answers by the handler.
-func newLeavingSite(t *testing.T, handler http.HandlerFunc) (b *bornSite, leaving, other *runner) {
+// newDrainingSite starts a box before two runners, of which the first answers by the handler.
+func newDrainingSite(t *testing.T, handler http.HandlerFunc) (b *restartSite, leaving, other *runner) {
 	leaving, other = newRunner(t, "r1", handler), newRunner(t, "r2", answerText("ok"))
-	b = newBornSite(t, leaving.endpoint("v1"))
+	b = newRestartSite(t, leaving.endpoint("v1"))
 	b.control.change(func() { b.control.endpoints["r2"] = other.endpoint("v1") })
-	require.Eventually(t, func() bool { return len(b.daemon.router.pool.Endpoints()) == 2 }, patience, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return len(b.daemon.router.pool.Endpoints()) == 2 }, waitTimeout, 5*time.Millisecond)
 	return b, leaving, other
 }
 
 // tell sends requests until the box knows that the first runner leaves.
-func (b *bornSite) tell(t *testing.T, path string, header ...string) {
+func (b *restartSite) tell(t *testing.T, path string, header ...string) {
 	n := 0
 	require.Eventually(t, func() bool {
 		n++
 		b.do(t, http.MethodPost, path, fmt.Sprint("tell-", n), "x", header...)
 		return b.daemon.router.pool.IsLeaving("r1")
-	}, patience, time.Millisecond)
+	}, waitTimeout, time.Millisecond)
 }
 
 // assertUnused checks that the first runner gets nothing of many requests.
-func (b *bornSite) assertUnused(t *testing.T, r *runner) {
+func (b *restartSite) assertUnused(t *testing.T, r *runner) {
 	t.Helper()
 	before := len(r.requests())
 	for n := range 40 {
@@ -44,11 +44,11 @@
 	assert.Equal(t, before, len(r.requests()), "requests to an endpoint that leaves")
 }
 
-func sayLeaving(w http.ResponseWriter) { w.Header().Set("T-Leaving", "1") }
+func writeDraining(w http.ResponseWriter) { w.Header().Set("T-Leaving", "1") }
 
 // Not only whole answers tell that an endpoint leaves: errors, refusals, heads of streams and answers that are dropped for another
 // model's do as well.
-func TestEveryAnswerTellsThatItsEndpointLeaves(t *testing.T) {
+func TestEveryKindOfAnswerReportsDraining(t *testing.T) {
 	for name, answer := range map[string]http.HandlerFunc{
 		"failure": func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(http.StatusInternalServerError)
@@ -67,8 +67,8 @@
 		"whole": answerText("ok"),
 	} {
 		t.Run(name, func(t *testing.T) {
-			b, leaving, _ := newLeavingSite(t, func(w http.ResponseWriter, r *http.Request) {
-				sayLeaving(w)
+			b, leaving, _ := newDrainingSite(t, func(w http.ResponseWriter, r *http.Request) {
+				writeDraining(w)
 				answer(w, r)
 			})
 			b.tell(t, "/stream/", "T-Model", "*")
@@ -78,8 +78,8 @@
 }
 
 // A late answer to an earlier request comes in place of the one that is due, and tells of its endpoint all the same.
-func TestALateAnswerTellsThatItsEndpointLeaves(t *testing.T) {
-	b, leaving, _ := newLeavingSite(t, func(w http.ResponseWriter, r *http.Request) {
+func TestLateAnswerReportsDraining(t *testing.T) {
+	b, leaving, _ := newDrainingSite(t, func(w http.ResponseWriter, r *http.Request) {
 		conn, _, err := http.NewResponseController(w).Hijack()
 		if !assert.NoError(t, err) {
 			return
@@ -94,9 +94,9 @@
 
 // The store may come back from a copy of itself in which an endpoint that left is listed as ready, after its entry had gone. What the
 // endpoint said holds on, and ends with its life.
-func TestALeavingEndpointWhoseEntryComesBackIsNotUsed(t *testing.T) {
-	b, leaving, _ := newLeavingSite(t, func(w http.ResponseWriter, _ *http.Request) {
-		sayLeaving(w)
+func TestDrainingEndpointIsNotUsedAfterStoreRestore(t *testing.T) {
+	b, leaving, _ := newDrainingSite(t, func(w http.ResponseWriter, _ *http.Request) {
+		writeDraining(w)
 		_, _ = io.WriteString(w, "ok")
 	})
 	b.tell(t, "/again/")
@@ -108,22 +108,22 @@
 	require.Eventually(t, func() bool { // one that is gone counts from the second heartbeat on that a read shows
 		b.write(func(endpoint *willowwick.Endpoint) { endpoint.Beat++ })
 		return len(b.daemon.router.pool.Endpoints()) == 2
-	}, patience, 50*time.Millisecond)
+	}, waitTimeout, 50*time.Millisecond)
 	b.assertUnused(t, leaving)
 	leaving.handle(answerText("ok"))
 	b.write(restart)
-	require.Eventually(t, func() bool { return !b.daemon.router.pool.IsLeaving("r1") }, patience, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return !b.daemon.router.pool.IsLeaving("r1") }, waitTimeout, 5*time.Millisecond)
 	before := len(leaving.requests())
 	require.Eventually(t, func() bool {
 		b.do(t, http.MethodPost, "/again/", fmt.Sprint("new-", time.Now().UnixNano()), "x")
 		return len(leaving.requests()) > before
-	}, patience, time.Millisecond, "its next life is used")
+	}, waitTimeout, time.Millisecond, "its next life is used")
 }
 
 // An endpoint that ends after it has said that it leaves ended by plan: what was at work there is not to blame.
-func TestTheEndOfAnEndpointThatSaidThatItLeavesIsNoRequestsFault(t *testing.T) {
-	b, _, _ := newLeavingSite(t, func(w http.ResponseWriter, _ *http.Request) {
-		sayLeaving(w)
+func TestEndOfDrainingEndpointIsNotACrash(t *testing.T) {
+	b, _, _ := newDrainingSite(t, func(w http.ResponseWriter, _ *http.Request) {
+		writeDraining(w)
 		_, _ = io.WriteString(w, "ok")
 	})
 	b.tell(t, "/again/")
@@ -148,8 +148,8 @@
 }
 
 // What an endpoint says holds for a request for which it was chosen before, and that is not sent yet.
-func TestARequestIsNotSentToAnEndpointThatSaidMeanwhileThatItLeaves(t *testing.T) {
-	b, leaving, other := newLeavingSite(t, answerText("ok"))
+func TestRequestIsWithheldWhenChosenEndpointStartsDraining(t *testing.T) {
+	b, leaving, other := newDrainingSite(t, answerText("ok"))
 	for len(other.requests()) == 0 {
 		c, recorder := b.newCall(t, "/once/", fmt.Sprint("meanwhile-", time.Now().UnixNano()))
 		ticket, refusal := c.enter()
@@ -168,9 +168,9 @@
 }
 
 // Another endpoint at the address says nothing of the one that was meant.
-func TestAMisdirectedAnswerTellsOfAnotherEndpoint(t *testing.T) {
-	b, _, _ := newLeavingSite(t, func(w http.ResponseWriter, _ *http.Request) {
-		sayLeaving(w)
+func TestMisdirectedAnswerDoesNotMarkEndpointDraining(t *testing.T) {
+	b, _, _ := newDrainingSite(t, func(w http.ResponseWriter, _ *http.Request) {
+		writeDraining(w)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 	})
 	for n := range 20 {
@@ -181,7 +181,7 @@
 
 // While the store is away, an endpoint that leaves tells it to the boxes to which it answers alone. What others send there comes late,
 // and may be cut by its end, so that boxes tell each other, whatever the size of the fleet.
-func TestBoxesTellEachOtherWhichEndpointsLeave(t *testing.T) {
+func TestBoxesShareDrainingEndpoints(t *testing.T) {
 	const within = 2 * time.Second // the shortest time that there is to leave an endpoint
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
 		m := newMesh(1, size.boxes, size.halls, size.endpoints)
@@ -211,7 +211,7 @@
 }
 
 // Once the list says that an endpoint leaves, boxes no longer tell each other.
-func TestBoxesDoNotTellEachOtherWhatTheListSays(t *testing.T) {
+func TestBoxesDoNotShareDrainingOnceListed(t *testing.T) {
 	quietLogs(t)
 	synctest.Test(t, func(t *testing.T) {
 		m := newMesh(1, 6, 2, 8)
--- a/exchange/era_test.go
+++ b/exchange/era_test.go
@@ -205,17 +205,17 @@
 		x.harm.RecordCrash(request, willowwick.EndpointEnd{Endpoint: "gone", Incarnation: willowwick.Incarnation(i), At: time.Now()})
 	}
 	s.control.change(func() { s.control.orders = []willowwick.ReleaseOrder{orderOf("v2", 1)} })
-	require.Eventually(t, func() bool { return len(x.releases.progresses(time.Now())) == 1 }, patience, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return len(x.releases.progresses(time.Now())) == 1 }, waitTimeout, 5*time.Millisecond)
 	x.releases.settle(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseRolledBack}, false, "test")
 	isWritten := func() bool {
 		s.control.mu.Lock()
 		defer s.control.mu.Unlock()
 		return len(s.control.harmful) == 1 && len(s.control.statuses) == 1 && s.control.statuses[0].State == willowwick.ReleaseRolledBack
 	}
-	require.Eventually(t, isWritten, patience, 5*time.Millisecond)
+	require.Eventually(t, isWritten, waitTimeout, 5*time.Millisecond)
 	s.control.comeBack(func() {})
 	require.False(t, isWritten())
-	require.Eventually(t, isWritten, patience, 5*time.Millisecond)
+	require.Eventually(t, isWritten, waitTimeout, 5*time.Millisecond)
 }
 
 // While the operator writes again what the store lost, the newest configuration that it holds need not be the one in force: nothing is
@@ -301,7 +301,7 @@
 func TestABoxThatStartsWhileTheOperatorWritesAgainRefusesNothingForGood(t *testing.T) {
 	s := newSite(t, newRunner(t, "r1", answerText("ok")).endpoint("v1"))
 	s.control.comeBack(func() {})
-	require.Eventually(t, func() bool { return s.daemon.router.sync.isRestoring(time.Now()) }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return s.daemon.router.sync.isRestoring(time.Now()) }, waitTimeout, time.Millisecond)
 	settings := testSettings()
 	settings.Box, settings.Seeds = "box-new", []string{s.daemon.router.settings.Peers}
 	fresh := startSite(t, s.control, settings)
--- a/exchange/escalation_test.go
+++ b/exchange/escalation_test.go
@@ -48,7 +48,7 @@
 	var ending *runner
 	underWay, chosen := make(chan struct{}), make(chan struct{})
 	ending = newRunner(t, "r1", func(w http.ResponseWriter, r *http.Request) {
-		isHarmful := ending.lastBody(r) == harmfulBody
+		isHarmful := ending.bodyOf(r) == poisonBody
 		if isHarmful {
 			w.Header().Set("T-Confidence", "10")
 			chosen <- struct{}{}
@@ -75,10 +75,10 @@
 	other := make(chan siteReply, 1)
 	go func() { other <- s.do(t, http.MethodPost, "/stream/", "other", "x", "T-Model", "small") }()
 	<-underWay
-	go func() { s.do(t, http.MethodPost, "/stream/", "harmful", harmfulBody, "T-Model", "*") }()
+	go func() { s.do(t, http.MethodPost, "/stream/", "harmful", poisonBody, "T-Model", "*") }()
 	<-chosen
 	control.change(func() { control.endpoints["r2"] = failing.endpoint("v1") })
-	require.Eventually(t, func() bool { return len(s.daemon.router.pool.Endpoints()) == 2 }, patience, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return len(s.daemon.router.pool.Endpoints()) == 2 }, waitTimeout, 5*time.Millisecond)
 	chosen <- struct{}{}
 	<-other
 	assert.Eventually(t, func() bool {
--- a/exchange/evacuation_test.go
+++ b/exchange/evacuation_test.go
@@ -13,8 +13,8 @@
 	"github.com/willowwick/willowwick/route"
 )
 
-// atOnce is far below the time that a request may wait for a place in these tests.
-const atOnce = time.Second
+// maxRefusalTime is far below the time that a request may wait for a place in these tests.
+const maxRefusalTime = time.Second
 
 // inHall moves an endpoint's entry to a hall.
 func inHall(hall willowwick.HallID, endpoint willowwick.Endpoint) willowwick.Endpoint {
@@ -53,7 +53,7 @@
 	s.daemon.router.peers.heard(Digest{Box: "box-9", Hall: "hall-z", Address: "10.0.0.9:1", Evacuated: evacuated}, time.Now())
 }
 
-func TestAnEvacuatedHallGetsNoNewWorkUntilItIsTakenBack(t *testing.T) {
+func TestEvacuatedHallGetsNoNewWorkUntilEvacuationIsTakenBack(t *testing.T) {
 	began, mayEnd := make(chan struct{}, 1), make(chan struct{})
 	own := newRunner(t, "r1", func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("T-Id") == "long" {
@@ -88,11 +88,11 @@
 	assert.Equal(t, "own", s.do(t, http.MethodPost, "/once/", "back", "x").body)
 }
 
-func TestBoxesThatAreFedLearnOfAnEvacuation(t *testing.T) {
+func TestEvacuationReachesBoxesThatDoNotReadTheStore(t *testing.T) {
 	own, other := newRunner(t, "r1", answerText("own")), newRunner(t, "r2", answerText("other"))
 	control, sites := newHall(t, 4, own.endpoint("v1"), inHall("hall-b", other.endpoint("v1")))
 	awaitReaders(t, sites, 1)
-	require.Eventually(t, func() bool { return control.held.Load() == 1 }, patience, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return control.held.Load() == 1 }, waitTimeout, 10*time.Millisecond)
 	control.evacuate("hall-a")
 	for _, s := range sites {
 		require.Eventually(t, func() bool { return !s.sendsTo("hall-a") }, inForceWithin, 5*time.Millisecond, "box %s", s.daemon.router.settings.Box)
@@ -106,7 +106,7 @@
 }
 
 // A box that has just started has the configuration from another box, before any answer of the store.
-func TestABoxThatIsToldTheConfigurationIsToldOfEvacuationsToo(t *testing.T) {
+func TestStartingBoxLearnsEvacuationsFromPeer(t *testing.T) {
 	own, other := newRunner(t, "r1", answerText("own")), newRunner(t, "r2", answerText("other"))
 	control, sites := newHall(t, 1, own.endpoint("v1"), inHall("hall-b", other.endpoint("v1")))
 	control.evacuate("hall-a")
@@ -118,12 +118,12 @@
 	require.Eventually(t, func() bool {
 		isReady, _ := fresh.daemon.router.ready()
 		return isReady
-	}, patience, time.Millisecond)
+	}, waitTimeout, time.Millisecond)
 	assert.False(t, fresh.sendsTo("hall-a"))
 	assert.True(t, fresh.sendsTo("hall-b"))
 }
 
-func TestARequestIsNotRunAgainInAHallThatIsEvacuatedMeanwhile(t *testing.T) {
+func TestRetryAvoidsNewlyEvacuatedHall(t *testing.T) {
 	var s *site
 	own := newRunner(t, "r1", func(w http.ResponseWriter, _ *http.Request) {
 		s.control.evacuate("hall-b")
@@ -135,13 +135,13 @@
 	other := newRunner(t, "r2", answerText("other"))
 	s = newSite(t, own.endpoint("v1"), inHall("hall-b", other.endpoint("v1")))
 	// From then on the box learns of it well before it takes the endpoint to be silent.
-	require.Eventually(t, func() bool { return s.control.held.Load() == 1 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return s.control.held.Load() == 1 }, waitTimeout, time.Millisecond)
 	assert.Equal(t, http.StatusInternalServerError, s.do(t, http.MethodGet, "/again/", "id", "").status)
 	assert.Empty(t, other.requests())
 	assert.Len(t, own.requests(), 2, "a second try at the endpoint that is left beats none")
 }
 
-func TestRequestsAreRefusedAtOnceWhereNoOtherHallServesThem(t *testing.T) {
+func TestRequestsAreRefusedAtOnceWhenNoOtherHallServesThem(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	s := newSite(t, r.endpoint("v1"))
 	s.control.evacuate("hall-a", "hall-x")
@@ -151,13 +151,13 @@
 		reply := s.do(t, http.MethodPost, path, "id", "x")
 		assert.Equal(t, http.StatusServiceUnavailable, reply.status)
 		assert.NotEmpty(t, reply.header.Get("Retry-After"))
-		assert.Less(t, time.Since(began), atOnce)
+		assert.Less(t, time.Since(began), maxRefusalTime)
 	}
 	assert.Empty(t, r.requests())
 }
 
 // Requests that wait for a place get none in a hall that is evacuated meanwhile.
-func TestRequestsThatWaitForAPlaceGetNoneInAnEvacuatedHall(t *testing.T) {
+func TestQueuedRequestsGetNoSlotInEvacuatedHall(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	s := newSite(t, r.endpoint("v1"))
 	patient := onceRoute()
@@ -167,7 +167,7 @@
 	free := s.fill(t)
 	replies := make(chan siteReply, 1)
 	go func() { replies <- s.do(t, http.MethodPost, "/once/", "id", "x", "T-Left", "4000") }()
-	require.Eventually(t, func() bool { return s.daemon.router.gate.WaitingNow() == 1 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return s.daemon.router.gate.WaitingNow() == 1 }, waitTimeout, time.Millisecond)
 	began := time.Now()
 	s.control.evacuate("hall-a")
 	assert.Equal(t, http.StatusServiceUnavailable, (<-replies).status)
@@ -177,7 +177,7 @@
 	assert.Empty(t, r.requests())
 }
 
-func TestWhatComesLateNeverBringsAnOlderStateBack(t *testing.T) {
+func TestStaleEvacuationStateIsIgnored(t *testing.T) {
 	s := newSite(t, newRunner(t, "r1", answerText("ok")).endpoint("v1"))
 	const hall = willowwick.HallID("hall-a")
 	evacuated := func(at willowwick.Position) EvacuatedHalls {
@@ -227,7 +227,7 @@
 }
 
 // An endpoint that is listed in an evacuated hall gets no work from its first moment on.
-func TestNewEndpointsOfAnEvacuatedHallGetNoWork(t *testing.T) {
+func TestNewEndpointInEvacuatedHallGetsNoWork(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	s := newSite(t, inHall("hall-b", r.endpoint("v1")))
 	s.control.evacuate("hall-a")
@@ -237,7 +237,7 @@
 	require.Eventually(t, func() bool {
 		_, isListed := s.daemon.router.sync.entry("r2")
 		return isListed
-	}, patience, time.Millisecond)
+	}, waitTimeout, time.Millisecond)
 	for range 20 {
 		require.Equal(t, "ok", s.do(t, http.MethodPost, "/once/", "id", "x").body)
 	}
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -142,7 +142,7 @@
 	reply := s.do(t, http.MethodPost, "/once/", "id", "x", "T-Left", "60000")
 	assert.Equal(t, http.StatusGatewayTimeout, reply.status)
 	assert.InDelta(t, 2, time.Since(began).Seconds(), 0.4)
-	requireClosed(t, left, patience, "the endpoint was not left")
+	requireClosed(t, left, waitTimeout, "the endpoint was not left")
 }
 
 func TestEndpointIsLeftWhenTheCallerLeaves(t *testing.T) {
@@ -209,7 +209,7 @@
 		route.Resumable, route.Repeatable = false, false
 		s.control.table = testTable(2, route)
 	})
-	require.Eventually(t, func() bool { return s.daemon.router.configVersion() == 2 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return s.daemon.router.configVersion() == 2 }, waitTimeout, time.Millisecond)
 	reply := s.do(t, http.MethodPost, "/stream/", "id", "x")
 	assert.Error(t, reply.err)
 	assert.Equal(t, events(5), reply.body)
@@ -250,7 +250,7 @@
 	r := newRunner(t, "r1", answerText("ok"))
 	s := newSite(t, r.endpoint("v1"))
 	s.daemon.router.setTable(testTable(5, onceRoute()), "test")
-	s.daemon.router.setTable(testTable(4, onceRoute(), againRoute()), "test")
+	s.daemon.router.setTable(testTable(4, onceRoute(), retryRoute()), "test")
 	assert.Equal(t, uint64(5), s.daemon.router.configVersion())
 	assert.Equal(t, http.StatusNotFound, s.do(t, http.MethodGet, "/again/", "id", "").status)
 }
@@ -275,14 +275,14 @@
 	r := newRunner(t, "r1", answerText("a"))
 	s := newSite(t, r.endpoint("v1"))
 	s.control.change(func() { s.control.down = true })
-	require.Eventually(t, func() bool { return s.daemon.router.sync.isAway() }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return s.daemon.router.sync.isAway() }, waitTimeout, time.Millisecond)
 	// Entries lapse only while the store is away for longer than heartbeats take.
 	time.Sleep(2 * testSettings().Drain)
 	s.control.change(func() {
 		s.control.down = false
 		s.control.endpoints = map[willowwick.EndpointID]willowwick.Endpoint{}
 	})
-	require.Eventually(t, func() bool { return !s.daemon.router.sync.isAway() }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return !s.daemon.router.sync.isAway() }, waitTimeout, time.Millisecond)
 	assert.Equal(t, http.StatusOK, s.do(t, http.MethodPost, "/once/", "id", "x").status)
 	time.Sleep(returnGrace + 2*testSettings().Drain)
 	assert.Equal(t, http.StatusServiceUnavailable, s.do(t, http.MethodPost, "/once/", "id", "x").status)
@@ -375,7 +375,7 @@
 			s.control.orders = []willowwick.ReleaseOrder{orderOf("v2", 1)}
 		})
 		x := s.daemon.router
-		for until := time.Now().Add(patience); time.Now().Before(until); time.Sleep(time.Millisecond) {
+		for until := time.Now().Add(waitTimeout); time.Now().Before(until); time.Sleep(time.Millisecond) {
 			if len(x.releases.progresses(time.Now())) > 0 && x.hasRelease("work", "v2") {
 				break
 			}
@@ -422,7 +422,7 @@
 	control := &testControl{endpoints: map[willowwick.EndpointID]willowwick.Endpoint{r.id: r.endpoint("v1")}}
 	control.change(func() {})
 	s := startSite(t, control, testSettings())
-	require.Eventually(t, s.daemon.router.sync.hasEndpoints, patience, time.Millisecond)
+	require.Eventually(t, s.daemon.router.sync.hasEndpoints, waitTimeout, time.Millisecond)
 	time.AfterFunc(warmLimit/3, func() { s.daemon.router.setTable(testTable(1, onceRoute()), "test") })
 	assert.Equal(t, http.StatusOK, s.do(t, http.MethodPost, "/once/", "id", "x").status)
 }
--- a/exchange/for_good_test.go
+++ b/exchange/for_good_test.go
@@ -16,7 +16,7 @@
 
 // bigRoute is a route whose requests may have bodies.
 func bigRoute() willowwick.Route {
-	route := againRoute()
+	route := retryRoute()
 	route.Name, route.Prefix = "big", "/big/"
 	return route
 }
@@ -58,7 +58,7 @@
 			control, sites := newLosingHall(t, boxes)
 			control.loseAll.Store(true)
 			control.change(func() {
-				control.table = testTable(2, onceRoute(), againRoute(), bigRoute())
+				control.table = testTable(2, onceRoute(), retryRoute(), bigRoute())
 				control.table.Accounts[0].Keys = append(control.table.Accounts[0].Keys, "key-that-was-added")
 				control.table.Limits.BodyBytes = 1000
 			})
@@ -79,7 +79,7 @@
 			for _, s := range sites {
 				require.Eventually(t, func() bool {
 					return s.do(t, http.MethodPost, "/again/", "id", "x").status == http.StatusOK
-				}, patience, 20*time.Millisecond)
+				}, waitTimeout, 20*time.Millisecond)
 			}
 		})
 	}
@@ -91,7 +91,7 @@
 	const watched = 3 * time.Second
 	_, sites := newLosingHall(t, 3)
 	for _, s := range sites {
-		require.Eventually(t, func() bool { return !s.daemon.router.sync.isStale(time.Now()) }, patience, time.Millisecond)
+		require.Eventually(t, func() bool { return !s.daemon.router.sync.isStale(time.Now()) }, waitTimeout, time.Millisecond)
 	}
 	for began := time.Now(); time.Since(began) < watched; time.Sleep(20 * time.Millisecond) {
 		for _, s := range sites {
@@ -123,7 +123,7 @@
 	control := &partialControl{testControl: newTestControl(testTable(1, onceRoute()), r.endpoint("v1"))}
 	s := startSite(t, control, testSettings())
 	control.isPartial.Store(true)
-	control.change(func() { control.table = testTable(2, againRoute()) })
+	control.change(func() { control.table = testTable(2, retryRoute()) })
 	before := control.calls.Load()
 	time.Sleep(inForceWithin + 100*time.Millisecond)
 	assert.Less(t, control.calls.Load()-before, int64(40), "it goes on asking with its usual pauses")
--- a/exchange/freshness_test.go
+++ b/exchange/freshness_test.go
@@ -71,6 +71,6 @@
 	s := newSite(t, newRunner(t, "r1", answerText("ok")).endpoint("v1"))
 	x := s.daemon.router
 	require.True(t, x.peers.isNew(time.Now()))
-	s.control.change(func() { s.control.table = testTable(2, againRoute()) })
+	s.control.change(func() { s.control.table = testTable(2, retryRoute()) })
 	require.Eventually(t, func() bool { return x.configVersion() == 2 }, x.sync.heldLimit()+4*feedPoll, 5*time.Millisecond)
 }
--- a/exchange/harm_fleet_test.go
+++ b/exchange/harm_fleet_test.go
@@ -13,68 +13,68 @@
 )
 
 const (
-	// harmArrivals is the time between arrivals of a harmful request anywhere in a fleet.
-	harmArrivals = 300 * time.Millisecond
-	// harmTakes is how long an endpoint runs it until it ends, and harmRuns how often one arrival is sent.
-	harmTakes = 100 * time.Millisecond
-	harmRuns  = 3
+	// poisonInterval is the time between arrivals of a harmful request anywhere in a fleet.
+	poisonInterval = 300 * time.Millisecond
+	// poisonRunTime is how long an endpoint runs it until it ends, and poisonSendsPerArrival how often one arrival is sent.
+	poisonRunTime         = 100 * time.Millisecond
+	poisonSendsPerArrival = 3
 )
 
 type (
-	// harmMesh is a mesh to which one harmful request comes again and again.
-	harmMesh struct {
+	// poisonMesh is a mesh to which one harmful request comes again and again.
+	poisonMesh struct {
 		*mesh
 		name    string
 		request willowwick.HarmfulRequest
-		pending []harmSend
+		pending []poisonSend
 		sent    []time.Time
 		ends    []time.Time
 		next    time.Time // arrival
 	}
 
-	// harmSend is a send of the request that ends its endpoint at a moment.
-	harmSend struct {
+	// poisonSend is a send of the request that ends its endpoint at a moment.
+	poisonSend struct {
 		box  *meshBox
 		at   time.Time
 		left int // sends of this arrival after it
 	}
 )
 
-// newHarmMesh lets a request with a name of its own come to a mesh.
-func newHarmMesh(m *mesh, name string) *harmMesh {
-	return &harmMesh{mesh: m, name: name, request: willowwick.HarmfulRequest{
+// newPoisonMesh lets a request with a name of its own come to a mesh.
+func newPoisonMesh(m *mesh, name string) *poisonMesh {
+	return &poisonMesh{mesh: m, name: name, request: willowwick.HarmfulRequest{
 		Request: willowwick.FingerprintOf(testAccount, "POST", testHost, "/stream/", []byte(name)), Account: testAccount,
 	}}
 }
 
 // play lets the request come to the boxes for a length of virtual time.
-func (h *harmMesh) play(t *testing.T, length time.Duration, boxes ...*meshBox) {
+func (h *poisonMesh) play(t *testing.T, length time.Duration, boxes ...*meshBox) {
 	for until := time.Now().Add(length); time.Now().Before(until); {
 		h.run(t, meshStep)
 		now := time.Now()
-		h.endSends(now)
+		h.crashDue(now)
 		if now.Before(h.next) {
 			continue
 		}
-		h.next = now.Add(harmArrivals)
+		h.next = now.Add(poisonInterval)
 		if box := boxes[h.random.IntN(len(boxes))]; !box.down {
-			h.send(box, now, harmRuns)
+			h.send(box, now, poisonSendsPerArrival)
 		}
 	}
 }
 
 // send sends the request from a box, unless it refuses that.
-func (h *harmMesh) send(box *meshBox, now time.Time, left int) {
+func (h *poisonMesh) send(box *meshBox, now time.Time, left int) {
 	if left == 0 || box.harm.Refuses(h.request.Request) {
 		return
 	}
 	h.sent = append(h.sent, now)
-	h.pending = append(h.pending, harmSend{box, now.Add(harmTakes), left - 1})
+	h.pending = append(h.pending, poisonSend{box, now.Add(poisonRunTime), left - 1})
 }
 
-// endSends ends the endpoints whose time has come.
-func (h *harmMesh) endSends(now time.Time) {
-	var pending []harmSend
+// crashDue ends the endpoints whose time has come.
+func (h *poisonMesh) crashDue(now time.Time) {
+	var pending []poisonSend
 	due := h.pending
 	h.pending = nil
 	for _, s := range due {
@@ -92,17 +92,17 @@
 }
 
 // late counts the sends that began more than the grace after the third end, and not before a moment.
-func (h *harmMesh) late(notBefore time.Time) int {
+func (h *poisonMesh) late(notBefore time.Time) int {
 	count := 0
 	for _, at := range h.sent {
-		if len(h.ends) >= harmSlack && at.Sub(h.ends[harmSlack-1]) > harmGrace && !at.Before(notBefore) {
+		if len(h.ends) >= poisonSlack && at.Sub(h.ends[poisonSlack-1]) > poisonGrace && !at.Before(notBefore) {
 			count++
 		}
 	}
 	return count
 }
 
-func (h *harmMesh) requireRefused(t *testing.T) {
+func (h *poisonMesh) requireRefused(t *testing.T) {
 	for _, box := range h.boxes {
 		require.True(t, box.down || box.harm.Refuses(h.request.Request), "%s refuses the request", box.settings.Box)
 	}
@@ -110,7 +110,7 @@
 
 // Whatever the size of the fleet, and with the store away or turning boxes away, all boxes know in time of ends that each
 // of them saw a few of.
-func TestAHarmfulRequestIsRefusedByAllBoxesInTime(t *testing.T) {
+func TestPoisonRequestIsRefusedByAllBoxesInTime(t *testing.T) {
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
 		m := newMesh(1, size.boxes, size.halls, size.endpoints)
 		m.run(t, 3*time.Second)
@@ -119,9 +119,9 @@
 			for i, box := range m.boxes {
 				box.isRefused = trouble == "boxes turned away" && i%3 == 0
 			}
-			h := newHarmMesh(m, trouble)
-			h.play(t, harmGrace+4*time.Second, m.boxes...) // the third end comes within a second
-			assert.LessOrEqual(t, h.late(time.Time{}), harmSlack, "late sends, trouble: %s", trouble)
+			h := newPoisonMesh(m, trouble)
+			h.play(t, poisonGrace+4*time.Second, m.boxes...) // the third end comes within a second
+			assert.LessOrEqual(t, h.late(time.Time{}), poisonSlack, "late sends, trouble: %s", trouble)
 			h.requireRefused(t)
 			t.Logf("trouble %s: %d ends, %d late sends", trouble, len(h.ends), h.late(time.Time{}))
 		}
@@ -129,11 +129,11 @@
 }
 
 // Boxes that are started anew, one after the other, learn from the others what is refused.
-func TestBoxesThatStartAnewRefuseAHarmfulRequest(t *testing.T) {
+func TestRestartedBoxesRefusePoisonRequest(t *testing.T) {
 	quietLogs(t)
 	synctest.Test(t, func(t *testing.T) {
 		const boxes, halls = 6, 3
-		h := newHarmMesh(newMesh(1, boxes, halls, 21), harmfulBody)
+		h := newPoisonMesh(newMesh(1, boxes, halls, 21), poisonBody)
 		h.run(t, 3*time.Second)
 		h.play(t, 5*time.Second, h.boxes...)
 		for i := range boxes {
@@ -142,18 +142,18 @@
 		}
 		h.requireRefused(t)
 		h.play(t, 5*time.Second, h.boxes...)
-		assert.LessOrEqual(t, h.late(time.Time{}), harmSlack)
+		assert.LessOrEqual(t, h.late(time.Time{}), poisonSlack)
 	})
 }
 
 // What the boxes know dies with them. What must last is at the store, from where each box that reads it takes it again.
-func TestAHarmfulRequestIsRefusedAfterAllBoxesLostPower(t *testing.T) {
+func TestPoisonRequestIsRefusedAfterFleetRestart(t *testing.T) {
 	t.Parallel()
 	const boxes = 3
-	h, sites := newHarmSite(t, boxes, 6)
-	for i := 0; !sites[0].refusesHarmful(); i++ {
+	h, sites := newPoisonSite(t, boxes, 6)
+	for i := 0; !sites[0].refusesPoison(); i++ {
 		require.Less(t, i, 40, "a request that ends endpoints is refused")
-		sites[i%boxes].do(t, http.MethodPost, "/stream/", fmt.Sprint("harmful-", i), harmfulBody)
+		sites[i%boxes].do(t, http.MethodPost, "/stream/", fmt.Sprint("harmful-", i), poisonBody)
 	}
 	require.Eventually(t, func() bool {
 		h.control.mu.Lock()
@@ -165,9 +165,9 @@
 		s.closeDaemon()
 	}
 	anew := startSite(t, h.control, testSettings())
-	require.Eventually(t, anew.refusesHarmful, harmGrace, 10*time.Millisecond)
+	require.Eventually(t, anew.refusesPoison, poisonGrace, 10*time.Millisecond)
 	_, before := h.lateRuns()
-	reply := anew.do(t, http.MethodPost, "/stream/", "harmful-anew", harmfulBody)
+	reply := anew.do(t, http.MethodPost, "/stream/", "harmful-anew", poisonBody)
 	assert.Equal(t, http.StatusBadGateway, reply.status)
 	assert.Empty(t, reply.header.Get("Retry-After"), "it is not to come again")
 	_, after := h.lateRuns()
@@ -176,19 +176,19 @@
 	assert.Equal(t, events(1), other.body)
 }
 
-// refusesHarmful reports whether a box refuses the harmful body.
-func (s *site) refusesHarmful() bool {
-	return s.daemon.router.harm.Refuses(willowwick.FingerprintOf(testAccount, http.MethodPost, testHost, "/stream/", []byte(harmfulBody)))
+// refusesPoison reports whether a box refuses the harmful body.
+func (s *site) refusesPoison() bool {
+	return s.daemon.router.harm.Refuses(willowwick.FingerprintOf(testAccount, http.MethodPost, testHost, "/stream/", []byte(poisonBody)))
 }
 
 // Halls that are cut from each other find a harmful request out by themselves; after the cut each takes over what the other
 // found before it is bound to it.
-func TestHallsThatWereCutTellEachOtherOfAHarmfulRequest(t *testing.T) {
+func TestHallsShareQuarantineAfterPartition(t *testing.T) {
 	quietLogs(t)
 	for seed := range uint64(5) {
 		synctest.Test(t, func(t *testing.T) {
 			const boxes, halls = 6, 2
-			h := newHarmMesh(newMesh(seed, boxes, halls, 20), harmfulBody)
+			h := newPoisonMesh(newMesh(seed, boxes, halls, 20), poisonBody)
 			h.run(t, 5*time.Second)
 			h.isCut = true
 			h.run(t, time.Duration(3+4*seed)*time.Second)
@@ -196,7 +196,7 @@
 			h.isCut = false
 			healed := time.Now()
 			h.play(t, 15*time.Second, h.boxes...)
-			assert.LessOrEqual(t, h.late(healed.Add(harmGrace)), harmSlack, "seed %d", seed)
+			assert.LessOrEqual(t, h.late(healed.Add(poisonGrace)), poisonSlack, "seed %d", seed)
 			h.requireRefused(t)
 		})
 	}
@@ -204,42 +204,42 @@
 
 // Halls that do not reach each other may all reach the store. Each of them once had endpoints of its own end before it refused a
 // request that another one had found out.
-func TestHallsThatAreCutLearnFromTheStoreOfAHarmfulRequest(t *testing.T) {
+func TestPartitionedHallsShareQuarantineThroughStore(t *testing.T) {
 	quietLogs(t)
 	for seed := range uint64(5) {
 		synctest.Test(t, func(t *testing.T) {
 			const boxes, halls = 9, 3
-			h := newHarmMesh(newMesh(seed, boxes, halls, 20), harmfulBody)
+			h := newPoisonMesh(newMesh(seed, boxes, halls, 20), poisonBody)
 			h.store.harmful = map[willowwick.Fingerprint]willowwick.HarmfulRequest{}
 			h.run(t, 5*time.Second)
 			h.isCut = true
 			h.run(t, time.Duration(1+2*seed)*time.Second)
 			h.play(t, 4*time.Second, h.boxes[0], h.boxes[3], h.boxes[6])
 			h.play(t, 6*time.Second, h.boxes...)
-			assert.LessOrEqual(t, h.late(time.Time{}), harmSlack, "seed %d", seed)
+			assert.LessOrEqual(t, h.late(time.Time{}), poisonSlack, "seed %d", seed)
 			h.requireRefused(t)
 		})
 	}
 }
 
 // An operator has a request sent on all the same, at all boxes, and takes that back.
-func TestARequestThatTheOperatorAdmitsIsSentOn(t *testing.T) {
-	h, sites := newHarmSite(t, 2, 4)
-	refused := func() bool { return sites[0].refusesHarmful() && sites[1].refusesHarmful() }
+func TestAdmittedRequestIsSent(t *testing.T) {
+	h, sites := newPoisonSite(t, 2, 4)
+	refused := func() bool { return sites[0].refusesPoison() && sites[1].refusesPoison() }
 	for i := 0; !refused(); i++ {
 		require.Less(t, i, 40)
-		sites[i%2].do(t, http.MethodPost, "/stream/", fmt.Sprint("harmful-", i), harmfulBody)
+		sites[i%2].do(t, http.MethodPost, "/stream/", fmt.Sprint("harmful-", i), poisonBody)
 		time.Sleep(20 * time.Millisecond)
 	}
-	request := willowwick.FingerprintOf(testAccount, http.MethodPost, testHost, "/stream/", []byte(harmfulBody))
+	request := willowwick.FingerprintOf(testAccount, http.MethodPost, testHost, "/stream/", []byte(poisonBody))
 	h.control.change(func() {
 		h.control.admitted = []willowwick.Admission{{Request: request, At: h.control.changes}}
 	})
 	for _, s := range sites {
-		require.Eventually(t, func() bool { return !s.refusesHarmful() }, inForceWithin, 10*time.Millisecond)
+		require.Eventually(t, func() bool { return !s.refusesPoison() }, inForceWithin, 10*time.Millisecond)
 	}
 	h.control.change(func() { h.control.admitted = nil })
 	for _, s := range sites {
-		require.Eventually(t, s.refusesHarmful, inForceWithin, 10*time.Millisecond)
+		require.Eventually(t, s.refusesPoison, inForceWithin, 10*time.Millisecond)
 	}
 }
--- a/exchange/harm_test.go
+++ b/exchange/harm_test.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// harmfulBody is the body that ends each endpoint that runs it.
-	harmfulBody = "ends the endpoint that runs it"
-	// harmGrace is the time from the third end of an endpoint under a request within which all boxes know of it.
-	harmGrace = 3 * time.Second
-	// harmSlack is how many sends of such a request all boxes together may begin later.
-	harmSlack = 3
-	// replacedAfter is how long an endpoint that ended is missing.
-	replacedAfter = 400 * time.Millisecond
+	// poisonBody is the body that ends each endpoint that runs it.
+	poisonBody = "ends the endpoint that runs it"
+	// poisonGrace is the time from the third end of an endpoint under a request within which all boxes know of it.
+	poisonGrace = 3 * time.Second
+	// poisonSlack is how many sends of such a request all boxes together may begin later.
+	poisonSlack = 3
+	// replacementDelay is how long an endpoint that ended is missing.
+	replacementDelay = 400 * time.Millisecond
 )
 
-// harmSite is a service whose endpoints end while they run one body, and are replaced under new ids.
-type harmSite struct {
+// poisonSite is a service whose endpoints end while they run one body, and are replaced under new ids.
+type poisonSite struct {
 	control *testControl
 
 	mu    sync.Mutex
@@ -36,14 +36,14 @@
 }
 
 // addRunner lists an endpoint that answers all but the harmful body.
-func (h *harmSite) addRunner(t *testing.T) {
+func (h *poisonSite) addRunner(t *testing.T) {
 	h.mu.Lock()
 	h.next++
 	id := fmt.Sprint("r", h.next)
 	h.mu.Unlock()
 	var self *runner
 	self = newRunner(t, id, func(w http.ResponseWriter, r *http.Request) {
-		if self.lastBody(r) != harmfulBody {
+		if self.bodyOf(r) != poisonBody {
 			streamEvents(w, r, 1)
 			return
 		}
@@ -55,7 +55,7 @@
 		h.mu.Lock()
 		h.ended = append(h.ended, time.Now())
 		h.mu.Unlock()
-		time.AfterFunc(replacedAfter, func() {
+		time.AfterFunc(replacementDelay, func() {
 			h.control.change(func() { delete(h.control.endpoints, self.id) })
 			if t.Context().Err() == nil {
 				h.addRunner(t)
@@ -66,22 +66,22 @@
 }
 
 // lateRuns counts the runs that began later than allowed after the third end, and all ends.
-func (h *harmSite) lateRuns() (late, ended int) {
+func (h *poisonSite) lateRuns() (late, ended int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.ended) < harmSlack {
+	if len(h.ended) < poisonSlack {
 		return 0, len(h.ended)
 	}
 	for _, at := range h.ran {
-		if at.Sub(h.ended[harmSlack-1]) > harmGrace {
+		if at.Sub(h.ended[poisonSlack-1]) > poisonGrace {
 			late++
 		}
 	}
 	return late, len(h.ended)
 }
 
-// lastBody is the body with which a request came.
-func (r *runner) lastBody(request *http.Request) string {
+// bodyOf is the body with which a request came.
+func (r *runner) bodyOf(request *http.Request) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i, seen := range r.seen {
@@ -92,15 +92,15 @@
 	return ""
 }
 
-// newHarmSite starts boxes of one hall before such a service.
-func newHarmSite(t *testing.T, boxes, endpoints int) (*harmSite, []*site) {
+// newPoisonSite starts boxes of one hall before such a service.
+func newPoisonSite(t *testing.T, boxes, endpoints int) (*poisonSite, []*site) {
 	control, sites := newHall(t, boxes)
-	h := &harmSite{control: control}
+	h := &poisonSite{control: control}
 	for range endpoints {
 		h.addRunner(t)
 	}
 	for _, s := range sites {
-		require.Eventually(t, func() bool { return len(s.daemon.router.pool.Endpoints()) == endpoints }, patience, 10*time.Millisecond)
+		require.Eventually(t, func() bool { return len(s.daemon.router.pool.Endpoints()) == endpoints }, waitTimeout, 10*time.Millisecond)
 	}
 	return h, sites
 }
@@ -109,15 +109,15 @@
 // that ran beside it was lost with them. Each arrival was sent to up to three endpoints, and the next one too. Cause: all that
 // is known of a request died with its call. Proof: the same caller's same body ends endpoints here, later than three seconds after
 // the third end as well; each other request is served.
-func TestARequestThatEndsEndpointsIsNotSentOn(t *testing.T) {
+func TestPoisonRequestIsQuarantined(t *testing.T) {
 	t.Parallel()
 	const boxes, endpoints, repeatEvery, lasts = 3, 8, 60 * time.Millisecond, 6 * time.Second
-	h, sites := newHarmSite(t, boxes, endpoints)
+	h, sites := newPoisonSite(t, boxes, endpoints)
 	var others, served atomic.Int64
 	var callers sync.WaitGroup
 	for i, begin := 0, time.Now(); time.Since(begin) < lasts; i++ {
 		s := sites[i%boxes]
-		callers.Go(func() { s.do(t, http.MethodPost, "/stream/", fmt.Sprint("harmful-", i), harmfulBody) })
+		callers.Go(func() { s.do(t, http.MethodPost, "/stream/", fmt.Sprint("harmful-", i), poisonBody) })
 		callers.Go(func() {
 			others.Add(1)
 			if reply := s.do(t, http.MethodPost, "/stream/", fmt.Sprint("other-", i), fmt.Sprint("body ", i)); reply.body == events(1) {
@@ -129,13 +129,13 @@
 	callers.Wait()
 	late, ended := h.lateRuns()
 	t.Logf("%d endpoints ended, %d late runs, %d of %d other requests served", ended, late, served.Load(), others.Load())
-	assert.LessOrEqual(t, late, harmSlack, "runs later than %s after the third end", harmGrace)
+	assert.LessOrEqual(t, late, poisonSlack, "runs later than %s after the third end", poisonGrace)
 	assert.Greater(t, served.Load(), others.Load()*8/10, "other requests go on")
 }
 
 // An endpoint that says that it leaves may be stopped at any time, and a connection may be reset by whatever lies between: neither is
 // the request's doing.
-func TestStopsAndResetsCountAgainstNoRequest(t *testing.T) {
+func TestShutdownsAndResetsCountAgainstNoRequest(t *testing.T) {
 	for name, ends := range map[string]bool{"stopped by plan": true, "reset": false} {
 		t.Run(name, func(t *testing.T) {
 			var s *site
@@ -150,7 +150,7 @@
 					assert.Eventually(t, func() bool {
 						entry, _ := s.daemon.router.sync.entry("r1")
 						return entry.Leaving
-					}, patience, 5*time.Millisecond)
+					}, waitTimeout, 5*time.Millisecond)
 					self.crash()
 				}
 				hangUp(w)
@@ -195,12 +195,12 @@
 	require.Eventually(t, func() bool {
 		list := s.daemon.router.pool.Endpoints()
 		return len(list) == 1 && list[0].ID == endpoint.ID
-	}, patience, 5*time.Millisecond)
+	}, waitTimeout, 5*time.Millisecond)
 }
 
 // A popular request is at work on many endpoints when their rack fails. It is refused for a moment, like one that ended them; then
 // the box that leads tries it, once, and it is served again.
-func TestAPopularRequestIsServedAgainAfterARackFailed(t *testing.T) {
+func TestPopularRequestIsServedAgainAfterRackFailure(t *testing.T) {
 	t.Parallel()
 	s := newFailedRack(t)
 	s.replaceEndpoints(t, newRunner(t, "spare", answerText("ok")).endpoint("v1"))
@@ -210,14 +210,14 @@
 	assert.Equal(t, http.StatusOK, s.do(t, http.MethodPost, "/once/", "other", "another").status)
 	require.Eventually(t, func() bool {
 		return s.do(t, http.MethodPost, "/once/", "again", "popular").status == http.StatusOK
-	}, patience, 50*time.Millisecond)
+	}, waitTimeout, 50*time.Millisecond)
 	for range 3 {
 		assert.Equal(t, http.StatusOK, s.do(t, http.MethodPost, "/once/", "again", "popular").status)
 	}
 }
 
 // An endpoint may reject a request without having begun it. That says nothing of what the request does where it runs.
-func TestARejectionClearsNoRequest(t *testing.T) {
+func TestRejectionDoesNotClearRequest(t *testing.T) {
 	t.Parallel()
 	s := newSite(t)
 	for i, rejects := range []bool{false, false, true, false} {
@@ -230,20 +230,20 @@
 			self.crash()
 		})
 		s.replaceEndpoints(t, self.endpoint("v1"))
-		s.do(t, http.MethodPost, "/once/", fmt.Sprint("id-", i), harmfulBody)
+		s.do(t, http.MethodPost, "/once/", fmt.Sprint("id-", i), poisonBody)
 	}
-	assert.True(t, s.daemon.router.harm.Refuses(willowwick.FingerprintOf(testAccount, http.MethodPost, testHost, "/once/", []byte(harmfulBody))))
+	assert.True(t, s.daemon.router.harm.Refuses(willowwick.FingerprintOf(testAccount, http.MethodPost, testHost, "/once/", []byte(poisonBody))))
 }
 
 // A store in memory gives all boxes the records that it holds itself. Each box takes their times to its own clock; where it did so in
 // place, boxes that read at once changed each other's times and what the store holds.
-func TestReadingWhatIsRefusedLeavesTheStoreAsItIs(t *testing.T) {
+func TestReadingRefusedRequestsDoesNotModifyStore(t *testing.T) {
 	t.Parallel()
 	held := willowwick.HarmfulRequest{
-		Request: willowwick.FingerprintOf(testAccount, http.MethodPost, testHost, "/once/", []byte(harmfulBody)),
+		Request: willowwick.FingerprintOf(testAccount, http.MethodPost, testHost, "/once/", []byte(poisonBody)),
 		Account: testAccount, Service: "work", Host: testHost, Target: "/once/",
 	}
-	for i := range harmSlack {
+	for i := range poisonSlack {
 		at := time.Now().UTC().Truncate(time.Second).Add(-time.Duration(i+1) * time.Minute)
 		held.Ends = append(held.Ends, willowwick.EndpointEnd{Endpoint: willowwick.EndpointID(fmt.Sprint("r", i)), Release: "v1", At: at})
 	}
@@ -251,7 +251,7 @@
 	control := newTestControl(testTable(1, onceRoute()))
 	control.harmful[held.Request] = held
 	s := startSite(t, control, testSettings())
-	require.Eventually(t, func() bool { return s.daemon.router.harm.Refuses(held.Request) }, patience, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return s.daemon.router.harm.Refuses(held.Request) }, waitTimeout, 5*time.Millisecond)
 	control.mu.Lock()
 	defer control.mu.Unlock()
 	assert.Equal(t, want, control.harmful[held.Request].Ends)
--- a/exchange/hints_test.go
+++ b/exchange/hints_test.go
@@ -36,7 +36,7 @@
 			}
 		}
 		return true
-	}, patience, 10*time.Millisecond)
+	}, waitTimeout, 10*time.Millisecond)
 	return sites
 }
 
@@ -61,7 +61,7 @@
 			reading.Length = time.Minute // its speed is not known yet
 			x.hints.tell(reading, true)
 			for _, s := range sites[1:] {
-				require.Eventually(t, func() bool { return aheadAt(s, "r1") > time.Second }, patience, 5*time.Millisecond, s.daemon.router.settings.Box)
+				require.Eventually(t, func() bool { return aheadAt(s, "r1") > time.Second }, waitTimeout, 5*time.Millisecond, s.daemon.router.settings.Box)
 			}
 		})
 	}
--- a/exchange/born_test.go
+++ b/exchange/incarnation_test.go
@@ -13,30 +13,30 @@
 	"github.com/willowwick/willowwick/quarantine"
 )
 
-// bornSite is a site with one endpoint that starts again under its id.
-type bornSite struct {
+// restartSite is a site with one endpoint that starts again under its id.
+type restartSite struct {
 	*site
 	endpoint willowwick.Endpoint
 }
 
-func newBornSite(t *testing.T, endpoint willowwick.Endpoint) *bornSite {
+func newRestartSite(t *testing.T, endpoint willowwick.Endpoint) *restartSite {
 	endpoint.Incarnation, endpoint.Beat = 1000, 50
-	return &bornSite{newSite(t, endpoint), endpoint}
+	return &restartSite{newSite(t, endpoint), endpoint}
 }
 
 // write writes the endpoint's entry as changed.
-func (b *bornSite) write(change func(endpoint *willowwick.Endpoint)) {
+func (b *restartSite) write(change func(endpoint *willowwick.Endpoint)) {
 	change(&b.endpoint)
 	b.control.change(func() { b.control.endpoints[b.endpoint.ID] = b.endpoint })
 }
 
 // remove takes the endpoint's entry away, and waits until the box knows.
-func (b *bornSite) remove(t *testing.T) {
+func (b *restartSite) remove(t *testing.T) {
 	b.control.change(func() { delete(b.control.endpoints, b.endpoint.ID) })
-	require.Eventually(t, func() bool { return !b.isListed() }, patience, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return !b.isListed() }, waitTimeout, 5*time.Millisecond)
 }
 
-func (b *bornSite) isListed() bool {
+func (b *restartSite) isListed() bool {
 	entry, isListed := b.daemon.router.sync.entry(b.endpoint.ID)
 	return isListed && !entry.Leaving
 }
@@ -47,9 +47,9 @@
 
 // An endpoint may start again under its id, and its heartbeats count anew. It once stayed gone until it had sent more of them than
 // before.
-func TestAnEndpointThatStartsAgainIsBackAtOnce(t *testing.T) {
+func TestRestartedEndpointIsListedAtOnce(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
-	b := newBornSite(t, r.endpoint("v1"))
+	b := newRestartSite(t, r.endpoint("v1"))
 	b.remove(t)
 	b.write(restart)
 	require.Eventually(t, b.isListed, time.Second, 5*time.Millisecond)
@@ -57,27 +57,27 @@
 }
 
 // What a life of an endpoint said of its leaving holds for that life alone.
-func TestAnEndpointThatLeftAndStartsAgainStays(t *testing.T) {
+func TestRestartClearsDraining(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
-	b := newBornSite(t, r.endpoint("v1"))
+	b := newRestartSite(t, r.endpoint("v1"))
 	b.write(func(endpoint *willowwick.Endpoint) { endpoint.Leaving = true })
-	require.Eventually(t, func() bool { return !b.isListed() }, patience, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return !b.isListed() }, waitTimeout, 5*time.Millisecond)
 	b.write(restart)
 	require.Eventually(t, b.isListed, time.Second, 5*time.Millisecond)
 	assert.Equal(t, http.StatusOK, b.do(t, http.MethodPost, "/once/", "id", "x").status)
 }
 
 // A heartbeat of the life before may be written late: it brings back neither that life nor its leaving.
-func TestALateHeartbeatOfAnEarlierLifeCountsForNothing(t *testing.T) {
+func TestLateHeartbeatOfOldIncarnationIsIgnored(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
-	b := newBornSite(t, r.endpoint("v1"))
+	b := newRestartSite(t, r.endpoint("v1"))
 	before := b.endpoint
 	before.Leaving, before.Beat = true, before.Beat+1
 	b.write(restart)
 	require.Eventually(t, func() bool {
 		entry, _ := b.daemon.router.sync.entry("r1")
 		return entry.Incarnation == b.endpoint.Incarnation
-	}, patience, 5*time.Millisecond)
+	}, waitTimeout, 5*time.Millisecond)
 	b.control.change(func() { b.control.endpoints["r1"] = before })
 	time.Sleep(200 * time.Millisecond)
 	assert.True(t, b.isListed())
@@ -85,12 +85,12 @@
 }
 
 // What a box knows of an endpoint's load, work and failures is of one life of it.
-func TestAnEndpointThatStartsAgainIsNotJudgedByItsLifeBefore(t *testing.T) {
+func TestRestartClearsEndpointState(t *testing.T) {
 	r := newRunner(t, "r1", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("T-Running", "8")
 		_, _ = io.WriteString(w, "ok")
 	})
-	b := newBornSite(t, r.endpoint("v1"))
+	b := newRestartSite(t, r.endpoint("v1"))
 	b.do(t, http.MethodPost, "/once/", "id", "x")
 	pool := b.daemon.router.pool
 	load, known := pool.LoadOf("r1")
@@ -107,10 +107,10 @@
 
 // An endpoint may be back before anybody looks whether something listens at its address. That it started anew shows that
 // it ended under what was at work there.
-func TestAnEndThatOnlyTheNextLifeShowsCountsAgainstTheRequest(t *testing.T) {
-	var b *bornSite
+func TestCrashShownByNextIncarnationCountsAgainstRequest(t *testing.T) {
+	var b *restartSite
 	r := newRunner(t, "r1", func(w http.ResponseWriter, _ *http.Request) { hangUp(w) })
-	b = newBornSite(t, r.endpoint("v1"))
+	b = newRestartSite(t, r.endpoint("v1"))
 	for range quarantine.RefuseAfterCrashes {
 		b.do(t, http.MethodPost, "/once/", "id", "harmful")
 		require.Equal(t, b.endpoint.Incarnation, b.daemon.router.pool.Endpoints()[0].Incarnation)
@@ -118,14 +118,14 @@
 		require.Eventually(t, func() bool {
 			entry, _ := b.daemon.router.sync.entry("r1")
 			return entry.Incarnation == b.endpoint.Incarnation
-		}, patience, 5*time.Millisecond)
+		}, waitTimeout, 5*time.Millisecond)
 	}
 	identity := willowwick.FingerprintOf(testAccount, http.MethodPost, testHost, "/once/", []byte("harmful"))
 	assert.True(t, b.daemon.router.harm.Refuses(identity))
 }
 
 // Boxes that hear of endpoints from each other know the same lives of them.
-func TestListsOfEndpointsThatStartAgainStayAlike(t *testing.T) {
+func TestListsConvergeWhenEndpointsRestart(t *testing.T) {
 	quietLogs(t)
 	for seed := range uint64(10) {
 		synctest.Test(t, func(t *testing.T) {
--- a/exchange/leave_test.go
+++ b/exchange/leave_test.go
@@ -29,7 +29,7 @@
 			answered <- s.do(t, http.MethodPost, "/once/", fmt.Sprint("before-", i), "x").status
 		}()
 	}
-	require.Eventually(t, func() bool { return len(r.requests()) == places }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return len(r.requests()) == places }, waitTimeout, time.Millisecond)
 	ctx, leave := context.WithCancel(t.Context())
 	left := make(chan error, 1)
 	go func() {
@@ -39,7 +39,7 @@
 		}
 		left <- err
 	}()
-	require.Eventually(t, func() bool { return s.daemon.router.gate.WaitingNow() == 1 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return s.daemon.router.gate.WaitingNow() == 1 }, waitTimeout, time.Millisecond)
 	leave()
 	require.Error(t, <-left)
 	require.Eventually(t, func() bool { return s.daemon.router.gate.WaitingNow() == 0 }, leftWithin, time.Millisecond)
@@ -57,7 +57,7 @@
 	s := newStopSite(t, testSettings(), listen(t), r.endpoint("v1"))
 	caller := s.dialWire(t)
 	caller.send(t, headOf("/once/", "half", 100)+"half of it")
-	require.Eventually(t, func() bool { return s.daemon.router.inFlight.Load() == 1 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return s.daemon.router.inFlight.Load() == 1 }, waitTimeout, time.Millisecond)
 	require.NoError(t, caller.Close())
 	require.Eventually(t, func() bool { return s.daemon.router.inFlight.Load() == 0 }, leftWithin, time.Millisecond)
 	assert.Empty(t, r.requests())
--- a/exchange/lost_hall_test.go
+++ b/exchange/lost_hall_test.go
@@ -29,6 +29,6 @@
 	for i, path := range []string{"/stream/", "/once/", "/again/"} {
 		began := time.Now()
 		assert.Equal(t, http.StatusOK, s.do(t, http.MethodPost, path, fmt.Sprint("id-", i), "x").status, path)
-		assert.Less(t, time.Since(began), atOnce)
+		assert.Less(t, time.Since(began), maxRefusalTime)
 	}
 }
--- a/exchange/lost_read_test.go
+++ b/exchange/lost_read_test.go
@@ -40,7 +40,7 @@
 	time.Sleep(peerFresh)
 	losing.loseNext.Store(true)
 	<-losing.lost
-	control.change(func() { control.table = testTable(2, againRoute()) })
+	control.change(func() { control.table = testTable(2, retryRoute()) })
 	accepted := time.Now()
 	require.Eventually(t, func() bool {
 		for _, s := range sites {
@@ -49,7 +49,7 @@
 			}
 		}
 		return true
-	}, patience, time.Millisecond)
+	}, waitTimeout, time.Millisecond)
 	t.Log("in force everywhere after", time.Since(accepted))
 }
 
--- a/exchange/notices_test.go
+++ b/exchange/notices_test.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	// leaveWithin is how long after an answer that told a box that the endpoint leaves requests of the box may still arrive there:
+	// drainGrace is how long after an answer that told a box that the endpoint leaves requests of the box may still arrive there:
 	// what the answer says holds at once.
-	leaveWithin = 200 * time.Millisecond
-	// restGrace is how long after a 503 with rest requests may still arrive, and restSlack how many may later.
-	restGrace, restSlack = 500 * time.Millisecond, 2
+	drainGrace = 200 * time.Millisecond
+	// backoffGrace is how long after a 503 with rest requests may still arrive, and backoffSlack how many may later.
+	backoffGrace, backoffSlack = 500 * time.Millisecond, 2
 	// noticeRate is how many requests a second come to a fleet.
 	noticeRate = 150
 )
@@ -60,7 +60,7 @@
 	return n
 }
 
-// arrive notes a request of callAll, and writes what the answer says of the runner; isTurnedAway says that it is all the answer.
+// arrive notes a request of generateLoad, and writes what the answer says of the runner; isTurnedAway says that it is all the answer.
 func (n *noticeRunner) arrive(w http.ResponseWriter, r *http.Request) (isTurnedAway bool) {
 	number, err := strconv.Atoi(r.Header.Get("T-Id")[strings.LastIndexByte(r.Header.Get("T-Id"), '/')+1:])
 	if err != nil {
@@ -87,20 +87,20 @@
 	n.leaving = true
 }
 
-// askForRest makes the runner turn all requests away and ask for rest; empty for neither.
-func (n *noticeRunner) askForRest(rest string) {
+// requestBackoff makes the runner turn all requests away and ask for rest; empty for neither.
+func (n *noticeRunner) requestBackoff(rest string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.rest = rest
 }
 
-// lateToLeave counts the requests of boxes that an answer had told long before that the runner leaves.
-func (n *noticeRunner) lateToLeave() (late, told int) {
+// lateAfterDraining counts the requests of boxes that an answer had told long before that the runner leaves.
+func (n *noticeRunner) lateAfterDraining() (late, told int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	toldAt := map[int]time.Time{}
 	for _, arrival := range n.arrivals {
-		if at, isTold := toldAt[arrival.box]; isTold && arrival.at.Sub(at) > leaveWithin {
+		if at, isTold := toldAt[arrival.box]; isTold && arrival.at.Sub(at) > drainGrace {
 			late++
 		}
 		if _, isTold := toldAt[arrival.box]; arrival.leaving && !isTold {
@@ -110,8 +110,8 @@
 	return late, len(toldAt)
 }
 
-// mostInRest is the most requests that came from one box in the rest that one answer to it had asked for, after the grace.
-func (n *noticeRunner) mostInRest() (most, asked int) {
+// maxDuringBackoff is the most requests that came from one box in the rest that one answer to it had asked for, after the grace.
+func (n *noticeRunner) maxDuringBackoff() (most, asked int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for i, answer := range n.arrivals {
@@ -121,7 +121,7 @@
 		asked++
 		count := 0
 		for _, arrival := range n.arrivals[i+1:] {
-			isIn := arrival.at.Sub(answer.at) > restGrace && arrival.at.Before(answer.restUntil)
+			isIn := arrival.at.Sub(answer.at) > backoffGrace && arrival.at.Before(answer.restUntil)
 			if arrival.box == answer.box && isIn {
 				count++
 			}
@@ -150,19 +150,19 @@
 }
 
 // An endpoint said in its answers that it leaves, and boxes sent to it as before until the store told the same.
-func TestBoxesLeaveAnEndpointThatSaysInAnAnswerThatItLeaves(t *testing.T) {
+func TestBoxesStopUsingEndpointThatReportsDraining(t *testing.T) {
 	t.Parallel()
 	for _, boxes := range []int{6, 24} {
 		t.Run(fmt.Sprint(boxes), func(t *testing.T) {
 			_, sites, runners := newNoticeFleet(t, boxes, 3)
-			calls, stop := callAll(t, sites, "/again/", noticeRate)
+			calls, stop := generateLoad(t, sites, "/again/", noticeRate)
 			time.Sleep(time.Second)
 			runners[0].leave()
 			time.Sleep(4 * time.Second)
 			stop()
-			late, told := runners[0].lateToLeave()
+			late, told := runners[0].lateAfterDraining()
 			require.Positive(t, told)
-			assert.Zero(t, late, "requests later than %s after an answer had told the box, %d boxes told", leaveWithin, told)
+			assert.Zero(t, late, "requests later than %s after an answer had told the box, %d boxes told", drainGrace, told)
 			assert.Empty(t, calls.refused, "the others take what went there")
 			assert.Empty(t, calls.other)
 		})
@@ -170,10 +170,10 @@
 }
 
 // Where every endpoint says that it leaves, nothing can be sent: requests are refused at once, with a time.
-func TestWhereAllEndpointsLeaveRequestsAreRefusedAtOnce(t *testing.T) {
+func TestRequestsAreRefusedAtOnceWhenAllEndpointsDrain(t *testing.T) {
 	t.Parallel()
 	_, sites, runners := newNoticeFleet(t, 6, 2)
-	calls, stop := callAll(t, sites, "/again/", noticeRate)
+	calls, stop := generateLoad(t, sites, "/again/", noticeRate)
 	time.Sleep(500 * time.Millisecond)
 	for _, r := range runners {
 		r.leave()
@@ -181,9 +181,9 @@
 	time.Sleep(3 * time.Second)
 	stop()
 	for _, r := range runners {
-		late, told := r.lateToLeave()
+		late, told := r.lateAfterDraining()
 		require.Positive(t, told)
-		assert.Zero(t, late, "requests later than %s after an answer had told the box, %d boxes told", leaveWithin, told)
+		assert.Zero(t, late, "requests later than %s after an answer had told the box, %d boxes told", drainGrace, told)
 	}
 	assertRefusedAtOnce(t, calls)
 }
@@ -193,15 +193,15 @@
 	t.Helper()
 	require.NotEmpty(t, calls.refused)
 	slices.Sort(calls.refused)
-	assert.Less(t, calls.refused[len(calls.refused)*9/10], limitAtOnce, "what cannot be served is refused at once")
-	assert.Less(t, slices.Max(calls.refused), limitLast)
+	assert.Less(t, calls.refused[len(calls.refused)*9/10], refusalP90, "what cannot be served is refused at once")
+	assert.Less(t, slices.Max(calls.refused), refusalMax)
 	assert.True(t, calls.hasTime, "a refusal says when to come back")
 	assert.Empty(t, calls.other)
 }
 
 // An endpoint turned a request away and asked for rest, and boxes sent to it as before: it looked idle, and had what it turned
 // away sent on as repeats.
-func TestBoxesLetAnEndpointRestThatAsksForIt(t *testing.T) {
+func TestBoxesHonorBackoff(t *testing.T) {
 	t.Parallel()
 	for _, rest := range []string{"2.5", "3", "8"} {
 		t.Run(rest, func(t *testing.T) {
@@ -209,14 +209,14 @@
 			seconds, err := strconv.ParseFloat(rest, 64)
 			require.NoError(t, err)
 			_, sites, runners := newNoticeFleet(t, 6, 3)
-			calls, stop := callAll(t, sites, "/again/", noticeRate)
+			calls, stop := generateLoad(t, sites, "/again/", noticeRate)
 			time.Sleep(500 * time.Millisecond)
-			runners[0].askForRest(rest)
+			runners[0].requestBackoff(rest)
 			time.Sleep(time.Duration((seconds + 1) * float64(time.Second)))
 			stop()
-			most, asked := runners[0].mostInRest()
+			most, asked := runners[0].maxDuringBackoff()
 			require.Positive(t, asked)
-			assert.LessOrEqual(t, most, restSlack, "requests of a box in the rest of %s s that it was asked for, %d times in all", rest, asked)
+			assert.LessOrEqual(t, most, backoffSlack, "requests of a box in the rest of %s s that it was asked for, %d times in all", rest, asked)
 			assert.Empty(t, calls.refused, "the others take what went there")
 			assert.Empty(t, calls.other)
 		})
@@ -224,20 +224,20 @@
 }
 
 // Where every endpoint asks for rest, nothing can be sent: requests are refused at once, with a time.
-func TestWhereAllEndpointsRestRequestsAreRefusedAtOnce(t *testing.T) {
+func TestRequestsAreRefusedAtOnceWhenAllEndpointsBackOff(t *testing.T) {
 	t.Parallel()
 	_, sites, runners := newNoticeFleet(t, 6, 3)
-	calls, stop := callAll(t, sites, "/again/", noticeRate)
+	calls, stop := generateLoad(t, sites, "/again/", noticeRate)
 	time.Sleep(500 * time.Millisecond)
 	for _, r := range runners {
-		r.askForRest("3")
+		r.requestBackoff("3")
 	}
 	time.Sleep(4 * time.Second)
 	stop()
 	for _, r := range runners {
-		most, asked := r.mostInRest()
+		most, asked := r.maxDuringBackoff()
 		require.Positive(t, asked)
-		assert.LessOrEqual(t, most, restSlack, "requests of a box in the rest that it was asked for, %d times in all", asked)
+		assert.LessOrEqual(t, most, backoffSlack, "requests of a box in the rest that it was asked for, %d times in all", asked)
 	}
 	assertRefusedAtOnce(t, calls)
 }
--- a/exchange/peers_test.go
+++ b/exchange/peers_test.go
@@ -42,7 +42,7 @@
 }
 
 func awaitReaders(t *testing.T, sites []*site, count int) []*site {
-	require.Eventually(t, func() bool { return len(readers(sites)) == count }, patience, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return len(readers(sites)) == count }, waitTimeout, 10*time.Millisecond)
 	return readers(sites)
 }
 
@@ -119,7 +119,7 @@
 		defer control.mu.Unlock()
 		return len(control.written) > 0 && control.written[len(control.written)-1].State == willowwick.ReleaseRolledBack
 	}
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for i := 0; time.Now().Before(deadline) && !written(); i++ {
 		sites[i%2].do(t, http.MethodPost, "/once/", fmt.Sprint("id-", i), "x")
 	}
@@ -142,7 +142,7 @@
 			targets += len(s.daemon.router.peers.targets(time.Now()))
 		}
 		return len(readers(sites)) == len(sites) && hubs == 1 && targets == len(sites)-1
-	}, patience, 10*time.Millisecond)
+	}, waitTimeout, 10*time.Millisecond)
 }
 
 // A reader that hears from another hall in time does not read the store itself, and once lost its hall by that.
@@ -150,7 +150,7 @@
 	r := newRunner(t, "r1", answerText("ok"))
 	_, sites := newHall(t, 1, r.endpoint("v1"))
 	x := sites[0].daemon.router
-	require.Eventually(t, x.sync.hasEndpoints, patience, 10*time.Millisecond)
+	require.Eventually(t, x.sync.hasEndpoints, waitTimeout, 10*time.Millisecond)
 	isCutOff := func(unreachable bool) bool {
 		now := time.Now()
 		x.sync.mu.Lock()
@@ -196,7 +196,7 @@
 	require.Eventually(t, func() bool {
 		found := readers(sites)
 		return len(found) == 1 && found[0] == wide
-	}, patience, 10*time.Millisecond)
+	}, waitTimeout, 10*time.Millisecond)
 }
 
 // A box that is fed has no use for a read that the store holds; each such read costs a call whenever something changes.
@@ -204,7 +204,7 @@
 	r := newRunner(t, "r1", answerText("ok"))
 	control, sites := newHall(t, 4, r.endpoint("v1"))
 	awaitReaders(t, sites, 1)
-	require.Eventually(t, func() bool { return control.held.Load() == 1 }, patience, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return control.held.Load() == 1 }, waitTimeout, 10*time.Millisecond)
 }
 
 // Boxes once asked an absent store again and again, each for itself; joins and declarations can wait for its return.
@@ -221,7 +221,7 @@
 			}
 		}
 		return true
-	}, patience, 10*time.Millisecond)
+	}, waitTimeout, 10*time.Millisecond)
 	time.Sleep(2 * time.Second)
 	before := control.calls.Load()
 	const watched = 3 * time.Second
@@ -232,7 +232,7 @@
 	assert.LessOrEqual(t, float64(control.calls.Load()-before), first+others+boxes)
 	control.change(func() { control.down = false })
 	for _, s := range sites {
-		require.Eventually(t, func() bool { return !s.daemon.router.sync.isStale(time.Now()) }, patience, 10*time.Millisecond)
+		require.Eventually(t, func() bool { return !s.daemon.router.sync.isStale(time.Now()) }, waitTimeout, 10*time.Millisecond)
 	}
 }
 
@@ -242,7 +242,7 @@
 	r := newRunner(t, "r1", answerText("ok"))
 	_, sites := newHall(t, 1, r.endpoint("v1"))
 	p := sites[0].daemon.router.peers
-	require.Eventually(t, func() bool { return p.reads(time.Now()) }, patience, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return p.reads(time.Now()) }, waitTimeout, 10*time.Millisecond)
 	blind := Digest{Address: "10.0.0.1:1", Hall: p.self().Hall, LinkMbps: p.self().LinkMbps + 1, ReadAgeMs: time.Hour.Milliseconds()}
 	p.heard(blind, time.Now())
 	_, hasHub := p.hub(time.Now())
@@ -291,10 +291,10 @@
 		_, found := s.entry("r1")
 		return found
 	}
-	require.Eventually(t, isListed, patience, time.Millisecond)
+	require.Eventually(t, isListed, waitTimeout, time.Millisecond)
 	s.mu.Lock()
 	s.lapsed["r1"] = time.Now()
 	s.mu.Unlock()
-	require.Eventually(t, func() bool { return !isListed() }, patience, time.Millisecond)
-	require.Eventually(t, isListed, wholeEvery+patience, time.Millisecond, "its reader lists it")
+	require.Eventually(t, func() bool { return !isListed() }, waitTimeout, time.Millisecond)
+	require.Eventually(t, isListed, wholeEvery+waitTimeout, time.Millisecond, "its reader lists it")
 }
--- a/exchange/ratelimit_fleet_test.go
+++ b/exchange/ratelimit_fleet_test.go
@@ -15,8 +15,8 @@
 const (
 	// limitDemand is how many requests a second come to a fleet, all of which would go to the limited endpoint.
 	limitDemand = 150
-	// limitAnswers is how long the endpoint takes to answer.
-	limitAnswers = 30 * time.Millisecond
+	// limitAnswerTime is how long the endpoint takes to answer.
+	limitAnswerTime = 30 * time.Millisecond
 )
 
 type (
@@ -72,7 +72,7 @@
 	}
 	now = time.Now()
 	l.arrivals = append(l.arrivals, now)
-	l.answers = append(l.answers, limitAnswer{box, now, now.Add(limitAnswers), l.said})
+	l.answers = append(l.answers, limitAnswer{box, now, now.Add(limitAnswerTime), l.said})
 }
 
 func (l *limitMesh) ask(t *testing.T, box *meshBox, now time.Time) bool {
@@ -127,14 +127,14 @@
 }
 
 // Whatever the size of the fleet, and with the store away, boxes together send what a limit allows and no more.
-func TestALimitHoldsAndIsUsedAtAllSizes(t *testing.T) {
+func TestRateLimitHoldsAtAllFleetSizes(t *testing.T) {
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
 		l := newLimitMesh(newMesh(1, size.boxes, size.halls, size.endpoints))
 		l.play(t, 3*time.Second, l.boxes...)
 		for _, rate := range []willowwick.PerSecond{0.5, 8} {
 			l.isAway = !l.isAway
 			l.name(rate)
-			l.play(t, limitContact, l.boxes...)
+			l.play(t, limitPropagation, l.boxes...)
 			from := time.Now()
 			l.play(t, 2*limitWindow, l.boxes...)
 			l.assertHeld(t, from, time.Now(), 0.6, fmt.Sprint(size.boxes, " boxes"))
@@ -143,12 +143,12 @@
 }
 
 // All work comes to one box, which may send all that the limit allows.
-func TestABoxWithAllTheWorkUsesTheWholeLimit(t *testing.T) {
+func TestSingleBusyBoxUsesWholeRateLimit(t *testing.T) {
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
 		l := newLimitMesh(newMesh(1, size.boxes, size.halls, size.endpoints))
 		l.run(t, 3*time.Second)
 		l.name(2)
-		l.play(t, limitContact, l.boxes[size.boxes-1])
+		l.play(t, limitPropagation, l.boxes[size.boxes-1])
 		from := time.Now()
 		l.play(t, 2*limitWindow, l.boxes[size.boxes-1])
 		l.assertHeld(t, from, time.Now(), 0.8, "one box with all the work")
@@ -156,7 +156,7 @@
 }
 
 // Boxes that are started anew, one after the other and the one that grants among them, know of no limit and send no more.
-func TestALimitHoldsWhileBoxesStartAnew(t *testing.T) {
+func TestRateLimitHoldsDuringRestarts(t *testing.T) {
 	quietLogs(t)
 	for seed := range uint64(5) {
 		synctest.Test(t, func(t *testing.T) {
@@ -164,7 +164,7 @@
 			l := newLimitMesh(newMesh(seed, boxes, halls, 20))
 			l.run(t, 6*time.Second)
 			l.name(2.3)
-			l.play(t, limitContact, l.boxes...)
+			l.play(t, limitPropagation, l.boxes...)
 			from := time.Now()
 			for i := range boxes {
 				l.boxes[i].down = true
@@ -178,7 +178,7 @@
 }
 
 // Halls that are cut from each other each use a part; all together send no more than the limit, during the cut and after it.
-func TestALimitHoldsForHallsThatAreCut(t *testing.T) {
+func TestRateLimitHoldsDuringPartition(t *testing.T) {
 	quietLogs(t)
 	for seed := range uint64(5) {
 		synctest.Test(t, func(t *testing.T) {
@@ -186,7 +186,7 @@
 			l := newLimitMesh(newMesh(seed, boxes, halls, 20))
 			l.run(t, 6*time.Second)
 			l.name(6)
-			l.play(t, limitContact, l.boxes...)
+			l.play(t, limitPropagation, l.boxes...)
 			from := time.Now()
 			l.isCut = true
 			l.play(t, time.Duration(5+4*seed)*time.Second, l.boxes...)
@@ -198,12 +198,12 @@
 }
 
 // An endpoint that names no limit any more is used fully again within seconds, by all boxes, and not by all at once.
-func TestAnEndpointWhoseLimitHasEndedIsUsedMoreAndMore(t *testing.T) {
+func TestEndpointUseRampsUpAfterRateLimitEnds(t *testing.T) {
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
 		l := newLimitMesh(newMesh(1, size.boxes, size.halls, size.endpoints))
 		l.run(t, 3*time.Second)
 		l.name(2)
-		l.play(t, limitContact, l.boxes...)
+		l.play(t, limitPropagation, l.boxes...)
 		l.said = willowwick.RateLimit{}
 		ended := time.Now()
 		for len(l.boxes) > 0 && l.boxes[0].limits.Count() > 0 && time.Since(ended) < 10*time.Second {
--- a/exchange/ratelimit_test.go
+++ b/exchange/ratelimit_test.go
@@ -18,11 +18,11 @@
 	limitWindow = 4 * time.Second
 	// limitExcess and limitSlack bound it: so many times what the limit allows, and so many requests more.
 	limitExcess, limitSlack = 1.5, 5
-	// limitContact is how long boxes have until they hold a limit that is new.
-	limitContact = 3 * time.Second
-	// limitAtOnce is within what time nine of ten requests that cannot be served are refused, and limitLast all of them: less than
+	// limitPropagation is how long boxes have until they hold a limit that is new.
+	limitPropagation = 3 * time.Second
+	// refusalP90 is within what time nine of ten requests that cannot be served are refused, and refusalMax all of them: less than
 	// they might wait for a place.
-	limitAtOnce, limitLast = 40 * time.Millisecond, 150 * time.Millisecond
+	refusalP90, refusalMax = 40 * time.Millisecond, 150 * time.Millisecond
 )
 
 type (
@@ -81,8 +81,8 @@
 	return count
 }
 
-// mostInWindow is the most requests that it got in any window within a span of time.
-func (l *limitedRunner) mostInWindow(from, to time.Time) int {
+// maxInWindow is the most requests that it got in any window within a span of time.
+func (l *limitedRunner) maxInWindow(from, to time.Time) int {
 	l.mu.Lock()
 	arrivals := append([]time.Time(nil), l.arrivals...)
 	l.mu.Unlock()
@@ -114,7 +114,7 @@
 		endpoint.Incarnation = willowwick.Incarnation(i + 1)
 		endpoints = append(endpoints, endpoint)
 	}
-	control := newTestControl(testTable(1, onceRoute(), againRoute()), endpoints...)
+	control := newTestControl(testTable(1, onceRoute(), retryRoute()), endpoints...)
 	var sites []*site
 	for i := range boxes {
 		settings := testSettings()
@@ -129,8 +129,8 @@
 	return control, sites
 }
 
-// callAll lets requests of a route come to the boxes in turn, so many a second, until the test ends or the function it returns is called.
-func callAll(t *testing.T, sites []*site, path string, perSecond int) (calls *limitCalls, stop func()) {
+// generateLoad lets requests of a route come to the boxes in turn, so many a second, until the test ends or the function it returns is called.
+func generateLoad(t *testing.T, sites []*site, path string, perSecond int) (calls *limitCalls, stop func()) {
 	calls = &limitCalls{path: path, hasTime: true}
 	done := make(chan struct{})
 	var workers sync.WaitGroup
@@ -180,7 +180,7 @@
 func (l *limitedRunner) assertWithin(t *testing.T, rate float64, from, to time.Time) {
 	t.Helper()
 	allowed := limitExcess*rate*limitWindow.Seconds() + limitSlack
-	most := l.mostInWindow(from, to)
+	most := l.maxInWindow(from, to)
 	assert.LessOrEqual(t, float64(most), allowed, "requests in %s at %s, which takes %v a second", limitWindow, l.id, rate)
 	used := float64(l.between(from, to))
 	assert.GreaterOrEqual(t, used, rate*to.Sub(from).Seconds()/2, "%s is given what it takes", l.id)
@@ -188,14 +188,14 @@
 }
 
 // An endpoint that named a limit got as much as any other, from all boxes that it had told of it.
-func TestBoxesTogetherKeepTheLimitThatAnEndpointNames(t *testing.T) {
+func TestBoxesTogetherKeepRateLimit(t *testing.T) {
 	t.Parallel()
 	limited, others := newLimitedRunner(t, "r0"), []*limitedRunner{newLimitedRunner(t, "r1"), newLimitedRunner(t, "r2")}
 	_, sites := newLimitSite(t, 6, 3, limited, others[0], others[1])
-	calls, stop := callAll(t, sites, "/again/", 150)
+	calls, stop := generateLoad(t, sites, "/again/", 150)
 	time.Sleep(time.Second)
 	limited.name("1.2")
-	time.Sleep(limitContact)
+	time.Sleep(limitPropagation)
 	from := time.Now()
 	time.Sleep(2 * limitWindow)
 	limited.assertWithin(t, 1.2, from, time.Now())
@@ -205,13 +205,13 @@
 }
 
 // Where every endpoint names a limit, what is beyond the limits is refused at once.
-func TestWhatNoLimitAllowsIsRefusedAtOnce(t *testing.T) {
+func TestRequestsBeyondRateLimitAreRefusedAtOnce(t *testing.T) {
 	t.Parallel()
 	limited := newLimitedRunner(t, "r0")
 	limited.name("8")
 	_, sites := newLimitSite(t, 6, 3, limited)
-	calls, stop := callAll(t, sites, "/again/", 100)
-	time.Sleep(limitContact)
+	calls, stop := generateLoad(t, sites, "/again/", 100)
+	time.Sleep(limitPropagation)
 	from := time.Now()
 	time.Sleep(2 * limitWindow)
 	limited.assertWithin(t, 8, from, time.Now())
@@ -220,21 +220,21 @@
 }
 
 // What limits allow goes to urgent requests first, and a part of it to others.
-func TestUrgentRequestsComeFirstWhereAllEndpointsNameLimits(t *testing.T) {
+func TestUrgentRequestsComeFirstWhenAllEndpointsAreLimited(t *testing.T) {
 	t.Parallel()
 	limited := newLimitedRunner(t, "r0")
 	limited.name("10")
 	control, sites := newLimitSite(t, 3, 1, limited)
 	control.change(func() {
-		urgent, patient := onceRoute(), againRoute()
+		urgent, patient := onceRoute(), retryRoute()
 		urgent.Priority, patient.Priority = 1, 4
 		control.table = testTable(2, urgent, patient)
 	})
 	for _, s := range sites {
-		require.Eventually(t, func() bool { return s.daemon.router.configVersion() == 2 }, patience, 5*time.Millisecond)
+		require.Eventually(t, func() bool { return s.daemon.router.configVersion() == 2 }, waitTimeout, 5*time.Millisecond)
 	}
-	urgent, stopUrgent := callAll(t, sites, "/once/", 50)
-	patient, stopPatient := callAll(t, sites, "/again/", 50)
+	urgent, stopUrgent := generateLoad(t, sites, "/once/", 50)
+	patient, stopPatient := generateLoad(t, sites, "/again/", 50)
 	from := time.Now()
 	time.Sleep(2 * limitWindow)
 	stopUrgent()
@@ -248,7 +248,7 @@
 
 // A request that one endpoint turned away, while the other takes no more, was sent to the first one again and again within a
 // millisecond, and then failed.
-func TestARequestThatOnlyAFullEndpointMayTakeIsSentThereAgainAfterAMoment(t *testing.T) {
+func TestRetryToFullEndpointIsDelayedWhenOthersAreLimited(t *testing.T) {
 	const full = 150 * time.Millisecond
 	limited, other := newLimitedRunner(t, "r0"), newLimitedRunner(t, "r1")
 	limited.name("0.2")
@@ -271,7 +271,7 @@
 	// The route's goal leaves a request that is sent again 75 ms to wait for a place.
 	require.Eventually(t, func() bool {
 		return s.do(t, http.MethodPost, "/again/", fmt.Sprint("full-", time.Now().UnixNano()), "x").status == http.StatusOK
-	}, patience, time.Millisecond)
+	}, waitTimeout, time.Millisecond)
 	assert.Less(t, time.Since(from), time.Second)
 	assert.LessOrEqual(t, len(other.requests())-before, 12, "sends in %s", full)
 }
--- a/exchange/regain_test.go
+++ b/exchange/regain_test.go
@@ -59,15 +59,15 @@
 	settings.Box, settings.LinkMbps, settings.Drain = "box-second", 100, feedDrain
 	second := startSite(t, controls[1], settings)
 	x := second.daemon.router
-	require.Eventually(t, func() bool { return x.sync.declaredAge(time.Now()) > 0 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return x.sync.declaredAge(time.Now()) > 0 }, waitTimeout, time.Millisecond)
 	controls[1].turnedAway.Store(true)
-	require.Eventually(t, func() bool { return x.sync.isFailing(readDeclared) }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return x.sync.isFailing(readDeclared) }, waitTimeout, time.Millisecond)
 	settings.Box, settings.LinkMbps, settings.Seeds = "box-first", 200, []string{x.settings.Peers}
 	first := startSite(t, controls[0], settings)
 	require.Eventually(t, func() bool {
 		_, isFed := x.peers.reader(time.Now())
 		return isFed
-	}, patience, 10*time.Millisecond)
+	}, waitTimeout, 10*time.Millisecond)
 	time.Sleep(peerFresh)
 	require.True(t, x.sync.isFailing(readDeclared), "a box that is fed reads none that could take it back")
 	controls[1].turnedAway.Store(false)
@@ -86,9 +86,9 @@
 func TestTheSecondBoxOfAHallReadsDeclarationsWhileTheFirstIsTurnedAway(t *testing.T) {
 	control, controls, sites := turnedHall(t)
 	controls[0].turnedAway.Store(true)
-	control.change(func() { control.table = testTable(2, againRoute()) })
+	control.change(func() { control.table = testTable(2, retryRoute()) })
 	second := sites[1].daemon.router
-	require.Eventually(t, func() bool { return second.configVersion() == 2 }, patience, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return second.configVersion() == 2 }, waitTimeout, 10*time.Millisecond)
 }
 
 // The group's lead is handed on to a box that reaches the store as well; it rests for the same reason.
@@ -105,5 +105,5 @@
 			}
 		}
 		return false
-	}, patience, 10*time.Millisecond)
+	}, waitTimeout, 10*time.Millisecond)
 }
--- a/exchange/release_test.go
+++ b/exchange/release_test.go
@@ -80,7 +80,7 @@
 }
 
 // A release of which a third of the answers were errors was once completed: each of three routes had seen two or three.
-func TestReleaseThatIsBadOnAllRoutesIsFoundByTheirSum(t *testing.T) {
+func TestBadReleaseIsFoundBySumOverRoutes(t *testing.T) {
 	r := newTestReleases()
 	r.begin(orderOf("v2", 1), 0, testStart)
 	evidence := map[evidenceKey]rollout.Evidence{}
@@ -96,7 +96,7 @@
 }
 
 // What was seen of a release before there was anything to compare it with was once forgotten.
-func TestEvidenceOnAReleaseCountsAlsoWhenTheOthersAreNotKnownYet(t *testing.T) {
+func TestEvidenceBeforeBaselineCounts(t *testing.T) {
 	r := newTestReleases()
 	r.begin(orderOf("v2", 1), 0, testStart)
 	bad := rollout.Evidence{Requests: 11, Errors: 9}
@@ -104,7 +104,7 @@
 	require.Len(t, r.judge(fleetEvidence(bad, rollout.Evidence{Requests: 300}), at(0.2)), 1)
 }
 
-func TestSessionsStayInTheFirstHalfAndDoNotGoBackAfterIt(t *testing.T) {
+func TestSessionsStayInFirstHalfAndNeverMoveBack(t *testing.T) {
 	r := newTestReleases()
 	early := at(0).Add(-time.Second)
 	for i := range 500 {
@@ -127,7 +127,7 @@
 	}
 }
 
-func TestBadReleaseIsFoundAndLeft(t *testing.T) {
+func TestBadReleaseIsRolledBack(t *testing.T) {
 	for name, bad := range map[string]rollout.Evidence{
 		"errors": {Requests: 24, Errors: 10},
 		"slow":   {Requests: 40, Slow: 30},
@@ -145,7 +145,7 @@
 	}
 }
 
-func TestGoodReleaseIsNotTakenForBad(t *testing.T) {
+func TestGoodReleaseIsNotRolledBack(t *testing.T) {
 	r := newTestReleases()
 	r.begin(orderOf("v2", 1), 0, testStart)
 	var target, others rollout.Evidence
@@ -157,7 +157,7 @@
 }
 
 // The runners of a release that was rolled back once got work again when the next roll-out began.
-func TestReleaseThatWasRolledBackStaysOutOfUseInTheNextRollOut(t *testing.T) {
+func TestRolledBackReleaseStaysUnusedInNextRollOut(t *testing.T) {
 	r := newTestReleases()
 	r.begin(orderOf("v2", 1), 0, testStart)
 	r.settle(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseRolledBack}, true, "test")
@@ -173,7 +173,7 @@
 	assert.False(t, chooseNow(fresh, "s", at(0.3)).allows(on("v2")), "a box that starts later hears of it")
 }
 
-func TestReleaseOfAnOrderThatWasReplacedIsGivenUp(t *testing.T) {
+func TestReleaseOfReplacedOrderIsGivenUp(t *testing.T) {
 	r := newTestReleases()
 	r.begin(orderOf("v2", 1), 0, testStart)
 	r.begin(orderOf("v3", 2), 0, at(0.2))
@@ -187,7 +187,7 @@
 
 // A box that had not heard yet that a roll-out was completed once took its release out of use as the next order came, and told
 // all others to: the fleet moved to the next release at once.
-func TestReleaseThatWasCompletedIsNotGivenUpByABoxThatHearsOfItLater(t *testing.T) {
+func TestCompletedReleaseIsNotGivenUpByLaggingBox(t *testing.T) {
 	leads, follows := newTestReleases(), newTestReleases()
 	for _, r := range []*releases{leads, follows} {
 		r.begin(orderOf("v2", 1), 0, testStart)
@@ -214,14 +214,14 @@
 }
 
 // A box that lags behind once brought an older order back.
-func TestOlderOrderDoesNotComeBack(t *testing.T) {
+func TestOlderOrderIsIgnored(t *testing.T) {
 	r := newTestReleases()
 	r.begin(orderOf("v3", 2), 0, testStart)
 	r.begin(orderOf("v2", 1), time.Second, at(0.1))
 	assert.Equal(t, willowwick.ReleaseID("v3"), chooseNow(r, "s", at(0.1)).release)
 }
 
-func TestAgeOfAnOrderIsThatOfTheBoxThatHeardItFirst(t *testing.T) {
+func TestOrderAgeIsThatOfFirstBox(t *testing.T) {
 	r := newTestReleases()
 	r.begin(orderOf("v2", 1), 0, at(0.6))
 	r.begin(orderOf("v2", 1), time.Duration(0.6*float64(testPeriod)), at(0.6))
@@ -229,7 +229,7 @@
 	assert.Greater(t, shareOf(r, at(0.75), "a"), 0.99)
 }
 
-func TestStateInTheStoreGoesBeforeOwnBelief(t *testing.T) {
+func TestStoredStateOverridesOwnState(t *testing.T) {
 	r := newTestReleases()
 	r.begin(orderOf("v2", 1), 0, testStart)
 	r.settle(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseRolledBack}, false, "peer")
@@ -240,7 +240,7 @@
 }
 
 // The box that leads once took the state that it had written before for the one that it found itself.
-func TestBoxThatFindsAReleaseBadWritesIt(t *testing.T) {
+func TestRollBackIsWrittenToStore(t *testing.T) {
 	r := newTestReleases()
 	r.begin(orderOf("v2", 1), 0, testStart)
 	r.settle(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseRunning}, true, "written here")
@@ -253,7 +253,7 @@
 	assert.Equal(t, willowwick.ReleaseRolledBack, due[0].State)
 }
 
-func TestLargeFleetTriesANewReleaseWithASmallerShare(t *testing.T) {
+func TestLargeFleetUsesSmallerCanaryShare(t *testing.T) {
 	r := newTestReleases()
 	r.begin(orderOf("v2", 1), 0, testStart)
 	for boxes, share := range map[int]float64{6: canaryShare, 15: canaryShare, 61: canaryShare / 4, 91: canaryShare / 8, 390: canaryShare / 32} {
@@ -265,7 +265,7 @@
 }
 
 // A session was once forgotten while its request ran for longer than sessions are remembered, and moved in the first half.
-func TestSessionIsRememberedFromTheEndOfItsRequest(t *testing.T) {
+func TestSessionIsRememberedFromEndOfRequest(t *testing.T) {
 	r := newTestReleases()
 	began := at(0).Add(-time.Second)
 	for i := range 500 {
@@ -281,7 +281,7 @@
 }
 
 // Sessions that were meant for a release whose runners had not come yet once moved to it with their second request.
-func TestSessionOfAReleaseThatIsNotThereYetStaysWhereItRan(t *testing.T) {
+func TestSessionStaysWhenTargetHasNoEndpoints(t *testing.T) {
 	isThere := false
 	r := newReleases(ReleaseSettings{Session: 5 * time.Second}, func(willowwick.ServiceID, willowwick.ReleaseID) bool { return isThere })
 	r.begin(orderOf("v2", 1), 0, testStart)
@@ -292,7 +292,7 @@
 }
 
 // A session that another box of the hall took up was once taken for a new one, and moved in the first half.
-func TestSessionThatAnotherBoxHasOnTheOthersIsNotMoved(t *testing.T) {
+func TestSessionKeptByAnotherBoxIsNotMoved(t *testing.T) {
 	one, other := newTestReleases(), newTestReleases()
 	early := at(0).Add(-time.Second)
 	for i := range 2000 {
@@ -310,14 +310,14 @@
 	assert.Empty(t, one.kept(at(canaryEnd)), "sessions may move from the half on")
 }
 
-func TestFirstShareStaysWellUnderTheBoundOnExposure(t *testing.T) {
+func TestFirstShareStaysBelowExposureBound(t *testing.T) {
 	assert.InDelta(t, canaryShare, ReleaseSettings{}.firstShare(), 1e-9)
 	assert.InDelta(t, canaryShare, ReleaseSettings{Exposure: 0.15}.firstShare(), 1e-9)
 	assert.InDelta(t, 0.015, ReleaseSettings{Exposure: 0.05}.firstShare(), 1e-9)
 }
 
 // Sessions on the target of a roll-out that had just ended were once taken for those of the next one's, and moved to it at once.
-func TestSessionsOfACompletedReleaseStayThereInTheFirstHalfOfTheNextRollOut(t *testing.T) {
+func TestSessionsOfCompletedReleaseStayInFirstHalfOfNextRollOut(t *testing.T) {
 	r := newTestReleases()
 	r.begin(orderOf("v2", 1), 0, testStart)
 	r.settle(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseCompleted}, true, "test")
--- a/exchange/site_test.go
+++ b/exchange/site_test.go
@@ -26,7 +26,7 @@
 	testHost    = "site.example"
 	testKey     = "key-of-ada"
 	testAccount = willowwick.AccountID("ada")
-	patience    = 5 * time.Second
+	waitTimeout = 5 * time.Second
 )
 
 // testCodec implements willowwick.HeaderCodec with names of its own.
@@ -372,7 +372,7 @@
 	}
 }
 
-func againRoute() willowwick.Route {
+func retryRoute() willowwick.Route {
 	r := onceRoute()
 	r.Name, r.Prefix, r.Repeatable, r.MaxRuns = "again", "/again/", true, 2
 	return r
@@ -403,7 +403,7 @@
 
 // newSite starts a daemon with the three usual routes in front of the endpoints.
 func newSite(t *testing.T, endpoints ...willowwick.Endpoint) *site {
-	return startSite(t, newTestControl(testTable(1, onceRoute(), againRoute(), streamRoute()), endpoints...), testSettings())
+	return startSite(t, newTestControl(testTable(1, onceRoute(), retryRoute(), streamRoute()), endpoints...), testSettings())
 }
 
 func startSite(t *testing.T, control siteControl, settings Settings) *site {
@@ -424,7 +424,7 @@
 	require.Eventually(t, func() bool {
 		ok, _ := daemon.router.ready()
 		return ok || s.control.table == nil
-	}, patience, 5*time.Millisecond)
+	}, waitTimeout, 5*time.Millisecond)
 	return s
 }
 
--- a/exchange/slow_link_test.go
+++ b/exchange/slow_link_test.go
@@ -55,6 +55,6 @@
 	settings.Drain = feedDrain
 	s := startSite(t, control, settings)
 	control.isNarrow.Store(true)
-	control.change(func() { control.table = testTable(2, againRoute()) })
-	require.Eventually(t, func() bool { return s.daemon.router.configVersion() == 2 }, patience, 5*time.Millisecond)
+	control.change(func() { control.table = testTable(2, retryRoute()) })
+	require.Eventually(t, func() bool { return s.daemon.router.configVersion() == 2 }, waitTimeout, 5*time.Millisecond)
 }
--- a/exchange/stale_test.go
+++ b/exchange/stale_test.go
@@ -68,11 +68,11 @@
 			r := newRunner(t, "r1", answerText("ok"))
 			control := newLosingControl(r.endpoint("v1"))
 			s := startSite(t, control, testSettings())
-			require.Eventually(t, func() bool { return control.held.Load() > 0 }, patience, time.Millisecond)
+			require.Eventually(t, func() bool { return control.held.Load() > 0 }, waitTimeout, time.Millisecond)
 			control.setAway(true)
 			time.Sleep(away * time.Millisecond)
 			control.setAway(false)
-			control.change(func() { control.table = testTable(2, againRoute()) })
+			control.change(func() { control.table = testTable(2, retryRoute()) })
 			require.Eventually(t, func() bool { return s.daemon.router.configVersion() == 2 }, inForceWithin, 5*time.Millisecond)
 		})
 	}
@@ -85,7 +85,7 @@
 	control.loseNext.Store(true)
 	s := startSite(t, control, testSettings())
 	<-control.lost
-	control.change(func() { control.table = testTable(2, againRoute()) })
+	control.change(func() { control.table = testTable(2, retryRoute()) })
 	require.Eventually(t, func() bool { return s.daemon.router.configVersion() == 2 }, inForceWithin, 5*time.Millisecond)
 	assert.False(t, s.daemon.router.sync.isAway())
 }
@@ -95,7 +95,7 @@
 	r := newRunner(t, "r1", answerText("ok"))
 	_, sites := newHall(t, 1, r.endpoint("v1"))
 	x := sites[0].daemon.router
-	require.Eventually(t, func() bool { return x.peers.reads(time.Now()) }, patience, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return x.peers.reads(time.Now()) }, waitTimeout, 10*time.Millisecond)
 	// Its own reads would count as well.
 	sites[0].daemon.stop()
 	sites[0].daemon.workers.Close()
@@ -115,9 +115,9 @@
 	for kind := range readKinds {
 		first.sync.noteFailure(kind, time.Now(), errDown)
 	}
-	require.Eventually(t, func() bool { return !first.sync.isAway() }, patience, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return !first.sync.isAway() }, waitTimeout, 10*time.Millisecond)
 	require.Eventually(t, func() bool {
 		found := readers(sites)
 		return len(found) == 1 && found[0].daemon.router == first
-	}, patience, 10*time.Millisecond)
+	}, waitTimeout, 10*time.Millisecond)
 }
--- a/exchange/statuses_test.go
+++ b/exchange/statuses_test.go
@@ -19,7 +19,7 @@
 // Statuses implements willowwick.Control.
 func (c *slowStatuses) Statuses(ctx context.Context) (willowwick.ReleaseStatuses, error) {
 	c.asked.Add(1)
-	sleep(ctx, patience)
+	sleep(ctx, waitTimeout)
 	return c.testControl.Statuses(ctx)
 }
 
@@ -36,8 +36,8 @@
 	control.change(func() {
 		control.orders = []willowwick.ReleaseOrder{{Service: "work", Target: "v2", Period: time.Minute, At: 1}}
 	})
-	require.Eventually(t, func() bool { return control.asked.Load() > 0 }, patience, time.Millisecond)
-	control.change(func() { control.table = testTable(2, againRoute()) })
+	require.Eventually(t, func() bool { return control.asked.Load() > 0 }, waitTimeout, time.Millisecond)
+	control.change(func() { control.table = testTable(2, retryRoute()) })
 	require.Eventually(t, func() bool { return s.daemon.router.configVersion() == 2 }, inForceWithin, 5*time.Millisecond)
 }
 
@@ -48,12 +48,12 @@
 	control := &slowStatuses{testControl: newTestControl(testTable(1, onceRoute()), r.endpoint("v1"))}
 	s := startSite(t, control, testSettings())
 	x := s.daemon.router
-	require.Eventually(t, x.sync.isLeading, patience, time.Millisecond)
+	require.Eventually(t, x.sync.isLeading, waitTimeout, time.Millisecond)
 	control.change(func() {
 		control.orders = []willowwick.ReleaseOrder{{Service: "work", Target: "v2", Period: time.Minute, At: 1}}
 	})
 	// One read for the order, another one before the state is written.
-	require.Eventually(t, func() bool { return control.asked.Load() > 1 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return control.asked.Load() > 1 }, waitTimeout, time.Millisecond)
 	for range 10 * plainlyBad {
 		x.releases.observe(observation{service: "work", release: "v2", route: "once", isError: true})
 	}
--- a/exchange/stop_cut_test.go
+++ b/exchange/stop_cut_test.go
@@ -77,7 +77,7 @@
 // newStopSite starts a daemon that takes callers from the listener.
 func newStopSite(t *testing.T, settings Settings, callers net.Listener, endpoints ...willowwick.Endpoint) *site {
 	t.Helper()
-	control := newTestControl(testTable(1, onceRoute(), againRoute(), streamRoute()), endpoints...)
+	control := newTestControl(testTable(1, onceRoute(), retryRoute(), streamRoute()), endpoints...)
 	peers := listen(t)
 	settings.Peers = peers.Addr().String()
 	daemon, closeDaemon := New(settings, Outside{
@@ -99,7 +99,7 @@
 	require.Eventually(t, func() bool {
 		ok, _ := daemon.router.ready()
 		return ok
-	}, patience, 5*time.Millisecond)
+	}, waitTimeout, 5*time.Millisecond)
 	return s
 }
 
@@ -115,7 +115,7 @@
 	conn, err := net.Dial("tcp", strings.TrimPrefix(s.url, "http://"))
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = conn.Close() })
-	require.NoError(t, conn.SetDeadline(time.Now().Add(patience)))
+	require.NoError(t, conn.SetDeadline(time.Now().Add(waitTimeout)))
 	return &wireCaller{conn, bufio.NewReader(conn)}
 }
 
@@ -203,7 +203,7 @@
 	require.NoError(t, err, "the request was sent on, and its answer cut")
 	assert.Equal(t, http.StatusOK, status)
 	assert.Equal(t, "whole", body)
-	requireClosed(t, ended, patience, "the box does not end")
+	requireClosed(t, ended, waitTimeout, "the box does not end")
 }
 
 // Seen: a request that a stopping box took as sure to end before the box does was cut.
--- a/exchange/stop_random_test.go
+++ b/exchange/stop_random_test.go
@@ -194,7 +194,7 @@
 			c.rest()
 			continue
 		}
-		_ = conn.SetDeadline(time.Now().Add(patience))
+		_ = conn.SetDeadline(time.Now().Add(waitTimeout))
 		caller := &wireCaller{conn, bufio.NewReader(conn)}
 		for use(caller) && !c.hunt.hasEnded() {
 			c.rest()
--- a/exchange/suspension_test.go
+++ b/exchange/suspension_test.go
@@ -10,17 +10,17 @@
 	"github.com/willowwick/willowwick/clock"
 )
 
-// asleep is longer than all bounds of the tests' settings.
-const asleep = 30 * time.Second
+// suspendedFor is longer than all bounds of the tests' settings.
+const suspendedFor = 30 * time.Second
 
 // suspend lets the box's clock go on as if its machine had been suspended.
 func suspend(t *testing.T) {
-	t.Cleanup(clock.Suspend(asleep))
+	t.Cleanup(clock.Suspend(suspendedFor))
 }
 
 // A configuration that was the newest before the machine was suspended is not for certain after it: nothing is refused for good
 // by it.
-func TestABoxThatWasSuspendedRefusesNothingForGood(t *testing.T) {
+func TestSuspendedBoxRefusesNothingPermanently(t *testing.T) {
 	s := newSite(t)
 	require.Equal(t, http.StatusNotFound, s.do(t, http.MethodGet, "/unknown/", "before", "").status)
 	s.control.mu.Lock()
@@ -28,14 +28,14 @@
 	s.control.mu.Unlock()
 	suspend(t)
 	assert.Equal(t, http.StatusServiceUnavailable, s.do(t, http.MethodGet, "/unknown/", "after", "").status)
-	assert.GreaterOrEqual(t, s.daemon.router.sync.endpointsAge(clock.Now()), asleep)
+	assert.GreaterOrEqual(t, s.daemon.router.sync.endpointsAge(clock.Now()), suspendedFor)
 	digest := s.daemon.router.peers.digest(clock.Now())
-	assert.GreaterOrEqual(t, digest.ConfigAgeMs, asleep.Milliseconds(), "other boxes are told so")
-	assert.GreaterOrEqual(t, digest.StoreAgeMs, asleep.Milliseconds())
+	assert.GreaterOrEqual(t, digest.ConfigAgeMs, suspendedFor.Milliseconds(), "other boxes are told so")
+	assert.GreaterOrEqual(t, digest.StoreAgeMs, suspendedFor.Milliseconds())
 }
 
 // A request whose time passed while the machine was suspended is not sent again with what seems to be left of it.
-func TestARequestWhoseTimePassedInASuspensionIsNotSentAgain(t *testing.T) {
+func TestRequestExpiredDuringSuspensionIsNotRetried(t *testing.T) {
 	a := newRunner(t, "r1", answerText("ok"))
 	b := newRunner(t, "r2", answerText("ok"))
 	s := newSite(t, a.endpoint("v1"), b.endpoint("v1"))
@@ -51,12 +51,12 @@
 }
 
 // A record of an end that is kept at the store says when that was by the time of day.
-func TestAnEndIsToldByTheTimeOfDay(t *testing.T) {
+func TestCrashIsStoredWithTimeOfDay(t *testing.T) {
 	suspend(t)
-	h, sites := newHarmSite(t, 1, 4)
-	for i := 0; !sites[0].refusesHarmful(); i++ {
+	h, sites := newPoisonSite(t, 1, 4)
+	for i := 0; !sites[0].refusesPoison(); i++ {
 		require.Less(t, i, 10)
-		sites[0].do(t, http.MethodPost, "/stream/", "id", harmfulBody)
+		sites[0].do(t, http.MethodPost, "/stream/", "id", poisonBody)
 	}
 	require.Eventually(t, func() bool {
 		h.control.mu.Lock()
--- a/exchange/transit_test.go
+++ b/exchange/transit_test.go
@@ -39,7 +39,7 @@
 	_, hearers := newHall(t, 1, r.endpoint("v1"))
 	hearer := hearers[0].daemon.router
 	hearers[0].control.change(func() { hearers[0].control.down = true })
-	require.Eventually(t, func() bool { return hearer.sync.isFailing(readEndpoints) }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return hearer.sync.isFailing(readEndpoints) }, waitTimeout, time.Millisecond)
 	// The teller hears of the hearer by the call; the hearer's own swaps with it would bring newer news.
 	hearers[0].daemon.stop()
 	hearers[0].daemon.workers.Close()
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -39,7 +39,7 @@
 	return l.Refuses(requestOf(body))
 }
 
-func TestARequestIsRefusedAfterItsThirdEnd(t *testing.T) {
+func TestRequestIsRefusedAfterThreeCrashes(t *testing.T) {
 	l := New()
 	assert.True(t, l.IsEmpty())
 	l.note(endAt("a", 0), "harmful", "other")
@@ -57,7 +57,7 @@
 }
 
 // The requests at work beside a harmful one are at each of the ends that they were sent to anew; what they have no end of, it has.
-func TestWhatWasAtWorkBesideAHarmfulRequestIsNotRefused(t *testing.T) {
+func TestRequestsRunningBesidePoisonRequestAreNotRefused(t *testing.T) {
 	l := New()
 	for i, endpoint := range []string{"a", "b", "c"} {
 		l.note(endAt(endpoint, 100*i), "harmful", "victim")
@@ -69,7 +69,7 @@
 }
 
 // Of two requests that were at the same three ends one may be as good as any other: each is tried once.
-func TestRequestsThatWereAtTheSameEndsAreTriedOnce(t *testing.T) {
+func TestRequestsWithSameCrashesGetOneTrial(t *testing.T) {
 	l := New()
 	releases := []willowwick.ReleaseID{"v1"}
 	for i, endpoint := range []string{"a", "b", "c"} {
@@ -85,7 +85,7 @@
 	assert.False(t, isAllowed, "nothing else is left that may have done it")
 }
 
-func TestAWholeAnswerClearsARequest(t *testing.T) {
+func TestCompleteAnswerClearsRequest(t *testing.T) {
 	l := New()
 	l.note(endAt("a", 0), "popular")
 	l.note(endAt("b", 1), "popular")
@@ -113,7 +113,7 @@
 }
 
 // Many endpoints that end at once are rather a failure of theirs, and a popular request is at all of them.
-func TestARequestWhoseEndsCameTogetherIsTriedOnce(t *testing.T) {
+func TestRequestWithSimultaneousCrashesGetsOneTrial(t *testing.T) {
 	l := New()
 	releases := []willowwick.ReleaseID{"v1"}
 	for i, endpoint := range []string{"a", "b", "c", "d"} {
@@ -133,7 +133,7 @@
 	assert.False(t, l.refuses("popular"))
 }
 
-func TestARefusedRequestIsTriedOnceOnANewRelease(t *testing.T) {
+func TestRefusedRequestGetsOneTrialOnNewRelease(t *testing.T) {
 	l := New()
 	for i, endpoint := range []string{"a", "b", "c"} {
 		l.note(endAt(endpoint, 1000*i), "harmful")
@@ -157,7 +157,7 @@
 
 // Boxes come to the same opinion in whatever order they hear of each other, also through a third one, and although some are
 // started anew.
-func TestBoxesAgreeWhateverOrderTheirNewsCome(t *testing.T) {
+func TestBoxesConvergeForAnyUpdateOrder(t *testing.T) {
 	const boxes, steps = 4, 120
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, seed))
@@ -212,7 +212,7 @@
 	}
 }
 
-func TestNewsAreToldOnce(t *testing.T) {
+func TestUpdatesAreSentOnce(t *testing.T) {
 	a, b := New(), New()
 	a.note(endAt("a", 0), "one", "two")
 	news := a.UpdatesSince(Position{}, "boot", "b", began)
@@ -226,7 +226,7 @@
 }
 
 // A caller can fill the ledger with requests that were at an endpoint that ended once, and forces out nothing that counts.
-func TestTheLedgerIsBounded(t *testing.T) {
+func TestLedgerSizeIsBounded(t *testing.T) {
 	l := New()
 	l.note(endAt("a", 0), "harmful")
 	l.note(endAt("b", 1000), "harmful")
@@ -248,7 +248,7 @@
 	assert.False(t, l.refuses("harmful"))
 }
 
-func TestWhatTheStoreHoldsIsRefusedByABoxThatStartsAnew(t *testing.T) {
+func TestRestartedBoxRefusesStoredRequests(t *testing.T) {
 	l := New()
 	for i, endpoint := range []string{"a", "b", "c"} {
 		l.note(endAt(endpoint, 1000*i), "harmful")
@@ -271,7 +271,7 @@
 }
 
 // A request may be answered whole while the store is told that it is refused.
-func TestWhatChangesWhileTheStoreIsToldIsToldToo(t *testing.T) {
+func TestChangeDuringStoreWriteIsWrittenToo(t *testing.T) {
 	l := New()
 	for i, endpoint := range []string{"a", "b", "c"} {
 		l.note(endAt(endpoint, 1000*i), "popular")
@@ -287,7 +287,7 @@
 	assert.Empty(t, l.PendingWrites())
 }
 
-func TestNoCallerHasAnotherOnesRequestRefused(t *testing.T) {
+func TestFingerprintsDifferBetweenCallersAndRequests(t *testing.T) {
 	same := willowwick.FingerprintOf("ada", "POST", "host", "/x", []byte("b"))
 	assert.Equal(t, same, willowwick.FingerprintOf("ada", "POST", "host", "/x", []byte("b")))
 	for _, other := range []willowwick.Fingerprint{
@@ -306,7 +306,7 @@
 }
 
 // Each trial may end one more endpoint with all that is at work there, and a fleet may move to a new release several times a day.
-func TestTrialsOfARequestBecomeRare(t *testing.T) {
+func TestTrialsBackOff(t *testing.T) {
 	l := New()
 	for i, endpoint := range []string{"a", "b", "c"} {
 		l.note(endAt(endpoint, 1000*i), "harmful")
@@ -331,7 +331,7 @@
 }
 
 // Places are scarce after a rack has failed: a trial may find none, or get no answer in time.
-func TestATrialThatShowsNothingIsMadeAgain(t *testing.T) {
+func TestInconclusiveTrialIsRepeated(t *testing.T) {
 	l := New()
 	for i, endpoint := range []string{"a", "b", "c"} {
 		l.note(endAt(endpoint, i), "popular")
--- a/ratelimit/granter_test.go
+++ b/ratelimit/granter_test.go
@@ -32,7 +32,7 @@
 	return sum
 }
 
-func TestPermitsComeAtTheRateOfTheLimit(t *testing.T) {
+func TestPermitsAreGrantedAtLimitRate(t *testing.T) {
 	start := time.Now()
 	for _, rate := range []willowwick.PerSecond{0.5, 2, 40, 2000} {
 		g, _ := newGranting(start, rate)
@@ -44,7 +44,7 @@
 }
 
 // A box that follows what a part of the boxes do hands out that part alone.
-func TestAPartOfTheBoxesGetsAPartOfTheLimit(t *testing.T) {
+func TestPartOfBoxesGetsPartOfLimit(t *testing.T) {
 	start := time.Now()
 	g, _ := newGranting(start, 12)
 	got := granted(g, 1.0/3, start.Add(takeoverDelay), 20*time.Second, 5)
@@ -52,7 +52,7 @@
 }
 
 // Questions that are denied come again no more often than they are of use, however many boxes ask.
-func TestDeniedBoxesAskAgainAsOftenAsIsOfUse(t *testing.T) {
+func TestDeniedBoxesDoNotAskTooOften(t *testing.T) {
 	const boxes, rate, length = 200, 2, 60 * time.Second
 	start := time.Now()
 	g, _ := newGranting(start, rate)
@@ -73,13 +73,13 @@
 	assert.Less(t, asks, boxes+3*asksPerPermit*rate*int(length.Seconds()))
 }
 
-func TestAnEndpointWithoutLimitNeedsNoPermits(t *testing.T) {
+func TestUnlimitedEndpointNeedsNoPermits(t *testing.T) {
 	now := time.Now()
 	g := NewGranter(NewLedger())
 	assert.Equal(t, 3, g.Answer(question("b1", 3), 1, now).Permits)
 }
 
-func TestAnEndpointThatTakesNothingIsTriedNowAndThen(t *testing.T) {
+func TestZeroRateEndpointIsProbed(t *testing.T) {
 	start := time.Now()
 	g, l := newGranting(start, 0)
 	rate, isLimited := l.Rate(start, endpoint.ID)
--- a/ratelimit/ledger_test.go
+++ b/ratelimit/ledger_test.go
@@ -15,7 +15,7 @@
 }
 
 // An answer that was under way when an endpoint named its limit says nothing of it; that is no end of the limit.
-func TestOnlyAnswersToLaterRequestsEndALimit(t *testing.T) {
+func TestOnlyAnswersToLaterRequestsEndLimit(t *testing.T) {
 	l := NewLedger()
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
@@ -32,7 +32,7 @@
 }
 
 // A limit that has ended lets more and more through, until nothing is bounded.
-func TestAnEndedLimitDoublesUntilItIsGone(t *testing.T) {
+func TestEndedLimitDoublesUntilGone(t *testing.T) {
 	l, start := NewLedger(), time.Now()
 	l.Heard(start, start, endpoint, named(2))
 	ended := start.Add(time.Second)
@@ -48,7 +48,7 @@
 }
 
 // An endpoint that starts again under its id has named nothing yet, nor has one that comes to a list anew.
-func TestLimitsOfEndpointsThatAreGoneOrStartAgainAreForgotten(t *testing.T) {
+func TestLimitsOfRemovedOrRestartedEndpointsAreDropped(t *testing.T) {
 	l, now := NewLedger(), time.Now()
 	first, second := willowwick.Endpoint{ID: "e1", Incarnation: 7}, willowwick.Endpoint{ID: "e2"}
 	l.Heard(now, now, first, named(1))
@@ -65,7 +65,7 @@
 	assert.Equal(t, 1, l.Count(), "one that another box told of may not be listed here yet")
 }
 
-func TestBoxesThatHaveToldEachOtherKnowTheSame(t *testing.T) {
+func TestLimitsConvergeBetweenBoxes(t *testing.T) {
 	a, b, now := NewLedger(), NewLedger(), time.Now()
 	at := func(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
 	a.Heard(at(0), at(0), willowwick.Endpoint{ID: "named"}, named(3))
@@ -88,7 +88,7 @@
 }
 
 // A permit is used soon after it was asked for, or not at all; while one is asked for, no other request takes the endpoint.
-func TestPermitsAreUsedSoonOrNotAtAll(t *testing.T) {
+func TestPermitsExpire(t *testing.T) {
 	l, now := NewLedger(), time.Now()
 	l.Heard(now, now, endpoint, named(40))
 	assert.True(t, l.MayUse(now, endpoint.ID))
@@ -115,7 +115,7 @@
 }
 
 // A box that has just started gives each endpoint one request until it has answered, or another box has told what it knows.
-func TestABoxThatKnowsNothingYetTriesEndpointsOnce(t *testing.T) {
+func TestStartingBoxSendsOneRequestPerEndpoint(t *testing.T) {
 	l, now := NewLedger(), time.Now()
 	l.AwaitUpdates(now.Add(time.Second))
 	l.Use(now, endpoint.ID)
@@ -131,7 +131,7 @@
 	assert.True(t, l.MayUse(now, "e2"))
 }
 
-func TestALimitBeyondAllThatIsSentBoundsNothing(t *testing.T) {
+func TestHugeLimitIsIgnored(t *testing.T) {
 	l, now := NewLedger(), time.Now()
 	l.Heard(now, now, endpoint, named(1e9))
 	_, isLimited := l.Rate(now, endpoint.ID)
