--- a/exchange/draining_test.go
+++ b/exchange/draining_test.go
@@ -24,8 +24,8 @@
 	return b, leaving, other
 }
 
-// tell sends requests until the box knows that the first runner leaves.
-func (b *restartSite) tell(t *testing.T, path string, header ...string) {
+// sendUntilDraining sends requests until the box knows that the first runner leaves.
+func (b *restartSite) sendUntilDraining(t *testing.T, path string, header ...string) {
 	n := 0
 	require.Eventually(t, func() bool {
 		n++
@@ -71,7 +71,7 @@
 				writeDraining(w)
 				answer(w, r)
 			})
-			b.tell(t, "/stream/", "T-Model", "*")
+			b.sendUntilDraining(t, "/stream/", "T-Model", "*")
 			b.assertUnused(t, leaving)
 		})
 	}
@@ -88,7 +88,7 @@
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nT-Id: earlier\r\nT-Leaving: 1\r\nContent-Length: 0\r\n\r\n")
 		_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nT-Id: %s\r\nT-Seal: r1\r\nContent-Length: 2\r\n\r\nok", r.Header.Get("T-Id"))
 	})
-	b.tell(t, "/again/")
+	b.sendUntilDraining(t, "/again/")
 	b.assertUnused(t, leaving)
 }
 
@@ -99,19 +99,19 @@
 		writeDraining(w)
 		_, _ = io.WriteString(w, "ok")
 	})
-	b.tell(t, "/again/")
-	b.remove(t)
-	b.control.comeBack(func() {
+	b.sendUntilDraining(t, "/again/")
+	b.removeEntry(t)
+	b.control.restoreFromBackup(func() {
 		b.endpoint.Beat += 10
 		b.control.endpoints["r1"] = b.endpoint
 	})
 	require.Eventually(t, func() bool { // one that is gone counts from the second heartbeat on that a read shows
-		b.write(func(endpoint *willowwick.Endpoint) { endpoint.Beat++ })
+		b.updateEntry(func(endpoint *willowwick.Endpoint) { endpoint.Beat++ })
 		return len(b.daemon.router.pool.Endpoints()) == 2
 	}, waitTimeout, 50*time.Millisecond)
 	b.assertUnused(t, leaving)
 	leaving.handle(answerText("ok"))
-	b.write(restart)
+	b.updateEntry(restart)
 	require.Eventually(t, func() bool { return !b.daemon.router.pool.IsLeaving("r1") }, waitTimeout, 5*time.Millisecond)
 	before := len(leaving.requests())
 	require.Eventually(t, func() bool {
@@ -126,7 +126,7 @@
 		writeDraining(w)
 		_, _ = io.WriteString(w, "ok")
 	})
-	b.tell(t, "/again/")
+	b.sendUntilDraining(t, "/again/")
 	endpoint := b.daemon.router.pool.Endpoints()[0]
 	require.Equal(t, willowwick.EndpointID("r1"), endpoint.ID)
 	endpoint.Address = "127.0.0.1:1" // nothing listens there
@@ -192,7 +192,7 @@
 		told := m.boxes[size.boxes-1]
 		news := told.pool.Hear(now, now, endpoint, willowwick.Notice{Leaving: true})
 		require.True(t, news.Leaving)
-		for !m.allKnow(endpoint.ID) && time.Since(now) < 2*within {
+		for !m.allKnowDraining(endpoint.ID) && time.Since(now) < 2*within {
 			m.run(t, meshStep)
 		}
 		t.Logf("%d boxes know after %s", size.boxes, time.Since(now))
@@ -200,8 +200,8 @@
 	})
 }
 
-// allKnow reports whether all boxes know that an endpoint leaves.
-func (m *mesh) allKnow(id willowwick.EndpointID) bool {
+// allKnowDraining reports whether all boxes know that an endpoint leaves.
+func (m *mesh) allKnowDraining(id willowwick.EndpointID) bool {
 	for _, box := range m.boxes {
 		if !box.pool.IsLeaving(id) {
 			return false
--- a/exchange/era_test.go
+++ b/exchange/era_test.go
@@ -213,7 +213,7 @@
 		return len(s.control.harmful) == 1 && len(s.control.statuses) == 1 && s.control.statuses[0].State == willowwick.ReleaseRolledBack
 	}
 	require.Eventually(t, isWritten, waitTimeout, 5*time.Millisecond)
-	s.control.comeBack(func() {})
+	s.control.restoreFromBackup(func() {})
 	require.False(t, isWritten())
 	require.Eventually(t, isWritten, waitTimeout, 5*time.Millisecond)
 }
@@ -223,7 +223,7 @@
 func TestNoConfigurationIsForCertainWhileTheOperatorWritesAgain(t *testing.T) {
 	s := newSite(t, newRunner(t, "r1", answerText("ok")).endpoint("v1"))
 	x := s.daemon.router
-	s.control.comeBack(func() {})
+	s.control.restoreFromBackup(func() {})
 	require.Eventually(t, func() bool { return x.sync.isStale(time.Now()) }, writtenAgainWithin, 5*time.Millisecond)
 	require.Eventually(t, func() bool { return !x.sync.isStale(time.Now()) }, writtenAgainWithin, 5*time.Millisecond)
 }
@@ -300,7 +300,7 @@
 // what that did not hold; the others knew better.
 func TestABoxThatStartsWhileTheOperatorWritesAgainRefusesNothingForGood(t *testing.T) {
 	s := newSite(t, newRunner(t, "r1", answerText("ok")).endpoint("v1"))
-	s.control.comeBack(func() {})
+	s.control.restoreFromBackup(func() {})
 	require.Eventually(t, func() bool { return s.daemon.router.sync.isRestoring(time.Now()) }, waitTimeout, time.Millisecond)
 	settings := testSettings()
 	settings.Box, settings.Seeds = "box-new", []string{s.daemon.router.settings.Peers}
--- a/exchange/evacuation_test.go
+++ b/exchange/evacuation_test.go
@@ -27,8 +27,8 @@
 	return s.daemon.router.pool.HasStaying("work", func(endpoint willowwick.Endpoint) bool { return endpoint.Hall == hall })
 }
 
-// fill takes all places at the endpoints and returns a function that gives them back.
-func (s *site) fill(t *testing.T) (free func()) {
+// fillSlots takes all places at the endpoints and returns a function that gives them back.
+func (s *site) fillSlots(t *testing.T) (free func()) {
 	all := func(willowwick.Endpoint) bool { return true }
 	var places []*route.Place
 	for s.daemon.router.pool.HasOpen(time.Now(), "work", all) {
@@ -43,13 +43,13 @@
 	}
 }
 
-// declare gives the box what a read of the store would bring.
-func (s *site) declare(declared willowwick.Declarations) {
+// applyDeclarations gives the box what a read of the store would bring.
+func (s *site) applyDeclarations(declared willowwick.Declarations) {
 	s.daemon.router.sync.declare(declared)
 }
 
-// tell gives the box the digest of another one.
-func (s *site) tell(evacuated EvacuatedHalls) {
+// receiveEvacuated gives the box the digest of another one.
+func (s *site) receiveEvacuated(evacuated EvacuatedHalls) {
 	s.daemon.router.peers.heard(Digest{Box: "box-9", Hall: "hall-z", Address: "10.0.0.9:1", Evacuated: evacuated}, time.Now())
 }
 
@@ -92,7 +92,7 @@
 	own, other := newRunner(t, "r1", answerText("own")), newRunner(t, "r2", answerText("other"))
 	control, sites := newHall(t, 4, own.endpoint("v1"), inHall("hall-b", other.endpoint("v1")))
 	awaitReaders(t, sites, 1)
-	require.Eventually(t, func() bool { return control.held.Load() == 1 }, waitTimeout, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return control.waitingReads.Load() == 1 }, waitTimeout, 10*time.Millisecond)
 	control.evacuate("hall-a")
 	for _, s := range sites {
 		require.Eventually(t, func() bool { return !s.sendsTo("hall-a") }, inForceWithin, 5*time.Millisecond, "box %s", s.daemon.router.settings.Box)
@@ -135,7 +135,7 @@
 	other := newRunner(t, "r2", answerText("other"))
 	s = newSite(t, own.endpoint("v1"), inHall("hall-b", other.endpoint("v1")))
 	// From then on the box learns of it well before it takes the endpoint to be silent.
-	require.Eventually(t, func() bool { return s.control.held.Load() == 1 }, waitTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return s.control.waitingReads.Load() == 1 }, waitTimeout, time.Millisecond)
 	assert.Equal(t, http.StatusInternalServerError, s.do(t, http.MethodGet, "/again/", "id", "").status)
 	assert.Empty(t, other.requests())
 	assert.Len(t, own.requests(), 2, "a second try at the endpoint that is left beats none")
@@ -164,7 +164,7 @@
 	patient.Timeout, patient.Goal = 20*time.Second, 20*time.Second
 	s.control.change(func() { s.control.table = testTable(2, patient) })
 	require.Eventually(t, func() bool { return s.daemon.router.configVersion() == 2 }, inForceWithin, 5*time.Millisecond)
-	free := s.fill(t)
+	free := s.fillSlots(t)
 	replies := make(chan siteReply, 1)
 	go func() { replies <- s.do(t, http.MethodPost, "/once/", "id", "x", "T-Left", "4000") }()
 	require.Eventually(t, func() bool { return s.daemon.router.gate.WaitingNow() == 1 }, waitTimeout, time.Millisecond)
@@ -189,35 +189,35 @@
 		isEmpty bool
 	}{
 		{"a whole read", func() {
-			s.declare(willowwick.Declarations{Whole: true, Next: 100, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 99}}})
+			s.applyDeclarations(willowwick.Declarations{Whole: true, Next: 100, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 99}}})
 		}, true},
 		{"a late read of changes", func() {
-			s.declare(willowwick.Declarations{Next: 61, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 60, TakenBack: true}}})
+			s.applyDeclarations(willowwick.Declarations{Next: 61, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 60, TakenBack: true}}})
 		}, true},
-		{"a late whole read", func() { s.declare(willowwick.Declarations{Whole: true, Next: 70}) }, true},
-		{"another box that knows less", func() { s.tell(EvacuatedHalls{AsOf: 80}) }, true},
-		{"a box that tells nothing of it", func() { s.tell(EvacuatedHalls{}) }, true},
-		{"another box that knows more", func() { s.tell(EvacuatedHalls{AsOf: 110}) }, false},
-		{"its old state", func() { s.tell(evacuated(105)) }, false},
+		{"a late whole read", func() { s.applyDeclarations(willowwick.Declarations{Whole: true, Next: 70}) }, true},
+		{"another box that knows less", func() { s.receiveEvacuated(EvacuatedHalls{AsOf: 80}) }, true},
+		{"a box that tells nothing of it", func() { s.receiveEvacuated(EvacuatedHalls{}) }, true},
+		{"another box that knows more", func() { s.receiveEvacuated(EvacuatedHalls{AsOf: 110}) }, false},
+		{"its old state", func() { s.receiveEvacuated(evacuated(105)) }, false},
 		{"a read that ends before what was told", func() {
-			s.declare(willowwick.Declarations{Next: 102, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 101}}})
+			s.applyDeclarations(willowwick.Declarations{Next: 102, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 101}}})
 		}, false},
 		{"a read that begins before what was told", func() {
-			s.declare(willowwick.Declarations{Next: 112, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 101}}})
+			s.applyDeclarations(willowwick.Declarations{Next: 112, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 101}}})
 		}, false},
 		{"a new record", func() {
-			s.declare(willowwick.Declarations{Next: 113, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 112}}})
+			s.applyDeclarations(willowwick.Declarations{Next: 113, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 112}}})
 		}, true},
-		{"changes of other kinds", func() { s.declare(willowwick.Declarations{Next: 120}) }, true},
-		{"a whole read after the store forgot its history", func() { s.declare(willowwick.Declarations{Whole: true, Next: 130}) }, false},
+		{"changes of other kinds", func() { s.applyDeclarations(willowwick.Declarations{Next: 120}) }, true},
+		{"a whole read after the store forgot its history", func() { s.applyDeclarations(willowwick.Declarations{Whole: true, Next: 130}) }, false},
 		{"a whole read that saw a record after its end", func() {
-			s.declare(willowwick.Declarations{Whole: true, Next: 140, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 145}}})
+			s.applyDeclarations(willowwick.Declarations{Whole: true, Next: 140, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 145}}})
 		}, true},
 		{"the records between", func() {
-			s.declare(willowwick.Declarations{Next: 142, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 141, TakenBack: true}}})
+			s.applyDeclarations(willowwick.Declarations{Next: 142, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 141, TakenBack: true}}})
 		}, true},
 		{"many changes at once", func() {
-			s.declare(willowwick.Declarations{Next: 150, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 145}, {Hall: hall, At: 149, TakenBack: true}}})
+			s.applyDeclarations(willowwick.Declarations{Next: 150, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 145}, {Hall: hall, At: 149, TakenBack: true}}})
 		}, false},
 	}
 	for _, step := range steps {
--- a/exchange/harm_fleet_test.go
+++ b/exchange/harm_fleet_test.go
@@ -28,7 +28,7 @@
 		request willowwick.HarmfulRequest
 		pending []poisonSend
 		sent    []time.Time
-		ends    []time.Time
+		crashes []time.Time
 		next    time.Time // arrival
 	}
 
@@ -82,9 +82,9 @@
 			pending = append(pending, s)
 			continue
 		}
-		h.ends = append(h.ends, now)
+		h.crashes = append(h.crashes, now)
 		s.box.harm.RecordCrash(h.request, willowwick.EndpointEnd{
-			Endpoint: willowwick.EndpointID(fmt.Sprint(h.name, "-", len(h.ends))), Release: "v1", At: now,
+			Endpoint: willowwick.EndpointID(fmt.Sprint(h.name, "-", len(h.crashes))), Release: "v1", At: now,
 		})
 		h.send(s.box, now, s.left)
 	}
@@ -95,7 +95,7 @@
 func (h *poisonMesh) late(notBefore time.Time) int {
 	count := 0
 	for _, at := range h.sent {
-		if len(h.ends) >= poisonSlack && at.Sub(h.ends[poisonSlack-1]) > poisonGrace && !at.Before(notBefore) {
+		if len(h.crashes) >= poisonSlack && at.Sub(h.crashes[poisonSlack-1]) > poisonGrace && !at.Before(notBefore) {
 			count++
 		}
 	}
@@ -123,7 +123,7 @@
 			h.play(t, poisonGrace+4*time.Second, m.boxes...) // the third end comes within a second
 			assert.LessOrEqual(t, h.late(time.Time{}), poisonSlack, "late sends, trouble: %s", trouble)
 			h.requireRefused(t)
-			t.Logf("trouble %s: %d ends, %d late sends", trouble, len(h.ends), h.late(time.Time{}))
+			t.Logf("trouble %s: %d ends, %d late sends", trouble, len(h.crashes), h.late(time.Time{}))
 		}
 	})
 }
@@ -233,12 +233,12 @@
 	}
 	request := willowwick.FingerprintOf(testAccount, http.MethodPost, testHost, "/stream/", []byte(poisonBody))
 	h.control.change(func() {
-		h.control.admitted = []willowwick.Admission{{Request: request, At: h.control.changes}}
+		h.control.admissions = []willowwick.Admission{{Request: request, At: h.control.changes}}
 	})
 	for _, s := range sites {
 		require.Eventually(t, func() bool { return !s.refusesPoison() }, inForceWithin, 10*time.Millisecond)
 	}
-	h.control.change(func() { h.control.admitted = nil })
+	h.control.change(func() { h.control.admissions = nil })
 	for _, s := range sites {
 		require.Eventually(t, s.refusesPoison, inForceWithin, 10*time.Millisecond)
 	}
--- a/exchange/harm_test.go
+++ b/exchange/harm_test.go
@@ -29,10 +29,10 @@
 type poisonSite struct {
 	control *testControl
 
-	mu    sync.Mutex
-	next  int
-	ended []time.Time // when the request ended an endpoint
-	ran   []time.Time // when an endpoint began to run it
+	mu      sync.Mutex
+	next    int
+	crashes []time.Time // when the request ended an endpoint
+	runs    []time.Time // when an endpoint began to run it
 }
 
 // addRunner lists an endpoint that answers all but the harmful body.
@@ -48,12 +48,12 @@
 			return
 		}
 		h.mu.Lock()
-		h.ran = append(h.ran, time.Now())
+		h.runs = append(h.runs, time.Now())
 		h.mu.Unlock()
 		time.Sleep(20 * time.Millisecond)
 		self.crash()
 		h.mu.Lock()
-		h.ended = append(h.ended, time.Now())
+		h.crashes = append(h.crashes, time.Now())
 		h.mu.Unlock()
 		time.AfterFunc(replacementDelay, func() {
 			h.control.change(func() { delete(h.control.endpoints, self.id) })
@@ -69,24 +69,24 @@
 func (h *poisonSite) lateRuns() (late, ended int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.ended) < poisonSlack {
-		return 0, len(h.ended)
+	if len(h.crashes) < poisonSlack {
+		return 0, len(h.crashes)
 	}
-	for _, at := range h.ran {
-		if at.Sub(h.ended[poisonSlack-1]) > poisonGrace {
+	for _, at := range h.runs {
+		if at.Sub(h.crashes[poisonSlack-1]) > poisonGrace {
 			late++
 		}
 	}
-	return late, len(h.ended)
+	return late, len(h.crashes)
 }
 
 // bodyOf is the body with which a request came.
 func (r *runner) bodyOf(request *http.Request) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for i, seen := range r.seen {
+	for i, seen := range r.received {
 		if seen == request {
-			return r.body[i]
+			return r.bodies[i]
 		}
 	}
 	return ""
--- a/exchange/incarnation_test.go
+++ b/exchange/incarnation_test.go
@@ -24,14 +24,14 @@
 	return &restartSite{newSite(t, endpoint), endpoint}
 }
 
-// write writes the endpoint's entry as changed.
-func (b *restartSite) write(change func(endpoint *willowwick.Endpoint)) {
+// updateEntry writes the endpoint's entry as changed.
+func (b *restartSite) updateEntry(change func(endpoint *willowwick.Endpoint)) {
 	change(&b.endpoint)
 	b.control.change(func() { b.control.endpoints[b.endpoint.ID] = b.endpoint })
 }
 
-// remove takes the endpoint's entry away, and waits until the box knows.
-func (b *restartSite) remove(t *testing.T) {
+// removeEntry takes the endpoint's entry away, and waits until the box knows.
+func (b *restartSite) removeEntry(t *testing.T) {
 	b.control.change(func() { delete(b.control.endpoints, b.endpoint.ID) })
 	require.Eventually(t, func() bool { return !b.isListed() }, waitTimeout, 5*time.Millisecond)
 }
@@ -50,8 +50,8 @@
 func TestRestartedEndpointIsListedAtOnce(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	b := newRestartSite(t, r.endpoint("v1"))
-	b.remove(t)
-	b.write(restart)
+	b.removeEntry(t)
+	b.updateEntry(restart)
 	require.Eventually(t, b.isListed, time.Second, 5*time.Millisecond)
 	assert.Equal(t, http.StatusOK, b.do(t, http.MethodPost, "/once/", "id", "x").status)
 }
@@ -60,9 +60,9 @@
 func TestRestartClearsDraining(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	b := newRestartSite(t, r.endpoint("v1"))
-	b.write(func(endpoint *willowwick.Endpoint) { endpoint.Leaving = true })
+	b.updateEntry(func(endpoint *willowwick.Endpoint) { endpoint.Leaving = true })
 	require.Eventually(t, func() bool { return !b.isListed() }, waitTimeout, 5*time.Millisecond)
-	b.write(restart)
+	b.updateEntry(restart)
 	require.Eventually(t, b.isListed, time.Second, 5*time.Millisecond)
 	assert.Equal(t, http.StatusOK, b.do(t, http.MethodPost, "/once/", "id", "x").status)
 }
@@ -73,7 +73,7 @@
 	b := newRestartSite(t, r.endpoint("v1"))
 	before := b.endpoint
 	before.Leaving, before.Beat = true, before.Beat+1
-	b.write(restart)
+	b.updateEntry(restart)
 	require.Eventually(t, func() bool {
 		entry, _ := b.daemon.router.sync.entry("r1")
 		return entry.Incarnation == b.endpoint.Incarnation
@@ -97,7 +97,7 @@
 	require.True(t, known)
 	require.Equal(t, 8, load.Running)
 	pool.MarkLeaving("r1")
-	b.write(restart)
+	b.updateEntry(restart)
 	require.Eventually(t, func() bool {
 		_, known := pool.LoadOf("r1")
 		return !known
@@ -114,7 +114,7 @@
 	for range quarantine.RefuseAfterCrashes {
 		b.do(t, http.MethodPost, "/once/", "id", "harmful")
 		require.Equal(t, b.endpoint.Incarnation, b.daemon.router.pool.Endpoints()[0].Incarnation)
-		b.write(restart)
+		b.updateEntry(restart)
 		require.Eventually(t, func() bool {
 			entry, _ := b.daemon.router.sync.entry("r1")
 			return entry.Incarnation == b.endpoint.Incarnation
--- a/exchange/notices_test.go
+++ b/exchange/notices_test.go
@@ -33,24 +33,24 @@
 		boxes int
 
 		mu       sync.Mutex
-		leaving  bool
-		rest     string // that it asks for, turning all away; empty for none
+		draining bool
+		backoff  string // that it asks for, turning all away; empty for none
 		arrivals []noticeArrival
 	}
 
 	// noticeArrival is a request with what its answer said.
 	noticeArrival struct {
-		box       int
-		at        time.Time
-		leaving   bool
-		restUntil time.Time
+		box          int
+		at           time.Time
+		draining     bool
+		backoffUntil time.Time
 	}
 )
 
 func newNoticeRunner(t *testing.T, id string, boxes int) *noticeRunner {
 	n := &noticeRunner{boxes: boxes}
 	n.runner = newRunner(t, id, func(w http.ResponseWriter, r *http.Request) {
-		if n.arrive(w, r) {
+		if n.recordArrival(w, r) {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -60,8 +60,8 @@
 	return n
 }
 
-// arrive notes a request of generateLoad, and writes what the answer says of the runner; isTurnedAway says that it is all the answer.
-func (n *noticeRunner) arrive(w http.ResponseWriter, r *http.Request) (isTurnedAway bool) {
+// recordArrival notes a request of generateLoad, and writes what the answer says of the runner; isTurnedAway says that it is all the answer.
+func (n *noticeRunner) recordArrival(w http.ResponseWriter, r *http.Request) (isTurnedAway bool) {
 	number, err := strconv.Atoi(r.Header.Get("T-Id")[strings.LastIndexByte(r.Header.Get("T-Id"), '/')+1:])
 	if err != nil {
 		panic(err)
@@ -69,29 +69,29 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	if n.leaving {
+	if n.draining {
 		w.Header().Set("T-Leaving", "1")
 	}
-	if n.rest != "" {
+	if n.backoff != "" {
 		w.Header().Set("T-Not-Run", "1")
-		w.Header().Set("T-Rest", n.rest)
+		w.Header().Set("T-Rest", n.backoff)
 	}
-	n.arrivals = append(n.arrivals, noticeArrival{number % n.boxes, now, n.leaving, willowwick.ParseRest(n.rest, now, now)})
-	return n.rest != ""
+	n.arrivals = append(n.arrivals, noticeArrival{number % n.boxes, now, n.draining, willowwick.ParseRest(n.backoff, now, now)})
+	return n.backoff != ""
 }
 
-// leave makes the runner say that it leaves.
-func (n *noticeRunner) leave() {
+// startDraining makes the runner say that it leaves.
+func (n *noticeRunner) startDraining() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.leaving = true
+	n.draining = true
 }
 
 // requestBackoff makes the runner turn all requests away and ask for rest; empty for neither.
 func (n *noticeRunner) requestBackoff(rest string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.rest = rest
+	n.backoff = rest
 }
 
 // lateAfterDraining counts the requests of boxes that an answer had told long before that the runner leaves.
@@ -103,7 +103,7 @@
 		if at, isTold := toldAt[arrival.box]; isTold && arrival.at.Sub(at) > drainGrace {
 			late++
 		}
-		if _, isTold := toldAt[arrival.box]; arrival.leaving && !isTold {
+		if _, isTold := toldAt[arrival.box]; arrival.draining && !isTold {
 			toldAt[arrival.box] = arrival.at
 		}
 	}
@@ -115,13 +115,13 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for i, answer := range n.arrivals {
-		if answer.restUntil.IsZero() {
+		if answer.backoffUntil.IsZero() {
 			continue
 		}
 		asked++
 		count := 0
 		for _, arrival := range n.arrivals[i+1:] {
-			isIn := arrival.at.Sub(answer.at) > backoffGrace && arrival.at.Before(answer.restUntil)
+			isIn := arrival.at.Sub(answer.at) > backoffGrace && arrival.at.Before(answer.backoffUntil)
 			if arrival.box == answer.box && isIn {
 				count++
 			}
@@ -157,7 +157,7 @@
 			_, sites, runners := newNoticeFleet(t, boxes, 3)
 			calls, stop := generateLoad(t, sites, "/again/", noticeRate)
 			time.Sleep(time.Second)
-			runners[0].leave()
+			runners[0].startDraining()
 			time.Sleep(4 * time.Second)
 			stop()
 			late, told := runners[0].lateAfterDraining()
@@ -176,7 +176,7 @@
 	calls, stop := generateLoad(t, sites, "/again/", noticeRate)
 	time.Sleep(500 * time.Millisecond)
 	for _, r := range runners {
-		r.leave()
+		r.startDraining()
 	}
 	time.Sleep(3 * time.Second)
 	stop()
@@ -195,7 +195,7 @@
 	slices.Sort(calls.refused)
 	assert.Less(t, calls.refused[len(calls.refused)*9/10], refusalP90, "what cannot be served is refused at once")
 	assert.Less(t, slices.Max(calls.refused), refusalMax)
-	assert.True(t, calls.hasTime, "a refusal says when to come back")
+	assert.True(t, calls.haveRetryAfter, "a refusal says when to come back")
 	assert.Empty(t, calls.other)
 }
 
--- a/exchange/peers_test.go
+++ b/exchange/peers_test.go
@@ -52,11 +52,11 @@
 	awaitReaders(t, sites, 1)
 	time.Sleep(peerFresh)
 	control.mu.Lock()
-	before := control.reads
+	before := control.endpointReads
 	control.mu.Unlock()
 	time.Sleep(feedDrain)
 	control.mu.Lock()
-	during := control.reads - before
+	during := control.endpointReads - before
 	control.mu.Unlock()
 	assert.LessOrEqual(t, during, 5, "reads of one box in the time of two and a half")
 	leaving := newRunner(t, "r2", answerText("ok"))
@@ -204,7 +204,7 @@
 	r := newRunner(t, "r1", answerText("ok"))
 	control, sites := newHall(t, 4, r.endpoint("v1"))
 	awaitReaders(t, sites, 1)
-	require.Eventually(t, func() bool { return control.held.Load() == 1 }, waitTimeout, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return control.waitingReads.Load() == 1 }, waitTimeout, 10*time.Millisecond)
 }
 
 // Boxes once asked an absent store again and again, each for itself; joins and declarations can wait for its return.
--- a/exchange/ratelimit_fleet_test.go
+++ b/exchange/ratelimit_fleet_test.go
@@ -23,20 +23,20 @@
 	// limitMesh is a mesh to whose boxes requests come that would all go to one endpoint.
 	limitMesh struct {
 		*mesh
-		endpoint willowwick.Endpoint
-		said     willowwick.RateLimit
-		arrivals []time.Time
-		answers  []limitAnswer
-		due      float64 // requests that have not come yet
-		denied   int
+		endpoint    willowwick.Endpoint
+		reported    willowwick.RateLimit
+		arrivals    []time.Time
+		answers     []limitAnswer
+		dueRequests float64 // requests that have not come yet
+		denied      int
 	}
 
 	// limitAnswer is an answer under way.
 	limitAnswer struct {
-		box    *meshBox
-		sentAt time.Time
-		at     time.Time
-		said   willowwick.RateLimit
+		box      *meshBox
+		sentAt   time.Time
+		at       time.Time
+		reported willowwick.RateLimit
 	}
 )
 
@@ -44,25 +44,25 @@
 	return &limitMesh{mesh: m, endpoint: meshEndpoint(0, 1)}
 }
 
-func (l *limitMesh) name(rate willowwick.PerSecond) {
-	l.said = willowwick.RateLimit{Rate: rate, Named: true}
+func (l *limitMesh) setLimit(rate willowwick.PerSecond) {
+	l.reported = willowwick.RateLimit{Rate: rate, Named: true}
 }
 
 // play lets requests come to the boxes for a length of virtual time.
 func (l *limitMesh) play(t *testing.T, length time.Duration, boxes ...*meshBox) {
 	for until := time.Now().Add(length); time.Now().Before(until); {
 		l.run(t, meshStep)
-		l.answer(time.Now())
-		for l.due += limitDemand * meshStep.Seconds(); l.due >= 1; l.due-- {
+		l.deliverAnswers(time.Now())
+		for l.dueRequests += limitDemand * meshStep.Seconds(); l.dueRequests >= 1; l.dueRequests-- {
 			if box := boxes[l.random.IntN(len(boxes))]; !box.down {
-				l.request(t, box, time.Now())
+				l.receive(t, box, time.Now())
 			}
 		}
 	}
 }
 
-// request lets a request come to a box, which sends it if it may.
-func (l *limitMesh) request(t *testing.T, box *meshBox, now time.Time) {
+// receive lets a receive come to a box, which sends it if it may.
+func (l *limitMesh) receive(t *testing.T, box *meshBox, now time.Time) {
 	if !box.limits.MayUse(now, l.endpoint.ID) {
 		return
 	}
@@ -72,7 +72,7 @@
 	}
 	now = time.Now()
 	l.arrivals = append(l.arrivals, now)
-	l.answers = append(l.answers, limitAnswer{box, now, now.Add(limitAnswerTime), l.said})
+	l.answers = append(l.answers, limitAnswer{box, now, now.Add(limitAnswerTime), l.reported})
 }
 
 func (l *limitMesh) ask(t *testing.T, box *meshBox, now time.Time) bool {
@@ -84,15 +84,15 @@
 	return box.limits.HandleReply(clock.Now(), now, l.endpoint.ID, reply)
 }
 
-// answer lets the answers come whose time it is.
-func (l *limitMesh) answer(now time.Time) {
+// deliverAnswers lets the answers come whose time it is.
+func (l *limitMesh) deliverAnswers(now time.Time) {
 	var underWay []limitAnswer
 	for _, answer := range l.answers {
 		if now.Before(answer.at) {
 			underWay = append(underWay, answer)
 			continue
 		}
-		answer.box.limits.Heard(now, answer.sentAt, l.endpoint, answer.said)
+		answer.box.limits.Heard(now, answer.sentAt, l.endpoint, answer.reported)
 	}
 	l.answers = underWay
 }
@@ -111,7 +111,7 @@
 // assertHeld checks that the endpoint got no more than its limit allows in any window of a span, and at least a part of it.
 func (l *limitMesh) assertHeld(t *testing.T, from, to time.Time, leastPart float64, what string) {
 	t.Helper()
-	rate := float64(l.said.Rate)
+	rate := float64(l.reported.Rate)
 	most := l.between(to.Add(-limitWindow), to)
 	for _, begin := range l.arrivals {
 		if end := begin.Add(limitWindow); !begin.Before(from) && !end.After(to) {
@@ -133,7 +133,7 @@
 		l.play(t, 3*time.Second, l.boxes...)
 		for _, rate := range []willowwick.PerSecond{0.5, 8} {
 			l.isAway = !l.isAway
-			l.name(rate)
+			l.setLimit(rate)
 			l.play(t, limitPropagation, l.boxes...)
 			from := time.Now()
 			l.play(t, 2*limitWindow, l.boxes...)
@@ -147,7 +147,7 @@
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
 		l := newLimitMesh(newMesh(1, size.boxes, size.halls, size.endpoints))
 		l.run(t, 3*time.Second)
-		l.name(2)
+		l.setLimit(2)
 		l.play(t, limitPropagation, l.boxes[size.boxes-1])
 		from := time.Now()
 		l.play(t, 2*limitWindow, l.boxes[size.boxes-1])
@@ -163,7 +163,7 @@
 			const boxes, halls = 6, 3
 			l := newLimitMesh(newMesh(seed, boxes, halls, 20))
 			l.run(t, 6*time.Second)
-			l.name(2.3)
+			l.setLimit(2.3)
 			l.play(t, limitPropagation, l.boxes...)
 			from := time.Now()
 			for i := range boxes {
@@ -185,7 +185,7 @@
 			const boxes, halls = 9, 3
 			l := newLimitMesh(newMesh(seed, boxes, halls, 20))
 			l.run(t, 6*time.Second)
-			l.name(6)
+			l.setLimit(6)
 			l.play(t, limitPropagation, l.boxes...)
 			from := time.Now()
 			l.isCut = true
@@ -202,9 +202,9 @@
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
 		l := newLimitMesh(newMesh(1, size.boxes, size.halls, size.endpoints))
 		l.run(t, 3*time.Second)
-		l.name(2)
+		l.setLimit(2)
 		l.play(t, limitPropagation, l.boxes...)
-		l.said = willowwick.RateLimit{}
+		l.reported = willowwick.RateLimit{}
 		ended := time.Now()
 		for len(l.boxes) > 0 && l.boxes[0].limits.Count() > 0 && time.Since(ended) < 10*time.Second {
 			l.play(t, meshStep, l.boxes...)
--- a/exchange/ratelimit_test.go
+++ b/exchange/ratelimit_test.go
@@ -36,12 +36,12 @@
 
 	// limitCalls is what came of requests that come all the time.
 	limitCalls struct {
-		path    string
-		mu      sync.Mutex
-		served  int
-		refused []time.Duration // measured lengths: until each was refused
-		other   []int
-		hasTime bool // all refusals say when to come back
+		path           string
+		mu             sync.Mutex
+		served         int
+		refused        []time.Duration // measured lengths: until each was refused
+		other          []int
+		haveRetryAfter bool // all refusals say when to come back
 	}
 )
 
@@ -61,8 +61,8 @@
 	return l
 }
 
-// name makes the runner name a limit; empty for none.
-func (l *limitedRunner) name(rate string) {
+// setLimit makes the runner setLimit a limit; empty for none.
+func (l *limitedRunner) setLimit(rate string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.rate = rate
@@ -131,7 +131,7 @@
 
 // generateLoad lets requests of a route come to the boxes in turn, so many a second, until the test ends or the function it returns is called.
 func generateLoad(t *testing.T, sites []*site, path string, perSecond int) (calls *limitCalls, stop func()) {
-	calls = &limitCalls{path: path, hasTime: true}
+	calls = &limitCalls{path: path, haveRetryAfter: true}
 	done := make(chan struct{})
 	var workers sync.WaitGroup
 	workers.Go(func() {
@@ -170,7 +170,7 @@
 	case http.StatusServiceUnavailable:
 		c.refused = append(c.refused, time.Since(sent))
 		seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
-		c.hasTime = c.hasTime && err == nil && seconds > 0
+		c.haveRetryAfter = c.haveRetryAfter && err == nil && seconds > 0
 	default:
 		c.other = append(c.other, response.StatusCode)
 	}
@@ -194,7 +194,7 @@
 	_, sites := newLimitSite(t, 6, 3, limited, others[0], others[1])
 	calls, stop := generateLoad(t, sites, "/again/", 150)
 	time.Sleep(time.Second)
-	limited.name("1.2")
+	limited.setLimit("1.2")
 	time.Sleep(limitPropagation)
 	from := time.Now()
 	time.Sleep(2 * limitWindow)
@@ -208,7 +208,7 @@
 func TestRequestsBeyondRateLimitAreRefusedAtOnce(t *testing.T) {
 	t.Parallel()
 	limited := newLimitedRunner(t, "r0")
-	limited.name("8")
+	limited.setLimit("8")
 	_, sites := newLimitSite(t, 6, 3, limited)
 	calls, stop := generateLoad(t, sites, "/again/", 100)
 	time.Sleep(limitPropagation)
@@ -223,7 +223,7 @@
 func TestUrgentRequestsComeFirstWhenAllEndpointsAreLimited(t *testing.T) {
 	t.Parallel()
 	limited := newLimitedRunner(t, "r0")
-	limited.name("10")
+	limited.setLimit("10")
 	control, sites := newLimitSite(t, 3, 1, limited)
 	control.change(func() {
 		urgent, patient := onceRoute(), retryRoute()
@@ -251,7 +251,7 @@
 func TestRetryToFullEndpointIsDelayedWhenOthersAreLimited(t *testing.T) {
 	const full = 150 * time.Millisecond
 	limited, other := newLimitedRunner(t, "r0"), newLimitedRunner(t, "r1")
-	limited.name("0.2")
+	limited.setLimit("0.2")
 	_, sites := newLimitSite(t, 1, 1, limited, other)
 	s := sites[0]
 	for i := range 20 { // one of them tells the limit, others use up its permits
--- a/exchange/release_test.go
+++ b/exchange/release_test.go
@@ -27,7 +27,7 @@
 	return newReleases(ReleaseSettings{Session: 5 * time.Second}, func(willowwick.ServiceID, willowwick.ReleaseID) bool { return true })
 }
 
-func on(release string) willowwick.Endpoint {
+func endpointOn(release string) willowwick.Endpoint {
 	return willowwick.Endpoint{Service: "work", Release: willowwick.ReleaseID(release)}
 }
 
@@ -140,8 +140,8 @@
 		require.Len(t, found, 1, name)
 		assert.Equal(t, willowwick.ReleaseRolledBack, found[0].State)
 		assert.InDelta(t, 0, shareOf(r, at(0.2), "a"), 0)
-		assert.False(t, chooseNow(r, "s", at(0.2)).allows(on("v2")))
-		assert.False(t, chooseNow(r, "s", at(0.2)).otherwise(on("v2")), "not even where there is no other")
+		assert.False(t, chooseNow(r, "s", at(0.2)).allows(endpointOn("v2")))
+		assert.False(t, chooseNow(r, "s", at(0.2)).otherwise(endpointOn("v2")), "not even where there is no other")
 	}
 }
 
@@ -164,13 +164,13 @@
 	r.begin(orderOf("v3", 2), 0, at(0.2))
 	for i := range 200 {
 		choice := chooseNow(r, fmt.Sprint(i), at(0.3))
-		require.False(t, choice.allows(on("v2")))
-		require.False(t, choice.otherwise(on("v2")))
+		require.False(t, choice.allows(endpointOn("v2")))
+		require.False(t, choice.otherwise(endpointOn("v2")))
 	}
 	fresh := newTestReleases()
 	fresh.begin(orderOf("v3", 2), 0, at(0.3))
 	fresh.hearEnded(r.ended(time.Now()))
-	assert.False(t, chooseNow(fresh, "s", at(0.3)).allows(on("v2")), "a box that starts later hears of it")
+	assert.False(t, chooseNow(fresh, "s", at(0.3)).allows(endpointOn("v2")), "a box that starts later hears of it")
 }
 
 func TestReleaseOfReplacedOrderIsGivenUp(t *testing.T) {
@@ -178,11 +178,11 @@
 	r.begin(orderOf("v2", 1), 0, testStart)
 	r.begin(orderOf("v3", 2), 0, at(0.2))
 	now := at(0.2).Add(givenUpAfter)
-	assert.False(t, chooseNow(r, "s", now).allows(on("v2")))
+	assert.False(t, chooseNow(r, "s", now).allows(endpointOn("v2")))
 	fresh := newTestReleases()
 	fresh.begin(orderOf("v3", 2), 0, now)
 	fresh.hearEnded(r.ended(now))
-	assert.False(t, chooseNow(fresh, "s", now).allows(on("v2")), "a box that starts later hears of it")
+	assert.False(t, chooseNow(fresh, "s", now).allows(endpointOn("v2")), "a box that starts later hears of it")
 }
 
 // A box that had not heard yet that a roll-out was completed once took its release out of use as the next order came, and told
@@ -196,21 +196,21 @@
 	now := time.Now()
 	for _, r := range []*releases{leads, follows} {
 		r.begin(orderOf("v3", 2), 0, now)
-		assert.True(t, chooseNow(r, "s", now).allows(on("v2")))
+		assert.True(t, chooseNow(r, "s", now).allows(endpointOn("v2")))
 	}
 	leads.hearEnded(follows.ended(now))
 	follows.hearEnded(leads.ended(now))
 	later := now.Add(2 * givenUpAfter)
 	for _, r := range []*releases{leads, follows} {
-		assert.True(t, chooseNow(r, "s", later).allows(on("v2")))
+		assert.True(t, chooseNow(r, "s", later).allows(endpointOn("v2")))
 	}
 	wrong := newTestReleases()
 	wrong.begin(orderOf("v2", 1), 0, testStart)
 	wrong.begin(orderOf("v3", 2), 0, testStart)
 	leads.hearEnded(wrong.ended(later))
-	assert.True(t, chooseNow(leads, "s", later).allows(on("v2")), "what is known goes before what was given up")
+	assert.True(t, chooseNow(leads, "s", later).allows(endpointOn("v2")), "what is known goes before what was given up")
 	wrong.hearEnded(leads.ended(later))
-	assert.True(t, chooseNow(wrong, "s", later).allows(on("v2")))
+	assert.True(t, chooseNow(wrong, "s", later).allows(endpointOn("v2")))
 }
 
 // A box that lags behind once brought an older order back.
@@ -236,7 +236,7 @@
 	r.settle(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseCompleted}, true, "store")
 	choice := chooseNow(r, "s", at(0.5))
 	assert.True(t, choice.useTarget)
-	assert.True(t, choice.allows(on("v2")))
+	assert.True(t, choice.allows(endpointOn("v2")))
 }
 
 // The box that leads once took the state that it had written before for the one that it found itself.
--- a/exchange/site_test.go
+++ b/exchange/site_test.go
@@ -91,24 +91,24 @@
 
 // testControl implements willowwick.Control in memory.
 type testControl struct {
-	mu        sync.Mutex
-	down      bool
-	era       willowwick.Era
-	table     *willowwick.RoutingTable
-	orders    []willowwick.ReleaseOrder
-	evacuated []willowwick.Evacuation
-	admitted  []willowwick.Admission
-	changes   willowwick.Position // of declarations
-	endpoints map[willowwick.EndpointID]willowwick.Endpoint
-	listed    willowwick.Position
-	statuses  []willowwick.ReleaseStatus
-	written   []willowwick.ReleaseStatus
-	harmful   map[willowwick.Fingerprint]willowwick.HarmfulRequest
-	members   []string
-	leader    string
-	reads     int // of the list of endpoints
-	calls     atomic.Int64
-	held      atomic.Int64 // reads of declarations that wait
+	mu            sync.Mutex
+	down          bool
+	era           willowwick.Era
+	table         *willowwick.RoutingTable
+	orders        []willowwick.ReleaseOrder
+	evacuations   []willowwick.Evacuation
+	admissions    []willowwick.Admission
+	changes       willowwick.Position // of declarations
+	endpoints     map[willowwick.EndpointID]willowwick.Endpoint
+	listChanges   willowwick.Position
+	statuses      []willowwick.ReleaseStatus
+	written       []willowwick.ReleaseStatus
+	harmful       map[willowwick.Fingerprint]willowwick.HarmfulRequest
+	members       []string
+	leader        string
+	endpointReads int // of the list of endpoints
+	calls         atomic.Int64
+	waitingReads  atomic.Int64 // reads of declarations that wait
 }
 
 // newTestControl returns a store that holds a configuration, nil for none, and endpoints.
@@ -137,14 +137,14 @@
 
 func (c *testControl) Declarations(ctx context.Context, from willowwick.Position, wait time.Duration) (willowwick.Declarations, error) {
 	c.calls.Add(1)
-	c.held.Add(1)
-	defer c.held.Add(-1)
+	c.waitingReads.Add(1)
+	defer c.waitingReads.Add(-1)
 	until := time.Now().Add(wait)
 	for {
 		c.mu.Lock()
 		declared := willowwick.Declarations{
-			Whole: true, Table: c.table, Orders: c.orders, Evacuations: slices.Clone(c.evacuated), Next: c.at(c.changes),
-			Admissions: slices.Clone(c.admitted),
+			Whole: true, Table: c.table, Orders: c.orders, Evacuations: slices.Clone(c.evacuations), Next: c.position(c.changes),
+			Admissions: slices.Clone(c.admissions),
 		}
 		down := c.down
 		c.mu.Unlock()
@@ -169,8 +169,8 @@
 	if c.down {
 		return willowwick.EndpointChanges{}, errDown
 	}
-	c.reads++
-	changes := willowwick.EndpointChanges{Whole: true, Next: c.at(c.listed)}
+	c.endpointReads++
+	changes := willowwick.EndpointChanges{Whole: true, Next: c.position(c.listChanges)}
 	for _, endpoint := range c.endpoints {
 		changes.Present = append(changes.Present, endpoint)
 	}
@@ -184,7 +184,7 @@
 	if c.down {
 		return willowwick.ReleaseStatuses{}, errDown
 	}
-	return willowwick.ReleaseStatuses{Statuses: append([]willowwick.ReleaseStatus(nil), c.statuses...), End: c.at(willowwick.Position(len(c.written)))}, nil
+	return willowwick.ReleaseStatuses{Statuses: append([]willowwick.ReleaseStatus(nil), c.statuses...), End: c.position(willowwick.Position(len(c.written)))}, nil
 }
 
 func (c *testControl) SetStatus(_ context.Context, status willowwick.ReleaseStatus, end willowwick.Position) error {
@@ -193,7 +193,7 @@
 	if c.down {
 		return errDown
 	}
-	if end != c.at(willowwick.Position(len(c.written))) {
+	if end != c.position(willowwick.Position(len(c.written))) {
 		return willowwick.ErrConflict
 	}
 	c.written = append(c.written, status)
@@ -268,20 +268,20 @@
 	defer c.mu.Unlock()
 	change()
 	c.changes++
-	c.listed++
+	c.listChanges++
 }
 
-// at is a place in the store's era.
-func (c *testControl) at(offset willowwick.Position) willowwick.Position {
+// position is a place in the store's era.
+func (c *testControl) position(offset willowwick.Position) willowwick.Position {
 	return willowwick.NewPosition(c.era, offset.Offset())
 }
 
-// comeBack begins a new era of the store without what boxes had written there, and with fewer changes than there were.
-func (c *testControl) comeBack(change func()) {
+// restoreFromBackup begins a new era of the store without what boxes had written there, and with fewer changes than there were.
+func (c *testControl) restoreFromBackup(change func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.era++
-	c.changes, c.listed = c.changes/2, c.listed/2
+	c.changes, c.listChanges = c.changes/2, c.listChanges/2
 	c.statuses, c.written = nil, nil
 	clear(c.harmful)
 	change()
@@ -290,9 +290,9 @@
 // evacuate declares the halls evacuated, and no others.
 func (c *testControl) evacuate(halls ...willowwick.HallID) {
 	c.change(func() {
-		c.evacuated = nil
+		c.evacuations = nil
 		for _, hall := range halls {
-			c.evacuated = append(c.evacuated, willowwick.Evacuation{Hall: hall, At: c.at(c.changes)})
+			c.evacuations = append(c.evacuations, willowwick.Evacuation{Hall: hall, At: c.position(c.changes)})
 		}
 	})
 }
@@ -300,11 +300,11 @@
 // runner is an endpoint whose handler a test sets.
 type runner struct {
 	*httptest.Server
-	id      willowwick.EndpointID
-	mu      sync.Mutex
-	handler http.HandlerFunc
-	seen    []*http.Request
-	body    []string
+	id       willowwick.EndpointID
+	mu       sync.Mutex
+	handler  http.HandlerFunc
+	received []*http.Request
+	bodies   []string
 }
 
 // handle changes what the runner does with requests from now on.
@@ -319,8 +319,8 @@
 	r.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		body, _ := io.ReadAll(request.Body)
 		r.mu.Lock()
-		r.seen = append(r.seen, request)
-		r.body = append(r.body, string(body))
+		r.received = append(r.received, request)
+		r.bodies = append(r.bodies, string(body))
 		r.mu.Unlock()
 		w.Header().Set("T-Id", request.Header.Get("T-Id"))
 		w.Header().Set("T-Seal", id)
@@ -336,7 +336,7 @@
 func (r *runner) requests() []*http.Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]*http.Request(nil), r.seen...)
+	return append([]*http.Request(nil), r.received...)
 }
 
 func (r *runner) endpoint(release string) willowwick.Endpoint {
--- a/exchange/stale_test.go
+++ b/exchange/stale_test.go
@@ -68,7 +68,7 @@
 			r := newRunner(t, "r1", answerText("ok"))
 			control := newLosingControl(r.endpoint("v1"))
 			s := startSite(t, control, testSettings())
-			require.Eventually(t, func() bool { return control.held.Load() > 0 }, waitTimeout, time.Millisecond)
+			require.Eventually(t, func() bool { return control.waitingReads.Load() > 0 }, waitTimeout, time.Millisecond)
 			control.setAway(true)
 			time.Sleep(away * time.Millisecond)
 			control.setAway(false)
