--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -21,11 +21,11 @@
 	correlationWindow = time.Second
 	// firstTrialDelay is how long after its last end a refused request may be tried: by then all boxes refuse it.
 	firstTrialDelay = 2 * time.Second
-	// trialBackoffFactor is by how much the pause before each further trial is longer: 2 s, 20 s, 3 min. Each may end one more endpoint
+	// trialBackoffFactor is by how much the delay before each further trial is longer: 2 s, 20 s, 3 min. Each may end one more endpoint
 	// with all that is at work there; operators allow three, of which one is left for boxes that have not been told.
 	trialBackoffFactor = 10
 	// clearTolerance is how much later than a whole answer an end still counts as before it: boxes tell each other how long ago
-	// something was, and news may be under way for a swap.
+	// something was, and updates may be under way for a swap.
 	clearTolerance = time.Second
 	// suspectTTL is how long ends count that have not led to a refusal: callers repeat for less than a minute.
 	suspectTTL = 10 * time.Minute
@@ -33,19 +33,19 @@
 	refusedTTL = 24 * time.Hour
 	// expireInterval is how often what is too old to count is looked for.
 	expireInterval = time.Minute
-	// maxSuspects bounds the requests that are kept: 40 ends of endpoints with a hundred requests each, in 1 MB.
+	// maxSuspects bounds the requests that are ttl: 40 ends of endpoints with a hundred requests each, in 1 MB.
 	maxSuspects = 4096
 	// maxRefused bounds the requests that are refused; an endpoint has to end three times for each.
 	maxRefused = 256
-	// maxCrashes bounds the ends that are kept of a request: more prove nothing.
+	// maxCrashes bounds the ends that are ttl of a request: more prove nothing.
 	maxCrashes = 8
 )
 
 type (
 	// Ledger remembers under which requests endpoints ended; all boxes tell each other what they noted, and so come to the
-	// same opinion of a request, in whatever order the news reach them.
+	// same opinion of a request, in whatever order the updates reach them.
 	Ledger struct {
-		hasSuspects atomic.Bool // anything is kept
+		hasSuspects atomic.Bool // anything is ttl
 
 		mu            sync.Mutex
 		suspects      map[willowwick.Fingerprint]*suspect
@@ -54,7 +54,7 @@
 		admitted      map[willowwick.Fingerprint]willowwick.Position // by the operator
 		knownCrashes  map[crashKey]time.Time                         // ends of endpoints under whatever request
 		history       history
-		pendingWrites map[willowwick.Fingerprint]bool // what of them is kept at the store has to be written
+		pendingWrites map[willowwick.Fingerprint]bool // what of them is ttl at the store has to be written
 		stored        map[willowwick.Fingerprint]bool // the store holds it, as far as this box wrote or read it
 		nextExpiry    time.Time                       // not looked for what is too old before
 	}
@@ -120,13 +120,13 @@
 
 // RecordCrash notes that an endpoint ended while this box had the request there, and reports whether the end was not known before
 // under any request.
-func (l *Ledger) RecordCrash(about willowwick.HarmfulRequest, end willowwick.EndpointEnd) (isFirst bool) {
+func (l *Ledger) RecordCrash(details willowwick.HarmfulRequest, end willowwick.EndpointEnd) (isFirst bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	_, isKnown := l.knownCrashes[crashKey{end.Endpoint, end.Incarnation}]
-	s := l.ensureSuspect(about.Request, end.At)
-	s.setDetails(about)
-	l.addCrash(about.Request, end, "")
+	s := l.ensureSuspect(details.Request, end.At)
+	s.setDetails(details)
+	l.addCrash(details.Request, end, "")
 	l.updateRefused(end.At, "seen here")
 	return !isKnown
 }
@@ -152,16 +152,16 @@
 // time. It is tried on a release that it has ended no endpoint of, which may bear it, and on any where something else may have been
 // the cause of its ends: they came close together, or another request was at work at all of them.
 func (l *Ledger) AllowTrial(
-	about willowwick.HarmfulRequest, releases []willowwick.ReleaseID, now time.Time,
+	details willowwick.HarmfulRequest, releases []willowwick.ReleaseID, now time.Time,
 ) (release willowwick.ReleaseID, allowed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	request := about.Request
+	request := details.Request
 	s := l.suspects[request]
 	if s == nil || !l.refused[request] || now.Before(s.nextTrialAt()) {
 		return "", false
 	}
-	s.setDetails(about)
+	s.setDetails(details)
 	isDoubtful := s.hasCorrelatedCrashes() || l.hasEqualCandidate(s)
 	for _, release := range releases {
 		if isDoubtful || !s.crashedOn(release) {
@@ -182,11 +182,11 @@
 	}
 	l.nextExpiry = now.Add(expireInterval)
 	for request, s := range l.suspects {
-		kept := suspectTTL
+		ttl := suspectTTL
 		if l.refused[request] {
-			kept = refusedTTL
+			ttl = refusedTTL
 		}
-		if now.Sub(s.updatedAt) > kept {
+		if now.Sub(s.updatedAt) > ttl {
 			l.remove(request)
 		}
 	}
@@ -198,7 +198,7 @@
 	l.updateRefused(now, "too old")
 }
 
-// ensureSuspect returns what is kept of a request, from now on if it is new; the caller holds the lock.
+// ensureSuspect returns what is ttl of a request, from now on if it is new; the caller holds the lock.
 func (l *Ledger) ensureSuspect(request willowwick.Fingerprint, now time.Time) *suspect {
 	s := l.suspects[request]
 	if s == nil {
@@ -213,7 +213,7 @@
 	return s
 }
 
-// evictLeastSuspect forgets the request with the fewest ends, of these the oldest, where as many are kept as may be; the caller holds
+// evictLeastSuspect forgets the request with the fewest ends, of these the oldest, where as many are ttl as may be; the caller holds
 // the lock.
 func (l *Ledger) evictLeastSuspect() {
 	if len(l.suspects) < maxSuspects {
@@ -237,7 +237,7 @@
 	l.hasSuspects.Store(len(l.suspects) > 0)
 }
 
-// addCrash takes the end of an endpoint under a request, and reports whether it is news; the caller holds the lock.
+// addCrash takes the end of an endpoint under a request, and reports whether it is updates; the caller holds the lock.
 func (l *Ledger) addCrash(request willowwick.Fingerprint, end willowwick.EndpointEnd, from string) bool {
 	s := l.ensureSuspect(request, end.At)
 	key := crashKey{end.Endpoint, end.Incarnation}
@@ -254,7 +254,7 @@
 	return true
 }
 
-// applyAnswer takes that a request was answered whole at a moment, and reports whether it is news; the caller holds the lock.
+// applyAnswer takes that a request was answered whole at a moment, and reports whether it is updates; the caller holds the lock.
 func (l *Ledger) applyAnswer(request willowwick.Fingerprint, at time.Time, from string) bool {
 	s := l.suspects[request]
 	if s == nil || len(s.crashes) == 0 || !at.After(s.clearedAt) {
@@ -273,7 +273,7 @@
 	return true
 }
 
-// addTrial takes that a request is tried, and reports whether it is news; the caller holds the lock.
+// addTrial takes that a request is tried, and reports whether it is updates; the caller holds the lock.
 func (l *Ledger) addTrial(request willowwick.Fingerprint, tried trial, at time.Time, from string) bool {
 	s := l.suspects[request]
 	if s == nil || s.trials[tried] {
@@ -346,10 +346,10 @@
 }
 
 // setDetails keeps what is told of a request to operators, unless it is known.
-func (s *suspect) setDetails(about willowwick.HarmfulRequest) {
+func (s *suspect) setDetails(details willowwick.HarmfulRequest) {
 	if s.details == nil {
-		about.Ends, about.Tried = nil, nil
-		s.details = &about
+		details.Ends, details.Tried = nil, nil
+		s.details = &details
 	}
 }
 
@@ -391,15 +391,15 @@
 
 // nextTrialAt is when the request may be tried again.
 func (s *suspect) nextTrialAt() time.Time {
-	pause := firstTrialDelay
+	delay := firstTrialDelay
 	for range s.trials {
-		pause = min(trialBackoffFactor*pause, refusedTTL)
+		delay = min(trialBackoffFactor*delay, refusedTTL)
 	}
 	last := s.lastCrash()
 	if s.lastTrialAt.After(last) {
 		last = s.lastTrialAt
 	}
-	return last.Add(pause)
+	return last.Add(delay)
 }
 
 // triedReleases are the releases on which the request was tried, in the order of the triedReleases.
--- a/quarantine/peers.go
+++ b/quarantine/peers.go
@@ -8,7 +8,7 @@
 )
 
 type (
-	// Peers keeps what this box and others have told each other, so that each piece of news goes once to each of them.
+	// Peers keeps what this box and others have told each other, so that each piece of updates goes once to each of them.
 	Peers struct {
 		ledger *Ledger
 		boot   willowwick.BootID
@@ -23,7 +23,7 @@
 		Known Position // up to where the caller knows what the other one has learnt
 	}
 
-	// peerState is how far two boxes know each other's news.
+	// peerState is how far two boxes know each other's updates.
 	peerState struct {
 		received     Position          // up to where this box knows what the other one has learnt
 		acknowledged Position          // up to where the other one knows what this box has learnt
@@ -44,15 +44,15 @@
 	return Call{News: p.ledger.UpdatesSince(known.acknowledged, p.boot, address, now), Known: known.received}
 }
 
-// Answer takes what a box tells that calls, and returns what it does not know; isNews says whether this box did not know it.
-func (p *Peers) Answer(call Call, from string, now time.Time) (answer Updates, isNews bool) {
-	isNews = p.ledger.Merge(call.News, from, now)
-	return p.ledger.UpdatesSince(call.Known, p.boot, from, now), isNews
+// Answer takes what a box tells that calls, and returns what it does not know; isNew says whether this box did not know it.
+func (p *Peers) Answer(call Call, from string, now time.Time) (answer Updates, isNew bool) {
+	isNew = p.ledger.Merge(call.News, from, now)
+	return p.ledger.UpdatesSince(call.Known, p.boot, from, now), isNew
 }
 
-// HandleAnswer takes the answer of a box, in one of its lives, to a call, and reports whether it was news. A box that was started anew
+// HandleAnswer takes the answer of a box, in one of its lives, to a call, and reports whether it was updates. A box that was started anew
 // meanwhile knows nothing of what was told before.
-func (p *Peers) HandleAnswer(call Call, answer Updates, address string, boot willowwick.BootID, now time.Time) (isNews bool) {
+func (p *Peers) HandleAnswer(call Call, answer Updates, address string, boot willowwick.BootID, now time.Time) (isNew bool) {
 	p.mu.Lock()
 	own := call.News.Position
 	if p.states[address].boot != boot {
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -34,14 +34,14 @@
 func (l *Ledger) MarkWritten(record willowwick.HarmfulRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	request, holds := record.Request, len(record.Ends) > 0
-	if holds {
+	request, hasCrashes := record.Request, len(record.Ends) > 0
+	if hasCrashes {
 		l.stored[request] = true
 	} else {
 		delete(l.stored, request)
 	}
 	s := l.suspects[request]
-	isCurrent := holds == l.refused[request] && (!holds || len(record.Tried) == len(s.trials))
+	isCurrent := hasCrashes == l.refused[request] && (!hasCrashes || len(record.Tried) == len(s.trials))
 	l.pendingWrites[request] = !isCurrent
 }
 
@@ -55,7 +55,7 @@
 	return len(l.refused)
 }
 
-// Restore takes what the store holds; what is too old to count is to be dropped there.
+// Restore takes what the store hasCrashes; what is too old to count is to be dropped there.
 func (l *Ledger) Restore(records []willowwick.HarmfulRequest, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,7 +70,7 @@
 	}
 }
 
-// restore takes one record; the caller holds the lock.
+// restore takes one record; the caller hasCrashes the lock.
 func (l *Ledger) restore(record willowwick.HarmfulRequest, now time.Time) {
 	l.stored[record.Request] = true
 	for _, end := range record.Ends {
--- a/quarantine/updates.go
+++ b/quarantine/updates.go
@@ -45,7 +45,7 @@
 
 	// Updates is what one box tells another.
 	Updates struct {
-		Position Position // of the box that tells, after these news
+		Position Position // of the box that tells, after these updates
 		Ends     []CrashRow
 		Answers  []AnswerRow
 		Trials   []TrialRow
@@ -97,33 +97,33 @@
 	if l.history.next() == 0 {
 		return Updates{} // on a calm day this costs swaps nothing
 	}
-	news := Updates{Position: Position{Boot: boot, Next: l.history.next()}}
+	updates := Updates{Position: Position{Boot: boot, Next: l.history.next()}}
 	if known.Boot != boot || known.Next < l.history.first {
-		l.addEverything(&news, now)
-		return news
+		l.addEverything(&updates, now)
+		return updates
 	}
 	at := map[crashKey]int{}
 	for _, e := range l.history.entries[min(known.Next, l.history.next())-l.history.first:] {
 		if e.from == "" || e.from != to {
-			news.add(e, at, now)
+			updates.add(e, at, now)
 		}
 	}
-	return news
+	return updates
 }
 
 // addEverything adds all that is known; the caller holds the lock.
-func (l *Ledger) addEverything(news *Updates, now time.Time) {
+func (l *Ledger) addEverything(updates *Updates, now time.Time) {
 	at := map[crashKey]int{}
 	for request, s := range l.suspects {
 		if !s.clearedAt.IsZero() {
-			news.add(entry{kind: kindAnswer, request: request, crash: willowwick.EndpointEnd{At: s.clearedAt}}, at, now)
+			updates.add(entry{kind: kindAnswer, request: request, crash: willowwick.EndpointEnd{At: s.clearedAt}}, at, now)
 		}
 		for _, end := range s.crashes {
-			news.add(entry{kind: kindCrash, request: request, crash: end}, at, now)
+			updates.add(entry{kind: kindCrash, request: request, crash: end}, at, now)
 		}
 		for tried := range s.trials {
 			end := willowwick.EndpointEnd{Release: tried.release, At: s.lastTrialAt}
-			news.add(entry{kind: kindTrial, request: request, crash: end, trial: tried.number}, at, now)
+			updates.add(entry{kind: kindTrial, request: request, crash: end, trial: tried.number}, at, now)
 		}
 	}
 }
@@ -148,28 +148,28 @@
 	}
 }
 
-// Merge takes what another box told, and reports whether it was news.
-func (l *Ledger) Merge(news Updates, from string, now time.Time) bool {
+// Merge takes what another box told, and reports whether it was updates.
+func (l *Ledger) Merge(updates Updates, from string, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	isNews := false
-	for _, row := range news.Ends {
+	isNew := false
+	for _, row := range updates.Ends {
 		end := willowwick.EndpointEnd{Endpoint: row.Endpoint, Incarnation: row.Incarnation, Release: row.Release, At: ago(now, row.AgeMs)}
 		for _, request := range row.Requests {
-			isNews = l.addCrash(request, end, from) || isNews
+			isNew = l.addCrash(request, end, from) || isNew
 		}
 	}
-	for _, row := range news.Trials {
-		isNews = l.addTrial(row.Request, trial{row.Release, row.Number}, ago(now, row.AgeMs), from) || isNews
+	for _, row := range updates.Trials {
+		isNew = l.addTrial(row.Request, trial{row.Release, row.Number}, ago(now, row.AgeMs), from) || isNew
 	}
 	// Answers come last: they may clear ends that came with them.
-	for _, row := range news.Answers {
-		isNews = l.applyAnswer(row.Request, ago(now, row.AgeMs), from) || isNews
+	for _, row := range updates.Answers {
+		isNew = l.applyAnswer(row.Request, ago(now, row.AgeMs), from) || isNew
 	}
-	if isNews {
+	if isNew {
 		l.updateRefused(now, "peer "+from)
 	}
-	return isNews
+	return isNew
 }
 
 func ago(now time.Time, ms int64) time.Time {
--- a/ratelimit/granter.go
+++ b/ratelimit/granter.go
@@ -16,9 +16,9 @@
 	burstWindow  = 250 * time.Millisecond
 	// asksPerPermit is how many questions are wanted for each permit: with few of them permits rest until somebody asks.
 	asksPerPermit = 4
-	// maxRetryDelay bounds the pause between the questions of one box, so that boxes follow what others need.
+	// maxRetryDelay bounds the delay between the questions of one box, so that boxes follow what others need.
 	maxRetryDelay = 30 * time.Second
-	// askerTTL is how long after its pause a box still counts among those that ask.
+	// askerTTL is how long after its delay a box still counts among those that ask.
 	askerTTL = time.Second
 	// bucketTTL is how long nobody has asked for an endpoint until it is forgotten.
 	bucketTTL = time.Minute
@@ -94,12 +94,12 @@
 	b.refill(now, perSecond)
 	granted := min(call.Wanted, int(b.permits))
 	b.permits -= float64(granted)
-	pause := time.Duration(0)
+	delay := time.Duration(0)
 	if granted == 0 {
-		pause = b.retryDelay(now, perSecond)
+		delay = b.retryDelay(now, perSecond)
 	}
-	b.askersUntil[call.Box] = now.Add(pause + askerTTL)
-	return Reply{Row: row, Permits: granted, RetryMs: pause.Milliseconds()}
+	b.askersUntil[call.Box] = now.Add(delay + askerTTL)
+	return Reply{Row: row, Permits: granted, RetryMs: delay.Milliseconds()}
 }
 
 // mergeCall takes what a box that asks knows of a limit, and returns what this one then knows.
@@ -150,7 +150,7 @@
 	}
 }
 
-// cappedSeconds is a length of time; those beyond the longest pause count as that.
+// cappedSeconds is a length of time; those beyond the longest delay count as that.
 func cappedSeconds(length float64) time.Duration {
 	return time.Duration(min(length, maxRetryDelay.Seconds()) * float64(time.Second))
 }
--- a/ratelimit/ledger.go
+++ b/ratelimit/ledger.go
@@ -85,7 +85,7 @@
 //
 // An answer without a limit ends one only if its request was sent after the limit was known: others may have been on their way
 // since before.
-func (l *Ledger) Heard(now, sentAt time.Time, endpoint willowwick.Endpoint, said willowwick.RateLimit) bool {
+func (l *Ledger) Heard(now, sentAt time.Time, endpoint willowwick.Endpoint, reported willowwick.RateLimit) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.isAwaitingUpdates(now) {
@@ -93,15 +93,15 @@
 	}
 	known := l.limits[endpoint.ID]
 	switch {
-	case said.Unreadable != "":
-		slog.Debug("limit of an endpoint cannot be read", "endpoint", endpoint.ID, "text", said.Unreadable)
+	case reported.Unreadable != "":
+		slog.Debug("limit of an endpoint cannot be read", "endpoint", endpoint.ID, "text", reported.Unreadable)
 		return false
-	case said.Named && (known == nil || !known.isNamed() || known.rate != said.Rate):
+	case reported.Named && (known == nil || !known.isNamed() || known.rate != reported.Rate):
 		known = l.ensureLimit(endpoint.ID, endpoint.Incarnation)
-		known.rate, known.namedAt = said.Rate, now
+		known.rate, known.namedAt = reported.Rate, now
 		known.log(endpoint.ID, "answer")
 		return true
-	case !said.Named && known != nil && known.isNamed() && sentAt.After(known.namedAt):
+	case !reported.Named && known != nil && known.isNamed() && sentAt.After(known.namedAt):
 		known.endedAt = now
 		known.log(endpoint.ID, "answer")
 		return true
--- a/ratelimit/peers.go
+++ b/ratelimit/peers.go
@@ -24,23 +24,23 @@
 // NewCall returns what this box tells another one.
 func (p *Peers) NewCall(address string, now time.Time) Updates {
 	p.mu.Lock()
-	theirs := p.sums[address]
+	peerSum := p.sums[address]
 	p.mu.Unlock()
-	return p.ledger.UpdatesFor(theirs, now)
+	return p.ledger.UpdatesFor(peerSum, now)
 }
 
-// Answer takes what a box tells that calls, and returns what it does not know; isNews says whether this box did not know it.
-func (p *Peers) Answer(call Updates, from string, now time.Time) (answer Updates, isNews bool) {
-	isNews = p.HandleAnswer(call, from, now)
-	return p.ledger.UpdatesFor(call.Sum, now), isNews
+// Answer takes what a box tells that calls, and returns what it does not know; isNew says whether this box did not know it.
+func (p *Peers) Answer(call Updates, from string, now time.Time) (answer Updates, isNew bool) {
+	isNew = p.HandleAnswer(call, from, now)
+	return p.ledger.UpdatesFor(call.Sum, now), isNew
 }
 
-// HandleAnswer takes what a box told at a time, and reports whether it was news.
-func (p *Peers) HandleAnswer(news Updates, from string, toldAt time.Time) (isNews bool) {
+// HandleAnswer takes what a box told at a time, and reports whether it was updates.
+func (p *Peers) HandleAnswer(updates Updates, from string, sentAt time.Time) (isNew bool) {
 	p.mu.Lock()
-	p.sums[from] = news.Sum
+	p.sums[from] = updates.Sum
 	p.mu.Unlock()
-	return p.ledger.Merge(news, "peer "+from, toldAt)
+	return p.ledger.Merge(updates, "peer "+from, sentAt)
 }
 
 // Forget drops what is kept of a box that is gone.
--- a/ratelimit/updates.go
+++ b/ratelimit/updates.go
@@ -74,37 +74,37 @@
 }
 
 // UpdatesFor tells another box, whose sum is given, what this one knows.
-func (l *Ledger) UpdatesFor(theirs uint64, now time.Time) Updates {
+func (l *Ledger) UpdatesFor(peerSum uint64, now time.Time) Updates {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	news := Updates{}
+	updates := Updates{}
 	for id, known := range l.limits {
-		news.Sum += known.sum(id)
+		updates.Sum += known.sum(id)
 	}
-	if news.Sum == theirs {
-		return news
+	if updates.Sum == peerSum {
+		return updates
 	}
 	for id, known := range l.limits {
-		news.Rows = append(news.Rows, known.row(id, now))
+		updates.Rows = append(updates.Rows, known.row(id, now))
 	}
-	return news
+	return updates
 }
 
-// Merge takes what another box told at the given time, and reports whether it is news.
-func (l *Ledger) Merge(news Updates, source string, toldAt time.Time) bool {
+// Merge takes what another box told at the given time, and reports whether it is updates.
+func (l *Ledger) Merge(updates Updates, source string, sentAt time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.awaitUntil = time.Time{}
 	clear(l.awaitingFirstAnswer)
-	isNews := false
-	for _, row := range news.Rows {
-		isNews = l.mergeRow(row, source, toldAt) || isNews
+	isNew := false
+	for _, row := range updates.Rows {
+		isNew = l.mergeRow(row, source, sentAt) || isNew
 	}
-	return isNews
+	return isNew
 }
 
 // mergeRow takes a row that was told at the given time; the caller holds the lock.
-func (l *Ledger) mergeRow(row Row, source string, toldAt time.Time) bool {
+func (l *Ledger) mergeRow(row Row, source string, sentAt time.Time) bool {
 	if row.Rate < 0 || row.NamedMs < 0 {
 		return false // an unknownRow
 	}
@@ -117,20 +117,20 @@
 	}
 	known = l.ensureLimit(row.Endpoint, row.Incarnation)
 	before := *known
-	known.mergeRate(row.Rate, toldAt.Add(-time.Duration(row.NamedMs)*time.Millisecond))
+	known.mergeRate(row.Rate, sentAt.Add(-time.Duration(row.NamedMs)*time.Millisecond))
 	if row.EndedMs >= 0 {
-		if at := toldAt.Add(-time.Duration(row.EndedMs) * time.Millisecond); at.After(known.endedAt) {
+		if at := sentAt.Add(-time.Duration(row.EndedMs) * time.Millisecond); at.After(known.endedAt) {
 			known.endedAt = at
 		}
 	}
-	isNews := known.isNamed() != before.isNamed() || known.isNamed() && known.rate != before.rate
-	if isNews {
+	isNew := known.isNamed() != before.isNamed() || known.isNamed() && known.rate != before.rate
+	if isNew {
 		known.log(row.Endpoint, source)
 	}
-	return isNews
+	return isNew
 }
 
-// mergeRate takes the rate that was named later; of two that were named at about the same time, the lower one.
+// mergeRate takes the rate that was named later; of two that were named at details the same time, the lower one.
 func (k *limit) mergeRate(rate willowwick.PerSecond, at time.Time) {
 	switch apart := at.Sub(k.namedAt); {
 	case apart > ageTolerance:
