--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,2 +1,3 @@
-// Package quarantine finds the requests that end the endpoints that run them, and tells which are sent to none any more.
+// Package quarantine detects poison requests, which crash the endpoints that run them, and decides which requests are
+// no longer sent.
 package quarantine
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -13,72 +13,75 @@
 )
 
 const (
-	// RefuseAfterCrashes is how many endpoints a request must have ended, without a whole answer since, to be refused. Operators allow
-	// three; one that fails by itself takes some requests with it that are as good as any others.
+	// RefuseAfterCrashes is how many endpoints must crash under a request, without a complete answer since, before it
+	// is refused. Operators allow three; an endpoint that crashes for another reason takes innocent requests with it.
 	RefuseAfterCrashes = 3
-	// correlationWindow is the time within which ends are rather a failure of the endpoints, by a rack or a release: a request
-	// that comes to many of them at once is refused, but is tried again.
+	// correlationWindow is the time within which crashes rather point to the endpoints, such as a failed rack or a
+	// bad release: a request that was on many of them at once is refused but gets a trial.
 	correlationWindow = time.Second
-	// firstTrialDelay is how long after its last end a refused request may be tried: by then all boxes refuse it.
+	// firstTrialDelay is the time from the last crash to the first trial of a refused request; by then all boxes
+	// refuse it.
 	firstTrialDelay = 2 * time.Second
-	// trialBackoffFactor is by how much the delay before each further trial is longer: 2 s, 20 s, 3 min. Each may end one more endpoint
-	// with all that is at work there; operators allow three, of which one is left for boxes that have not been told.
+	// trialBackoffFactor multiplies the delay before each further trial: 2 s, 20 s, 3 min. Each trial may crash one
+	// more endpoint with all its requests; operators allow three, and one is left for boxes that have not received
+	// the updates yet.
 	trialBackoffFactor = 10
-	// clearTolerance is how much later than a whole answer an end still counts as before it: boxes tell each other how long ago
-	// something was, and updates may be under way for a swap.
+	// clearTolerance is how much later than a complete answer a crash still counts as before it: boxes exchange ages,
+	// and an update may be under way for the duration of a gossip exchange.
 	clearTolerance = time.Second
-	// suspectTTL is how long ends count that have not led to a refusal: callers repeat for less than a minute.
+	// suspectTTL is how long crashes count that have not led to a refusal; callers retry for less than a minute.
 	suspectTTL = 10 * time.Minute
-	// refusedTTL is how long a request is refused after its last end. Within a day somebody has seen why endpoints end.
+	// refusedTTL is how long a request is refused after its last crash. Within a day somebody has looked into the
+	// crashes.
 	refusedTTL = 24 * time.Hour
-	// expireInterval is how often what is too old to count is looked for.
+	// expireInterval is the minimum time between two sweeps for expired entries.
 	expireInterval = time.Minute
-	// maxSuspects bounds the requests that are ttl: 40 ends of endpoints with a hundred requests each, in 1 MB.
+	// maxSuspects bounds the requests that are kept: 40 crashes of endpoints with a hundred requests each, in 1 MB.
 	maxSuspects = 4096
-	// maxRefused bounds the requests that are refused; an endpoint has to end three times for each.
+	// maxRefused bounds the refused requests; three endpoints have to crash for each.
 	maxRefused = 256
-	// maxCrashes bounds the ends that are ttl of a request: more prove nothing.
+	// maxCrashes bounds the crashes that are kept for a request; more prove nothing.
 	maxCrashes = 8
 )
 
 type (
-	// Ledger remembers under which requests endpoints ended; all boxes tell each other what they noted, and so come to the
-	// same opinion of a request, in whatever order the updates reach them.
+	// Ledger records the requests under which endpoints crashed. Boxes exchange their records and reach the same
+	// verdicts, in whatever order the updates arrive.
 	Ledger struct {
-		hasSuspects atomic.Bool // anything is ttl
+		hasSuspects atomic.Bool // whether suspects is not empty; read without the lock
 
 		mu            sync.Mutex
 		suspects      map[willowwick.Fingerprint]*suspect
-		candidates    map[willowwick.Fingerprint]*suspect // those with enough ends to be refused
+		candidates    map[willowwick.Fingerprint]*suspect // suspects with enough crashes to be refused
 		refused       map[willowwick.Fingerprint]bool
 		admitted      map[willowwick.Fingerprint]willowwick.Position // by the operator
-		knownCrashes  map[crashKey]time.Time                         // ends of endpoints under whatever request
+		knownCrashes  map[crashKey]time.Time                         // crashes under any request
 		history       history
-		pendingWrites map[willowwick.Fingerprint]bool // what of them is ttl at the store has to be written
-		stored        map[willowwick.Fingerprint]bool // the store holds it, as far as this box wrote or read it
-		nextExpiry    time.Time                       // not looked for what is too old before
+		pendingWrites map[willowwick.Fingerprint]bool // requests whose stored record has to be written or dropped
+		stored        map[willowwick.Fingerprint]bool // requests with a stored record, as far as this box wrote or read it
+		nextExpiry    time.Time                       // no sweep for expired entries before
 	}
 
-	// crashKey names the end of one life of an endpoint.
+	// crashKey identifies a crash by the incarnation of the endpoint.
 	crashKey struct {
 		endpoint    willowwick.EndpointID
 		incarnation willowwick.Incarnation
 	}
 
-	// suspect is a request under which an endpoint ended.
+	// suspect is a request under which an endpoint crashed.
 	suspect struct {
-		details     *willowwick.HarmfulRequest // without ends; nil if only other boxes saw the request
+		details     *willowwick.HarmfulRequest // without crashes; nil if only other boxes saw the request
 		crashes     map[crashKey]willowwick.EndpointEnd
-		clearedAt   time.Time // of its newest whole answer; ends before it do not count
+		clearedAt   time.Time // time of the newest complete answer; crashes before it do not count
 		trials      map[trial]bool
-		lastTrialAt time.Time // of its newest trial
+		lastTrialAt time.Time // time of the newest trial
 		updatedAt   time.Time
 	}
 
-	// trial is one of the sends of a refused request that find out whether it still ends endpoints.
+	// trial is one send of a refused request that tests whether it still crashes endpoints.
 	trial struct {
 		release willowwick.ReleaseID
-		number  int // of trials before it
+		number  int // number of earlier trials
 	}
 )
 
@@ -91,12 +94,12 @@
 	}
 }
 
-// IsEmpty reports whether no request is suspected, so that none needs to be told from others.
+// IsEmpty reports whether no request is suspected, so that requests need no fingerprint.
 func (l *Ledger) IsEmpty() bool {
 	return !l.hasSuspects.Load()
 }
 
-// Refuses reports whether a request is sent to no endpoint.
+// Refuses reports whether the request must not be sent to any endpoint.
 func (l *Ledger) Refuses(request willowwick.Fingerprint) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -104,7 +107,7 @@
 	return l.refused[request] && !isAdmitted
 }
 
-// SetAdmitted says which requests the operator has sent to endpoints whatever they did there, and no others.
+// SetAdmitted replaces the set of requests that the operator admits despite their crashes.
 func (l *Ledger) SetAdmitted(requests map[willowwick.Fingerprint]willowwick.Position) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -118,8 +121,8 @@
 	return len(l.suspects), len(l.refused)
 }
 
-// RecordCrash notes that an endpoint ended while this box had the request there, and reports whether the end was not known before
-// under any request.
+// RecordCrash records that an endpoint crashed while it ran the request for this box, and reports whether the crash
+// was not known before under any request.
 func (l *Ledger) RecordCrash(details willowwick.HarmfulRequest, end willowwick.EndpointEnd) (isFirst bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -131,7 +134,7 @@
 	return !isKnown
 }
 
-// CrashTime returns when one life of an endpoint ended, if it is known to have ended under any request.
+// CrashTime returns when the incarnation of the endpoint crashed, if a crash is known under any request.
 func (l *Ledger) CrashTime(endpoint willowwick.EndpointID, incarnation willowwick.Incarnation) (at time.Time, isKnown bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -139,7 +142,7 @@
 	return at, isKnown
 }
 
-// RecordAnswer notes that an endpoint has answered the request whole: what ended others before was something else.
+// RecordAnswer records that an endpoint answered the request completely, so that earlier crashes had another cause.
 func (l *Ledger) RecordAnswer(request willowwick.Fingerprint, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -148,9 +151,10 @@
 	}
 }
 
-// AllowTrial returns the release on whose endpoints a refused request may be tried, if there is one; no other box may ask at the same
-// time. It is tried on a release that it has ended no endpoint of, which may bear it, and on any where something else may have been
-// the cause of its ends: they came close together, or another request was at work at all of them.
+// AllowTrial returns the release on whose endpoints a refused request may be tried, if there is one; only one box may
+// call it at a time. The request may be tried on a release none of whose endpoints crashed under it, and on any
+// release if its crashes may have another cause: they came close together, or another request was running at all of
+// them.
 func (l *Ledger) AllowTrial(
 	details willowwick.HarmfulRequest, releases []willowwick.ReleaseID, now time.Time,
 ) (release willowwick.ReleaseID, allowed bool) {
@@ -173,7 +177,7 @@
 	return "", false
 }
 
-// Expire forgets what is too old to count; it may be called often.
+// Expire drops entries that are too old to count; it may be called often.
 func (l *Ledger) Expire(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -198,7 +202,7 @@
 	l.updateRefused(now, "too old")
 }
 
-// ensureSuspect returns what is ttl of a request, from now on if it is new; the caller holds the lock.
+// ensureSuspect returns the entry of a request and creates it if there is none. The caller holds the lock.
 func (l *Ledger) ensureSuspect(request willowwick.Fingerprint, now time.Time) *suspect {
 	s := l.suspects[request]
 	if s == nil {
@@ -213,8 +217,8 @@
 	return s
 }
 
-// evictLeastSuspect forgets the request with the fewest ends, of these the oldest, where as many are ttl as may be; the caller holds
-// the lock.
+// evictLeastSuspect drops the request with the fewest crashes, the oldest of these, if the ledger is full. The caller
+// holds the lock.
 func (l *Ledger) evictLeastSuspect() {
 	if len(l.suspects) < maxSuspects {
 		return
@@ -230,14 +234,14 @@
 	l.remove(least)
 }
 
-// remove drops a request; the caller holds the lock.
+// remove drops a request. The caller holds the lock.
 func (l *Ledger) remove(request willowwick.Fingerprint) {
 	delete(l.suspects, request)
 	delete(l.candidates, request)
 	l.hasSuspects.Store(len(l.suspects) > 0)
 }
 
-// addCrash takes the end of an endpoint under a request, and reports whether it is updates; the caller holds the lock.
+// addCrash adds a crash under a request and reports whether it is new. The caller holds the lock.
 func (l *Ledger) addCrash(request willowwick.Fingerprint, end willowwick.EndpointEnd, from string) bool {
 	s := l.ensureSuspect(request, end.At)
 	key := crashKey{end.Endpoint, end.Incarnation}
@@ -254,7 +258,8 @@
 	return true
 }
 
-// applyAnswer takes that a request was answered whole at a moment, and reports whether it is updates; the caller holds the lock.
+// applyAnswer clears a request's crashes up to the time of a complete answer, and reports whether that is new. The
+// caller holds the lock.
 func (l *Ledger) applyAnswer(request willowwick.Fingerprint, at time.Time, from string) bool {
 	s := l.suspects[request]
 	if s == nil || len(s.crashes) == 0 || !at.After(s.clearedAt) {
@@ -273,7 +278,7 @@
 	return true
 }
 
-// addTrial takes that a request is tried, and reports whether it is updates; the caller holds the lock.
+// addTrial adds a trial of a request and reports whether it is new. The caller holds the lock.
 func (l *Ledger) addTrial(request willowwick.Fingerprint, tried trial, at time.Time, from string) bool {
 	s := l.suspects[request]
 	if s == nil || s.trials[tried] {
@@ -287,7 +292,7 @@
 	return true
 }
 
-// updateRefused finds the requests that are refused now; the caller holds the lock.
+// updateRefused recomputes which requests are refused. The caller holds the lock.
 func (l *Ledger) updateRefused(now time.Time, source string) {
 	for request := range l.refused {
 		if l.candidates[request] == nil || l.isExplainedByOther(l.candidates[request]) {
@@ -301,7 +306,7 @@
 	}
 }
 
-// refuse notes that a request is refused from now on; the caller holds the lock.
+// refuse starts refusing a request. The caller holds the lock.
 func (l *Ledger) refuse(request willowwick.Fingerprint, s *suspect, now time.Time, source string) {
 	l.refused[request] = true
 	l.pendingWrites[request] = true
@@ -317,15 +322,15 @@
 	slog.Warn("request is refused from now on: endpoints ended while they ran it", attributes...)
 }
 
-// admit notes that a request is sent to endpoints again; the caller holds the lock.
+// admit stops refusing a request. The caller holds the lock.
 func (l *Ledger) admit(request willowwick.Fingerprint, source string) {
 	delete(l.refused, request)
-	l.pendingWrites[request] = l.stored[request] // others drop what they wrote
+	l.pendingWrites[request] = l.stored[request] // other boxes drop the records that they wrote
 	slog.Info("request is sent to endpoints again", "fingerprint", request.String(), "source", source)
 }
 
-// isExplainedByOther reports whether another request was at work wherever endpoints ended under this one, and at more ends besides: they
-// are that one's doing. The caller holds the lock.
+// isExplainedByOther reports whether another request was running at all crashes of this one and at more besides, and
+// so is the likely cause. The caller holds the lock.
 func (l *Ledger) isExplainedByOther(s *suspect) bool {
 	for _, other := range l.candidates {
 		if len(other.crashes) > len(s.crashes) && other.includesCrashesOf(s) {
@@ -335,7 +340,7 @@
 	return false
 }
 
-// hasEqualCandidate reports whether another request was at work at the same ends, and at no others; the caller holds the lock.
+// hasEqualCandidate reports whether another request has exactly the same crashes. The caller holds the lock.
 func (l *Ledger) hasEqualCandidate(s *suspect) bool {
 	for _, other := range l.candidates {
 		if other != s && len(other.crashes) == len(s.crashes) && other.includesCrashesOf(s) {
@@ -345,7 +350,7 @@
 	return false
 }
 
-// setDetails keeps what is told of a request to operators, unless it is known.
+// setDetails sets the description of the request for operators, unless it is known.
 func (s *suspect) setDetails(details willowwick.HarmfulRequest) {
 	if s.details == nil {
 		details.Ends, details.Tried = nil, nil
@@ -353,12 +358,12 @@
 	}
 }
 
-// isCleared reports whether a whole answer makes an end count for nothing.
+// isCleared reports whether a complete answer makes the crash irrelevant.
 func (s *suspect) isCleared(end willowwick.EndpointEnd) bool {
 	return !s.clearedAt.IsZero() && !end.At.After(s.clearedAt.Add(clearTolerance))
 }
 
-// includesCrashesOf reports whether all ends of another request are among those of this one.
+// includesCrashesOf reports whether all crashes of the other request are among those of this one.
 func (s *suspect) includesCrashesOf(other *suspect) bool {
 	for key := range other.crashes {
 		if _, found := s.crashes[key]; !found {
@@ -368,7 +373,7 @@
 	return true
 }
 
-// sortedCrashes are the ends in the order in which they came.
+// sortedCrashes returns the crashes in order of time.
 func (s *suspect) sortedCrashes() []willowwick.EndpointEnd {
 	ends := make([]willowwick.EndpointEnd, 0, len(s.crashes))
 	for _, end := range s.crashes {
@@ -378,7 +383,7 @@
 	return ends
 }
 
-// lastCrash is when the last endpoint ended under the request; zero if none did.
+// lastCrash returns the time of the newest crash, zero if there is none.
 func (s *suspect) lastCrash() time.Time {
 	var last time.Time
 	for _, end := range s.crashes {
@@ -389,7 +394,7 @@
 	return last
 }
 
-// nextTrialAt is when the request may be tried again.
+// nextTrialAt returns the time of the next allowed trial.
 func (s *suspect) nextTrialAt() time.Time {
 	delay := firstTrialDelay
 	for range s.trials {
@@ -402,7 +407,7 @@
 	return last.Add(delay)
 }
 
-// triedReleases are the releases on which the request was tried, in the order of the triedReleases.
+// triedReleases returns the releases of the trials, in the order of the trials.
 func (s *suspect) triedReleases() []willowwick.ReleaseID {
 	var list []willowwick.ReleaseID
 	for _, tried := range slices.SortedFunc(maps.Keys(s.trials), compareTrials) {
@@ -415,7 +420,7 @@
 	return cmp.Or(cmp.Compare(a.number, b.number), cmp.Compare(a.release, b.release))
 }
 
-// crashedOn reports whether an endpoint of the release ended under the request.
+// crashedOn reports whether an endpoint of the release crashed under the request.
 func (s *suspect) crashedOn(release willowwick.ReleaseID) bool {
 	for _, end := range s.crashes {
 		if end.Release == release {
@@ -425,7 +430,7 @@
 	return false
 }
 
-// hasCorrelatedCrashes reports whether all ends came within a moment.
+// hasCorrelatedCrashes reports whether all crashes lie within correlationWindow.
 func (s *suspect) hasCorrelatedCrashes() bool {
 	ends := s.sortedCrashes()
 	return len(ends) > 0 && ends[len(ends)-1].At.Sub(ends[0].At) < correlationWindow
--- a/quarantine/peers.go
+++ b/quarantine/peers.go
@@ -8,35 +8,35 @@
 )
 
 type (
-	// Peers keeps what this box and others have told each other, so that each piece of updates goes once to each of them.
+	// Peers tracks the positions of the other boxes, so that each update goes to each of them once.
 	Peers struct {
 		ledger *Ledger
 		boot   willowwick.BootID
 
 		mu     sync.Mutex
-		states map[string]peerState // by the other box's address
+		states map[string]peerState // by address of the other box
 	}
 
-	// Call is what a box tells another one that it calls.
+	// Call is what a box sends with a call to another one.
 	Call struct {
 		News  Updates
-		Known Position // up to where the caller knows what the other one has learnt
+		Known Position // the caller's position in the history of the other box
 	}
 
-	// peerState is how far two boxes know each other's updates.
+	// peerState holds the positions of two boxes in each other's histories.
 	peerState struct {
-		received     Position          // up to where this box knows what the other one has learnt
-		acknowledged Position          // up to where the other one knows what this box has learnt
-		boot         willowwick.BootID // the life of the other one that knows it
+		received     Position          // this box's position in the history of the other one
+		acknowledged Position          // the other box's position in the history of this one
+		boot         willowwick.BootID // the incarnation of the other box that acknowledged
 	}
 )
 
-// NewPeers returns what a box in one of its lives tells others of a ledger.
+// NewPeers returns the Peers of a box for one ledger; boot is the incarnation of this box.
 func NewPeers(ledger *Ledger, boot willowwick.BootID) *Peers {
 	return &Peers{ledger: ledger, boot: boot, states: map[string]peerState{}}
 }
 
-// NewCall returns what this box tells another one.
+// NewCall returns what this box sends to another one.
 func (p *Peers) NewCall(address string, now time.Time) Call {
 	p.mu.Lock()
 	known := p.states[address]
@@ -44,14 +44,15 @@
 	return Call{News: p.ledger.UpdatesSince(known.acknowledged, p.boot, address, now), Known: known.received}
 }
 
-// Answer takes what a box tells that calls, and returns what it does not know; isNew says whether this box did not know it.
+// Answer merges the updates of a calling box and returns what it does not know; isNew reports whether any update was
+// new here.
 func (p *Peers) Answer(call Call, from string, now time.Time) (answer Updates, isNew bool) {
 	isNew = p.ledger.Merge(call.News, from, now)
 	return p.ledger.UpdatesSince(call.Known, p.boot, from, now), isNew
 }
 
-// HandleAnswer takes the answer of a box, in one of its lives, to a call, and reports whether it was updates. A box that was started anew
-// meanwhile knows nothing of what was told before.
+// HandleAnswer merges the answer of another box, with its incarnation, to a call, and reports whether any update was
+// new. A box that restarted meanwhile has lost what it received before.
 func (p *Peers) HandleAnswer(call Call, answer Updates, address string, boot willowwick.BootID, now time.Time) (isNew bool) {
 	p.mu.Lock()
 	own := call.News.Position
@@ -63,7 +64,7 @@
 	return p.ledger.Merge(answer, address, now)
 }
 
-// Forget drops what is kept of a box that is gone.
+// Forget drops the state of a box that is gone.
 func (p *Peers) Forget(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -6,8 +6,8 @@
 	"github.com/willowwick/willowwick"
 )
 
-// PendingWrites returns what has to be written to the store: the refused requests that this box has seen itself, and those that are admitted
-// again, without ends.
+// PendingWrites returns the records to write to the store: refused requests that this box has seen itself, and
+// admitted requests, without crashes, whose records are to be dropped.
 func (l *Ledger) PendingWrites() []willowwick.HarmfulRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -24,13 +24,13 @@
 			record.Ends, record.Tried = s.sortedCrashes(), s.triedReleases()
 			list = append(list, record)
 		default:
-			delete(l.pendingWrites, request) // a box that has seen it writes it
+			delete(l.pendingWrites, request) // a box that has seen the request writes it
 		}
 	}
 	return list
 }
 
-// MarkWritten notes that the store has what was due of a request. What changed meanwhile is due again.
+// MarkWritten records that the store holds the given record. What changed meanwhile is written again.
 func (l *Ledger) MarkWritten(record willowwick.HarmfulRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -45,7 +45,7 @@
 	l.pendingWrites[request] = !isCurrent
 }
 
-// MarkRefusedPending makes all that is refused due, since the store has lost it, and returns how much that is.
+// MarkRefusedPending marks all refused requests to be written after the store lost them, and returns their number.
 func (l *Ledger) MarkRefusedPending() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -55,7 +55,7 @@
 	return len(l.refused)
 }
 
-// Restore takes what the store hasCrashes; what is too old to count is to be dropped there.
+// Restore merges the records of the store and marks those that are too old to be dropped there.
 func (l *Ledger) Restore(records []willowwick.HarmfulRequest, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,7 +70,7 @@
 	}
 }
 
-// restore takes one record; the caller hasCrashes the lock.
+// restore merges one record. The caller holds the lock.
 func (l *Ledger) restore(record willowwick.HarmfulRequest, now time.Time) {
 	l.stored[record.Request] = true
 	for _, end := range record.Ends {
--- a/quarantine/refusal.go
+++ b/quarantine/refusal.go
@@ -7,17 +7,18 @@
 	"github.com/willowwick/willowwick"
 )
 
-// CrashCheckTimeout is how long a look may take whether an endpoint ended: the way to another hall and back takes some milliseconds,
-// and the request that broke waits for it.
+// CrashCheckTimeout bounds the check whether an endpoint crashed: a round trip to another hall takes some
+// milliseconds, and the failed request waits for it.
 const CrashCheckTimeout = 100 * time.Millisecond
 
-// Refusal returns what the caller of a refused request is told by each box: for good, and without a promise that it has not run.
+// Refusal returns the answer of every box to the caller of a refused request. It is permanent and does not promise
+// that the request did not run.
 func Refusal() *willowwick.Refusal {
 	return willowwick.Failed(willowwick.CodeHarmful, "%d endpoints ended while they ran this request; it is not sent to others", RefuseAfterCrashes)
 }
 
-// IsCompletedRun reports whether the status of a whole answer shows that an endpoint bore the request to its end: one that rejects it
-// may not have begun.
+// IsCompletedRun reports whether the status of a complete answer shows that an endpoint ran the request to its end;
+// an endpoint that rejects a request may not have begun it.
 func IsCompletedRun(status int) bool {
 	return status < http.StatusMultipleChoices
 }
--- a/quarantine/updates.go
+++ b/quarantine/updates.go
@@ -7,51 +7,53 @@
 )
 
 const (
-	// kindCrash: an endpoint ended under the request.
+	// kindCrash records that an endpoint crashed under the request.
 	kindCrash kind = iota
-	// kindAnswer: the request was answered whole.
+	// kindAnswer records that the request was answered completely.
 	kindAnswer
-	// kindTrial: the request is tried on a release.
+	// kindTrial records that the request is tried on a release.
 	kindTrial
 )
 
-// maxHistory bounds what is kept to be told to other boxes one by one; to a box that is further behind all is told.
+// maxHistory bounds the entries that are kept for incremental updates; a box that is further behind receives
+// everything.
 const maxHistory = 2 * maxSuspects
 
 type (
-	// kind is what an entry of the history says.
+	// kind is the type of a history entry.
 	kind uint8
 
-	// entry is one thing that a box learnt, by itself or from another box.
+	// entry is one fact that a box observed or received from another box.
 	entry struct {
 		kind    kind
 		request willowwick.Fingerprint
-		crash   willowwick.EndpointEnd // of an answer only the time, of a trial the time and the release
-		trial   int                    // number of a trial
-		from    string                 // the box that told of it; empty if it was seen here
+		crash   willowwick.EndpointEnd // only the time for an answer, only time and release for a trial
+		trial   int                    // number of the trial
+		from    string                 // the box that sent it; empty if observed here
 	}
 
-	// history is what the ledger learnt, in order.
+	// history holds the entries of the ledger in order of arrival.
 	history struct {
 		first   uint64 // number of the first entry that is kept
 		entries []entry
 	}
 
-	// Position is up to where a box knows what another one has learnt.
+	// Position is how much of another box's history a box knows.
 	Position struct {
-		Boot willowwick.BootID // the life of the other box in which it counted
+		Boot willowwick.BootID // the incarnation of the other box to which Next belongs
 		Next uint64
 	}
 
-	// Updates is what one box tells another.
+	// Updates holds what one box sends to another. Boxes of different releases exchange it.
 	Updates struct {
-		Position Position // of the box that tells, after these updates
+		Position Position // in the sender's history, after these updates
 		Ends     []CrashRow
 		Answers  []AnswerRow
 		Trials   []TrialRow
 	}
 
-	// CrashRow is the end of an endpoint with the requests that were at work there: 16 bytes each on the wire.
+	// CrashRow is a crash with the requests that were running there, 16 bytes each on the wire. Its fields keep the
+	// names that are on the wire.
 	CrashRow struct {
 		Endpoint    willowwick.EndpointID
 		Incarnation willowwick.Incarnation
@@ -60,22 +62,22 @@
 		Requests    []willowwick.Fingerprint
 	}
 
-	// AnswerRow is the whole answer to a request.
+	// AnswerRow is a complete answer to a request.
 	AnswerRow struct {
 		Request willowwick.Fingerprint
 		AgeMs   int64
 	}
 
-	// TrialRow is the trial of a request on a release.
+	// TrialRow is a trial of a request on a release.
 	TrialRow struct {
 		Request willowwick.Fingerprint
 		Release willowwick.ReleaseID
-		Number  int // of trials before it
+		Number  int // number of earlier trials
 		AgeMs   int64
 	}
 )
 
-// add appends an entry.
+// add appends an entry and drops the oldest half when there are too many.
 func (h *history) add(e entry) {
 	h.entries = append(h.entries, e)
 	if len(h.entries) > maxHistory {
@@ -85,17 +87,17 @@
 	}
 }
 
-// next is the number of the next entry.
+// next returns the number of the next entry.
 func (h *history) next() uint64 {
 	return h.first + uint64(len(h.entries))
 }
 
-// UpdatesSince returns what another box does not know, which has told how far it does; what it told itself is left out.
+// UpdatesSince returns what the other box does not know beyond its position, without what it sent itself.
 func (l *Ledger) UpdatesSince(known Position, boot willowwick.BootID, to string, now time.Time) Updates {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.history.next() == 0 {
-		return Updates{} // on a calm day this costs swaps nothing
+		return Updates{} // keeps gossip exchanges small while nothing crashes
 	}
 	updates := Updates{Position: Position{Boot: boot, Next: l.history.next()}}
 	if known.Boot != boot || known.Next < l.history.first {
@@ -111,7 +113,7 @@
 	return updates
 }
 
-// addEverything adds all that is known; the caller holds the lock.
+// addEverything adds all that the ledger knows. The caller holds the lock.
 func (l *Ledger) addEverything(updates *Updates, now time.Time) {
 	at := map[crashKey]int{}
 	for request, s := range l.suspects {
@@ -128,7 +130,7 @@
 	}
 }
 
-// add adds an entry; at is where the rows of ends stand.
+// add adds an entry; at maps crashes to their rows.
 func (n *Updates) add(e entry, at map[crashKey]int, now time.Time) {
 	age := now.Sub(e.crash.At).Milliseconds()
 	switch e.kind {
@@ -148,7 +150,7 @@
 	}
 }
 
-// Merge takes what another box told, and reports whether it was updates.
+// Merge merges updates of another box and reports whether any was new.
 func (l *Ledger) Merge(updates Updates, from string, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -162,7 +164,7 @@
 	for _, row := range updates.Trials {
 		isNew = l.addTrial(row.Request, trial{row.Release, row.Number}, ago(now, row.AgeMs), from) || isNew
 	}
-	// Answers come last: they may clear ends that came with them.
+	// Answers come last: they may clear crashes that came with them.
 	for _, row := range updates.Answers {
 		isNew = l.applyAnswer(row.Request, ago(now, row.AgeMs), from) || isNew
 	}
--- a/ratelimit/doc.go
+++ b/ratelimit/doc.go
@@ -1,5 +1,6 @@
-// Package ratelimit keeps what all boxes together send to endpoints within the rates that these name in their answers.
+// Package ratelimit keeps the requests that all boxes together send to an endpoint within the rate limit that it
+// reports in its answers.
 //
-// Each box has a Ledger of the limits that it knows; boxes tell each other of them as News. A request goes to such an endpoint
-// with a permit, which one box, the one with the Granter that all others ask, hands out at the rate of the limit.
+// Each box has a Ledger of the limits that it knows, and boxes exchange them as Updates. A request to a limited
+// endpoint needs a permit. One box, the one whose Granter all others ask, grants permits at the rate of the limit.
 package ratelimit
--- a/ratelimit/granter.go
+++ b/ratelimit/granter.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	// takeoverDelay is how long a box that begins to grant permits gives none: the box that did before may not know yet.
+	// takeoverDelay is how long a box that takes over granting grants nothing: the previous granter may not know yet.
 	takeoverDelay = time.Second
-	// burstPermits is how many permits may be saved up, and burstFor for how long more of them.
+	// burstPermits is how many permits may be saved up, and burstWindow for how long more of them.
 	burstPermits = 1.5
 	burstWindow  = 250 * time.Millisecond
-	// asksPerPermit is how many questions are wanted for each permit: with few of them permits rest until somebody asks.
+	// asksPerPermit is the target number of calls for each permit; with fewer, permits lie idle until somebody asks.
 	asksPerPermit = 4
-	// maxRetryDelay bounds the delay between the questions of one box, so that boxes follow what others need.
+	// maxRetryDelay bounds the delay between calls of one box, so that boxes notice what others need.
 	maxRetryDelay = 30 * time.Second
-	// askerTTL is how long after its delay a box still counts among those that ask.
+	// askerTTL is how long after its retry delay a box still counts as asking.
 	askerTTL = time.Second
-	// bucketTTL is how long nobody has asked for an endpoint until it is forgotten.
+	// bucketTTL is how long an endpoint's bucket is kept without calls.
 	bucketTTL = time.Minute
 )
 
 type (
-	// Granter hands out permits for all boxes.
+	// Granter grants permits to all boxes.
 	Granter struct {
 		ledger *Ledger
 
 		mu            sync.Mutex
-		grantingSince time.Time // this box grants without a break; zero while another one does
+		grantingSince time.Time // start of uninterrupted granting by this box; zero while another box grants
 		buckets       map[willowwick.EndpointID]*bucket
 		nextSweep     time.Time
 	}
@@ -38,17 +38,17 @@
 	// bucket holds the permits of one endpoint.
 	bucket struct {
 		permits     float64
-		filledAt    time.Time                      // permits were counted
-		askersUntil map[willowwick.BoxID]time.Time // until when each counts as one that asks
+		filledAt    time.Time                      // time of the last refill
+		askersUntil map[willowwick.BoxID]time.Time // until when each box counts as asking
 	}
 )
 
-// NewGranter returns a granter that grants nothing until it is told to.
+// NewGranter returns a granter that grants nothing until SetGranting is called.
 func NewGranter(ledger *Ledger) *Granter {
 	return &Granter{ledger: ledger, buckets: map[willowwick.EndpointID]*bucket{}}
 }
 
-// SetGranting tells whether this box is the one that grants, as far as it knows; it reports whether that is a change.
+// SetGranting sets whether this box is the granter, as far as it knows, and reports whether that is a change.
 func (g *Granter) SetGranting(now time.Time, isGranting bool) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -64,15 +64,15 @@
 	return false
 }
 
-// IsGranting reports whether this box is the one that grants.
+// IsGranting reports whether this box is the granter.
 func (g *Granter) IsGranting() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return !g.grantingSince.IsZero()
 }
 
-// Answer answers a question with the part of the limit that this box may hand out: less than all of it while it does not
-// reach all boxes, since those may be granted permits by another one.
+// Answer answers a call with the part of the limit that this box may grant: less than all of it while it does not
+// reach all boxes, since another box may grant permits to those.
 func (g *Granter) Answer(call Call, part float64, now time.Time) Reply {
 	id := call.Row.Endpoint
 	row, isLimited, rate := g.ledger.mergeCall(call.Row, now)
@@ -102,7 +102,7 @@
 	return Reply{Row: row, Permits: granted, RetryMs: delay.Milliseconds()}
 }
 
-// mergeCall takes what a box that asks knows of a limit, and returns what this one then knows.
+// mergeCall merges the caller's knowledge of a limit and returns what this box then knows.
 func (l *Ledger) mergeCall(row Row, now time.Time) (known Row, isLimited bool, rate willowwick.PerSecond) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -115,15 +115,15 @@
 	return k.row(row.Endpoint, now), isLimited, rate
 }
 
-// refill adds the permits of the time that has passed.
+// refill adds the permits for the time since the last refill.
 func (b *bucket) refill(now time.Time, perSecond float64) {
 	most := burstPermits + perSecond*burstWindow.Seconds()
 	b.permits = min(b.permits+perSecond*now.Sub(b.filledAt).Seconds(), most)
 	b.filledAt = now
 }
 
-// retryDelay is the time until the box that was given no permit asks again: when there is one, spread by how many ask, so that
-// questions come no more often than they are of use.
+// retryDelay returns the delay until a box that got no permit asks again: until there is a permit, spread by the
+// number of asking boxes, so that calls are no more frequent than useful.
 func (b *bucket) retryDelay(now time.Time, perSecond float64) time.Duration {
 	askers := 1
 	for box, until := range b.askersUntil {
@@ -150,7 +150,7 @@
 	}
 }
 
-// cappedSeconds is a length of time; those beyond the longest delay count as that.
+// cappedSeconds converts seconds to a duration of at most maxRetryDelay.
 func cappedSeconds(length float64) time.Duration {
 	return time.Duration(min(length, maxRetryDelay.Seconds()) * float64(time.Second))
 }
--- a/ratelimit/ledger.go
+++ b/ratelimit/ledger.go
@@ -12,63 +12,63 @@
 )
 
 const (
-	// minRate is the rate at which an endpoint that takes nothing is asked again: only an answer shows that it takes
-	// something.
+	// minRate is the rate at which an endpoint with a limit of zero is probed: only an answer shows that it accepts
+	// requests again.
 	minRate willowwick.PerSecond = 0.1
-	// maxRate is the rate from which on a limit bounds nothing: boxes do not send one endpoint as much.
+	// maxRate is the rate from which on a limit is ignored: boxes do not send as much to one endpoint.
 	maxRate willowwick.PerSecond = 10_000
-	// recoveryPeriod is how long an endpoint that names no limit any more is used more and more, doubling once each
-	// recoverDouble: it has nothing to do then, and all boxes would choose it at once.
+	// recoveryPeriod is how long the rate of an endpoint that no longer reports a limit ramps up, doubling once each
+	// recoveryDoubling: it is idle then, and all boxes would choose it at once.
 	recoveryPeriod   = 6 * time.Second
 	recoveryDoubling = time.Second
-	// permitTTL is how long after it was asked for a permit may be used; what is used later may come together with
-	// later permits.
+	// permitTTL is how long after it was requested a permit may be used; one used later may coincide with later
+	// permits.
 	permitTTL = 250 * time.Millisecond
-	// askTimeout is how long a question for a permit may take; the endpoint is not given to other requests meanwhile.
+	// askTimeout bounds a call for a permit; meanwhile the endpoint is not given to other requests.
 	askTimeout = time.Second
-	// minAskDelay is the least pause after a question that nobody answered; up to as much again is added at random.
+	// minAskDelay is the minimum delay after a call without reply; up to as much again is added at random.
 	minAskDelay = 250 * time.Millisecond
-	// batchWindow is for how long a box may be given permits at once.
+	// batchWindow is the time for which a box may get permits in one call.
 	batchWindow = 50 * time.Millisecond
 )
 
 type (
-	// Ledger is what one box knows of the limits that endpoints name. It implements willowwick.RateLimiter.
+	// Ledger holds the rate limits of endpoints that one box knows. It implements willowwick.RateLimiter.
 	Ledger struct {
-		// mayBeLimited is false while nothing bounds any endpoint: the choice of one asks for each of them.
+		// mayBeLimited is false while no endpoint is limited. It is read for each candidate of each request.
 		mayBeLimited atomic.Bool
 
 		mu     sync.Mutex
 		limits map[willowwick.EndpointID]*limit
 
-		awaitUntil          time.Time                      // no other box has told of limits yet, and may still
-		awaitingFirstAnswer map[willowwick.EndpointID]bool // until then, endpoints with a request that is the first one
+		awaitUntil          time.Time                      // other boxes may still send limits that are unknown here
+		awaitingFirstAnswer map[willowwick.EndpointID]bool // while awaiting: true until the endpoint answers its first request, then false
 	}
 
-	// limit is the limit of one endpoint, with what this box may send there.
+	// limit is the rate limit of one endpoint, with the permits of this box.
 	limit struct {
 		incarnation willowwick.Incarnation
 		rate        willowwick.PerSecond
-		namedAt     time.Time // when an answer named it first, or with another rate
-		endedAt     time.Time // when an answer to a later request named none; before namedAt if none did since
-		wasListed   bool      // the list has held the endpoint since
+		namedAt     time.Time // when an answer first reported it, or another rate
+		endedAt     time.Time // when an answer to a later request reported none; before namedAt if none did since
+		wasListed   bool      // whether the list has held the endpoint since
 
-		permits      int       // at hand
-		usableUntil  time.Time // they are
-		askingUntil  time.Time // a permit is being asked for; zero if none is
-		askedAt      time.Time // last
-		usedSinceAsk int       // permits since then
-		noAskUntil   time.Time // no permit is asked for before
+		permits      int       // available permits
+		usableUntil  time.Time // expiry of the permits
+		askingUntil  time.Time // end of the pending call for a permit; zero if none is pending
+		askedAt      time.Time // time of the last call
+		usedSinceAsk int       // permits used since the last call
+		noAskUntil   time.Time // earliest time of the next call
 	}
 )
 
-// NewLedger returns a ledger that knows of no limit.
+// NewLedger returns an empty ledger.
 func NewLedger() *Ledger {
 	return &Ledger{limits: map[willowwick.EndpointID]*limit{}, awaitingFirstAnswer: map[willowwick.EndpointID]bool{}}
 }
 
-// AwaitUpdates tells that nothing is known yet of what endpoints have named to other boxes. Until one of them tells, or the given
-// time, an endpoint gets one request, and others only after its answer.
+// AwaitUpdates marks the limits as unknown after a start. Until another box sends its limits, or until the given
+// time, each endpoint gets one request, and more only after its answer.
 func (l *Ledger) AwaitUpdates(until time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -76,15 +76,15 @@
 	l.mayBeLimited.Store(true)
 }
 
-// isAwaitingUpdates reports whether other boxes may know of limits that this one does not; the caller holds the lock.
+// isAwaitingUpdates reports whether other boxes may know limits that this one does not. The caller holds the lock.
 func (l *Ledger) isAwaitingUpdates(now time.Time) bool {
 	return now.Before(l.awaitUntil)
 }
 
 // Heard implements willowwick.RateLimiter.
 //
-// An answer without a limit ends one only if its request was sent after the limit was known: others may have been on their way
-// since before.
+// An answer without a limit ends one only if its request was sent after the limit was known: answers to earlier
+// requests may still be under way.
 func (l *Ledger) Heard(now, sentAt time.Time, endpoint willowwick.Endpoint, reported willowwick.RateLimit) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -94,7 +94,7 @@
 	known := l.limits[endpoint.ID]
 	switch {
 	case reported.Unreadable != "":
-		slog.Debug("limit of an endpoint cannot be read", "endpoint", endpoint.ID, "text", reported.Unreadable)
+		slog.Debug("cannot parse rate limit of endpoint", "endpoint", endpoint.ID, "text", reported.Unreadable)
 		return false
 	case reported.Named && (known == nil || !known.isNamed() || known.rate != reported.Rate):
 		known = l.ensureLimit(endpoint.ID, endpoint.Incarnation)
@@ -109,7 +109,7 @@
 	return false
 }
 
-// ensureLimit returns the endpoint's limit, a new one if there is none; the caller holds the lock.
+// ensureLimit returns the endpoint's limit and creates it if there is none. The caller holds the lock.
 func (l *Ledger) ensureLimit(endpoint willowwick.EndpointID, incarnation willowwick.Incarnation) *limit {
 	known := l.limits[endpoint]
 	if known == nil {
@@ -120,21 +120,21 @@
 	return known
 }
 
-// log writes a line about a change of the limit.
+// log logs a change of the limit.
 func (k *limit) log(endpoint willowwick.EndpointID, source string) {
-	what := "endpoint names no rate limit any more"
+	what := "endpoint no longer reports a rate limit"
 	if k.isNamed() {
-		what = "endpoint names a rate limit"
+		what = "endpoint reports a rate limit"
 	}
 	slog.Info(what, "endpoint", endpoint, "per_second", float64(k.rate), "source", source)
 }
 
-// isNamed reports whether the endpoint still names the limit, as far as is known.
+// isNamed reports whether the endpoint still reports the limit, as far as is known.
 func (k *limit) isNamed() bool {
 	return k.namedAt.After(k.endedAt)
 }
 
-// rateAt is what the endpoint may be sent, and false if nothing bounds it.
+// rateAt returns the rate for the endpoint, and false if it is not limited.
 func (k *limit) rateAt(now time.Time) (willowwick.PerSecond, bool) {
 	rate := max(k.rate, minRate)
 	if k.isNamed() {
@@ -147,7 +147,7 @@
 	return rate * willowwick.PerSecond(math.Exp2(since.Seconds()/recoveryDoubling.Seconds())), true
 }
 
-// Rate is what all boxes together may send to the endpoint, and false if nothing bounds it.
+// Rate returns the rate for all boxes together to the endpoint, and false if it is not limited.
 func (l *Ledger) Rate(now time.Time, endpoint willowwick.EndpointID) (willowwick.PerSecond, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -178,7 +178,7 @@
 	return k.permits > 0 && now.Before(k.usableUntil)
 }
 
-// nextAsk is when a permit may next be asked for.
+// nextAsk returns the earliest time of the next call for a permit.
 func (k *limit) nextAsk() time.Time {
 	if k.askingUntil.After(k.noAskUntil) {
 		return k.askingUntil
@@ -219,7 +219,7 @@
 	}
 }
 
-// recordFirstUse notes that an endpoint gets its first request of a box that knows nothing yet; the caller holds the lock.
+// recordFirstUse records the first request to an endpoint while the box awaits updates. The caller holds the lock.
 func (l *Ledger) recordFirstUse(now time.Time, endpoint willowwick.EndpointID) {
 	if _, isTried := l.awaitingFirstAnswer[endpoint]; l.isAwaitingUpdates(now) && !isTried {
 		l.awaitingFirstAnswer[endpoint] = true
@@ -240,7 +240,7 @@
 	if _, isLimited := known.rateAt(now); !isLimited {
 		return time.Time{}, false
 	}
-	isAsking := now.Before(known.askingUntil) // a permit may come at any moment
+	isAsking := now.Before(known.askingUntil) // a permit may arrive at any moment
 	if known.hasPermit(now) || isAsking && !known.noAskUntil.After(now) {
 		return now, true
 	}
@@ -268,14 +268,14 @@
 		listed[endpoint.ID], known.wasListed = true, true
 	}
 	for id, known := range l.limits {
-		// One that another box told of may not be listed here yet.
+		// An endpoint that was received from another box may not be listed here yet.
 		if known.wasListed && !listed[id] {
 			delete(l.limits, id)
 		}
 	}
 }
 
-// NewCall makes the question for a permit that Use has told to ask for.
+// NewCall returns the call for a permit after Use returned PermissionToAsk.
 func (l *Ledger) NewCall(now time.Time, endpoint willowwick.EndpointID, box willowwick.BoxID) Call {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -288,7 +288,7 @@
 	return call
 }
 
-// wanted is how many permits a box asks for at once: more only where it has just used as many.
+// wanted returns how many permits to ask for at once: more than one only if as many have just been used.
 func (k *limit) wanted(now time.Time) int {
 	rate, _ := k.rateAt(now)
 	most := int(min(float64(rate)*batchWindow.Seconds(), math.MaxInt16))
@@ -298,14 +298,14 @@
 	return max(1, min(2*k.usedSinceAsk, most))
 }
 
-// HandleReply takes the answer to a question that was asked at the given time, and reports whether the request may be sent.
+// HandleReply applies the reply to a call that was made at askedAt, and reports whether the request may be sent.
 func (l *Ledger) HandleReply(now, askedAt time.Time, endpoint willowwick.EndpointID, reply Reply) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.mergeRow(reply.Row, "grant", now)
 	known := l.limits[endpoint]
 	if known == nil {
-		return true // it is gone, or has started again
+		return true // the endpoint is gone or has restarted
 	}
 	known.askingUntil = time.Time{}
 	known.noAskUntil = now.Add(time.Duration(reply.RetryMs) * time.Millisecond)
@@ -321,7 +321,7 @@
 	return true
 }
 
-// HandleNoReply notes that nobody answered a question; the next one is asked after a pause.
+// HandleNoReply records that a call got no reply; the next one waits for a random delay.
 func (l *Ledger) HandleNoReply(now time.Time, endpoint willowwick.EndpointID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -331,7 +331,7 @@
 	}
 }
 
-// Count is the number of endpoints that name a limit.
+// Count returns the number of endpoints that report a limit.
 func (l *Ledger) Count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/ratelimit/peers.go
+++ b/ratelimit/peers.go
@@ -8,20 +8,20 @@
 	"github.com/pkg/errors"
 )
 
-// Peers keeps what other boxes last knew of limits, so that they are told only where they know others.
+// Peers tracks the checksums of the other boxes, so that limits are sent only where they differ.
 type Peers struct {
 	ledger *Ledger
 
 	mu   sync.Mutex
-	sums map[string]uint64 // by the other box's address
+	sums map[string]uint64 // by address of the other box
 }
 
-// NewPeers returns what a box tells others of a ledger.
+// NewPeers returns the Peers of a box for one ledger.
 func NewPeers(ledger *Ledger) *Peers {
 	return &Peers{ledger: ledger, sums: map[string]uint64{}}
 }
 
-// NewCall returns what this box tells another one.
+// NewCall returns what this box sends to another one.
 func (p *Peers) NewCall(address string, now time.Time) Updates {
 	p.mu.Lock()
 	peerSum := p.sums[address]
@@ -29,13 +29,14 @@
 	return p.ledger.UpdatesFor(peerSum, now)
 }
 
-// Answer takes what a box tells that calls, and returns what it does not know; isNew says whether this box did not know it.
+// Answer merges the updates of a calling box and returns what it does not know; isNew reports whether any was new
+// here.
 func (p *Peers) Answer(call Updates, from string, now time.Time) (answer Updates, isNew bool) {
 	isNew = p.HandleAnswer(call, from, now)
 	return p.ledger.UpdatesFor(call.Sum, now), isNew
 }
 
-// HandleAnswer takes what a box told at a time, and reports whether it was updates.
+// HandleAnswer merges what another box sent at the given time, and reports whether any of it was new.
 func (p *Peers) HandleAnswer(updates Updates, from string, sentAt time.Time) (isNew bool) {
 	p.mu.Lock()
 	p.sums[from] = updates.Sum
@@ -43,21 +44,21 @@
 	return p.ledger.Merge(updates, "peer "+from, sentAt)
 }
 
-// Forget drops what is kept of a box that is gone.
+// Forget drops the state of a box that is gone.
 func (p *Peers) Forget(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.sums, address)
 }
 
-// callResult is what came of a question.
+// callResult is the outcome of a call for permits.
 type callResult struct {
 	reply Reply
 	err   error
 }
 
-// AskWithin asks another box for permits, and waits for its answer no longer than the limit. The question goes on until its
-// context ends, which has the longer limit: giving a call up costs its connection, over which boxes say other things, too.
+// AskWithin asks another box for permits and waits no longer than limit. The call itself goes on for up to longest:
+// cancelling it would close a connection that other calls share.
 func AskWithin(
 	ctx context.Context, limit, longest time.Duration, ask func(ctx context.Context) (Reply, error),
 ) (Reply, error) {
@@ -74,7 +75,7 @@
 	case result := <-results:
 		return result.reply, result.err
 	case <-timer.C:
-		return Reply{}, errors.New("the box that was asked for a permit is slow")
+		return Reply{}, errors.New("no reply to the call for a permit in time")
 	case <-ctx.Done():
 		return Reply{}, errors.Wrap(ctx.Err(), "ask for a permit")
 	}
--- a/ratelimit/updates.go
+++ b/ratelimit/updates.go
@@ -10,23 +10,25 @@
 )
 
 const (
-	// ageTolerance is by how much the same moment may seem to differ between boxes: their ages grow by the time on the way.
+	// ageTolerance is how much the time of an event may differ between boxes, since received ages lack the transit
+	// time.
 	ageTolerance = 500 * time.Millisecond
-	// neverMs is the age of what has not happened.
+	// neverMs is the age of an event that has not happened.
 	neverMs = -1
 )
 
 type (
-	// Row is the limit of an endpoint as boxes tell each other.
+	// Row is the limit of an endpoint as boxes exchange it.
 	Row struct {
 		Endpoint    willowwick.EndpointID
 		Incarnation willowwick.Incarnation
 		Rate        willowwick.PerSecond
-		NamedMs     int64 // ago
-		EndedMs     int64 // ago; negative if it has not ended
+		NamedMs     int64 // age
+		EndedMs     int64 // age; negative if it has not ended
 	}
 
-	// Updates is what boxes tell each other of limits: a sum over all that one knows, and all of it where the other's sum differs.
+	// Updates holds the limits that boxes exchange: a checksum over all that one knows, and all rows if the other's
+	// sum differs.
 	Updates struct {
 		Sum  uint64
 		Rows []Row
@@ -34,27 +36,27 @@
 
 	// Call asks for permits.
 	Call struct {
-		Box    willowwick.BoxID // that asks
+		Box    willowwick.BoxID // the asking box
 		Row    Row
 		Wanted int
-		// IsPassedOn says that another box was asked, which asks for it.
+		// IsPassedOn is set if another box forwards the call.
 		IsPassedOn bool
 	}
 
 	// Reply answers a Call.
 	Reply struct {
-		Row     Row // as the box that grants knows the limit
+		Row     Row // as the granter knows the limit
 		Permits int
-		RetryMs int64 // until another question may be asked
+		RetryMs int64 // delay until the next call
 	}
 )
 
-// unknownRow tells that nothing is known of an endpoint's limit.
+// unknownRow returns the row of an endpoint whose limit is unknown.
 func unknownRow(endpoint willowwick.EndpointID) Row {
 	return Row{Endpoint: endpoint, NamedMs: neverMs, EndedMs: neverMs}
 }
 
-// row tells of a limit.
+// row returns the limit as a Row.
 func (k *limit) row(endpoint willowwick.EndpointID, now time.Time) Row {
 	row := Row{
 		Endpoint: endpoint, Incarnation: k.incarnation, Rate: k.rate,
@@ -66,14 +68,14 @@
 	return row
 }
 
-// sum is the limit's part of a sum over limits. It leaves out times, which no two boxes know alike.
+// sum returns the limit's share of the checksum. It excludes times, which differ between boxes.
 func (k *limit) sum(endpoint willowwick.EndpointID) uint64 {
 	text := strconv.AppendInt([]byte(endpoint), int64(k.incarnation), 16)
 	text = strconv.AppendUint(append(text, '/'), math.Float64bits(float64(k.rate)), 16)
 	return xxhash.Sum64(strconv.AppendBool(append(text, '/'), k.isNamed()))
 }
 
-// UpdatesFor tells another box, whose sum is given, what this one knows.
+// UpdatesFor returns the updates for a box with the given checksum.
 func (l *Ledger) UpdatesFor(peerSum uint64, now time.Time) Updates {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -90,7 +92,7 @@
 	return updates
 }
 
-// Merge takes what another box told at the given time, and reports whether it is updates.
+// Merge merges the updates that another box sent at the given time, and reports whether any was new.
 func (l *Ledger) Merge(updates Updates, source string, sentAt time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -103,7 +105,8 @@
 	return isNew
 }
 
-// mergeRow takes a row that was told at the given time; the caller holds the lock.
+// mergeRow merges a row that was sent at the given time and reports whether it changed the limit. The caller holds
+// the lock.
 func (l *Ledger) mergeRow(row Row, source string, sentAt time.Time) bool {
 	if row.Rate < 0 || row.NamedMs < 0 {
 		return false // an unknownRow
@@ -130,7 +133,7 @@
 	return isNew
 }
 
-// mergeRate takes the rate that was named later; of two that were named at details the same time, the lower one.
+// mergeRate keeps the rate that was reported last; of two reported at about the same time, the lower one.
 func (k *limit) mergeRate(rate willowwick.PerSecond, at time.Time) {
 	switch apart := at.Sub(k.namedAt); {
 	case apart > ageTolerance:
