--- a/exchange/backoff_test.go
+++ b/exchange/backoff_test.go
@@ -13,8 +13,8 @@
 	"github.com/willowwick/willowwick"
 )
 
-// newBackoffSite starts a box before one runner that first turns requests away and asks for rest, and after it answers. The route lets
-// requests wait for half a second.
+// newBackoffSite starts a box with one runner that rejects its first request with a backoff and answers the later
+// ones. The route lets requests wait for half a second.
 func newBackoffSite(t *testing.T, rest time.Duration, hasRun bool) (*site, *runner) {
 	var turnedAway atomic.Bool
 	r := newRunner(t, "r1", func(w http.ResponseWriter, _ *http.Request) {
@@ -33,7 +33,8 @@
 	return startSite(t, newTestControl(testTable(1, patient), r.endpoint("v1")), testSettings()), r
 }
 
-// A request whose time leaves enough after the rest waits for its end; one whose time does not is refused, with the end of the rest.
+// A request with enough time left after the backoff waits for its end; another one is refused, with the end of the
+// backoff in Retry-After.
 func TestRequestWaitsForShortBackoffOnly(t *testing.T) {
 	for rest, status := range map[time.Duration]int{100 * time.Millisecond: http.StatusOK, time.Second: http.StatusServiceUnavailable} {
 		t.Run(rest.String(), func(t *testing.T) {
@@ -56,7 +57,7 @@
 	}
 }
 
-// A 503 that does not say that nothing ran asks for rest all the same.
+// A 503 requests a backoff even if it does not say that the request did not run.
 func TestBackoffIsHonoredFrom503ThatMayHaveRun(t *testing.T) {
 	s, r := newBackoffSite(t, time.Second, true)
 	assert.Equal(t, http.StatusBadGateway, s.do(t, http.MethodPost, "/once/", "first", "x").status, "what may have run promises nothing")
@@ -66,7 +67,7 @@
 	assert.Len(t, r.requests(), 1)
 }
 
-// Where all other endpoints rest, a request that one has turned away goes there again after a moment.
+// While all other endpoints back off, a request that a full endpoint rejected is retried there after a delay.
 func TestRetryToFullEndpointIsDelayedWhenOthersBackOff(t *testing.T) {
 	const full = 150 * time.Millisecond
 	began := time.Now()
@@ -93,7 +94,7 @@
 	assert.LessOrEqual(t, len(other.requests()), maxSends)
 }
 
-// A rest that is asked for between the choice of an endpoint and the send holds for that request.
+// A backoff that is requested between the choice of an endpoint and the send holds for that request.
 func TestRequestIsWithheldWhenChosenEndpointBacksOff(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	s := newSite(t, r.endpoint("v1"))
@@ -109,8 +110,8 @@
 	assert.Equal(t, willowwick.CodeOverloaded, refusal.Code)
 }
 
-// All endpoints but one leave, and that one is full for a moment: a request was sent there eight times within two milliseconds, each time on
-// the fleet's budget of repeats, and then failed.
+// All endpoints but one are draining, and that one is full for a moment: a request was sent there eight times within
+// two milliseconds, each time using the fleet's retry budget, and then failed.
 func TestRetryToOnlyEndpointIsDelayed(t *testing.T) {
 	const full = 150 * time.Millisecond
 	began := time.Now()
--- a/exchange/cold_test.go
+++ b/exchange/cold_test.go
@@ -11,7 +11,7 @@
 	"github.com/willowwick/willowwick"
 )
 
-// A new endpoint once got all requests of the first moments, since it was the least loaded, and fell over.
+// A new endpoint was the least loaded, so it once got all requests of the first moments and was overloaded.
 func TestColdEndpointGetsFewRequests(t *testing.T) {
 	const requests = 30
 	warm, cold := newRunner(t, "r1", answerText("ok")), newRunner(t, "r2", answerText("ok"))
@@ -35,7 +35,7 @@
 	assert.GreaterOrEqual(t, len(warm.requests()), requests-1)
 }
 
-// The time of day differs between boxes, so what is left of it counts, not when it ends.
+// Clocks differ between boxes, so the remaining cold time counts, not the time at which it ends.
 func TestColdTimeIsCorrectedForClockSkew(t *testing.T) {
 	const left, ahead = 3 * time.Second, time.Hour
 	r := newRunner(t, "r1", answerText("ok"))
--- a/exchange/draining_test.go
+++ b/exchange/draining_test.go
@@ -15,7 +15,7 @@
 	"github.com/willowwick/willowwick/route"
 )
 
-// newDrainingSite starts a box before two runners, of which the first answers by the handler.
+// newDrainingSite starts a box with two runners; the first one uses the handler.
 func newDrainingSite(t *testing.T, handler http.HandlerFunc) (b *restartSite, leaving, other *runner) {
 	leaving, other = newRunner(t, "r1", handler), newRunner(t, "r2", answerText("ok"))
 	b = newRestartSite(t, leaving.endpoint("v1"))
@@ -24,7 +24,7 @@
 	return b, leaving, other
 }
 
-// sendUntilDraining sends requests until the box knows that the first runner leaves.
+// sendUntilDraining sends requests until the box knows that the first runner is draining.
 func (b *restartSite) sendUntilDraining(t *testing.T, path string, header ...string) {
 	n := 0
 	require.Eventually(t, func() bool {
@@ -34,7 +34,7 @@
 	}, waitTimeout, time.Millisecond)
 }
 
-// assertUnused checks that the first runner gets nothing of many requests.
+// assertUnused checks that the first runner gets none of many requests.
 func (b *restartSite) assertUnused(t *testing.T, r *runner) {
 	t.Helper()
 	before := len(r.requests())
@@ -46,8 +46,8 @@
 
 func writeDraining(w http.ResponseWriter) { w.Header().Set("T-Leaving", "1") }
 
-// Not only whole answers tell that an endpoint leaves: errors, refusals, heads of streams and answers that are dropped for another
-// model's do as well.
+// Complete answers are not the only ones that report draining: errors, refusals, stream heads and answers dropped in
+// favor of another model's do so, too.
 func TestEveryKindOfAnswerReportsDraining(t *testing.T) {
 	for name, answer := range map[string]http.HandlerFunc{
 		"failure": func(w http.ResponseWriter, _ *http.Request) {
@@ -77,7 +77,7 @@
 	}
 }
 
-// A late answer to an earlier request comes in place of the one that is due, and tells of its endpoint all the same.
+// A late answer to an earlier request arrives in place of the current one; its draining notice counts all the same.
 func TestLateAnswerReportsDraining(t *testing.T) {
 	b, leaving, _ := newDrainingSite(t, func(w http.ResponseWriter, r *http.Request) {
 		conn, _, err := http.NewResponseController(w).Hijack()
@@ -92,8 +92,8 @@
 	b.assertUnused(t, leaving)
 }
 
-// The store may come back from a copy of itself in which an endpoint that left is listed as ready, after its entry had gone. What the
-// endpoint said holds on, and ends with its life.
+// The store may be restored from a backup that lists a drained endpoint as ready, after its entry was removed. The
+// draining notice must hold until the end of the incarnation.
 func TestDrainingEndpointIsNotUsedAfterStoreRestore(t *testing.T) {
 	b, leaving, _ := newDrainingSite(t, func(w http.ResponseWriter, _ *http.Request) {
 		writeDraining(w)
@@ -105,7 +105,7 @@
 		b.endpoint.Beat += 10
 		b.control.endpoints["r1"] = b.endpoint
 	})
-	require.Eventually(t, func() bool { // one that is gone counts from the second heartbeat on that a read shows
+	require.Eventually(t, func() bool { // a removed endpoint counts from the second heartbeat that a read shows
 		b.updateEntry(func(endpoint *willowwick.Endpoint) { endpoint.Beat++ })
 		return len(b.daemon.router.pool.Endpoints()) == 2
 	}, waitTimeout, 50*time.Millisecond)
@@ -120,7 +120,7 @@
 	}, waitTimeout, time.Millisecond, "its next life is used")
 }
 
-// An endpoint that ends after it has said that it leaves ended by plan: what was at work there is not to blame.
+// An endpoint that stops after it reported draining was shut down: its running requests are not to blame.
 func TestEndOfDrainingEndpointIsNotACrash(t *testing.T) {
 	b, _, _ := newDrainingSite(t, func(w http.ResponseWriter, _ *http.Request) {
 		writeDraining(w)
@@ -135,7 +135,7 @@
 		"the other one does not leave")
 }
 
-// newCall begins a request of a route as if it had come from a caller.
+// newCall begins a request of a route as if a caller had sent it.
 func (s *site) newCall(t *testing.T, path, id string) (*call, *httptest.ResponseRecorder) {
 	recorder := httptest.NewRecorder()
 	out := &reply{writer: recorder, controller: http.NewResponseController(recorder), codec: testCodec{}}
@@ -147,7 +147,7 @@
 	return c, recorder
 }
 
-// What an endpoint says holds for a request for which it was chosen before, and that is not sent yet.
+// A notice also holds for a request for which the endpoint was chosen earlier, but which has not been sent yet.
 func TestRequestIsWithheldWhenChosenEndpointStartsDraining(t *testing.T) {
 	b, leaving, other := newDrainingSite(t, answerText("ok"))
 	for len(other.requests()) == 0 {
@@ -167,7 +167,7 @@
 	assert.Empty(t, leaving.requests())
 }
 
-// Another endpoint at the address says nothing of the one that was meant.
+// An answer of another endpoint at the address says nothing about the intended one.
 func TestMisdirectedAnswerDoesNotMarkEndpointDraining(t *testing.T) {
 	b, _, _ := newDrainingSite(t, func(w http.ResponseWriter, _ *http.Request) {
 		writeDraining(w)
@@ -179,10 +179,10 @@
 	assert.False(t, b.daemon.router.pool.IsLeaving("r1"))
 }
 
-// While the store is away, an endpoint that leaves tells it to the boxes to which it answers alone. What others send there comes late,
-// and may be cut by its end, so that boxes tell each other, whatever the size of the fleet.
+// While the store is unavailable, a draining endpoint reports that only to the boxes that it answers. Requests of
+// other boxes arrive late and may be cut by its shutdown, so boxes tell each other, at any fleet size.
 func TestBoxesShareDrainingEndpoints(t *testing.T) {
-	const within = 2 * time.Second // the shortest time that there is to leave an endpoint
+	const within = 2 * time.Second // the shortest time in which an endpoint shuts down
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
 		m := newMesh(1, size.boxes, size.halls, size.endpoints)
 		m.run(t, 10*time.Second)
@@ -200,7 +200,7 @@
 	})
 }
 
-// allKnowDraining reports whether all boxes know that an endpoint leaves.
+// allKnowDraining reports whether all boxes know that an endpoint is draining.
 func (m *mesh) allKnowDraining(id willowwick.EndpointID) bool {
 	for _, box := range m.boxes {
 		if !box.pool.IsLeaving(id) {
@@ -210,7 +210,7 @@
 	return true
 }
 
-// Once the list says that an endpoint leaves, boxes no longer tell each other.
+// Once the list shows an endpoint as draining, boxes stop exchanging that.
 func TestBoxesDoNotShareDrainingOnceListed(t *testing.T) {
 	quietLogs(t)
 	synctest.Test(t, func(t *testing.T) {
--- a/exchange/evacuation_test.go
+++ b/exchange/evacuation_test.go
@@ -13,21 +13,21 @@
 	"github.com/willowwick/willowwick/route"
 )
 
-// maxRefusalTime is far below the time that a request may wait for a place in these tests.
+// maxRefusalTime is far below the time that a request may wait for a slot in these tests.
 const maxRefusalTime = time.Second
 
-// inHall moves an endpoint's entry to a hall.
+// inHall returns the endpoint with another hall.
 func inHall(hall willowwick.HallID, endpoint willowwick.Endpoint) willowwick.Endpoint {
 	endpoint.Hall = hall
 	return endpoint
 }
 
-// sendsTo reports whether the box uses endpoints of the hall for new work, as far as they have places and live.
+// sendsTo reports whether the box uses available endpoints of the hall for new work.
 func (s *site) sendsTo(hall willowwick.HallID) bool {
 	return s.daemon.router.pool.HasStaying("work", func(endpoint willowwick.Endpoint) bool { return endpoint.Hall == hall })
 }
 
-// fillSlots takes all places at the endpoints and returns a function that gives them back.
+// fillSlots takes all slots of the endpoints and returns a function that releases them.
 func (s *site) fillSlots(t *testing.T) (free func()) {
 	all := func(willowwick.Endpoint) bool { return true }
 	var places []*route.Place
@@ -43,12 +43,12 @@
 	}
 }
 
-// applyDeclarations gives the box what a read of the store would bring.
+// applyDeclarations applies declarations as if they were read from the store.
 func (s *site) applyDeclarations(declared willowwick.Declarations) {
 	s.daemon.router.sync.declare(declared)
 }
 
-// receiveEvacuated gives the box the digest of another one.
+// receiveEvacuated passes the digest of another box to the box.
 func (s *site) receiveEvacuated(evacuated EvacuatedHalls) {
 	s.daemon.router.peers.heard(Digest{Box: "box-9", Hall: "hall-z", Address: "10.0.0.9:1", Evacuated: evacuated}, time.Now())
 }
@@ -105,7 +105,8 @@
 	}
 }
 
-// A box that has just started has the configuration from another box, before any answer of the store.
+// A box that has just started gets the configuration from another box before the store answers; evacuations must come
+// with it.
 func TestStartingBoxLearnsEvacuationsFromPeer(t *testing.T) {
 	own, other := newRunner(t, "r1", answerText("own")), newRunner(t, "r2", answerText("other"))
 	control, sites := newHall(t, 1, own.endpoint("v1"), inHall("hall-b", other.endpoint("v1")))
@@ -134,7 +135,7 @@
 	})
 	other := newRunner(t, "r2", answerText("other"))
 	s = newSite(t, own.endpoint("v1"), inHall("hall-b", other.endpoint("v1")))
-	// From then on the box learns of it well before it takes the endpoint to be silent.
+	// From then on the box learns of the evacuation well before it considers the endpoint silent.
 	require.Eventually(t, func() bool { return s.control.waitingReads.Load() == 1 }, waitTimeout, time.Millisecond)
 	assert.Equal(t, http.StatusInternalServerError, s.do(t, http.MethodGet, "/again/", "id", "").status)
 	assert.Empty(t, other.requests())
@@ -156,7 +157,7 @@
 	assert.Empty(t, r.requests())
 }
 
-// Requests that wait for a place get none in a hall that is evacuated meanwhile.
+// Requests in the queue must not get a slot in a hall that is evacuated meanwhile.
 func TestQueuedRequestsGetNoSlotInEvacuatedHall(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	s := newSite(t, r.endpoint("v1"))
@@ -226,7 +227,7 @@
 	}
 }
 
-// An endpoint that is listed in an evacuated hall gets no work from its first moment on.
+// An endpoint that is listed in an evacuated hall gets no work from the start.
 func TestNewEndpointInEvacuatedHallGetsNoWork(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	s := newSite(t, inHall("hall-b", r.endpoint("v1")))
--- a/exchange/harm_fleet_test.go
+++ b/exchange/harm_fleet_test.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// poisonInterval is the time between arrivals of a harmful request anywhere in a fleet.
+	// poisonInterval is the time between arrivals of a poison request in the whole fleet.
 	poisonInterval = 300 * time.Millisecond
-	// poisonRunTime is how long an endpoint runs it until it ends, and poisonSendsPerArrival how often one arrival is sent.
+	// poisonRunTime is how long an endpoint runs it until it crashes, poisonSendsPerArrival how often one arrival is
+	// sent.
 	poisonRunTime         = 100 * time.Millisecond
 	poisonSendsPerArrival = 3
 )
 
 type (
-	// poisonMesh is a mesh to which one harmful request comes again and again.
+	// poisonMesh is a mesh that receives one poison request repeatedly.
 	poisonMesh struct {
 		*mesh
 		name    string
@@ -29,25 +30,25 @@
 		pending []poisonSend
 		sent    []time.Time
 		crashes []time.Time
-		next    time.Time // arrival
+		next    time.Time // of the next arrival
 	}
 
-	// poisonSend is a send of the request that ends its endpoint at a moment.
+	// poisonSend is a send of the request that crashes its endpoint at a given time.
 	poisonSend struct {
 		box  *meshBox
 		at   time.Time
-		left int // sends of this arrival after it
+		left int // later sends of this arrival
 	}
 )
 
-// newPoisonMesh lets a request with a name of its own come to a mesh.
+// newPoisonMesh returns a mesh that receives a poison request with the given name.
 func newPoisonMesh(m *mesh, name string) *poisonMesh {
 	return &poisonMesh{mesh: m, name: name, request: willowwick.HarmfulRequest{
 		Request: willowwick.FingerprintOf(testAccount, "POST", testHost, "/stream/", []byte(name)), Account: testAccount,
 	}}
 }
 
-// play lets the request come to the boxes for a length of virtual time.
+// play lets the request arrive at the boxes for a duration of virtual time.
 func (h *poisonMesh) play(t *testing.T, length time.Duration, boxes ...*meshBox) {
 	for until := time.Now().Add(length); time.Now().Before(until); {
 		h.run(t, meshStep)
@@ -63,7 +64,7 @@
 	}
 }
 
-// send sends the request from a box, unless it refuses that.
+// send sends the request from a box, unless the box refuses it.
 func (h *poisonMesh) send(box *meshBox, now time.Time, left int) {
 	if left == 0 || box.harm.Refuses(h.request.Request) {
 		return
@@ -72,7 +73,7 @@
 	h.pending = append(h.pending, poisonSend{box, now.Add(poisonRunTime), left - 1})
 }
 
-// crashDue ends the endpoints whose time has come.
+// crashDue crashes the endpoints that are due.
 func (h *poisonMesh) crashDue(now time.Time) {
 	var pending []poisonSend
 	due := h.pending
@@ -91,7 +92,7 @@
 	h.pending = append(h.pending, pending...)
 }
 
-// late counts the sends that began more than the grace after the third end, and not before a moment.
+// late counts the sends that began more than poisonGrace after the third crash, and not before notBefore.
 func (h *poisonMesh) late(notBefore time.Time) int {
 	count := 0
 	for _, at := range h.sent {
@@ -108,8 +109,8 @@
 	}
 }
 
-// Whatever the size of the fleet, and with the store away or turning boxes away, all boxes know in time of ends that each
-// of them saw a few of.
+// All boxes must learn in time of crashes of which each saw only a few, at any fleet size, and with the store
+// unavailable or rejecting boxes.
 func TestPoisonRequestIsRefusedByAllBoxesInTime(t *testing.T) {
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
 		m := newMesh(1, size.boxes, size.halls, size.endpoints)
@@ -120,7 +121,7 @@
 				box.isRefused = trouble == "boxes turned away" && i%3 == 0
 			}
 			h := newPoisonMesh(m, trouble)
-			h.play(t, poisonGrace+4*time.Second, m.boxes...) // the third end comes within a second
+			h.play(t, poisonGrace+4*time.Second, m.boxes...) // the third crash happens within a second
 			assert.LessOrEqual(t, h.late(time.Time{}), poisonSlack, "late sends, trouble: %s", trouble)
 			h.requireRefused(t)
 			t.Logf("trouble %s: %d ends, %d late sends", trouble, len(h.crashes), h.late(time.Time{}))
@@ -128,7 +129,7 @@
 	})
 }
 
-// Boxes that are started anew, one after the other, learn from the others what is refused.
+// Boxes that restart one after the other learn from the others which requests are refused.
 func TestRestartedBoxesRefusePoisonRequest(t *testing.T) {
 	quietLogs(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -146,7 +147,8 @@
 	})
 }
 
-// What the boxes know dies with them. What must last is at the store, from where each box that reads it takes it again.
+// The memory of all boxes is lost when they lose power. The refused requests are in the store, from where each box
+// that reads it restores them.
 func TestPoisonRequestIsRefusedAfterFleetRestart(t *testing.T) {
 	t.Parallel()
 	const boxes = 3
@@ -176,13 +178,13 @@
 	assert.Equal(t, events(1), other.body)
 }
 
-// refusesPoison reports whether a box refuses the harmful body.
+// refusesPoison reports whether the box refuses the poison body.
 func (s *site) refusesPoison() bool {
 	return s.daemon.router.harm.Refuses(willowwick.FingerprintOf(testAccount, http.MethodPost, testHost, "/stream/", []byte(poisonBody)))
 }
 
-// Halls that are cut from each other find a harmful request out by themselves; after the cut each takes over what the other
-// found before it is bound to it.
+// Partitioned halls detect a poison request on their own; after the partition each hall applies what the other found
+// within the grace period.
 func TestHallsShareQuarantineAfterPartition(t *testing.T) {
 	quietLogs(t)
 	for seed := range uint64(5) {
@@ -202,8 +204,8 @@
 	}
 }
 
-// Halls that do not reach each other may all reach the store. Each of them once had endpoints of its own end before it refused a
-// request that another one had found out.
+// Halls that do not reach each other may all reach the store. Each of them once lost endpoints of its own before it
+// refused a request that another hall had found.
 func TestPartitionedHallsShareQuarantineThroughStore(t *testing.T) {
 	quietLogs(t)
 	for seed := range uint64(5) {
@@ -222,7 +224,7 @@
 	}
 }
 
-// An operator has a request sent on all the same, at all boxes, and takes that back.
+// An operator admits a request at all boxes and takes that back.
 func TestAdmittedRequestIsSent(t *testing.T) {
 	h, sites := newPoisonSite(t, 2, 4)
 	refused := func() bool { return sites[0].refusesPoison() && sites[1].refusesPoison() }
--- a/exchange/harm_test.go
+++ b/exchange/harm_test.go
@@ -15,27 +15,27 @@
 )
 
 const (
-	// poisonBody is the body that ends each endpoint that runs it.
+	// poisonBody is the body that crashes each endpoint that runs it.
 	poisonBody = "ends the endpoint that runs it"
-	// poisonGrace is the time from the third end of an endpoint under a request within which all boxes know of it.
+	// poisonGrace is the time from the third crash under a request within which all boxes know of it.
 	poisonGrace = 3 * time.Second
 	// poisonSlack is how many sends of such a request all boxes together may begin later.
 	poisonSlack = 3
-	// replacementDelay is how long an endpoint that ended is missing.
+	// replacementDelay is how long a crashed endpoint is missing.
 	replacementDelay = 400 * time.Millisecond
 )
 
-// poisonSite is a service whose endpoints end while they run one body, and are replaced under new ids.
+// poisonSite is a service whose endpoints crash when they run one body, and are replaced under new IDs.
 type poisonSite struct {
 	control *testControl
 
 	mu      sync.Mutex
 	next    int
-	crashes []time.Time // when the request ended an endpoint
+	crashes []time.Time // when the request crashed an endpoint
 	runs    []time.Time // when an endpoint began to run it
 }
 
-// addRunner lists an endpoint that answers all but the harmful body.
+// addRunner lists an endpoint that answers all bodies but the poison one.
 func (h *poisonSite) addRunner(t *testing.T) {
 	h.mu.Lock()
 	h.next++
@@ -65,7 +65,7 @@
 	h.control.change(func() { h.control.endpoints[self.id] = self.endpoint("v1") })
 }
 
-// lateRuns counts the runs that began later than allowed after the third end, and all ends.
+// lateRuns counts the runs that began later than allowed after the third crash, and all crashes.
 func (h *poisonSite) lateRuns() (late, ended int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -80,7 +80,7 @@
 	return late, len(h.crashes)
 }
 
-// bodyOf is the body with which a request came.
+// bodyOf returns the body of a request.
 func (r *runner) bodyOf(request *http.Request) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -92,7 +92,7 @@
 	return ""
 }
 
-// newPoisonSite starts boxes of one hall before such a service.
+// newPoisonSite starts boxes of one hall with such a service.
 func newPoisonSite(t *testing.T, boxes, endpoints int) (*poisonSite, []*site) {
 	control, sites := newHall(t, boxes)
 	h := &poisonSite{control: control}
@@ -105,10 +105,10 @@
 	return h, sites
 }
 
-// Seen: one request, which came again and again with new ids at all boxes, ended more than thirty endpoints, and everything
-// that ran beside it was lost with them. Each arrival was sent to up to three endpoints, and the next one too. Cause: all that
-// is known of a request died with its call. Proof: the same caller's same body ends endpoints here, later than three seconds after
-// the third end as well; each other request is served.
+// One request, which arrived repeatedly with new IDs at all boxes, crashed more than thirty endpoints together with
+// all requests running beside it: each arrival was sent to up to three endpoints, since all knowledge of a request
+// was lost with its call. Here the same caller's same body crashes endpoints, also later than three seconds after the
+// third crash; all other requests must be served.
 func TestPoisonRequestIsQuarantined(t *testing.T) {
 	t.Parallel()
 	const boxes, endpoints, repeatEvery, lasts = 3, 8, 60 * time.Millisecond, 6 * time.Second
@@ -133,8 +133,8 @@
 	assert.Greater(t, served.Load(), others.Load()*8/10, "other requests go on")
 }
 
-// An endpoint that says that it leaves may be stopped at any time, and a connection may be reset by whatever lies between: neither is
-// the request's doing.
+// A draining endpoint may be stopped at any time, and a connection may be reset on the way: neither is caused by the
+// request.
 func TestShutdownsAndResetsCountAgainstNoRequest(t *testing.T) {
 	for name, ends := range map[string]bool{"stopped by plan": true, "reset": false} {
 		t.Run(name, func(t *testing.T) {
@@ -162,7 +162,7 @@
 	}
 }
 
-// newFailedRack returns a box with a popular request that was at work on all its endpoints when their rack failed.
+// newFailedRack returns a box with a popular request that was running on all its endpoints when their rack failed.
 func newFailedRack(t *testing.T) *site {
 	const rack = 4
 	var endpoints []willowwick.Endpoint
@@ -186,7 +186,7 @@
 	return s
 }
 
-// replaceEndpoints lists an endpoint in the place of all others.
+// replaceEndpoints replaces all endpoints by one.
 func (s *site) replaceEndpoints(t *testing.T, endpoint willowwick.Endpoint) {
 	s.control.change(func() {
 		clear(s.control.endpoints)
@@ -198,8 +198,8 @@
 	}, waitTimeout, 5*time.Millisecond)
 }
 
-// A popular request is at work on many endpoints when their rack fails. It is refused for a moment, like one that ended them; then
-// the box that leads tries it, once, and it is served again.
+// A popular request runs on many endpoints when their rack fails. It is refused for a moment like a poison request;
+// then the leader tries it once, and it is served again.
 func TestPopularRequestIsServedAgainAfterRackFailure(t *testing.T) {
 	t.Parallel()
 	s := newFailedRack(t)
@@ -216,7 +216,8 @@
 	}
 }
 
-// An endpoint may reject a request without having begun it. That says nothing of what the request does where it runs.
+// An endpoint may reject a request without having begun it, so a rejection does not show that the request is
+// harmless.
 func TestRejectionDoesNotClearRequest(t *testing.T) {
 	t.Parallel()
 	s := newSite(t)
@@ -235,8 +236,8 @@
 	assert.True(t, s.daemon.router.harm.Refuses(willowwick.FingerprintOf(testAccount, http.MethodPost, testHost, "/once/", []byte(poisonBody))))
 }
 
-// A store in memory gives all boxes the records that it holds itself. Each box takes their times to its own clock; where it did so in
-// place, boxes that read at once changed each other's times and what the store holds.
+// An in-memory store returns its own records. Boxes convert the times in them to their own clocks; when they did so
+// in place, concurrent reads changed each other's times and the stored records.
 func TestReadingRefusedRequestsDoesNotModifyStore(t *testing.T) {
 	t.Parallel()
 	held := willowwick.HarmfulRequest{
--- a/exchange/incarnation_test.go
+++ b/exchange/incarnation_test.go
@@ -13,7 +13,7 @@
 	"github.com/willowwick/willowwick/quarantine"
 )
 
-// restartSite is a site with one endpoint that starts again under its id.
+// restartSite is a site with one endpoint that restarts under its ID.
 type restartSite struct {
 	*site
 	endpoint willowwick.Endpoint
@@ -24,13 +24,13 @@
 	return &restartSite{newSite(t, endpoint), endpoint}
 }
 
-// updateEntry writes the endpoint's entry as changed.
+// updateEntry changes the endpoint's entry in the store.
 func (b *restartSite) updateEntry(change func(endpoint *willowwick.Endpoint)) {
 	change(&b.endpoint)
 	b.control.change(func() { b.control.endpoints[b.endpoint.ID] = b.endpoint })
 }
 
-// removeEntry takes the endpoint's entry away, and waits until the box knows.
+// removeEntry removes the endpoint's entry and waits until the box knows.
 func (b *restartSite) removeEntry(t *testing.T) {
 	b.control.change(func() { delete(b.control.endpoints, b.endpoint.ID) })
 	require.Eventually(t, func() bool { return !b.isListed() }, waitTimeout, 5*time.Millisecond)
@@ -45,8 +45,8 @@
 	endpoint.Incarnation, endpoint.Beat, endpoint.Leaving = endpoint.Incarnation+5000, 1, false
 }
 
-// An endpoint may start again under its id, and its heartbeats count anew. It once stayed gone until it had sent more of them than
-// before.
+// An endpoint may restart under its ID, and its heartbeat count starts again. It must be listed at once: it once
+// stayed gone until it had sent more heartbeats than before.
 func TestRestartedEndpointIsListedAtOnce(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	b := newRestartSite(t, r.endpoint("v1"))
@@ -56,7 +56,7 @@
 	assert.Equal(t, http.StatusOK, b.do(t, http.MethodPost, "/once/", "id", "x").status)
 }
 
-// What a life of an endpoint said of its leaving holds for that life alone.
+// A draining notice holds only for the incarnation that sent it.
 func TestRestartClearsDraining(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	b := newRestartSite(t, r.endpoint("v1"))
@@ -67,7 +67,7 @@
 	assert.Equal(t, http.StatusOK, b.do(t, http.MethodPost, "/once/", "id", "x").status)
 }
 
-// A heartbeat of the life before may be written late: it brings back neither that life nor its leaving.
+// A late heartbeat of the previous incarnation must bring back neither that incarnation nor its draining flag.
 func TestLateHeartbeatOfOldIncarnationIsIgnored(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	b := newRestartSite(t, r.endpoint("v1"))
@@ -84,7 +84,7 @@
 	assert.Equal(t, http.StatusOK, b.do(t, http.MethodPost, "/once/", "id", "x").status)
 }
 
-// What a box knows of an endpoint's load, work and failures is of one life of it.
+// Load, work and failures that a box knows of an endpoint belong to one incarnation.
 func TestRestartClearsEndpointState(t *testing.T) {
 	r := newRunner(t, "r1", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("T-Running", "8")
@@ -105,8 +105,8 @@
 	assert.Empty(t, pool.Leaving())
 }
 
-// An endpoint may be back before anybody looks whether something listens at its address. That it started anew shows that
-// it ended under what was at work there.
+// An endpoint may be back before the box checks whether its address accepts connections. Its new incarnation shows
+// that it crashed under the requests that were running there.
 func TestCrashShownByNextIncarnationCountsAgainstRequest(t *testing.T) {
 	var b *restartSite
 	r := newRunner(t, "r1", func(w http.ResponseWriter, _ *http.Request) { hangUp(w) })
@@ -124,7 +124,7 @@
 	assert.True(t, b.daemon.router.harm.Refuses(identity))
 }
 
-// Boxes that hear of endpoints from each other know the same lives of them.
+// Boxes that learn endpoints from each other must agree on their incarnations.
 func TestListsConvergeWhenEndpointsRestart(t *testing.T) {
 	quietLogs(t)
 	for seed := range uint64(10) {
--- a/exchange/notices_test.go
+++ b/exchange/notices_test.go
@@ -17,28 +17,29 @@
 )
 
 const (
-	// drainGrace is how long after an answer that told a box that the endpoint leaves requests of the box may still arrive there:
-	// what the answer says holds at once.
+	// drainGrace is how long after an answer reported draining to a box requests of that box may still arrive; the
+	// notice takes effect at once.
 	drainGrace = 200 * time.Millisecond
-	// backoffGrace is how long after a 503 with rest requests may still arrive, and backoffSlack how many may later.
+	// backoffGrace is how long after a 503 with a backoff requests may still arrive, and backoffSlack how many may
+	// later.
 	backoffGrace, backoffSlack = 500 * time.Millisecond, 2
-	// noticeRate is how many requests a second come to a fleet.
+	// noticeRate is the number of requests per second to a fleet.
 	noticeRate = 150
 )
 
 type (
-	// noticeRunner is an endpoint that says of itself in its answers what a test wants, and notes to which box.
+	// noticeRunner is an endpoint that sends the notices of a test in its answers, and records to which box.
 	noticeRunner struct {
 		*runner
 		boxes int
 
 		mu       sync.Mutex
 		draining bool
-		backoff  string // that it asks for, turning all away; empty for none
+		backoff  string // requested backoff, with all requests rejected; empty for none
 		arrivals []noticeArrival
 	}
 
-	// noticeArrival is a request with what its answer said.
+	// noticeArrival is a request with the notices in its answer.
 	noticeArrival struct {
 		box          int
 		at           time.Time
@@ -60,7 +61,8 @@
 	return n
 }
 
-// recordArrival notes a request of generateLoad, and writes what the answer says of the runner; isTurnedAway says that it is all the answer.
+// recordArrival records a request of generateLoad and writes the notices; isTurnedAway reports that the request is
+// rejected.
 func (n *noticeRunner) recordArrival(w http.ResponseWriter, r *http.Request) (isTurnedAway bool) {
 	number, err := strconv.Atoi(r.Header.Get("T-Id")[strings.LastIndexByte(r.Header.Get("T-Id"), '/')+1:])
 	if err != nil {
@@ -80,21 +82,22 @@
 	return n.backoff != ""
 }
 
-// startDraining makes the runner say that it leaves.
+// startDraining makes the runner report draining.
 func (n *noticeRunner) startDraining() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.draining = true
 }
 
-// requestBackoff makes the runner turn all requests away and ask for rest; empty for neither.
+// requestBackoff makes the runner reject all requests with a backoff; empty for neither.
 func (n *noticeRunner) requestBackoff(rest string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.backoff = rest
 }
 
-// lateAfterDraining counts the requests of boxes that an answer had told long before that the runner leaves.
+// lateAfterDraining counts the requests of boxes to which an answer had reported draining more than drainGrace
+// earlier, and those boxes.
 func (n *noticeRunner) lateAfterDraining() (late, told int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -110,7 +113,8 @@
 	return late, len(toldAt)
 }
 
-// maxDuringBackoff is the most requests that came from one box in the rest that one answer to it had asked for, after the grace.
+// maxDuringBackoff returns the largest number of requests from one box during a backoff requested from it, after the
+// grace, and the number of such answers.
 func (n *noticeRunner) maxDuringBackoff() (most, asked int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -131,14 +135,14 @@
 	return most, asked
 }
 
-// count is the number of requests that came.
+// count returns the number of requests.
 func (n *noticeRunner) count() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.arrivals)
 }
 
-// newNoticeFleet starts boxes in three halls before so many runners.
+// newNoticeFleet starts boxes in three halls with the given number of runners.
 func newNoticeFleet(t *testing.T, boxes, count int) (*testControl, []*site, []*noticeRunner) {
 	noticeRunners, runners := make([]*noticeRunner, count), make([]*runner, count)
 	for i := range count {
@@ -149,7 +153,7 @@
 	return control, sites, noticeRunners
 }
 
-// An endpoint said in its answers that it leaves, and boxes sent to it as before until the store told the same.
+// An endpoint reported draining in its answers, and boxes kept sending to it until the store showed the same.
 func TestBoxesStopUsingEndpointThatReportsDraining(t *testing.T) {
 	t.Parallel()
 	for _, boxes := range []int{6, 24} {
@@ -169,7 +173,7 @@
 	}
 }
 
-// Where every endpoint says that it leaves, nothing can be sent: requests are refused at once, with a time.
+// When every endpoint is draining, nothing can be sent: requests must be refused at once, with a Retry-After.
 func TestRequestsAreRefusedAtOnceWhenAllEndpointsDrain(t *testing.T) {
 	t.Parallel()
 	_, sites, runners := newNoticeFleet(t, 6, 2)
@@ -188,7 +192,7 @@
 	assertRefusedAtOnce(t, calls)
 }
 
-// assertRefusedAtOnce checks that some requests were refused, at once and with a time, and none failed.
+// assertRefusedAtOnce checks that some requests were refused, at once and with a Retry-After, and that none failed.
 func assertRefusedAtOnce(t *testing.T, calls *limitCalls) {
 	t.Helper()
 	require.NotEmpty(t, calls.refused)
@@ -199,8 +203,8 @@
 	assert.Empty(t, calls.other)
 }
 
-// An endpoint turned a request away and asked for rest, and boxes sent to it as before: it looked idle, and had what it turned
-// away sent on as repeats.
+// An endpoint rejected a request with a backoff, and boxes kept sending to it: it looked idle, and the rejected
+// requests were sent on as retries.
 func TestBoxesHonorBackoff(t *testing.T) {
 	t.Parallel()
 	for _, rest := range []string{"2.5", "3", "8"} {
@@ -223,7 +227,7 @@
 	}
 }
 
-// Where every endpoint asks for rest, nothing can be sent: requests are refused at once, with a time.
+// When every endpoint requests a backoff, nothing can be sent: requests must be refused at once, with a Retry-After.
 func TestRequestsAreRefusedAtOnceWhenAllEndpointsBackOff(t *testing.T) {
 	t.Parallel()
 	_, sites, runners := newNoticeFleet(t, 6, 3)
--- a/exchange/ratelimit_fleet_test.go
+++ b/exchange/ratelimit_fleet_test.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	// limitDemand is how many requests a second come to a fleet, all of which would go to the limited endpoint.
+	// limitDemand is the number of requests per second to a fleet, all of which would go to the limited endpoint.
 	limitDemand = 150
 	// limitAnswerTime is how long the endpoint takes to answer.
 	limitAnswerTime = 30 * time.Millisecond
 )
 
 type (
-	// limitMesh is a mesh to whose boxes requests come that would all go to one endpoint.
+	// limitMesh is a mesh whose boxes receive requests that would all go to one endpoint.
 	limitMesh struct {
 		*mesh
 		endpoint    willowwick.Endpoint
 		reported    willowwick.RateLimit
 		arrivals    []time.Time
 		answers     []limitAnswer
-		dueRequests float64 // requests that have not come yet
+		dueRequests float64 // requests that have not arrived yet
 		denied      int
 	}
 
@@ -48,7 +48,7 @@
 	l.reported = willowwick.RateLimit{Rate: rate, Named: true}
 }
 
-// play lets requests come to the boxes for a length of virtual time.
+// play lets requests arrive at the boxes for a duration of virtual time.
 func (l *limitMesh) play(t *testing.T, length time.Duration, boxes ...*meshBox) {
 	for until := time.Now().Add(length); time.Now().Before(until); {
 		l.run(t, meshStep)
@@ -61,7 +61,7 @@
 	}
 }
 
-// receive lets a receive come to a box, which sends it if it may.
+// receive lets a request arrive at a box, which sends it if it may.
 func (l *limitMesh) receive(t *testing.T, box *meshBox, now time.Time) {
 	if !box.limits.MayUse(now, l.endpoint.ID) {
 		return
@@ -84,7 +84,7 @@
 	return box.limits.HandleReply(clock.Now(), now, l.endpoint.ID, reply)
 }
 
-// deliverAnswers lets the answers come whose time it is.
+// deliverAnswers delivers the answers that are due.
 func (l *limitMesh) deliverAnswers(now time.Time) {
 	var underWay []limitAnswer
 	for _, answer := range l.answers {
@@ -97,7 +97,7 @@
 	l.answers = underWay
 }
 
-// between counts the requests that the endpoint got in a span of time.
+// between counts the requests to the endpoint in a time span.
 func (l *limitMesh) between(from, to time.Time) int {
 	count := 0
 	for _, at := range l.arrivals {
@@ -108,7 +108,8 @@
 	return count
 }
 
-// assertHeld checks that the endpoint got no more than its limit allows in any window of a span, and at least a part of it.
+// assertHeld checks that the endpoint got no more than its limit allows in any window of a time span, and at least
+// the given part of it.
 func (l *limitMesh) assertHeld(t *testing.T, from, to time.Time, leastPart float64, what string) {
 	t.Helper()
 	rate := float64(l.reported.Rate)
@@ -126,7 +127,7 @@
 	l.denied = 0
 }
 
-// Whatever the size of the fleet, and with the store away, boxes together send what a limit allows and no more.
+// At any fleet size, and with the store unavailable, boxes together use the limit and do not exceed it.
 func TestRateLimitHoldsAtAllFleetSizes(t *testing.T) {
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
 		l := newLimitMesh(newMesh(1, size.boxes, size.halls, size.endpoints))
@@ -142,7 +143,7 @@
 	})
 }
 
-// All work comes to one box, which may send all that the limit allows.
+// When all work arrives at one box, it may use the whole limit.
 func TestSingleBusyBoxUsesWholeRateLimit(t *testing.T) {
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
 		l := newLimitMesh(newMesh(1, size.boxes, size.halls, size.endpoints))
@@ -155,7 +156,7 @@
 	})
 }
 
-// Boxes that are started anew, one after the other and the one that grants among them, know of no limit and send no more.
+// Boxes that restart one after the other, the granter among them, know no limit at first and must not exceed it.
 func TestRateLimitHoldsDuringRestarts(t *testing.T) {
 	quietLogs(t)
 	for seed := range uint64(5) {
@@ -177,7 +178,7 @@
 	}
 }
 
-// Halls that are cut from each other each use a part; all together send no more than the limit, during the cut and after it.
+// Partitioned halls each use a part of the limit; together they do not exceed it, during the partition and after it.
 func TestRateLimitHoldsDuringPartition(t *testing.T) {
 	quietLogs(t)
 	for seed := range uint64(5) {
@@ -197,7 +198,8 @@
 	}
 }
 
-// An endpoint that names no limit any more is used fully again within seconds, by all boxes, and not by all at once.
+// An endpoint that no longer reports a limit is fully used again within seconds, by all boxes, but not by all at
+// once.
 func TestEndpointUseRampsUpAfterRateLimitEnds(t *testing.T) {
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
 		l := newLimitMesh(newMesh(1, size.boxes, size.halls, size.endpoints))
--- a/exchange/ratelimit_test.go
+++ b/exchange/ratelimit_test.go
@@ -14,34 +14,34 @@
 )
 
 const (
-	// limitWindow is the length of time over which what an endpoint gets is counted against its limit.
+	// limitWindow is the duration over which requests to an endpoint are counted against its limit.
 	limitWindow = 4 * time.Second
-	// limitExcess and limitSlack bound it: so many times what the limit allows, and so many requests more.
+	// limitExcess and limitSlack bound the requests in a window: this multiple of the limit, plus this many requests.
 	limitExcess, limitSlack = 1.5, 5
-	// limitPropagation is how long boxes have until they hold a limit that is new.
+	// limitPropagation is the time until all boxes apply a new limit.
 	limitPropagation = 3 * time.Second
-	// refusalP90 is within what time nine of ten requests that cannot be served are refused, and refusalMax all of them: less than
-	// they might wait for a place.
+	// refusalP90 is the time within which nine of ten requests that cannot be served are refused, refusalMax that for
+	// all of them: less than they might wait for a slot.
 	refusalP90, refusalMax = 40 * time.Millisecond, 150 * time.Millisecond
 )
 
 type (
-	// limitedRunner is an endpoint that names a limit in its answers for a time, and notes when it gets requests.
+	// limitedRunner is an endpoint that reports a settable limit in its answers and records its requests.
 	limitedRunner struct {
 		*runner
 		mu       sync.Mutex
-		rate     string // that it names; empty for none
+		rate     string // reported limit; empty for none
 		arrivals []time.Time
 	}
 
-	// limitCalls is what came of requests that come all the time.
+	// limitCalls holds the outcomes of continuous requests.
 	limitCalls struct {
 		path           string
 		mu             sync.Mutex
 		served         int
-		refused        []time.Duration // measured lengths: until each was refused
+		refused        []time.Duration // time until each was refused
 		other          []int
-		haveRetryAfter bool // all refusals say when to come back
+		haveRetryAfter bool // all refusals have a Retry-After
 	}
 )
 
@@ -61,14 +61,14 @@
 	return l
 }
 
-// setLimit makes the runner setLimit a limit; empty for none.
+// setLimit sets the reported limit; empty for none.
 func (l *limitedRunner) setLimit(rate string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.rate = rate
 }
 
-// between counts the requests that it got in a span of time.
+// between counts the requests in a time span.
 func (l *limitedRunner) between(from, to time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,7 +81,7 @@
 	return count
 }
 
-// maxInWindow is the most requests that it got in any window within a span of time.
+// maxInWindow returns the largest number of requests in any limitWindow within a time span.
 func (l *limitedRunner) maxInWindow(from, to time.Time) int {
 	l.mu.Lock()
 	arrivals := append([]time.Time(nil), l.arrivals...)
@@ -96,7 +96,7 @@
 	return max(most, l.between(to.Add(-limitWindow), to))
 }
 
-// newLimitSite starts boxes in halls that know each other by the first one, before endpoints.
+// newLimitSite starts boxes in halls, with the first box as seed, and limited endpoints.
 func newLimitSite(t *testing.T, boxes, halls int, limited ...*limitedRunner) (*testControl, []*site) {
 	runners := make([]*runner, len(limited))
 	for i, l := range limited {
@@ -105,7 +105,7 @@
 	return newFleet(t, boxes, halls, runners...)
 }
 
-// newFleet starts boxes in halls that know each other by the first one, before endpoints.
+// newFleet starts boxes in halls, with the first box as seed, and endpoints.
 func newFleet(t *testing.T, boxes, halls int, runners ...*runner) (*testControl, []*site) {
 	var endpoints []willowwick.Endpoint
 	for i, r := range runners {
@@ -129,7 +129,8 @@
 	return control, sites
 }
 
-// generateLoad lets requests of a route come to the boxes in turn, so many a second, until the test ends or the function it returns is called.
+// generateLoad sends requests of a route to the boxes in rotation, at a rate per second, until the test ends or stop
+// is called.
 func generateLoad(t *testing.T, sites []*site, path string, perSecond int) (calls *limitCalls, stop func()) {
 	calls = &limitCalls{path: path, haveRetryAfter: true}
 	done := make(chan struct{})
@@ -176,7 +177,7 @@
 	}
 }
 
-// assertWithin checks that the runner got what its limit allows and no more than the bound.
+// assertWithin checks that the runner got at least half of what its limit allows and no more than the bound.
 func (l *limitedRunner) assertWithin(t *testing.T, rate float64, from, to time.Time) {
 	t.Helper()
 	allowed := limitExcess*rate*limitWindow.Seconds() + limitSlack
@@ -187,7 +188,7 @@
 	t.Logf("%s takes %v a second: at most %d in %s (allowed %.0f), %.0f in %s", l.id, rate, most, limitWindow, allowed, used, to.Sub(from))
 }
 
-// An endpoint that named a limit got as much as any other, from all boxes that it had told of it.
+// An endpoint that reported a limit once got as many requests as any other, from all boxes that knew the limit.
 func TestBoxesTogetherKeepRateLimit(t *testing.T) {
 	t.Parallel()
 	limited, others := newLimitedRunner(t, "r0"), []*limitedRunner{newLimitedRunner(t, "r1"), newLimitedRunner(t, "r2")}
@@ -204,7 +205,7 @@
 	assert.Empty(t, calls.other)
 }
 
-// Where every endpoint names a limit, what is beyond the limits is refused at once.
+// When every endpoint reports a limit, requests beyond the limits are refused at once.
 func TestRequestsBeyondRateLimitAreRefusedAtOnce(t *testing.T) {
 	t.Parallel()
 	limited := newLimitedRunner(t, "r0")
@@ -219,7 +220,7 @@
 	assertRefusedAtOnce(t, calls)
 }
 
-// What limits allow goes to urgent requests first, and a part of it to others.
+// Urgent requests take precedence within the limits, but others get a part.
 func TestUrgentRequestsComeFirstWhenAllEndpointsAreLimited(t *testing.T) {
 	t.Parallel()
 	limited := newLimitedRunner(t, "r0")
@@ -246,15 +247,15 @@
 	t.Logf("%d urgent and %d others served, %d and %d refused", urgent.served, patient.served, len(urgent.refused), len(patient.refused))
 }
 
-// A request that one endpoint turned away, while the other takes no more, was sent to the first one again and again within a
-// millisecond, and then failed.
+// A request that one endpoint rejected as full, while the other was limited, was retried at the first one repeatedly
+// within a millisecond, and then failed.
 func TestRetryToFullEndpointIsDelayedWhenOthersAreLimited(t *testing.T) {
 	const full = 150 * time.Millisecond
 	limited, other := newLimitedRunner(t, "r0"), newLimitedRunner(t, "r1")
 	limited.setLimit("0.2")
 	_, sites := newLimitSite(t, 1, 1, limited, other)
 	s := sites[0]
-	for i := range 20 { // one of them tells the limit, others use up its permits
+	for i := range 20 { // one of them learns the limit, others use up its permits
 		s.do(t, http.MethodPost, "/again/", fmt.Sprint("before-", i), "x")
 	}
 	from := time.Now()
@@ -268,7 +269,7 @@
 		tells(w, r)
 	})
 	before := len(other.requests())
-	// The route's goal leaves a request that is sent again 75 ms to wait for a place.
+	// The route's goal leaves a retry 75 ms to wait for a slot.
 	require.Eventually(t, func() bool {
 		return s.do(t, http.MethodPost, "/again/", fmt.Sprint("full-", time.Now().UnixNano()), "x").status == http.StatusOK
 	}, waitTimeout, time.Millisecond)
--- a/exchange/release_test.go
+++ b/exchange/release_test.go
@@ -36,7 +36,7 @@
 	return r.choose("work", session, now, now)
 }
 
-// shareOf is the part of new sessions that goes to the target of a roll-out.
+// shareOf returns the share of new sessions that goes to the target of a roll-out.
 func shareOf(r *releases, now time.Time, name string) float64 {
 	const sessions = 2000
 	n := 0
@@ -48,7 +48,7 @@
 	return float64(n) / sessions
 }
 
-// fleetEvidence counts answers of the target and of the others on one route.
+// fleetEvidence returns evidence for the target and for the other releases on one route.
 func fleetEvidence(target, others rollout.Evidence) map[evidenceKey]rollout.Evidence {
 	return map[evidenceKey]rollout.Evidence{
 		{"work", "v2", "r"}: target,
@@ -79,7 +79,8 @@
 	}
 }
 
-// A release of which a third of the answers were errors was once completed: each of three routes had seen two or three.
+// A release with errors in a third of its answers was once completed, because each of three routes had seen only two
+// or three errors.
 func TestBadReleaseIsFoundBySumOverRoutes(t *testing.T) {
 	r := newTestReleases()
 	r.begin(orderOf("v2", 1), 0, testStart)
@@ -95,7 +96,7 @@
 	require.Len(t, r.judge(evidence, at(0.3)), 1)
 }
 
-// What was seen of a release before there was anything to compare it with was once forgotten.
+// Evidence on a release from before there was a baseline was once dropped.
 func TestEvidenceBeforeBaselineCounts(t *testing.T) {
 	r := newTestReleases()
 	r.begin(orderOf("v2", 1), 0, testStart)
@@ -156,7 +157,7 @@
 	}
 }
 
-// The runners of a release that was rolled back once got work again when the next roll-out began.
+// The runners of a rolled-back release once got work again when the next roll-out began.
 func TestRolledBackReleaseStaysUnusedInNextRollOut(t *testing.T) {
 	r := newTestReleases()
 	r.begin(orderOf("v2", 1), 0, testStart)
@@ -185,8 +186,8 @@
 	assert.False(t, chooseNow(fresh, "s", now).allows(endpointOn("v2")), "a box that starts later hears of it")
 }
 
-// A box that had not heard yet that a roll-out was completed once took its release out of use as the next order came, and told
-// all others to: the fleet moved to the next release at once.
+// A box that did not know yet that a roll-out was completed once took its release out of use when the next order
+// came, and made all others do so: the fleet moved to the next release at once.
 func TestCompletedReleaseIsNotGivenUpByLaggingBox(t *testing.T) {
 	leads, follows := newTestReleases(), newTestReleases()
 	for _, r := range []*releases{leads, follows} {
@@ -213,7 +214,7 @@
 	assert.True(t, chooseNow(wrong, "s", later).allows(endpointOn("v2")))
 }
 
-// A box that lags behind once brought an older order back.
+// A lagging box once restored an older order.
 func TestOlderOrderIsIgnored(t *testing.T) {
 	r := newTestReleases()
 	r.begin(orderOf("v3", 2), 0, testStart)
@@ -239,7 +240,7 @@
 	assert.True(t, choice.allows(endpointOn("v2")))
 }
 
-// The box that leads once took the state that it had written before for the one that it found itself.
+// The leader once mistook the state that it had written before for the one that it had just found.
 func TestRollBackIsWrittenToStore(t *testing.T) {
 	r := newTestReleases()
 	r.begin(orderOf("v2", 1), 0, testStart)
@@ -264,7 +265,8 @@
 	assert.InDelta(t, canaryShare/4, shareOf(r, at(0.1), "a"), 0.01)
 }
 
-// A session was once forgotten while its request ran for longer than sessions are remembered, and moved in the first half.
+// A session was once forgotten while its request ran for longer than sessions are remembered, and moved in the first
+// half.
 func TestSessionIsRememberedFromEndOfRequest(t *testing.T) {
 	r := newTestReleases()
 	began := at(0).Add(-time.Second)
@@ -280,7 +282,7 @@
 	}
 }
 
-// Sessions that were meant for a release whose runners had not come yet once moved to it with their second request.
+// Sessions assigned to a release without runners once moved to it with their second request.
 func TestSessionStaysWhenTargetHasNoEndpoints(t *testing.T) {
 	isThere := false
 	r := newReleases(ReleaseSettings{Session: 5 * time.Second}, func(willowwick.ServiceID, willowwick.ReleaseID) bool { return isThere })
@@ -291,7 +293,7 @@
 	require.NotZero(t, shareOf(r, at(0.1), "b"))
 }
 
-// A session that another box of the hall took up was once taken for a new one, and moved in the first half.
+// A session that moved to another box of the hall was once taken for a new one there, and moved in the first half.
 func TestSessionKeptByAnotherBoxIsNotMoved(t *testing.T) {
 	one, other := newTestReleases(), newTestReleases()
 	early := at(0).Add(-time.Second)
@@ -316,7 +318,8 @@
 	assert.InDelta(t, 0.015, ReleaseSettings{Exposure: 0.05}.firstShare(), 1e-9)
 }
 
-// Sessions on the target of a roll-out that had just ended were once taken for those of the next one's, and moved to it at once.
+// Sessions on the target of a completed roll-out were once counted as sessions on the target of the next one, and
+// moved to it at once.
 func TestSessionsOfCompletedReleaseStayInFirstHalfOfNextRollOut(t *testing.T) {
 	r := newTestReleases()
 	r.begin(orderOf("v2", 1), 0, testStart)
--- a/exchange/site_test.go
+++ b/exchange/site_test.go
@@ -29,7 +29,7 @@
 	waitTimeout = 5 * time.Second
 )
 
-// testCodec implements willowwick.HeaderCodec with names of its own.
+// testCodec implements willowwick.HeaderCodec with test headers.
 type testCodec struct{}
 
 func (testCodec) DecodeRequest(header http.Header, arrived time.Time) (willowwick.ExchangeHead, error) {
@@ -98,7 +98,7 @@
 	orders        []willowwick.ReleaseOrder
 	evacuations   []willowwick.Evacuation
 	admissions    []willowwick.Admission
-	changes       willowwick.Position // of declarations
+	changes       willowwick.Position // counts changes of declarations
 	endpoints     map[willowwick.EndpointID]willowwick.Endpoint
 	listChanges   willowwick.Position
 	statuses      []willowwick.ReleaseStatus
@@ -106,12 +106,12 @@
 	harmful       map[willowwick.Fingerprint]willowwick.HarmfulRequest
 	members       []string
 	leader        string
-	endpointReads int // of the list of endpoints
+	endpointReads int // reads of the endpoint list
 	calls         atomic.Int64
-	waitingReads  atomic.Int64 // reads of declarations that wait
+	waitingReads  atomic.Int64 // reads of declarations that are blocked
 }
 
-// newTestControl returns a store that holds a configuration, nil for none, and endpoints.
+// newTestControl returns a store with a configuration, nil for none, and endpoints.
 func newTestControl(table *willowwick.RoutingTable, endpoints ...willowwick.Endpoint) *testControl {
 	control := &testControl{
 		endpoints: map[willowwick.EndpointID]willowwick.Endpoint{}, harmful: map[willowwick.Fingerprint]willowwick.HarmfulRequest{},
@@ -125,7 +125,7 @@
 	return control
 }
 
-// siteControl is a testControl, or one with troubles of its own around it.
+// siteControl is a testControl, or a wrapper that adds faults to one.
 type siteControl interface {
 	willowwick.Control
 	base() *testControl
@@ -271,12 +271,12 @@
 	c.listChanges++
 }
 
-// position is a place in the store's era.
+// position returns a position in the store's current era.
 func (c *testControl) position(offset willowwick.Position) willowwick.Position {
 	return willowwick.NewPosition(c.era, offset.Offset())
 }
 
-// restoreFromBackup begins a new era of the store without what boxes had written there, and with fewer changes than there were.
+// restoreFromBackup begins a new era of the store, without what boxes had written and with fewer changes than before.
 func (c *testControl) restoreFromBackup(change func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -287,7 +287,7 @@
 	change()
 }
 
-// evacuate declares the halls evacuated, and no others.
+// evacuate declares exactly these halls evacuated.
 func (c *testControl) evacuate(halls ...willowwick.HallID) {
 	c.change(func() {
 		c.evacuations = nil
@@ -297,7 +297,7 @@
 	})
 }
 
-// runner is an endpoint whose handler a test sets.
+// runner is an endpoint with a replaceable handler.
 type runner struct {
 	*httptest.Server
 	id       willowwick.EndpointID
@@ -307,7 +307,7 @@
 	bodies   []string
 }
 
-// handle changes what the runner does with requests from now on.
+// handle replaces the handler.
 func (r *runner) handle(handler http.HandlerFunc) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -346,14 +346,14 @@
 	}
 }
 
-// site is a daemon with its control and endpoints.
+// site is a daemon with its store.
 type site struct {
 	control *testControl
 	daemon  *Daemon
 	url     string
 	client  *http.Client
 	stop    func()
-	// closeDaemon ends its connections too.
+	// closeDaemon also closes its connections.
 	closeDaemon func()
 }
 
@@ -401,7 +401,7 @@
 	return listener
 }
 
-// newSite starts a daemon with the three usual routes in front of the endpoints.
+// newSite starts a daemon with the three usual routes and the endpoints.
 func newSite(t *testing.T, endpoints ...willowwick.Endpoint) *site {
 	return startSite(t, newTestControl(testTable(1, onceRoute(), retryRoute(), streamRoute()), endpoints...), testSettings())
 }
@@ -428,7 +428,7 @@
 	return s
 }
 
-// reply of a site, read to its end.
+// siteReply is a complete reply of a site.
 type siteReply struct {
 	status int
 	header http.Header
@@ -461,12 +461,12 @@
 	return func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, text) }
 }
 
-// event is the text of one event of a stream.
+// event returns the text of one stream event.
 func event(id int) string {
 	return fmt.Sprintf("id: %d\ndata: part %d\n\n", id, id)
 }
 
-// streamEvents sends events up to the last one, from after the one that the request names.
+// streamEvents sends events up to the last one, starting after the one that the request names.
 func streamEvents(w http.ResponseWriter, r *http.Request, last int) {
 	from, _ := strconv.Atoi(r.Header.Get("T-Resume"))
 	w.Header().Set("Content-Type", "text/event-stream")
@@ -484,7 +484,7 @@
 	return text
 }
 
-// hangUp closes the connection of a request without more bytes.
+// hangUp closes the connection of a request without sending more bytes.
 func hangUp(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err == nil {
--- a/exchange/suspension_test.go
+++ b/exchange/suspension_test.go
@@ -10,16 +10,16 @@
 	"github.com/willowwick/willowwick/clock"
 )
 
-// suspendedFor is longer than all bounds of the tests' settings.
+// suspendedFor exceeds all timeouts in the test settings.
 const suspendedFor = 30 * time.Second
 
-// suspend lets the box's clock go on as if its machine had been suspended.
+// suspend advances the box's clock as if its machine had been suspended.
 func suspend(t *testing.T) {
 	t.Cleanup(clock.Suspend(suspendedFor))
 }
 
-// A configuration that was the newest before the machine was suspended is not for certain after it: nothing is refused for good
-// by it.
+// After a suspension the known configuration may be out of date, so the box must not refuse anything permanently
+// because of it.
 func TestSuspendedBoxRefusesNothingPermanently(t *testing.T) {
 	s := newSite(t)
 	require.Equal(t, http.StatusNotFound, s.do(t, http.MethodGet, "/unknown/", "before", "").status)
@@ -34,7 +34,7 @@
 	assert.GreaterOrEqual(t, digest.StoreAgeMs, suspendedFor.Milliseconds())
 }
 
-// A request whose time passed while the machine was suspended is not sent again with what seems to be left of it.
+// A request that expired during a suspension is not retried with the time that seems to be left.
 func TestRequestExpiredDuringSuspensionIsNotRetried(t *testing.T) {
 	a := newRunner(t, "r1", answerText("ok"))
 	b := newRunner(t, "r2", answerText("ok"))
@@ -50,7 +50,7 @@
 	assert.Equal(t, 1, len(a.requests())+len(b.requests()))
 }
 
-// A record of an end that is kept at the store says when that was by the time of day.
+// The stored record of a crash gives its time as the time of day.
 func TestCrashIsStoredWithTimeOfDay(t *testing.T) {
 	suspend(t)
 	h, sites := newPoisonSite(t, 1, 4)
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -11,152 +11,153 @@
 	"github.com/willowwick/willowwick"
 )
 
-var began = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
+var testStart = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func requestOf(body string) willowwick.Fingerprint {
+func fingerprintOf(body string) willowwick.Fingerprint {
 	return willowwick.FingerprintOf("ada", "POST", "site.example", "/x/", []byte(body))
 }
 
-// endAt is the end of an endpoint some milliseconds after the begin.
-func endAt(endpoint string, ms int) willowwick.EndpointEnd {
+// crashAt returns a crash of an endpoint some milliseconds after testStart.
+func crashAt(endpoint string, ms int) willowwick.EndpointEnd {
 	return willowwick.EndpointEnd{
-		Endpoint: willowwick.EndpointID(endpoint), Release: "v1", At: began.Add(time.Duration(ms) * time.Millisecond),
+		Endpoint: willowwick.EndpointID(endpoint), Release: "v1", At: testStart.Add(time.Duration(ms) * time.Millisecond),
 	}
 }
 
-// note notes the end of an endpoint under each of the requests.
-func (l *Ledger) note(end willowwick.EndpointEnd, bodies ...string) {
+// recordCrash records a crash under each of the requests.
+func (l *Ledger) recordCrash(end willowwick.EndpointEnd, bodies ...string) {
 	for _, body := range bodies {
-		l.RecordCrash(willowwick.HarmfulRequest{Request: requestOf(body), Account: "ada"}, end)
+		l.RecordCrash(willowwick.HarmfulRequest{Request: fingerprintOf(body), Account: "ada"}, end)
 	}
 }
 
-func aboutOf(body string) willowwick.HarmfulRequest {
-	return willowwick.HarmfulRequest{Request: requestOf(body), Account: "ada"}
+func detailsOf(body string) willowwick.HarmfulRequest {
+	return willowwick.HarmfulRequest{Request: fingerprintOf(body), Account: "ada"}
 }
 
 func (l *Ledger) refuses(body string) bool {
-	return l.Refuses(requestOf(body))
+	return l.Refuses(fingerprintOf(body))
 }
 
 func TestRequestIsRefusedAfterThreeCrashes(t *testing.T) {
 	l := New()
 	assert.True(t, l.IsEmpty())
-	l.note(endAt("a", 0), "harmful", "other")
-	l.note(endAt("b", 2000), "harmful")
-	l.note(endAt("b", 2001), "harmful") // seen twice
+	l.recordCrash(crashAt("a", 0), "harmful", "other")
+	l.recordCrash(crashAt("b", 2000), "harmful")
+	l.recordCrash(crashAt("b", 2001), "harmful") // reported twice
 	assert.False(t, l.refuses("harmful"))
-	l.note(endAt("c", 4000), "harmful")
+	l.recordCrash(crashAt("c", 4000), "harmful")
 	assert.True(t, l.refuses("harmful"))
 	assert.False(t, l.refuses("other"))
-	again := endAt("a", 5000)
+	again := crashAt("a", 5000)
 	again.Incarnation = 2
-	l.note(again, "other")
+	l.recordCrash(again, "other")
 	_, refused := l.Counts()
 	assert.Equal(t, 1, refused)
 }
 
-// The requests at work beside a harmful one are at each of the ends that they were sent to anew; what they have no end of, it has.
+// A request that runs beside a poison request shares its crashes; the poison request also has crashes that the other
+// one lacks.
 func TestRequestsRunningBesidePoisonRequestAreNotRefused(t *testing.T) {
 	l := New()
 	for i, endpoint := range []string{"a", "b", "c"} {
-		l.note(endAt(endpoint, 100*i), "harmful", "victim")
+		l.recordCrash(crashAt(endpoint, 100*i), "harmful", "victim")
 	}
 	assert.True(t, l.refuses("victim"), "nothing tells them apart yet")
-	l.note(endAt("d", 400), "harmful")
+	l.recordCrash(crashAt("d", 400), "harmful")
 	assert.True(t, l.refuses("harmful"))
 	assert.False(t, l.refuses("victim"))
 }
 
-// Of two requests that were at the same three ends one may be as good as any other: each is tried once.
+// Of two requests with the same three crashes one may be innocent: each gets one trial.
 func TestRequestsWithSameCrashesGetOneTrial(t *testing.T) {
 	l := New()
 	releases := []willowwick.ReleaseID{"v1"}
 	for i, endpoint := range []string{"a", "b", "c"} {
-		l.note(endAt(endpoint, 2000*i), "harmful", "victim")
+		l.recordCrash(crashAt(endpoint, 2000*i), "harmful", "victim")
 	}
-	later := began.Add(10 * time.Second)
-	_, isAllowed := l.AllowTrial(aboutOf("victim"), releases, later)
+	later := testStart.Add(10 * time.Second)
+	_, isAllowed := l.AllowTrial(detailsOf("victim"), releases, later)
 	require.True(t, isAllowed)
-	l.RecordAnswer(requestOf("victim"), later)
+	l.RecordAnswer(fingerprintOf("victim"), later)
 	assert.False(t, l.refuses("victim"))
 	assert.True(t, l.refuses("harmful"))
-	_, isAllowed = l.AllowTrial(aboutOf("harmful"), releases, later)
+	_, isAllowed = l.AllowTrial(detailsOf("harmful"), releases, later)
 	assert.False(t, isAllowed, "nothing else is left that may have done it")
 }
 
 func TestCompleteAnswerClearsRequest(t *testing.T) {
 	l := New()
-	l.note(endAt("a", 0), "popular")
-	l.note(endAt("b", 1), "popular")
-	l.RecordAnswer(requestOf("popular"), began.Add(20*time.Millisecond))
-	l.note(endAt("c", 2), "popular")
+	l.recordCrash(crashAt("a", 0), "popular")
+	l.recordCrash(crashAt("b", 1), "popular")
+	l.RecordAnswer(fingerprintOf("popular"), testStart.Add(20*time.Millisecond))
+	l.recordCrash(crashAt("c", 2), "popular")
 	assert.False(t, l.refuses("popular"), "an end before the answer")
 	for i, endpoint := range []string{"d", "e", "f"} {
-		l.note(endAt(endpoint, 3000+i), "popular")
+		l.recordCrash(crashAt(endpoint, 3000+i), "popular")
 	}
 	require.True(t, l.refuses("popular"))
 	for _, record := range l.PendingWrites() {
 		l.MarkWritten(record)
 	}
 	other := New()
-	other.Merge(l.UpdatesSince(Position{}, "boot", "other", began.Add(3010*time.Millisecond)), "own", began.Add(3010*time.Millisecond))
+	other.Merge(l.UpdatesSince(Position{}, "boot", "other", testStart.Add(3010*time.Millisecond)), "own", testStart.Add(3010*time.Millisecond))
 	require.True(t, other.refuses("popular"))
-	l.RecordAnswer(requestOf("popular"), began.Add(3100*time.Millisecond))
+	l.RecordAnswer(fingerprintOf("popular"), testStart.Add(3100*time.Millisecond))
 	assert.False(t, l.refuses("popular"), "one that was under way elsewhere was answered")
 	due := l.PendingWrites()
 	require.Len(t, due, 1)
 	assert.Empty(t, due[0].Ends, "the store is told")
-	other.Merge(l.UpdatesSince(Position{}, "boot", "other", began.Add(3110*time.Millisecond)), "own", began.Add(3110*time.Millisecond))
+	other.Merge(l.UpdatesSince(Position{}, "boot", "other", testStart.Add(3110*time.Millisecond)), "own", testStart.Add(3110*time.Millisecond))
 	assert.False(t, other.refuses("popular"))
 	assert.Empty(t, other.PendingWrites(), "by the box that told it before")
 }
 
-// Many endpoints that end at once are rather a failure of theirs, and a popular request is at all of them.
+// Many endpoints that crash at once rather point to a failure of their own, and a popular request runs on all of
+// them.
 func TestRequestWithSimultaneousCrashesGetsOneTrial(t *testing.T) {
 	l := New()
 	releases := []willowwick.ReleaseID{"v1"}
 	for i, endpoint := range []string{"a", "b", "c", "d"} {
-		l.note(endAt(endpoint, i), "popular")
-		l.note(endAt("other-"+endpoint, 900*i), "harmful")
+		l.recordCrash(crashAt(endpoint, i), "popular")
+		l.recordCrash(crashAt("other-"+endpoint, 900*i), "harmful")
 	}
-	_, isAllowed := l.AllowTrial(aboutOf("popular"), releases, began.Add(time.Second))
+	_, isAllowed := l.AllowTrial(detailsOf("popular"), releases, testStart.Add(time.Second))
 	assert.False(t, isAllowed, "some boxes may not refuse it yet")
-	later := began.Add(8 * time.Second)
-	_, isAllowed = l.AllowTrial(aboutOf("popular"), releases, later)
+	later := testStart.Add(8 * time.Second)
+	_, isAllowed = l.AllowTrial(detailsOf("popular"), releases, later)
 	assert.True(t, isAllowed)
-	_, isAllowed = l.AllowTrial(aboutOf("popular"), releases, later)
+	_, isAllowed = l.AllowTrial(detailsOf("popular"), releases, later)
 	assert.False(t, isAllowed, "once")
-	_, isAllowed = l.AllowTrial(aboutOf("harmful"), releases, later)
+	_, isAllowed = l.AllowTrial(detailsOf("harmful"), releases, later)
 	assert.False(t, isAllowed, "its ends came one after the other")
-	l.RecordAnswer(requestOf("popular"), later)
+	l.RecordAnswer(fingerprintOf("popular"), later)
 	assert.False(t, l.refuses("popular"))
 }
 
 func TestRefusedRequestGetsOneTrialOnNewRelease(t *testing.T) {
 	l := New()
 	for i, endpoint := range []string{"a", "b", "c"} {
-		l.note(endAt(endpoint, 1000*i), "harmful")
+		l.recordCrash(crashAt(endpoint, 1000*i), "harmful")
 	}
 	releases := []willowwick.ReleaseID{"v1", "v2"}
-	later := began.Add(10 * time.Second)
-	release, isAllowed := l.AllowTrial(aboutOf("harmful"), releases, later)
+	later := testStart.Add(10 * time.Second)
+	release, isAllowed := l.AllowTrial(detailsOf("harmful"), releases, later)
 	assert.True(t, isAllowed)
 	assert.Equal(t, willowwick.ReleaseID("v2"), release)
-	end := endAt("d", 10_100)
+	end := crashAt("d", 10_100)
 	end.Release = "v2"
-	l.note(end, "harmful")
-	_, isAllowed = l.AllowTrial(aboutOf("harmful"), releases, later.Add(time.Minute))
+	l.recordCrash(end, "harmful")
+	_, isAllowed = l.AllowTrial(detailsOf("harmful"), releases, later.Add(time.Minute))
 	assert.False(t, isAllowed)
 	assert.True(t, l.refuses("harmful"))
-	anew := New()
-	anew.Restore(l.PendingWrites(), later)
-	_, isAllowed = anew.AllowTrial(aboutOf("harmful"), releases, later.Add(time.Minute))
-	assert.False(t, isAllowed, "nor by a box that starts anew")
+	restarted := New()
+	restarted.Restore(l.PendingWrites(), later)
+	_, isAllowed = restarted.AllowTrial(detailsOf("harmful"), releases, later.Add(time.Minute))
+	assert.False(t, isAllowed, "nor by a box that starts restarted")
 }
 
-// Boxes come to the same opinion in whatever order they hear of each other, also through a third one, and although some are
-// started anew.
+// Boxes must reach the same verdicts in whatever order updates arrive, also through a third box and across restarts.
 func TestBoxesConvergeForAnyUpdateOrder(t *testing.T) {
 	const boxes, steps = 4, 120
 	for seed := range uint64(50) {
@@ -170,8 +171,8 @@
 		for box := range boxes {
 			start(box)
 		}
-		now := began
-		tell := func(from, to int, isLost bool) {
+		now := testStart
+		exchange := func(from, to int, isLost bool) {
 			call := peers[from].NewCall(fmt.Sprint(to), now)
 			answer, _ := peers[to].Answer(call, fmt.Sprint(from), now)
 			if !isLost {
@@ -184,25 +185,25 @@
 			body := fmt.Sprint("body ", random.IntN(3))
 			switch random.IntN(10) {
 			case 0:
-				ledgers[at].RecordAnswer(requestOf(body), now)
+				ledgers[at].RecordAnswer(fingerprintOf(body), now)
 			case 1, 2, 3:
-				ledgers[at].note(endAt(fmt.Sprint("e", step), int(now.Sub(began).Milliseconds())), body)
+				ledgers[at].recordCrash(crashAt(fmt.Sprint("e", step), int(now.Sub(testStart).Milliseconds())), body)
 			case 4:
 				if random.IntN(5) == 0 {
-					// Its neighbours know what it knew, all of it told before.
+					// Its neighbors know all that it knew.
 					for to := range ledgers {
-						tell(at, to, false)
+						exchange(at, to, false)
 					}
 					start(at)
 				}
 			default:
-				tell(at, random.IntN(boxes), random.IntN(4) == 0)
+				exchange(at, random.IntN(boxes), random.IntN(4) == 0)
 			}
 		}
 		for range 3 {
 			for from := range ledgers {
 				for to := range ledgers {
-					tell(from, to, false)
+					exchange(from, to, false)
 				}
 			}
 		}
@@ -214,36 +215,36 @@
 
 func TestUpdatesAreSentOnce(t *testing.T) {
 	a, b := New(), New()
-	a.note(endAt("a", 0), "one", "two")
-	news := a.UpdatesSince(Position{}, "boot", "b", began)
-	require.Len(t, news.Ends, 1)
-	assert.Len(t, news.Ends[0].Requests, 2, "a row for each end, not for each request")
-	assert.True(t, b.Merge(news, "a", began))
-	assert.False(t, b.Merge(news, "a", began))
-	assert.Empty(t, b.UpdatesSince(Position{}, "", "a", began).Ends, "not told back to where it came from")
-	assert.Empty(t, a.UpdatesSince(news.Position, "boot", "b", began).Ends)
-	assert.Equal(t, Updates{}, New().UpdatesSince(Position{}, "boot", "b", began), "nothing on a calm day")
+	a.recordCrash(crashAt("a", 0), "one", "two")
+	updates := a.UpdatesSince(Position{}, "boot", "b", testStart)
+	require.Len(t, updates.Ends, 1)
+	assert.Len(t, updates.Ends[0].Requests, 2, "a row for each end, not for each request")
+	assert.True(t, b.Merge(updates, "a", testStart))
+	assert.False(t, b.Merge(updates, "a", testStart))
+	assert.Empty(t, b.UpdatesSince(Position{}, "", "a", testStart).Ends, "not told back to where it came from")
+	assert.Empty(t, a.UpdatesSince(updates.Position, "boot", "b", testStart).Ends)
+	assert.Equal(t, Updates{}, New().UpdatesSince(Position{}, "boot", "b", testStart), "nothing on a calm day")
 }
 
-// A caller can fill the ledger with requests that were at an endpoint that ended once, and forces out nothing that counts.
+// A caller can fill the ledger with requests that have one crash, but must not evict a request that has more.
 func TestLedgerSizeIsBounded(t *testing.T) {
 	l := New()
-	l.note(endAt("a", 0), "harmful")
-	l.note(endAt("b", 1000), "harmful")
+	l.recordCrash(crashAt("a", 0), "harmful")
+	l.recordCrash(crashAt("b", 1000), "harmful")
 	for i := range 2 * maxSuspects {
-		l.note(endAt("c", 2000+i), fmt.Sprint("body ", i))
+		l.recordCrash(crashAt("c", 2000+i), fmt.Sprint("body ", i))
 	}
 	suspected, _ := l.Counts()
 	assert.Equal(t, maxSuspects, suspected)
 	assert.LessOrEqual(t, len(l.history.entries), maxHistory)
-	l.note(endAt("d", 3000), "harmful")
+	l.recordCrash(crashAt("d", 3000), "harmful")
 	assert.True(t, l.refuses("harmful"))
-	l.Expire(began)
-	l.Expire(began.Add(2 * suspectTTL))
+	l.Expire(testStart)
+	l.Expire(testStart.Add(2 * suspectTTL))
 	suspected, refused := l.Counts()
 	assert.Equal(t, 1, suspected)
 	assert.Equal(t, 1, refused)
-	l.Expire(began.Add(2 * refusedTTL))
+	l.Expire(testStart.Add(2 * refusedTTL))
 	assert.True(t, l.IsEmpty())
 	assert.False(t, l.refuses("harmful"))
 }
@@ -251,7 +252,7 @@
 func TestRestartedBoxRefusesStoredRequests(t *testing.T) {
 	l := New()
 	for i, endpoint := range []string{"a", "b", "c"} {
-		l.note(endAt(endpoint, 1000*i), "harmful")
+		l.recordCrash(crashAt(endpoint, 1000*i), "harmful")
 	}
 	due := l.PendingWrites()
 	require.Len(t, due, 1)
@@ -259,26 +260,26 @@
 	assert.Equal(t, willowwick.AccountID("ada"), due[0].Account)
 	l.MarkWritten(due[0])
 	assert.Empty(t, l.PendingWrites())
-	anew := New()
-	anew.Restore(due, began.Add(time.Minute))
-	assert.True(t, anew.refuses("harmful"))
-	assert.Empty(t, anew.PendingWrites())
+	restarted := New()
+	restarted.Restore(due, testStart.Add(time.Minute))
+	assert.True(t, restarted.refuses("harmful"))
+	assert.Empty(t, restarted.PendingWrites())
 	late := New()
-	late.Restore(due, began.Add(2*refusedTTL))
+	late.Restore(due, testStart.Add(2*refusedTTL))
 	assert.False(t, late.refuses("harmful"))
 	require.Len(t, late.PendingWrites(), 1)
 	assert.Empty(t, late.PendingWrites()[0].Ends, "what is too old is dropped at the store")
 }
 
-// A request may be answered whole while the store is told that it is refused.
+// A request may be answered completely while its refusal is being written to the store.
 func TestChangeDuringStoreWriteIsWrittenToo(t *testing.T) {
 	l := New()
 	for i, endpoint := range []string{"a", "b", "c"} {
-		l.note(endAt(endpoint, 1000*i), "popular")
+		l.recordCrash(crashAt(endpoint, 1000*i), "popular")
 	}
 	due := l.PendingWrites()
 	require.Len(t, due, 1)
-	l.RecordAnswer(requestOf("popular"), began.Add(5*time.Second))
+	l.RecordAnswer(fingerprintOf("popular"), testStart.Add(5*time.Second))
 	l.MarkWritten(due[0])
 	due = l.PendingWrites()
 	require.Len(t, due, 1)
@@ -305,21 +306,22 @@
 	assert.Error(t, err)
 }
 
-// Each trial may end one more endpoint with all that is at work there, and a fleet may move to a new release several times a day.
+// Each trial may crash one more endpoint with all its requests, and a fleet may move to a new release several times a
+// day.
 func TestTrialsBackOff(t *testing.T) {
 	l := New()
 	for i, endpoint := range []string{"a", "b", "c"} {
-		l.note(endAt(endpoint, 1000*i), "harmful")
+		l.recordCrash(crashAt(endpoint, 1000*i), "harmful")
 	}
 	tried := 0
-	const most = 2 // of the three sends that operators allow, one is left for boxes that have not been told
+	const most = 2 // of the three sends that operators allow, one is left for boxes that have not received the updates yet
 	try := func(at int) {
 		release := willowwick.ReleaseID(fmt.Sprint("v", 2+at/10))
-		if _, isAllowed := l.AllowTrial(aboutOf("harmful"), []willowwick.ReleaseID{"v1", release}, began.Add(time.Duration(at)*time.Second)); isAllowed {
+		if _, isAllowed := l.AllowTrial(detailsOf("harmful"), []willowwick.ReleaseID{"v1", release}, testStart.Add(time.Duration(at)*time.Second)); isAllowed {
 			tried++
-			end := endAt(fmt.Sprint("end ", at), 1000*at+100)
+			end := crashAt(fmt.Sprint("end ", at), 1000*at+100)
 			end.Release = release
-			l.note(end, "harmful")
+			l.recordCrash(end, "harmful")
 		}
 	}
 	for second := range 90 {
@@ -330,21 +332,21 @@
 	assert.Equal(t, most+1, tried, "it may bear a later release")
 }
 
-// Places are scarce after a rack has failed: a trial may find none, or get no answer in time.
+// Slots are scarce after a rack failure: a trial may get none, or no answer in time.
 func TestInconclusiveTrialIsRepeated(t *testing.T) {
 	l := New()
 	for i, endpoint := range []string{"a", "b", "c"} {
-		l.note(endAt(endpoint, i), "popular")
+		l.recordCrash(crashAt(endpoint, i), "popular")
 	}
 	releases := []willowwick.ReleaseID{"v1"}
-	_, isAllowed := l.AllowTrial(aboutOf("popular"), releases, began.Add(3*time.Second))
+	_, isAllowed := l.AllowTrial(detailsOf("popular"), releases, testStart.Add(3*time.Second))
 	require.True(t, isAllowed)
-	_, isAllowed = l.AllowTrial(aboutOf("popular"), releases, began.Add(10*time.Second))
+	_, isAllowed = l.AllowTrial(detailsOf("popular"), releases, testStart.Add(10*time.Second))
 	assert.False(t, isAllowed)
-	_, isAllowed = l.AllowTrial(aboutOf("popular"), releases, began.Add(time.Minute))
+	_, isAllowed = l.AllowTrial(detailsOf("popular"), releases, testStart.Add(time.Minute))
 	assert.True(t, isAllowed)
-	anew := New()
-	anew.Restore(l.PendingWrites(), began.Add(time.Minute))
-	_, isAllowed = anew.AllowTrial(aboutOf("popular"), releases, began.Add(2*time.Minute))
-	assert.False(t, isAllowed, "a box that starts anew knows how often it was tried")
+	restarted := New()
+	restarted.Restore(l.PendingWrites(), testStart.Add(time.Minute))
+	_, isAllowed = restarted.AllowTrial(detailsOf("popular"), releases, testStart.Add(2*time.Minute))
+	assert.False(t, isAllowed, "a box that starts restarted knows how often it was tried")
 }
--- a/quarantine/refusal.go
+++ b/quarantine/refusal.go
@@ -14,7 +14,7 @@
 // Refusal returns the answer of every box to the caller of a refused request. It is permanent and does not promise
 // that the request did not run.
 func Refusal() *willowwick.Refusal {
-	return willowwick.Failed(willowwick.CodeHarmful, "%d endpoints ended while they ran this request; it is not sent to others", RefuseAfterCrashes)
+	return willowwick.Failed(willowwick.CodeHarmful, "%d endpoints crashed while running this request; it is not sent to others", RefuseAfterCrashes)
 }
 
 // IsCompletedRun reports whether the status of a complete answer shows that an endpoint ran the request to its end;
--- a/ratelimit/granter_test.go
+++ b/ratelimit/granter_test.go
@@ -9,25 +9,25 @@
 	"github.com/willowwick/willowwick"
 )
 
-// newGranting returns a granter that has granted for a while, of an endpoint that takes so many a second.
-func newGranting(now time.Time, rate willowwick.PerSecond) (*Granter, *Ledger) {
+// newActiveGranter returns a granter that has started to grant for an endpoint with the given rate per second.
+func newActiveGranter(now time.Time, rate willowwick.PerSecond) (*Granter, *Ledger) {
 	l := NewLedger()
-	l.Heard(now, now, endpoint, named(rate))
+	l.Heard(now, now, endpoint, limitOf(rate))
 	g := NewGranter(l)
 	g.SetGranting(now, true)
 	return g, l
 }
 
-func question(box willowwick.BoxID, wanted int) Call {
+func callFrom(box willowwick.BoxID, wanted int) Call {
 	return Call{Box: box, Row: unknownRow(endpoint.ID), Wanted: wanted}
 }
 
-// granted asks in steps of a length, and counts what was granted.
-func granted(g *Granter, part float64, from time.Time, length time.Duration, wanted int) int {
+// countGranted asks in regular steps for the given duration and returns the number of granted permits.
+func countGranted(g *Granter, part float64, from time.Time, length time.Duration, wanted int) int {
 	const step = 10 * time.Millisecond
 	sum := 0
 	for at := from; at.Before(from.Add(length)); at = at.Add(step) {
-		sum += g.Answer(question("b1", wanted), part, at).Permits
+		sum += g.Answer(callFrom("b1", wanted), part, at).Permits
 	}
 	return sum
 }
@@ -35,27 +35,27 @@
 func TestPermitsAreGrantedAtLimitRate(t *testing.T) {
 	start := time.Now()
 	for _, rate := range []willowwick.PerSecond{0.5, 2, 40, 2000} {
-		g, _ := newGranting(start, rate)
+		g, _ := newActiveGranter(start, rate)
 		begun := start.Add(takeoverDelay)
-		assert.Zero(t, granted(g, 1, start, takeoverDelay, 100), "another box may grant yet")
-		got := granted(g, 1, begun, 20*time.Second, 100)
+		assert.Zero(t, countGranted(g, 1, start, takeoverDelay, 100), "another box may grant yet")
+		got := countGranted(g, 1, begun, 20*time.Second, 100)
 		assert.InDelta(t, 20*float64(rate), got, 2+float64(rate)*burstWindow.Seconds(), "at %v a second", rate)
 	}
 }
 
-// A box that follows what a part of the boxes do hands out that part alone.
+// A box that reaches only a part of the boxes grants only that part of the limit.
 func TestPartOfBoxesGetsPartOfLimit(t *testing.T) {
 	start := time.Now()
-	g, _ := newGranting(start, 12)
-	got := granted(g, 1.0/3, start.Add(takeoverDelay), 20*time.Second, 5)
+	g, _ := newActiveGranter(start, 12)
+	got := countGranted(g, 1.0/3, start.Add(takeoverDelay), 20*time.Second, 5)
 	assert.InDelta(t, 80, got, 4)
 }
 
-// Questions that are denied come again no more often than they are of use, however many boxes ask.
+// Denied calls are repeated no more often than useful, however many boxes ask.
 func TestDeniedBoxesDoNotAskTooOften(t *testing.T) {
 	const boxes, rate, length = 200, 2, 60 * time.Second
 	start := time.Now()
-	g, _ := newGranting(start, rate)
+	g, _ := newActiveGranter(start, rate)
 	next := make([]time.Time, boxes)
 	asks, permits := 0, 0
 	for at := start.Add(takeoverDelay); at.Before(start.Add(takeoverDelay + length)); at = at.Add(10 * time.Millisecond) {
@@ -63,7 +63,7 @@
 			if at.Before(next[box]) {
 				continue
 			}
-			reply := g.Answer(question(willowwick.BoxID(rune('A'+box)), 1), 1, at)
+			reply := g.Answer(callFrom(willowwick.BoxID(rune('A'+box)), 1), 1, at)
 			asks++
 			permits += reply.Permits
 			next[box] = at.Add(time.Duration(reply.RetryMs) * time.Millisecond)
@@ -76,15 +76,15 @@
 func TestUnlimitedEndpointNeedsNoPermits(t *testing.T) {
 	now := time.Now()
 	g := NewGranter(NewLedger())
-	assert.Equal(t, 3, g.Answer(question("b1", 3), 1, now).Permits)
+	assert.Equal(t, 3, g.Answer(callFrom("b1", 3), 1, now).Permits)
 }
 
 func TestZeroRateEndpointIsProbed(t *testing.T) {
 	start := time.Now()
-	g, l := newGranting(start, 0)
+	g, l := newActiveGranter(start, 0)
 	rate, isLimited := l.Rate(start, endpoint.ID)
 	require.True(t, isLimited)
 	assert.Equal(t, minRate, rate)
-	got := granted(g, 1, start.Add(takeoverDelay), 100*time.Second, 1)
+	got := countGranted(g, 1, start.Add(takeoverDelay), 100*time.Second, 1)
 	assert.InDelta(t, 10, got, 3, "only an answer shows that it takes something")
 }
--- a/ratelimit/ledger_test.go
+++ b/ratelimit/ledger_test.go
@@ -10,20 +10,20 @@
 
 var endpoint = willowwick.Endpoint{ID: "e1"}
 
-func named(rate willowwick.PerSecond) willowwick.RateLimit {
+func limitOf(rate willowwick.PerSecond) willowwick.RateLimit {
 	return willowwick.RateLimit{Rate: rate, Named: true}
 }
 
-// An answer that was under way when an endpoint named its limit says nothing of it; that is no end of the limit.
+// An answer that was under way when an endpoint first reported its limit must not end the limit.
 func TestOnlyAnswersToLaterRequestsEndLimit(t *testing.T) {
 	l := NewLedger()
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	assert.True(t, l.Heard(at(100), at(50), endpoint, named(2)))
-	assert.False(t, l.Heard(at(110), at(60), endpoint, named(2)), "it is known")
+	assert.True(t, l.Heard(at(100), at(50), endpoint, limitOf(2)))
+	assert.False(t, l.Heard(at(110), at(60), endpoint, limitOf(2)), "it is known")
 	assert.False(t, l.Heard(at(200), at(90), endpoint, willowwick.RateLimit{}), "its request was sent before")
 	assert.True(t, l.Count() == 1)
-	assert.True(t, l.Heard(at(210), at(120), endpoint, named(3)), "another rate")
+	assert.True(t, l.Heard(at(210), at(120), endpoint, limitOf(3)), "another rate")
 	assert.False(t, l.Heard(at(220), at(215), endpoint, willowwick.RateLimit{Unreadable: "x"}), "neither a limit nor its end")
 	assert.True(t, l.Count() == 1)
 	assert.True(t, l.Heard(at(300), at(250), endpoint, willowwick.RateLimit{}))
@@ -31,10 +31,10 @@
 	assert.Zero(t, l.Count())
 }
 
-// A limit that has ended lets more and more through, until nothing is bounded.
+// The rate of an ended limit ramps up until there is no limit.
 func TestEndedLimitDoublesUntilGone(t *testing.T) {
 	l, start := NewLedger(), time.Now()
-	l.Heard(start, start, endpoint, named(2))
+	l.Heard(start, start, endpoint, limitOf(2))
 	ended := start.Add(time.Second)
 	l.Heard(ended, start.Add(time.Millisecond), endpoint, willowwick.RateLimit{})
 	for second, want := range []float64{2, 4, 8, 16} {
@@ -47,12 +47,12 @@
 	assert.Equal(t, willowwick.PermissionFree, l.Use(ended.Add(recoveryPeriod), endpoint.ID))
 }
 
-// An endpoint that starts again under its id has named nothing yet, nor has one that comes to a list anew.
+// An endpoint that restarts under its ID has not reported a limit yet, nor has one that is newly listed.
 func TestLimitsOfRemovedOrRestartedEndpointsAreDropped(t *testing.T) {
 	l, now := NewLedger(), time.Now()
 	first, second := willowwick.Endpoint{ID: "e1", Incarnation: 7}, willowwick.Endpoint{ID: "e2"}
-	l.Heard(now, now, first, named(1))
-	l.Heard(now, now, second, named(1))
+	l.Heard(now, now, first, limitOf(1))
+	l.Heard(now, now, second, limitOf(1))
 	l.Keep([]willowwick.Endpoint{first, second})
 	assert.Equal(t, 2, l.Count())
 	first.Incarnation = 8
@@ -68,12 +68,12 @@
 func TestLimitsConvergeBetweenBoxes(t *testing.T) {
 	a, b, now := NewLedger(), NewLedger(), time.Now()
 	at := func(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
-	a.Heard(at(0), at(0), willowwick.Endpoint{ID: "named"}, named(3))
-	a.Heard(at(0), at(0), willowwick.Endpoint{ID: "ended"}, named(2))
-	b.Heard(at(2), at(0), willowwick.Endpoint{ID: "ended"}, named(2))
+	a.Heard(at(0), at(0), willowwick.Endpoint{ID: "named"}, limitOf(3))
+	a.Heard(at(0), at(0), willowwick.Endpoint{ID: "ended"}, limitOf(2))
+	b.Heard(at(2), at(0), willowwick.Endpoint{ID: "ended"}, limitOf(2))
 	b.Heard(at(900), at(800), willowwick.Endpoint{ID: "ended"}, willowwick.RateLimit{})
-	b.Heard(at(10), at(0), willowwick.Endpoint{ID: "differs"}, named(8))
-	a.Heard(at(20), at(0), willowwick.Endpoint{ID: "differs"}, named(1))
+	b.Heard(at(10), at(0), willowwick.Endpoint{ID: "differs"}, limitOf(8))
+	a.Heard(at(20), at(0), willowwick.Endpoint{ID: "differs"}, limitOf(1))
 	first := a.UpdatesFor(0, at(1000))
 	assert.True(t, b.Merge(first, "peer a", at(1001)))
 	assert.True(t, a.Merge(b.UpdatesFor(first.Sum, at(1002)), "peer b", at(1003)))
@@ -87,10 +87,10 @@
 	}
 }
 
-// A permit is used soon after it was asked for, or not at all; while one is asked for, no other request takes the endpoint.
+// A permit must be used soon after the call for it; while a call is pending, no other request takes the endpoint.
 func TestPermitsExpire(t *testing.T) {
 	l, now := NewLedger(), time.Now()
-	l.Heard(now, now, endpoint, named(40))
+	l.Heard(now, now, endpoint, limitOf(40))
 	assert.True(t, l.MayUse(now, endpoint.ID))
 	assert.Equal(t, willowwick.PermissionToAsk, l.Use(now, endpoint.ID))
 	assert.False(t, l.MayUse(now, endpoint.ID))
@@ -114,7 +114,7 @@
 	assert.True(t, l.MayUse(nextAt.Add(2*minAskDelay), endpoint.ID))
 }
 
-// A box that has just started gives each endpoint one request until it has answered, or another box has told what it knows.
+// A box that has just started sends each endpoint one request until it answers or another box sends its limits.
 func TestStartingBoxSendsOneRequestPerEndpoint(t *testing.T) {
 	l, now := NewLedger(), time.Now()
 	l.AwaitUpdates(now.Add(time.Second))
@@ -133,7 +133,7 @@
 
 func TestHugeLimitIsIgnored(t *testing.T) {
 	l, now := NewLedger(), time.Now()
-	l.Heard(now, now, endpoint, named(1e9))
+	l.Heard(now, now, endpoint, limitOf(1e9))
 	_, isLimited := l.Rate(now, endpoint.ID)
 	assert.False(t, isLimited)
 	assert.Equal(t, willowwick.PermissionFree, l.Use(now, endpoint.ID))
