--- a/exchange/backoff_test.go
+++ b/exchange/backoff_test.go
@@ -48,10 +48,10 @@
 				assert.GreaterOrEqual(t, time.Since(began), rest)
 				return
 			}
-			assert.Less(t, time.Since(began), refusalMax, "it is refused at once")
+			assert.Less(t, time.Since(began), refusalMax, "refused at once")
 			seconds, err := strconv.ParseFloat(reply.header.Get("Retry-After"), 64)
 			require.NoError(t, err)
-			assert.InDelta(t, 1.5*rest.Seconds(), seconds, rest.Seconds()/2+0.2, "the time of its return")
+			assert.InDelta(t, 1.5*rest.Seconds(), seconds, rest.Seconds()/2+0.2, "time of the retry")
 			assert.Len(t, r.requests(), 1)
 		})
 	}
@@ -60,7 +60,7 @@
 // A 503 requests a backoff even if it does not say that the request did not run.
 func TestBackoffIsHonoredFrom503ThatMayHaveRun(t *testing.T) {
 	s, r := newBackoffSite(t, time.Second, true)
-	assert.Equal(t, http.StatusBadGateway, s.do(t, http.MethodPost, "/once/", "first", "x").status, "what may have run promises nothing")
+	assert.Equal(t, http.StatusBadGateway, s.do(t, http.MethodPost, "/once/", "first", "x").status, "it may have run")
 	for n := range 5 {
 		assert.Equal(t, http.StatusServiceUnavailable, s.do(t, http.MethodPost, "/once/", fmt.Sprint(n), "x").status)
 	}
--- a/exchange/cold_test.go
+++ b/exchange/cold_test.go
@@ -31,7 +31,7 @@
 	for i := range requests {
 		require.Equal(t, http.StatusOK, s.do(t, http.MethodPost, "/once/", fmt.Sprint(i), "x").status)
 	}
-	assert.LessOrEqual(t, len(cold.requests()), 1, "one of a fleet that may have fifty boxes")
+	assert.LessOrEqual(t, len(cold.requests()), 1, "the cold rate is shared by a fleet of up to fifty boxes")
 	assert.GreaterOrEqual(t, len(warm.requests()), requests-1)
 }
 
--- a/exchange/draining_test.go
+++ b/exchange/draining_test.go
@@ -41,7 +41,7 @@
 	for n := range 40 {
 		assert.Equal(t, http.StatusOK, b.do(t, http.MethodPost, "/again/", fmt.Sprint("after-", n), "x").status)
 	}
-	assert.Equal(t, before, len(r.requests()), "requests to an endpoint that leaves")
+	assert.Equal(t, before, len(r.requests()), "requests to a draining endpoint")
 }
 
 func writeDraining(w http.ResponseWriter) { w.Header().Set("T-Leaving", "1") }
@@ -53,7 +53,7 @@
 		"failure": func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(http.StatusInternalServerError)
 		},
-		"turned away": func(w http.ResponseWriter, _ *http.Request) {
+		"rejected": func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("T-Not-Run", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		},
@@ -64,7 +64,7 @@
 			w.Header().Set("T-Confidence", map[string]string{"small": "10", "large": "90"}[r.Header.Get("T-Model")])
 			streamEvents(w, r, 3)
 		},
-		"whole": answerText("ok"),
+		"complete": answerText("ok"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			b, leaving, _ := newDrainingSite(t, func(w http.ResponseWriter, r *http.Request) {
@@ -117,7 +117,7 @@
 	require.Eventually(t, func() bool {
 		b.do(t, http.MethodPost, "/again/", fmt.Sprint("new-", time.Now().UnixNano()), "x")
 		return len(leaving.requests()) > before
-	}, waitTimeout, time.Millisecond, "its next life is used")
+	}, waitTimeout, time.Millisecond, "its next incarnation is used")
 }
 
 // An endpoint that stops after it reported draining was shut down: its running requests are not to blame.
@@ -132,7 +132,7 @@
 	endpoint.Address = "127.0.0.1:1" // nothing listens there
 	assert.False(t, b.daemon.router.ends.hasEnded(t.Context(), endpoint, time.Now()))
 	assert.True(t, b.daemon.router.ends.hasEnded(t.Context(), willowwick.Endpoint{ID: "r2", Address: endpoint.Address}, time.Now()),
-		"the other one does not leave")
+		"the other one is not draining")
 }
 
 // newCall begins a request of a route as if a caller had sent it.
--- a/exchange/evacuation_test.go
+++ b/exchange/evacuation_test.go
@@ -76,13 +76,13 @@
 	s.control.evacuate("hall-a")
 	require.Eventually(t, func() bool { return !s.sendsTo("hall-a") }, inForceWithin, 5*time.Millisecond)
 	end()
-	assert.Equal(t, "own", running.body, "running work goes on")
+	assert.Equal(t, "own", running.body, "running requests continue")
 	for i := range 20 {
 		assert.Equal(t, "other", s.do(t, http.MethodPost, "/once/", fmt.Sprint("id-", i), "x").body)
 	}
 	assert.Len(t, own.requests(), 1)
 	isReady, _ := s.daemon.router.ready()
-	assert.True(t, isReady, "the box serves on, though its hall is evacuated")
+	assert.True(t, isReady, "the box keeps serving although its hall is evacuated")
 	s.control.evacuate()
 	require.Eventually(t, func() bool { return s.sendsTo("hall-a") }, inForceWithin, 5*time.Millisecond)
 	assert.Equal(t, "own", s.do(t, http.MethodPost, "/once/", "back", "x").body)
@@ -139,7 +139,7 @@
 	require.Eventually(t, func() bool { return s.control.waitingReads.Load() == 1 }, waitTimeout, time.Millisecond)
 	assert.Equal(t, http.StatusInternalServerError, s.do(t, http.MethodGet, "/again/", "id", "").status)
 	assert.Empty(t, other.requests())
-	assert.Len(t, own.requests(), 2, "a second try at the endpoint that is left beats none")
+	assert.Len(t, own.requests(), 2, "retried at the only endpoint left")
 }
 
 func TestRequestsAreRefusedAtOnceWhenNoOtherHallServesThem(t *testing.T) {
@@ -172,7 +172,7 @@
 	began := time.Now()
 	s.control.evacuate("hall-a")
 	assert.Equal(t, http.StatusServiceUnavailable, (<-replies).status)
-	assert.Less(t, time.Since(began), inForceWithin, "it was not held until its time was up")
+	assert.Less(t, time.Since(began), inForceWithin, "it did not wait until its deadline")
 	free()
 	assert.False(t, s.sendsTo("hall-a"))
 	assert.Empty(t, r.requests())
@@ -189,35 +189,35 @@
 		do      func()
 		isEmpty bool
 	}{
-		{"a whole read", func() {
+		{"full read", func() {
 			s.applyDeclarations(willowwick.Declarations{Whole: true, Next: 100, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 99}}})
 		}, true},
-		{"a late read of changes", func() {
+		{"late incremental read", func() {
 			s.applyDeclarations(willowwick.Declarations{Next: 61, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 60, TakenBack: true}}})
 		}, true},
-		{"a late whole read", func() { s.applyDeclarations(willowwick.Declarations{Whole: true, Next: 70}) }, true},
-		{"another box that knows less", func() { s.receiveEvacuated(EvacuatedHalls{AsOf: 80}) }, true},
-		{"a box that tells nothing of it", func() { s.receiveEvacuated(EvacuatedHalls{}) }, true},
-		{"another box that knows more", func() { s.receiveEvacuated(EvacuatedHalls{AsOf: 110}) }, false},
-		{"its old state", func() { s.receiveEvacuated(evacuated(105)) }, false},
-		{"a read that ends before what was told", func() {
+		{"late full read", func() { s.applyDeclarations(willowwick.Declarations{Whole: true, Next: 70}) }, true},
+		{"update from a box with an older state", func() { s.receiveEvacuated(EvacuatedHalls{AsOf: 80}) }, true},
+		{"update without evacuations", func() { s.receiveEvacuated(EvacuatedHalls{}) }, true},
+		{"update from a box with a newer state", func() { s.receiveEvacuated(EvacuatedHalls{AsOf: 110}) }, false},
+		{"older state of the same box", func() { s.receiveEvacuated(evacuated(105)) }, false},
+		{"read that ends before the update", func() {
 			s.applyDeclarations(willowwick.Declarations{Next: 102, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 101}}})
 		}, false},
-		{"a read that begins before what was told", func() {
+		{"read that begins before the update", func() {
 			s.applyDeclarations(willowwick.Declarations{Next: 112, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 101}}})
 		}, false},
-		{"a new record", func() {
+		{"new record", func() {
 			s.applyDeclarations(willowwick.Declarations{Next: 113, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 112}}})
 		}, true},
 		{"changes of other kinds", func() { s.applyDeclarations(willowwick.Declarations{Next: 120}) }, true},
-		{"a whole read after the store forgot its history", func() { s.applyDeclarations(willowwick.Declarations{Whole: true, Next: 130}) }, false},
-		{"a whole read that saw a record after its end", func() {
+		{"full read after the store lost its history", func() { s.applyDeclarations(willowwick.Declarations{Whole: true, Next: 130}) }, false},
+		{"full read with a record beyond its end", func() {
 			s.applyDeclarations(willowwick.Declarations{Whole: true, Next: 140, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 145}}})
 		}, true},
-		{"the records between", func() {
+		{"records in between", func() {
 			s.applyDeclarations(willowwick.Declarations{Next: 142, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 141, TakenBack: true}}})
 		}, true},
-		{"many changes at once", func() {
+		{"several changes at once", func() {
 			s.applyDeclarations(willowwick.Declarations{Next: 150, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 145}, {Hall: hall, At: 149, TakenBack: true}}})
 		}, false},
 	}
--- a/exchange/harm_fleet_test.go
+++ b/exchange/harm_fleet_test.go
@@ -115,16 +115,16 @@
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
 		m := newMesh(1, size.boxes, size.halls, size.endpoints)
 		m.run(t, 3*time.Second)
-		for _, trouble := range []string{"none", "store away", "boxes turned away"} {
-			m.isAway = trouble == "store away"
+		for _, trouble := range []string{"none", "store unavailable", "boxes rejected"} {
+			m.isAway = trouble == "store unavailable"
 			for i, box := range m.boxes {
-				box.isRefused = trouble == "boxes turned away" && i%3 == 0
+				box.isRefused = trouble == "boxes rejected" && i%3 == 0
 			}
 			h := newPoisonMesh(m, trouble)
 			h.play(t, poisonGrace+4*time.Second, m.boxes...) // the third crash happens within a second
-			assert.LessOrEqual(t, h.late(time.Time{}), poisonSlack, "late sends, trouble: %s", trouble)
+			assert.LessOrEqual(t, h.late(time.Time{}), poisonSlack, "late sends, fault: %s", trouble)
 			h.requireRefused(t)
-			t.Logf("trouble %s: %d ends, %d late sends", trouble, len(h.crashes), h.late(time.Time{}))
+			t.Logf("fault %s: %d crashes, %d late sends", trouble, len(h.crashes), h.late(time.Time{}))
 		}
 	})
 }
@@ -154,14 +154,14 @@
 	const boxes = 3
 	h, sites := newPoisonSite(t, boxes, 6)
 	for i := 0; !sites[0].refusesPoison(); i++ {
-		require.Less(t, i, 40, "a request that ends endpoints is refused")
+		require.Less(t, i, 40, "a request that crashes endpoints is refused")
 		sites[i%boxes].do(t, http.MethodPost, "/stream/", fmt.Sprint("harmful-", i), poisonBody)
 	}
 	require.Eventually(t, func() bool {
 		h.control.mu.Lock()
 		defer h.control.mu.Unlock()
 		return len(h.control.harmful) == 1
-	}, time.Second, 5*time.Millisecond, "it is at the store at once")
+	}, time.Second, 5*time.Millisecond, "stored at once")
 	for _, s := range sites {
 		s.stop()
 		s.closeDaemon()
@@ -171,7 +171,7 @@
 	_, before := h.lateRuns()
 	reply := anew.do(t, http.MethodPost, "/stream/", "harmful-anew", poisonBody)
 	assert.Equal(t, http.StatusBadGateway, reply.status)
-	assert.Empty(t, reply.header.Get("Retry-After"), "it is not to come again")
+	assert.Empty(t, reply.header.Get("Retry-After"), "it must not be retried")
 	_, after := h.lateRuns()
 	assert.Equal(t, before, after)
 	other := anew.do(t, http.MethodPost, "/stream/", "other", "another body")
--- a/exchange/harm_test.go
+++ b/exchange/harm_test.go
@@ -128,15 +128,15 @@
 	}
 	callers.Wait()
 	late, ended := h.lateRuns()
-	t.Logf("%d endpoints ended, %d late runs, %d of %d other requests served", ended, late, served.Load(), others.Load())
-	assert.LessOrEqual(t, late, poisonSlack, "runs later than %s after the third end", poisonGrace)
-	assert.Greater(t, served.Load(), others.Load()*8/10, "other requests go on")
+	t.Logf("%d endpoints crashed, %d late runs, %d of %d other requests served", ended, late, served.Load(), others.Load())
+	assert.LessOrEqual(t, late, poisonSlack, "runs later than %s after the third crash", poisonGrace)
+	assert.Greater(t, served.Load(), others.Load()*8/10, "other requests are served")
 }
 
 // A draining endpoint may be stopped at any time, and a connection may be reset on the way: neither is caused by the
 // request.
 func TestShutdownsAndResetsCountAgainstNoRequest(t *testing.T) {
-	for name, ends := range map[string]bool{"stopped by plan": true, "reset": false} {
+	for name, ends := range map[string]bool{"shut down": true, "reset": false} {
 		t.Run(name, func(t *testing.T) {
 			var s *site
 			var self *runner
@@ -206,7 +206,7 @@
 	s.replaceEndpoints(t, newRunner(t, "spare", answerText("ok")).endpoint("v1"))
 	began := time.Now()
 	assert.Equal(t, http.StatusBadGateway, s.do(t, http.MethodPost, "/once/", "refused", "popular").status)
-	assert.Less(t, time.Since(began), 100*time.Millisecond, "it is told so at once")
+	assert.Less(t, time.Since(began), 100*time.Millisecond, "it is refused at once")
 	assert.Equal(t, http.StatusOK, s.do(t, http.MethodPost, "/once/", "other", "another").status)
 	require.Eventually(t, func() bool {
 		return s.do(t, http.MethodPost, "/once/", "again", "popular").status == http.StatusOK
--- a/exchange/notices_test.go
+++ b/exchange/notices_test.go
@@ -166,8 +166,8 @@
 			stop()
 			late, told := runners[0].lateAfterDraining()
 			require.Positive(t, told)
-			assert.Zero(t, late, "requests later than %s after an answer had told the box, %d boxes told", drainGrace, told)
-			assert.Empty(t, calls.refused, "the others take what went there")
+			assert.Zero(t, late, "requests later than %s after an answer had reported draining to the box, %d boxes", drainGrace, told)
+			assert.Empty(t, calls.refused, "the others take its requests")
 			assert.Empty(t, calls.other)
 		})
 	}
@@ -187,7 +187,7 @@
 	for _, r := range runners {
 		late, told := r.lateAfterDraining()
 		require.Positive(t, told)
-		assert.Zero(t, late, "requests later than %s after an answer had told the box, %d boxes told", drainGrace, told)
+		assert.Zero(t, late, "requests later than %s after an answer had reported draining to the box, %d boxes", drainGrace, told)
 	}
 	assertRefusedAtOnce(t, calls)
 }
@@ -197,9 +197,9 @@
 	t.Helper()
 	require.NotEmpty(t, calls.refused)
 	slices.Sort(calls.refused)
-	assert.Less(t, calls.refused[len(calls.refused)*9/10], refusalP90, "what cannot be served is refused at once")
+	assert.Less(t, calls.refused[len(calls.refused)*9/10], refusalP90, "requests that cannot be served are refused at once")
 	assert.Less(t, slices.Max(calls.refused), refusalMax)
-	assert.True(t, calls.haveRetryAfter, "a refusal says when to come back")
+	assert.True(t, calls.haveRetryAfter, "a refusal has a Retry-After")
 	assert.Empty(t, calls.other)
 }
 
@@ -220,8 +220,8 @@
 			stop()
 			most, asked := runners[0].maxDuringBackoff()
 			require.Positive(t, asked)
-			assert.LessOrEqual(t, most, backoffSlack, "requests of a box in the rest of %s s that it was asked for, %d times in all", rest, asked)
-			assert.Empty(t, calls.refused, "the others take what went there")
+			assert.LessOrEqual(t, most, backoffSlack, "requests of a box during the backoff of %s s requested from it, %d times in all", rest, asked)
+			assert.Empty(t, calls.refused, "the others take its requests")
 			assert.Empty(t, calls.other)
 		})
 	}
@@ -241,7 +241,7 @@
 	for _, r := range runners {
 		most, asked := r.maxDuringBackoff()
 		require.Positive(t, asked)
-		assert.LessOrEqual(t, most, backoffSlack, "requests of a box in the rest that it was asked for, %d times in all", asked)
+		assert.LessOrEqual(t, most, backoffSlack, "requests of a box during the backoff requested from it, %d times in all", asked)
 	}
 	assertRefusedAtOnce(t, calls)
 }
--- a/exchange/ratelimit_fleet_test.go
+++ b/exchange/ratelimit_fleet_test.go
@@ -212,9 +212,9 @@
 			l.play(t, meshStep, l.boxes...)
 		}
 		known := time.Now()
-		require.Less(t, known.Sub(ended), 6*time.Second, "the end is known")
+		require.Less(t, known.Sub(ended), 6*time.Second, "all boxes know the end")
 		l.play(t, 12*time.Second, l.boxes...)
-		assert.Less(t, l.between(known, known.Add(time.Second)), limitDemand/4, "no rush")
-		assert.GreaterOrEqual(t, l.between(known.Add(8*time.Second), known.Add(12*time.Second)), 4*limitDemand-limitDemand/10, "all comes there again")
+		assert.Less(t, l.between(known, known.Add(time.Second)), limitDemand/4, "no burst")
+		assert.GreaterOrEqual(t, l.between(known.Add(8*time.Second), known.Add(12*time.Second)), 4*limitDemand-limitDemand/10, "fully used again")
 	})
 }
--- a/exchange/ratelimit_test.go
+++ b/exchange/ratelimit_test.go
@@ -182,10 +182,10 @@
 	t.Helper()
 	allowed := limitExcess*rate*limitWindow.Seconds() + limitSlack
 	most := l.maxInWindow(from, to)
-	assert.LessOrEqual(t, float64(most), allowed, "requests in %s at %s, which takes %v a second", limitWindow, l.id, rate)
+	assert.LessOrEqual(t, float64(most), allowed, "requests in %s at %s, limit %v/s", limitWindow, l.id, rate)
 	used := float64(l.between(from, to))
-	assert.GreaterOrEqual(t, used, rate*to.Sub(from).Seconds()/2, "%s is given what it takes", l.id)
-	t.Logf("%s takes %v a second: at most %d in %s (allowed %.0f), %.0f in %s", l.id, rate, most, limitWindow, allowed, used, to.Sub(from))
+	assert.GreaterOrEqual(t, used, rate*to.Sub(from).Seconds()/2, "%s gets at least half of its limit", l.id)
+	t.Logf("%s has a limit of %v/s: at most %d in %s (allowed %.0f), %.0f in %s", l.id, rate, most, limitWindow, allowed, used, to.Sub(from))
 }
 
 // An endpoint that reported a limit once got as many requests as any other, from all boxes that knew the limit.
@@ -201,7 +201,7 @@
 	time.Sleep(2 * limitWindow)
 	limited.assertWithin(t, 1.2, from, time.Now())
 	stop()
-	assert.Empty(t, calls.refused, "the others take what is beyond the limit")
+	assert.Empty(t, calls.refused, "the others take requests beyond the limit")
 	assert.Empty(t, calls.other)
 }
 
@@ -243,7 +243,7 @@
 	limited.assertWithin(t, 10, from, time.Now())
 	mean := (urgent.served + patient.served) / 2
 	assert.Greater(t, urgent.served, mean+mean/4, "of %d and %d served", urgent.served, patient.served)
-	assert.Greater(t, patient.served, mean/4, "no kind of request is left without")
+	assert.Greater(t, patient.served, mean/4, "no priority is starved")
 	t.Logf("%d urgent and %d others served, %d and %d refused", urgent.served, patient.served, len(urgent.refused), len(patient.refused))
 }
 
--- a/exchange/release_test.go
+++ b/exchange/release_test.go
@@ -122,7 +122,7 @@
 	for step := canaryEnd; step < 1; step += 0.02 {
 		for i := range 500 {
 			useTarget := chooseNow(r, fmt.Sprint(i), at(step)).useTarget
-			require.False(t, moved[i] && !useTarget, "a session went back")
+			require.False(t, moved[i] && !useTarget, "a session moved back")
 			moved[i] = useTarget
 		}
 	}
@@ -142,7 +142,7 @@
 		assert.Equal(t, willowwick.ReleaseRolledBack, found[0].State)
 		assert.InDelta(t, 0, shareOf(r, at(0.2), "a"), 0)
 		assert.False(t, chooseNow(r, "s", at(0.2)).allows(endpointOn("v2")))
-		assert.False(t, chooseNow(r, "s", at(0.2)).otherwise(endpointOn("v2")), "not even where there is no other")
+		assert.False(t, chooseNow(r, "s", at(0.2)).otherwise(endpointOn("v2")), "not even as the only release")
 	}
 }
 
@@ -171,7 +171,7 @@
 	fresh := newTestReleases()
 	fresh.begin(orderOf("v3", 2), 0, at(0.3))
 	fresh.hearEnded(r.ended(time.Now()))
-	assert.False(t, chooseNow(fresh, "s", at(0.3)).allows(endpointOn("v2")), "a box that starts later hears of it")
+	assert.False(t, chooseNow(fresh, "s", at(0.3)).allows(endpointOn("v2")), "a box that starts later learns of it")
 }
 
 func TestReleaseOfReplacedOrderIsGivenUp(t *testing.T) {
@@ -183,7 +183,7 @@
 	fresh := newTestReleases()
 	fresh.begin(orderOf("v3", 2), 0, now)
 	fresh.hearEnded(r.ended(now))
-	assert.False(t, chooseNow(fresh, "s", now).allows(endpointOn("v2")), "a box that starts later hears of it")
+	assert.False(t, chooseNow(fresh, "s", now).allows(endpointOn("v2")), "a box that starts later learns of it")
 }
 
 // A box that did not know yet that a roll-out was completed once took its release out of use when the next order
@@ -209,7 +209,7 @@
 	wrong.begin(orderOf("v2", 1), 0, testStart)
 	wrong.begin(orderOf("v3", 2), 0, testStart)
 	leads.hearEnded(wrong.ended(later))
-	assert.True(t, chooseNow(leads, "s", later).allows(endpointOn("v2")), "what is known goes before what was given up")
+	assert.True(t, chooseNow(leads, "s", later).allows(endpointOn("v2")), "a known state overrides giving up")
 	wrong.hearEnded(leads.ended(later))
 	assert.True(t, chooseNow(wrong, "s", later).allows(endpointOn("v2")))
 }
@@ -303,13 +303,13 @@
 	for _, r := range []*releases{one, other} {
 		r.begin(orderOf("v2", 1), 0, testStart)
 	}
-	require.Zero(t, shareOf(other, at(0.05), "b"), "no session moves before boxes have told each other")
+	require.Zero(t, shareOf(other, at(0.05), "b"), "no session moves before boxes have exchanged sessions")
 	kept := one.kept(at(0.1))
-	assert.InDelta(t, 2000*canaryShare, len(kept), 40, "only those that would move are named")
+	assert.InDelta(t, 2000*canaryShare, len(kept), 40, "only sessions that would move are listed")
 	assert.NotZero(t, shareOf(other, at(0.15), "c"))
 	other.setKeptElsewhere(kept)
 	assert.Zero(t, shareOf(other, at(0.2), "a"))
-	assert.Empty(t, one.kept(at(canaryEnd)), "sessions may move from the half on")
+	assert.Empty(t, one.kept(at(canaryEnd)), "sessions may move in the second half")
 }
 
 func TestFirstShareStaysBelowExposureBound(t *testing.T) {
@@ -331,5 +331,5 @@
 	for i := range 500 {
 		require.False(t, chooseNow(r, fmt.Sprint(i), at(0.95)).useTarget, "session %d", i)
 	}
-	assert.InDelta(t, 500*canaryShare, len(r.kept(at(0.95))), 10, "other boxes are told of those that would try it first")
+	assert.InDelta(t, 500*canaryShare, len(r.kept(at(0.95))), 10, "lists the sessions that would move first")
 }
--- a/exchange/suspension_test.go
+++ b/exchange/suspension_test.go
@@ -30,7 +30,7 @@
 	assert.Equal(t, http.StatusServiceUnavailable, s.do(t, http.MethodGet, "/unknown/", "after", "").status)
 	assert.GreaterOrEqual(t, s.daemon.router.sync.endpointsAge(clock.Now()), suspendedFor)
 	digest := s.daemon.router.peers.digest(clock.Now())
-	assert.GreaterOrEqual(t, digest.ConfigAgeMs, suspendedFor.Milliseconds(), "other boxes are told so")
+	assert.GreaterOrEqual(t, digest.ConfigAgeMs, suspendedFor.Milliseconds(), "reported to other boxes")
 	assert.GreaterOrEqual(t, digest.StoreAgeMs, suspendedFor.Milliseconds())
 }
 
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -63,7 +63,7 @@
 	for i, endpoint := range []string{"a", "b", "c"} {
 		l.recordCrash(crashAt(endpoint, 100*i), "harmful", "victim")
 	}
-	assert.True(t, l.refuses("victim"), "nothing tells them apart yet")
+	assert.True(t, l.refuses("victim"), "same crashes so far")
 	l.recordCrash(crashAt("d", 400), "harmful")
 	assert.True(t, l.refuses("harmful"))
 	assert.False(t, l.refuses("victim"))
@@ -83,7 +83,7 @@
 	assert.False(t, l.refuses("victim"))
 	assert.True(t, l.refuses("harmful"))
 	_, isAllowed = l.AllowTrial(detailsOf("harmful"), releases, later)
-	assert.False(t, isAllowed, "nothing else is left that may have done it")
+	assert.False(t, isAllowed, "no other possible cause is left")
 }
 
 func TestCompleteAnswerClearsRequest(t *testing.T) {
@@ -92,7 +92,7 @@
 	l.recordCrash(crashAt("b", 1), "popular")
 	l.RecordAnswer(fingerprintOf("popular"), testStart.Add(20*time.Millisecond))
 	l.recordCrash(crashAt("c", 2), "popular")
-	assert.False(t, l.refuses("popular"), "an end before the answer")
+	assert.False(t, l.refuses("popular"), "crashed before the answer")
 	for i, endpoint := range []string{"d", "e", "f"} {
 		l.recordCrash(crashAt(endpoint, 3000+i), "popular")
 	}
@@ -104,13 +104,13 @@
 	other.Merge(l.UpdatesSince(Position{}, "boot", "other", testStart.Add(3010*time.Millisecond)), "own", testStart.Add(3010*time.Millisecond))
 	require.True(t, other.refuses("popular"))
 	l.RecordAnswer(fingerprintOf("popular"), testStart.Add(3100*time.Millisecond))
-	assert.False(t, l.refuses("popular"), "one that was under way elsewhere was answered")
+	assert.False(t, l.refuses("popular"), "a request under way elsewhere was answered")
 	due := l.PendingWrites()
 	require.Len(t, due, 1)
-	assert.Empty(t, due[0].Ends, "the store is told")
+	assert.Empty(t, due[0].Ends, "the stored record is dropped")
 	other.Merge(l.UpdatesSince(Position{}, "boot", "other", testStart.Add(3110*time.Millisecond)), "own", testStart.Add(3110*time.Millisecond))
 	assert.False(t, other.refuses("popular"))
-	assert.Empty(t, other.PendingWrites(), "by the box that told it before")
+	assert.Empty(t, other.PendingWrites(), "the box that wrote the record drops it")
 }
 
 // Many endpoints that crash at once rather point to a failure of their own, and a popular request runs on all of
@@ -130,7 +130,7 @@
 	_, isAllowed = l.AllowTrial(detailsOf("popular"), releases, later)
 	assert.False(t, isAllowed, "once")
 	_, isAllowed = l.AllowTrial(detailsOf("harmful"), releases, later)
-	assert.False(t, isAllowed, "its ends came one after the other")
+	assert.False(t, isAllowed, "crashes came one after the other")
 	l.RecordAnswer(fingerprintOf("popular"), later)
 	assert.False(t, l.refuses("popular"))
 }
@@ -154,7 +154,7 @@
 	restarted := New()
 	restarted.Restore(l.PendingWrites(), later)
 	_, isAllowed = restarted.AllowTrial(detailsOf("harmful"), releases, later.Add(time.Minute))
-	assert.False(t, isAllowed, "nor by a box that starts restarted")
+	assert.False(t, isAllowed, "a restarted box knows the trial")
 }
 
 // Boxes must reach the same verdicts in whatever order updates arrive, also through a third box and across restarts.
@@ -218,12 +218,12 @@
 	a.recordCrash(crashAt("a", 0), "one", "two")
 	updates := a.UpdatesSince(Position{}, "boot", "b", testStart)
 	require.Len(t, updates.Ends, 1)
-	assert.Len(t, updates.Ends[0].Requests, 2, "a row for each end, not for each request")
+	assert.Len(t, updates.Ends[0].Requests, 2, "one row per crash, not per request")
 	assert.True(t, b.Merge(updates, "a", testStart))
 	assert.False(t, b.Merge(updates, "a", testStart))
-	assert.Empty(t, b.UpdatesSince(Position{}, "", "a", testStart).Ends, "not told back to where it came from")
+	assert.Empty(t, b.UpdatesSince(Position{}, "", "a", testStart).Ends, "not sent back to the sender")
 	assert.Empty(t, a.UpdatesSince(updates.Position, "boot", "b", testStart).Ends)
-	assert.Equal(t, Updates{}, New().UpdatesSince(Position{}, "boot", "b", testStart), "nothing on a calm day")
+	assert.Equal(t, Updates{}, New().UpdatesSince(Position{}, "boot", "b", testStart), "empty without crashes")
 }
 
 // A caller can fill the ledger with requests that have one crash, but must not evict a request that has more.
@@ -268,7 +268,7 @@
 	late.Restore(due, testStart.Add(2*refusedTTL))
 	assert.False(t, late.refuses("harmful"))
 	require.Len(t, late.PendingWrites(), 1)
-	assert.Empty(t, late.PendingWrites()[0].Ends, "what is too old is dropped at the store")
+	assert.Empty(t, late.PendingWrites()[0].Ends, "expired records are dropped from the store")
 }
 
 // A request may be answered completely while its refusal is being written to the store.
@@ -329,7 +329,7 @@
 	}
 	assert.Equal(t, most, tried)
 	try(3 * 3600)
-	assert.Equal(t, most+1, tried, "it may bear a later release")
+	assert.Equal(t, most+1, tried, "a later release gets a trial")
 }
 
 // Slots are scarce after a rack failure: a trial may get none, or no answer in time.
@@ -348,5 +348,5 @@
 	restarted := New()
 	restarted.Restore(l.PendingWrites(), testStart.Add(time.Minute))
 	_, isAllowed = restarted.AllowTrial(detailsOf("popular"), releases, testStart.Add(2*time.Minute))
-	assert.False(t, isAllowed, "a box that starts restarted knows how often it was tried")
+	assert.False(t, isAllowed, "a restarted box knows the number of trials")
 }
--- a/ratelimit/granter_test.go
+++ b/ratelimit/granter_test.go
@@ -37,7 +37,7 @@
 	for _, rate := range []willowwick.PerSecond{0.5, 2, 40, 2000} {
 		g, _ := newActiveGranter(start, rate)
 		begun := start.Add(takeoverDelay)
-		assert.Zero(t, countGranted(g, 1, start, takeoverDelay, 100), "another box may grant yet")
+		assert.Zero(t, countGranted(g, 1, start, takeoverDelay, 100), "another box may still be granting")
 		got := countGranted(g, 1, begun, 20*time.Second, 100)
 		assert.InDelta(t, 20*float64(rate), got, 2+float64(rate)*burstWindow.Seconds(), "at %v a second", rate)
 	}
@@ -86,5 +86,5 @@
 	require.True(t, isLimited)
 	assert.Equal(t, minRate, rate)
 	got := countGranted(g, 1, start.Add(takeoverDelay), 100*time.Second, 1)
-	assert.InDelta(t, 10, got, 3, "only an answer shows that it takes something")
+	assert.InDelta(t, 10, got, 3, "probed at the minimum rate")
 }
--- a/ratelimit/ledger_test.go
+++ b/ratelimit/ledger_test.go
@@ -20,8 +20,8 @@
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	assert.True(t, l.Heard(at(100), at(50), endpoint, limitOf(2)))
-	assert.False(t, l.Heard(at(110), at(60), endpoint, limitOf(2)), "it is known")
-	assert.False(t, l.Heard(at(200), at(90), endpoint, willowwick.RateLimit{}), "its request was sent before")
+	assert.False(t, l.Heard(at(110), at(60), endpoint, limitOf(2)), "already known")
+	assert.False(t, l.Heard(at(200), at(90), endpoint, willowwick.RateLimit{}), "its request was sent earlier")
 	assert.True(t, l.Count() == 1)
 	assert.True(t, l.Heard(at(210), at(120), endpoint, limitOf(3)), "another rate")
 	assert.False(t, l.Heard(at(220), at(215), endpoint, willowwick.RateLimit{Unreadable: "x"}), "neither a limit nor its end")
@@ -62,7 +62,7 @@
 	assert.Zero(t, l.Count())
 	l.Merge(Updates{Rows: []Row{{Endpoint: "e3", Rate: 1, EndedMs: neverMs}}}, "peer", now)
 	l.Keep(nil)
-	assert.Equal(t, 1, l.Count(), "one that another box told of may not be listed here yet")
+	assert.Equal(t, 1, l.Count(), "an endpoint received from another box may not be listed here yet")
 }
 
 func TestLimitsConvergeBetweenBoxes(t *testing.T) {
@@ -79,11 +79,11 @@
 	assert.True(t, a.Merge(b.UpdatesFor(first.Sum, at(1002)), "peer b", at(1003)))
 	sumOf := func(l *Ledger) uint64 { return l.UpdatesFor(0, at(1004)).Sum }
 	assert.Equal(t, sumOf(a), sumOf(b))
-	assert.Empty(t, a.UpdatesFor(sumOf(b), at(1005)).Rows, "there is nothing to tell")
+	assert.Empty(t, a.UpdatesFor(sumOf(b), at(1005)).Rows, "nothing to send")
 	for _, l := range []*Ledger{a, b} {
 		assert.Equal(t, 2, l.Count())
 		rate, _ := l.Rate(at(1010), "differs")
-		assert.Equal(t, willowwick.PerSecond(1), rate, "of two that were named at about the same time, the lower one")
+		assert.Equal(t, willowwick.PerSecond(1), rate, "the lower of two rates reported at about the same time")
 	}
 }
 
@@ -96,13 +96,13 @@
 	assert.False(t, l.MayUse(now, endpoint.ID))
 	nextAt, isLimited := l.Limited(now, endpoint.ID)
 	assert.True(t, isLimited)
-	assert.Equal(t, now, nextAt, "an answer may come at any moment")
+	assert.Equal(t, now, nextAt, "a reply may arrive at any moment")
 	row := l.NewCall(now, endpoint.ID, "b1").Row
 	later := now.Add(5 * time.Millisecond)
 	assert.True(t, l.HandleReply(later, now, endpoint.ID, Reply{Row: row, Permits: 2}))
 	assert.Equal(t, willowwick.PermissionHeld, l.Use(later, endpoint.ID))
 	assert.Equal(t, willowwick.PermissionToAsk, l.Use(later, endpoint.ID), "both are used")
-	assert.False(t, l.HandleReply(now.Add(time.Second), later, endpoint.ID, Reply{Row: row, Permits: 1}), "it came too late")
+	assert.False(t, l.HandleReply(now.Add(time.Second), later, endpoint.ID, Reply{Row: row, Permits: 1}), "the permit expired")
 	assert.False(t, l.HandleReply(now.Add(time.Second), now.Add(time.Second), endpoint.ID, Reply{Row: row, RetryMs: 400}))
 	assert.False(t, l.MayUse(now.Add(1300*time.Millisecond), endpoint.ID))
 	nextAt, _ = l.Limited(now.Add(1300*time.Millisecond), endpoint.ID)
