--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -32,7 +32,7 @@
 	seen := r.requests()[0]
 	assert.Equal(t, "/once/a%2Fb//c?q=1", seen.RequestURI)
 	assert.Equal(t, testHost, seen.Host)
-	assert.Equal(t, "body of the request", r.bodies[0])
+	assert.Equal(t, "body of the request", r.body[0])
 	assert.Equal(t, string(testAccount), seen.Header.Get("T-Account"))
 	assert.Empty(t, seen.Header.Get("T-Key"))
 	assert.Equal(t, "r1", seen.Header.Get("T-Expect"))
@@ -330,7 +330,7 @@
 	s := newSite(t, r.endpoint("v1"))
 	body := strings.Repeat("long ", 100_000)
 	require.Equal(t, http.StatusOK, s.do(t, http.MethodPost, "/once/", "id", body).status)
-	assert.Equal(t, body, r.bodies[0])
+	assert.Equal(t, body, r.body[0])
 }
 
 // A request that was read just as the box found itself idle was once cut.
--- a/exchange/harm_test.go
+++ b/exchange/harm_test.go
@@ -66,7 +66,7 @@
 }
 
 // lateRuns counts the runs that began later than allowed after the third crash, and all crashes.
-func (h *poisonSite) lateRuns() (late, ended int) {
+func (h *poisonSite) lateRuns() (late, crashes int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if len(h.crashes) < poisonSlack {
@@ -84,9 +84,9 @@
 func (r *runner) bodyOf(request *http.Request) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for i, seen := range r.received {
-		if seen == request {
-			return r.bodies[i]
+	for i, received := range r.received {
+		if received == request {
+			return r.body[i]
 		}
 	}
 	return ""
--- a/exchange/notices_test.go
+++ b/exchange/notices_test.go
@@ -90,10 +90,10 @@
 }
 
 // requestBackoff makes the runner reject all requests with a backoff; empty for neither.
-func (n *noticeRunner) requestBackoff(rest string) {
+func (n *noticeRunner) requestBackoff(backoff string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.backoff = rest
+	n.backoff = backoff
 }
 
 // lateAfterDraining counts the requests of boxes to which an answer had reported draining more than drainGrace
--- a/exchange/site_test.go
+++ b/exchange/site_test.go
@@ -304,7 +304,7 @@
 	mu       sync.Mutex
 	handler  http.HandlerFunc
 	received []*http.Request
-	bodies   []string
+	body     []string
 }
 
 // handle replaces the handler.
@@ -320,7 +320,7 @@
 		body, _ := io.ReadAll(request.Body)
 		r.mu.Lock()
 		r.received = append(r.received, request)
-		r.bodies = append(r.bodies, string(body))
+		r.body = append(r.body, string(body))
 		r.mu.Unlock()
 		w.Header().Set("T-Id", request.Header.Get("T-Id"))
 		w.Header().Set("T-Seal", id)
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -123,14 +123,14 @@
 
 // RecordCrash records that an endpoint crashed while it ran the request for this box, and reports whether the crash
 // was not known before under any request.
-func (l *Ledger) RecordCrash(details willowwick.HarmfulRequest, end willowwick.EndpointEnd) (isFirst bool) {
+func (l *Ledger) RecordCrash(details willowwick.HarmfulRequest, crash willowwick.EndpointEnd) (isFirst bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_, isKnown := l.knownCrashes[crashKey{end.Endpoint, end.Incarnation}]
-	s := l.ensureSuspect(details.Request, end.At)
+	_, isKnown := l.knownCrashes[crashKey{crash.Endpoint, crash.Incarnation}]
+	s := l.ensureSuspect(details.Request, crash.At)
 	s.setDetails(details)
-	l.addCrash(details.Request, end, "")
-	l.updateRefused(end.At, "seen here")
+	l.addCrash(details.Request, crash, "")
+	l.updateRefused(crash.At, "seen here")
 	return !isKnown
 }
 
@@ -146,7 +146,7 @@
 func (l *Ledger) RecordAnswer(request willowwick.Fingerprint, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.applyAnswer(request, now, "") {
+	if l.clear(request, now, "") {
 		l.updateRefused(now, "answered here")
 	}
 }
@@ -242,32 +242,32 @@
 }
 
 // addCrash adds a crash under a request and reports whether it is new. The caller holds the lock.
-func (l *Ledger) addCrash(request willowwick.Fingerprint, end willowwick.EndpointEnd, from string) bool {
-	s := l.ensureSuspect(request, end.At)
-	key := crashKey{end.Endpoint, end.Incarnation}
+func (l *Ledger) addCrash(request willowwick.Fingerprint, crash willowwick.EndpointEnd, from string) bool {
+	s := l.ensureSuspect(request, crash.At)
+	key := crashKey{crash.Endpoint, crash.Incarnation}
 	_, known := s.crashes[key]
-	if known || s.isCleared(end) || len(s.crashes) >= maxCrashes {
+	if known || s.isCleared(crash) || len(s.crashes) >= maxCrashes {
 		return false
 	}
-	s.crashes[key] = end
-	l.knownCrashes[key] = end.At
+	s.crashes[key] = crash
+	l.knownCrashes[key] = crash.At
 	if len(s.crashes) >= RefuseAfterCrashes {
 		l.candidates[request] = s
 	}
-	l.history.add(entry{kind: kindCrash, request: request, crash: end, from: from})
+	l.history.add(entry{kind: kindCrash, request: request, crash: crash, from: from})
 	return true
 }
 
-// applyAnswer clears a request's crashes up to the time of a complete answer, and reports whether that is new. The
+// clear clears a request's crashes up to the time of a complete answer, and reports whether that is new. The
 // caller holds the lock.
-func (l *Ledger) applyAnswer(request willowwick.Fingerprint, at time.Time, from string) bool {
+func (l *Ledger) clear(request willowwick.Fingerprint, at time.Time, from string) bool {
 	s := l.suspects[request]
 	if s == nil || len(s.crashes) == 0 || !at.After(s.clearedAt) {
 		return false
 	}
 	s.clearedAt, s.updatedAt = at, at
-	for key, end := range s.crashes {
-		if s.isCleared(end) {
+	for key, crash := range s.crashes {
+		if s.isCleared(crash) {
 			delete(s.crashes, key)
 		}
 	}
@@ -312,8 +312,8 @@
 	l.pendingWrites[request] = true
 	attributes := []any{"fingerprint", request.String(), "ends", len(s.crashes), "source", source, "last_end_ms_ago", now.Sub(s.lastCrash()).Milliseconds()}
 	var endpoints []string
-	for _, end := range s.sortedCrashes() {
-		endpoints = append(endpoints, string(end.Endpoint))
+	for _, crash := range s.sortedCrashes() {
+		endpoints = append(endpoints, string(crash.Endpoint))
 	}
 	attributes = append(attributes, "endpoints", endpoints)
 	if s.details != nil {
@@ -359,8 +359,8 @@
 }
 
 // isCleared reports whether a complete answer makes the crash irrelevant.
-func (s *suspect) isCleared(end willowwick.EndpointEnd) bool {
-	return !s.clearedAt.IsZero() && !end.At.After(s.clearedAt.Add(clearTolerance))
+func (s *suspect) isCleared(crash willowwick.EndpointEnd) bool {
+	return !s.clearedAt.IsZero() && !crash.At.After(s.clearedAt.Add(clearTolerance))
 }
 
 // includesCrashesOf reports whether all crashes of the other request are among those of this one.
@@ -375,20 +375,20 @@
 
 // sortedCrashes returns the crashes in order of time.
 func (s *suspect) sortedCrashes() []willowwick.EndpointEnd {
-	ends := make([]willowwick.EndpointEnd, 0, len(s.crashes))
-	for _, end := range s.crashes {
-		ends = append(ends, end)
+	crashes := make([]willowwick.EndpointEnd, 0, len(s.crashes))
+	for _, crash := range s.crashes {
+		crashes = append(crashes, crash)
 	}
-	slices.SortFunc(ends, func(a, b willowwick.EndpointEnd) int { return a.At.Compare(b.At) })
-	return ends
+	slices.SortFunc(crashes, func(a, b willowwick.EndpointEnd) int { return a.At.Compare(b.At) })
+	return crashes
 }
 
 // lastCrash returns the time of the newest crash, zero if there is none.
 func (s *suspect) lastCrash() time.Time {
 	var last time.Time
-	for _, end := range s.crashes {
-		if end.At.After(last) {
-			last = end.At
+	for _, crash := range s.crashes {
+		if crash.At.After(last) {
+			last = crash.At
 		}
 	}
 	return last
@@ -422,8 +422,8 @@
 
 // crashedOn reports whether an endpoint of the release crashed under the request.
 func (s *suspect) crashedOn(release willowwick.ReleaseID) bool {
-	for _, end := range s.crashes {
-		if end.Release == release {
+	for _, crash := range s.crashes {
+		if crash.Release == release {
 			return true
 		}
 	}
@@ -432,6 +432,6 @@
 
 // hasCorrelatedCrashes reports whether all crashes lie within correlationWindow.
 func (s *suspect) hasCorrelatedCrashes() bool {
-	ends := s.sortedCrashes()
-	return len(ends) > 0 && ends[len(ends)-1].At.Sub(ends[0].At) < correlationWindow
+	crashes := s.sortedCrashes()
+	return len(crashes) > 0 && crashes[len(crashes)-1].At.Sub(crashes[0].At) < correlationWindow
 }
--- a/quarantine/peers.go
+++ b/quarantine/peers.go
@@ -55,11 +55,11 @@
 // new. A box that restarted meanwhile has lost what it received before.
 func (p *Peers) HandleAnswer(call Call, answer Updates, address string, boot willowwick.BootID, now time.Time) (isNew bool) {
 	p.mu.Lock()
-	own := call.News.Position
+	acknowledged := call.News.Position
 	if p.states[address].boot != boot {
-		own = Position{}
+		acknowledged = Position{}
 	}
-	p.states[address] = peerState{received: answer.Position, acknowledged: own, boot: boot}
+	p.states[address] = peerState{received: answer.Position, acknowledged: acknowledged, boot: boot}
 	p.mu.Unlock()
 	return p.ledger.Merge(answer, address, now)
 }
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -73,16 +73,16 @@
 // restore merges one record. The caller holds the lock.
 func (l *Ledger) restore(record willowwick.HarmfulRequest, now time.Time) {
 	l.stored[record.Request] = true
-	for _, end := range record.Ends {
-		if end.At.After(now) {
-			end.At = now // clocks of boxes differ
+	for _, crash := range record.Ends {
+		if crash.At.After(now) {
+			crash.At = now // clocks of boxes differ
 		}
-		if now.Sub(end.At) > refusedTTL {
+		if now.Sub(crash.At) > refusedTTL {
 			l.pendingWrites[record.Request] = true
 			continue
 		}
-		l.ensureSuspect(record.Request, end.At).setDetails(record)
-		l.addCrash(record.Request, end, "")
+		l.ensureSuspect(record.Request, crash.At).setDetails(record)
+		l.addCrash(record.Request, crash, "")
 	}
 	for number, release := range record.Tried {
 		l.addTrial(record.Request, trial{release, number}, now, "")
--- a/quarantine/updates.go
+++ b/quarantine/updates.go
@@ -120,12 +120,12 @@
 		if !s.clearedAt.IsZero() {
 			updates.add(entry{kind: kindAnswer, request: request, crash: willowwick.EndpointEnd{At: s.clearedAt}}, at, now)
 		}
-		for _, end := range s.crashes {
-			updates.add(entry{kind: kindCrash, request: request, crash: end}, at, now)
+		for _, crash := range s.crashes {
+			updates.add(entry{kind: kindCrash, request: request, crash: crash}, at, now)
 		}
 		for tried := range s.trials {
-			end := willowwick.EndpointEnd{Release: tried.release, At: s.lastTrialAt}
-			updates.add(entry{kind: kindTrial, request: request, crash: end, trial: tried.number}, at, now)
+			crash := willowwick.EndpointEnd{Release: tried.release, At: s.lastTrialAt}
+			updates.add(entry{kind: kindTrial, request: request, crash: crash, trial: tried.number}, at, now)
 		}
 	}
 }
@@ -156,9 +156,9 @@
 	defer l.mu.Unlock()
 	isNew := false
 	for _, row := range updates.Ends {
-		end := willowwick.EndpointEnd{Endpoint: row.Endpoint, Incarnation: row.Incarnation, Release: row.Release, At: ago(now, row.AgeMs)}
+		crash := willowwick.EndpointEnd{Endpoint: row.Endpoint, Incarnation: row.Incarnation, Release: row.Release, At: ago(now, row.AgeMs)}
 		for _, request := range row.Requests {
-			isNew = l.addCrash(request, end, from) || isNew
+			isNew = l.addCrash(request, crash, from) || isNew
 		}
 	}
 	for _, row := range updates.Trials {
@@ -166,7 +166,7 @@
 	}
 	// Answers come last: they may clear crashes that came with them.
 	for _, row := range updates.Answers {
-		isNew = l.applyAnswer(row.Request, ago(now, row.AgeMs), from) || isNew
+		isNew = l.clear(row.Request, ago(now, row.AgeMs), from) || isNew
 	}
 	if isNew {
 		l.updateRefused(now, "peer "+from)
--- a/ratelimit/granter.go
+++ b/ratelimit/granter.go
@@ -37,9 +37,9 @@
 
 	// bucket holds the permits of one endpoint.
 	bucket struct {
-		permits     float64
-		filledAt    time.Time                      // time of the last refill
-		askersUntil map[willowwick.BoxID]time.Time // until when each box counts as asking
+		permits  float64
+		filledAt time.Time                      // time of the last refill
+		askers   map[willowwick.BoxID]time.Time // until when each box counts as asking
 	}
 )
 
@@ -87,19 +87,19 @@
 	g.sweep(now)
 	b := g.buckets[id]
 	if b == nil {
-		b = &bucket{filledAt: now, askersUntil: map[willowwick.BoxID]time.Time{}}
+		b = &bucket{filledAt: now, askers: map[willowwick.BoxID]time.Time{}}
 		g.buckets[id] = b
 	}
 	perSecond := float64(rate) * part
 	b.refill(now, perSecond)
 	granted := min(call.Wanted, int(b.permits))
 	b.permits -= float64(granted)
-	delay := time.Duration(0)
+	retryDelay := time.Duration(0)
 	if granted == 0 {
-		delay = b.retryDelay(now, perSecond)
+		retryDelay = b.retryDelay(now, perSecond)
 	}
-	b.askersUntil[call.Box] = now.Add(delay + askerTTL)
-	return Reply{Row: row, Permits: granted, RetryMs: delay.Milliseconds()}
+	b.askers[call.Box] = now.Add(retryDelay + askerTTL)
+	return Reply{Row: row, Permits: granted, RetryMs: retryDelay.Milliseconds()}
 }
 
 // mergeCall merges the caller's knowledge of a limit and returns what this box then knows.
@@ -126,9 +126,9 @@
 // number of asking boxes, so that calls are no more frequent than useful.
 func (b *bucket) retryDelay(now time.Time, perSecond float64) time.Duration {
 	askers := 1
-	for box, until := range b.askersUntil {
+	for box, until := range b.askers {
 		if now.After(until) {
-			delete(b.askersUntil, box)
+			delete(b.askers, box)
 			continue
 		}
 		askers++
--- a/ratelimit/ledger.go
+++ b/ratelimit/ledger.go
@@ -58,7 +58,7 @@
 		askingUntil  time.Time // end of the pending call for a permit; zero if none is pending
 		askedAt      time.Time // time of the last call
 		usedSinceAsk int       // permits used since the last call
-		noAskUntil   time.Time // earliest time of the next call
+		nextAskAt    time.Time // earliest time of the next call
 	}
 )
 
@@ -180,10 +180,10 @@
 
 // nextAsk returns the earliest time of the next call for a permit.
 func (k *limit) nextAsk() time.Time {
-	if k.askingUntil.After(k.noAskUntil) {
+	if k.askingUntil.After(k.nextAskAt) {
 		return k.askingUntil
 	}
-	return k.noAskUntil
+	return k.nextAskAt
 }
 
 // Use implements willowwick.RateLimiter.
@@ -227,7 +227,7 @@
 }
 
 // Limited implements willowwick.RateLimiter.
-func (l *Ledger) Limited(now time.Time, endpoint willowwick.EndpointID) (nextAt time.Time, isLimited bool) {
+func (l *Ledger) Limited(now time.Time, endpoint willowwick.EndpointID) (nextAskAt time.Time, isLimited bool) {
 	if !l.mayBeLimited.Load() {
 		return time.Time{}, false
 	}
@@ -241,10 +241,10 @@
 		return time.Time{}, false
 	}
 	isAsking := now.Before(known.askingUntil) // a permit may arrive at any moment
-	if known.hasPermit(now) || isAsking && !known.noAskUntil.After(now) {
+	if known.hasPermit(now) || isAsking && !known.nextAskAt.After(now) {
 		return now, true
 	}
-	return known.noAskUntil, true
+	return known.nextAskAt, true
 }
 
 // Keep implements willowwick.RateLimiter.
@@ -308,7 +308,7 @@
 		return true // the endpoint is gone or has restarted
 	}
 	known.askingUntil = time.Time{}
-	known.noAskUntil = now.Add(time.Duration(reply.RetryMs) * time.Millisecond)
+	known.nextAskAt = now.Add(time.Duration(reply.RetryMs) * time.Millisecond)
 	known.permits, known.usableUntil = reply.Permits, askedAt.Add(permitTTL)
 	if _, isLimited := known.rateAt(now); !isLimited {
 		return true
@@ -327,7 +327,7 @@
 	defer l.mu.Unlock()
 	if known := l.limits[endpoint]; known != nil {
 		known.askingUntil = time.Time{}
-		known.noAskUntil = now.Add(minAskDelay + time.Duration(rand.Int64N(int64(minAskDelay))))
+		known.nextAskAt = now.Add(minAskDelay + time.Duration(rand.Int64N(int64(minAskDelay))))
 	}
 }
 
--- a/ratelimit/ledger_test.go
+++ b/ratelimit/ledger_test.go
@@ -74,12 +74,12 @@
 	b.Heard(at(900), at(800), willowwick.Endpoint{ID: "ended"}, willowwick.RateLimit{})
 	b.Heard(at(10), at(0), willowwick.Endpoint{ID: "differs"}, limitOf(8))
 	a.Heard(at(20), at(0), willowwick.Endpoint{ID: "differs"}, limitOf(1))
-	first := a.UpdatesFor(0, at(1000))
+	first := a.Updates(0, at(1000))
 	assert.True(t, b.Merge(first, "peer a", at(1001)))
-	assert.True(t, a.Merge(b.UpdatesFor(first.Sum, at(1002)), "peer b", at(1003)))
-	sumOf := func(l *Ledger) uint64 { return l.UpdatesFor(0, at(1004)).Sum }
+	assert.True(t, a.Merge(b.Updates(first.Sum, at(1002)), "peer b", at(1003)))
+	sumOf := func(l *Ledger) uint64 { return l.Updates(0, at(1004)).Sum }
 	assert.Equal(t, sumOf(a), sumOf(b))
-	assert.Empty(t, a.UpdatesFor(sumOf(b), at(1005)).Rows, "nothing to send")
+	assert.Empty(t, a.Updates(sumOf(b), at(1005)).Rows, "nothing to send")
 	for _, l := range []*Ledger{a, b} {
 		assert.Equal(t, 2, l.Count())
 		rate, _ := l.Rate(at(1010), "differs")
--- a/ratelimit/peers.go
+++ b/ratelimit/peers.go
@@ -26,14 +26,14 @@
 	p.mu.Lock()
 	peerSum := p.sums[address]
 	p.mu.Unlock()
-	return p.ledger.UpdatesFor(peerSum, now)
+	return p.ledger.Updates(peerSum, now)
 }
 
 // Answer merges the updates of a calling box and returns what it does not know; isNew reports whether any was new
 // here.
 func (p *Peers) Answer(call Updates, from string, now time.Time) (answer Updates, isNew bool) {
 	isNew = p.HandleAnswer(call, from, now)
-	return p.ledger.UpdatesFor(call.Sum, now), isNew
+	return p.ledger.Updates(call.Sum, now), isNew
 }
 
 // HandleAnswer merges what another box sent at the given time, and reports whether any of it was new.
--- a/ratelimit/updates.go
+++ b/ratelimit/updates.go
@@ -75,8 +75,8 @@
 	return xxhash.Sum64(strconv.AppendBool(append(text, '/'), k.isNamed()))
 }
 
-// UpdatesFor returns the updates for a box with the given checksum.
-func (l *Ledger) UpdatesFor(peerSum uint64, now time.Time) Updates {
+// Updates returns the updates for a box with the given checksum.
+func (l *Ledger) Updates(peerSum uint64, now time.Time) Updates {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	updates := Updates{}
