--- a/exchange/backoff_test.go
+++ b/exchange/backoff_test.go
@@ -15,17 +15,17 @@
 
 // newBackoffSite starts a box with one runner that rejects its first request with a backoff and answers the later
 // ones. The route lets requests wait for half a second.
-func newBackoffSite(t *testing.T, rest time.Duration, hasRun bool) (*site, *runner) {
-	var turnedAway atomic.Bool
+func newBackoffSite(t *testing.T, backoff time.Duration, hasRun bool) (*site, *runner) {
+	var rejected atomic.Bool
 	r := newRunner(t, "r1", func(w http.ResponseWriter, _ *http.Request) {
-		if turnedAway.Swap(true) {
+		if rejected.Swap(true) {
 			_, _ = w.Write([]byte("ok"))
 			return
 		}
 		if !hasRun {
 			w.Header().Set("T-Not-Run", "1")
 		}
-		w.Header().Set("T-Rest", strconv.FormatFloat(rest.Seconds(), 'f', 3, 64))
+		w.Header().Set("T-Rest", strconv.FormatFloat(backoff.Seconds(), 'f', 3, 64))
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
 	patient := onceRoute()
@@ -36,22 +36,22 @@
 // A request with enough time left after the backoff waits for its end; another one is refused, with the end of the
 // backoff in Retry-After.
 func TestRequestWaitsForShortBackoffOnly(t *testing.T) {
-	for rest, status := range map[time.Duration]int{100 * time.Millisecond: http.StatusOK, time.Second: http.StatusServiceUnavailable} {
-		t.Run(rest.String(), func(t *testing.T) {
-			s, r := newBackoffSite(t, rest, false)
+	for backoff, status := range map[time.Duration]int{100 * time.Millisecond: http.StatusOK, time.Second: http.StatusServiceUnavailable} {
+		t.Run(backoff.String(), func(t *testing.T) {
+			s, r := newBackoffSite(t, backoff, false)
 			began := time.Now()
 			reply := s.do(t, http.MethodPost, "/once/", "first", "x")
 			assert.Equal(t, status, reply.status, reply.body)
 			reply = s.do(t, http.MethodPost, "/once/", "second", "x")
 			assert.Equal(t, status, reply.status, reply.body)
 			if status == http.StatusOK {
-				assert.GreaterOrEqual(t, time.Since(began), rest)
+				assert.GreaterOrEqual(t, time.Since(began), backoff)
 				return
 			}
 			assert.Less(t, time.Since(began), refusalMax, "refused at once")
 			seconds, err := strconv.ParseFloat(reply.header.Get("Retry-After"), 64)
 			require.NoError(t, err)
-			assert.InDelta(t, 1.5*rest.Seconds(), seconds, rest.Seconds()/2+0.2, "time of the retry")
+			assert.InDelta(t, 1.5*backoff.Seconds(), seconds, backoff.Seconds()/2+0.2, "time of the retry")
 			assert.Len(t, r.requests(), 1)
 		})
 	}
@@ -71,7 +71,7 @@
 func TestRetryToFullEndpointIsDelayedWhenOthersBackOff(t *testing.T) {
 	const full = 150 * time.Millisecond
 	began := time.Now()
-	resting := newRunner(t, "r1", answerText("ok"))
+	backedOff := newRunner(t, "r1", answerText("ok"))
 	other := newRunner(t, "r2", func(w http.ResponseWriter, _ *http.Request) {
 		if time.Since(began) < full {
 			w.Header().Set("T-Not-Run", "1")
@@ -82,15 +82,15 @@
 	})
 	patient := onceRoute()
 	patient.Goal = 2 * time.Second
-	s := startSite(t, newTestControl(testTable(1, patient), resting.endpoint("v1"), other.endpoint("v1")), testSettings())
+	s := startSite(t, newTestControl(testTable(1, patient), backedOff.endpoint("v1"), other.endpoint("v1")), testSettings())
 	now := time.Now()
-	s.daemon.router.pool.Hear(now, now, resting.endpoint("v1"), willowwick.Notice{RestUntil: now.Add(time.Minute)})
+	s.daemon.router.pool.Hear(now, now, backedOff.endpoint("v1"), willowwick.Notice{RestUntil: now.Add(time.Minute)})
 	for range 20 {
 		s.daemon.router.budget("work").Request(now)
 	}
 	began = time.Now()
 	assert.Equal(t, http.StatusOK, s.do(t, http.MethodPost, "/once/", "first", "x").status)
-	assert.Empty(t, resting.requests())
+	assert.Empty(t, backedOff.requests())
 	assert.LessOrEqual(t, len(other.requests()), maxSends)
 }
 
--- a/exchange/cold_test.go
+++ b/exchange/cold_test.go
@@ -37,17 +37,17 @@
 
 // Clocks differ between boxes, so the remaining cold time counts, not the time at which it ends.
 func TestColdTimeIsCorrectedForClockSkew(t *testing.T) {
-	const left, ahead = 3 * time.Second, time.Hour
+	const remaining, clockSkew = 3 * time.Second, time.Hour
 	r := newRunner(t, "r1", answerText("ok"))
 	_, sites := newHall(t, 1, r.endpoint("v1"))
 	s := sites[0].daemon.router.sync
 	now := time.Now()
 	endpoint := r.endpoint("v1")
-	endpoint.ID, endpoint.ColdUntil = "r2", now.Add(ahead+left)
+	endpoint.ID, endpoint.ColdUntil = "r2", now.Add(clockSkew+remaining)
 	s.takeFromPeer(SwapReply{Endpoints: &EndpointList{
-		Endpoints: []willowwick.Endpoint{endpoint}, Next: 1 << 20, From: 1 << 20, Told: now.Add(ahead),
+		Endpoints: []willowwick.Endpoint{endpoint}, Next: 1 << 20, From: 1 << 20, Told: now.Add(clockSkew),
 	}}, now)
 	known, found := s.entry("r2")
 	require.True(t, found)
-	assert.WithinDuration(t, now.Add(left), known.ColdUntil, time.Millisecond)
+	assert.WithinDuration(t, now.Add(remaining), known.ColdUntil, time.Millisecond)
 }
--- a/exchange/draining_test.go
+++ b/exchange/draining_test.go
@@ -16,12 +16,12 @@
 )
 
 // newDrainingSite starts a box with two runners; the first one uses the handler.
-func newDrainingSite(t *testing.T, handler http.HandlerFunc) (b *restartSite, leaving, other *runner) {
-	leaving, other = newRunner(t, "r1", handler), newRunner(t, "r2", answerText("ok"))
-	b = newRestartSite(t, leaving.endpoint("v1"))
+func newDrainingSite(t *testing.T, handler http.HandlerFunc) (b *restartSite, draining, other *runner) {
+	draining, other = newRunner(t, "r1", handler), newRunner(t, "r2", answerText("ok"))
+	b = newRestartSite(t, draining.endpoint("v1"))
 	b.control.change(func() { b.control.endpoints["r2"] = other.endpoint("v1") })
 	require.Eventually(t, func() bool { return len(b.daemon.router.pool.Endpoints()) == 2 }, waitTimeout, 5*time.Millisecond)
-	return b, leaving, other
+	return b, draining, other
 }
 
 // sendUntilDraining sends requests until the box knows that the first runner is draining.
@@ -67,19 +67,19 @@
 		"complete": answerText("ok"),
 	} {
 		t.Run(name, func(t *testing.T) {
-			b, leaving, _ := newDrainingSite(t, func(w http.ResponseWriter, r *http.Request) {
+			b, draining, _ := newDrainingSite(t, func(w http.ResponseWriter, r *http.Request) {
 				writeDraining(w)
 				answer(w, r)
 			})
 			b.sendUntilDraining(t, "/stream/", "T-Model", "*")
-			b.assertUnused(t, leaving)
+			b.assertUnused(t, draining)
 		})
 	}
 }
 
 // A late answer to an earlier request arrives in place of the current one; its draining notice counts all the same.
 func TestLateAnswerReportsDraining(t *testing.T) {
-	b, leaving, _ := newDrainingSite(t, func(w http.ResponseWriter, r *http.Request) {
+	b, draining, _ := newDrainingSite(t, func(w http.ResponseWriter, r *http.Request) {
 		conn, _, err := http.NewResponseController(w).Hijack()
 		if !assert.NoError(t, err) {
 			return
@@ -89,13 +89,13 @@
 		_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nT-Id: %s\r\nT-Seal: r1\r\nContent-Length: 2\r\n\r\nok", r.Header.Get("T-Id"))
 	})
 	b.sendUntilDraining(t, "/again/")
-	b.assertUnused(t, leaving)
+	b.assertUnused(t, draining)
 }
 
 // The store may be restored from a backup that lists a drained endpoint as ready, after its entry was removed. The
 // draining notice must hold until the end of the incarnation.
 func TestDrainingEndpointIsNotUsedAfterStoreRestore(t *testing.T) {
-	b, leaving, _ := newDrainingSite(t, func(w http.ResponseWriter, _ *http.Request) {
+	b, draining, _ := newDrainingSite(t, func(w http.ResponseWriter, _ *http.Request) {
 		writeDraining(w)
 		_, _ = io.WriteString(w, "ok")
 	})
@@ -109,14 +109,14 @@
 		b.updateEntry(func(endpoint *willowwick.Endpoint) { endpoint.Beat++ })
 		return len(b.daemon.router.pool.Endpoints()) == 2
 	}, waitTimeout, 50*time.Millisecond)
-	b.assertUnused(t, leaving)
-	leaving.handle(answerText("ok"))
+	b.assertUnused(t, draining)
+	draining.handle(answerText("ok"))
 	b.updateEntry(restart)
 	require.Eventually(t, func() bool { return !b.daemon.router.pool.IsLeaving("r1") }, waitTimeout, 5*time.Millisecond)
-	before := len(leaving.requests())
+	before := len(draining.requests())
 	require.Eventually(t, func() bool {
 		b.do(t, http.MethodPost, "/again/", fmt.Sprint("new-", time.Now().UnixNano()), "x")
-		return len(leaving.requests()) > before
+		return len(draining.requests()) > before
 	}, waitTimeout, time.Millisecond, "its next incarnation is used")
 }
 
@@ -149,7 +149,7 @@
 
 // A notice also holds for a request for which the endpoint was chosen earlier, but which has not been sent yet.
 func TestRequestIsWithheldWhenChosenEndpointStartsDraining(t *testing.T) {
-	b, leaving, other := newDrainingSite(t, answerText("ok"))
+	b, draining, other := newDrainingSite(t, answerText("ok"))
 	for len(other.requests()) == 0 {
 		c, recorder := b.newCall(t, "/once/", fmt.Sprint("meanwhile-", time.Now().UnixNano()))
 		ticket, refusal := c.enter()
@@ -164,7 +164,7 @@
 		c.run()
 		assert.Equal(t, http.StatusOK, recorder.Code)
 	}
-	assert.Empty(t, leaving.requests())
+	assert.Empty(t, draining.requests())
 }
 
 // An answer of another endpoint at the address says nothing about the intended one.
@@ -189,9 +189,9 @@
 		m.isAway = true
 		m.run(t, time.Second)
 		endpoint, now := meshEndpoint(0, size.halls), time.Now()
-		told := m.boxes[size.boxes-1]
-		news := told.pool.Hear(now, now, endpoint, willowwick.Notice{Leaving: true})
-		require.True(t, news.Leaving)
+		notified := m.boxes[size.boxes-1]
+		changed := notified.pool.Hear(now, now, endpoint, willowwick.Notice{Leaving: true})
+		require.True(t, changed.Leaving)
 		for !m.allKnowDraining(endpoint.ID) && time.Since(now) < 2*within {
 			m.run(t, meshStep)
 		}
--- a/exchange/evacuation_test.go
+++ b/exchange/evacuation_test.go
@@ -54,11 +54,11 @@
 }
 
 func TestEvacuatedHallGetsNoNewWorkUntilEvacuationIsTakenBack(t *testing.T) {
-	began, mayEnd := make(chan struct{}, 1), make(chan struct{})
+	began, finish := make(chan struct{}, 1), make(chan struct{})
 	own := newRunner(t, "r1", func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("T-Id") == "long" {
 			began <- struct{}{}
-			<-mayEnd
+			<-finish
 		}
 		answerText("own")(w, r)
 	})
@@ -69,7 +69,7 @@
 	asked.Go(func() { running = s.do(t, http.MethodPost, "/once/", "long", "x") })
 	<-began
 	end := sync.OnceFunc(func() {
-		close(mayEnd)
+		close(finish)
 		asked.Wait()
 	})
 	t.Cleanup(end)
@@ -112,10 +112,10 @@
 	control, sites := newHall(t, 1, own.endpoint("v1"), inHall("hall-b", other.endpoint("v1")))
 	control.evacuate("hall-a")
 	require.Eventually(t, func() bool { return !sites[0].sendsTo("hall-a") }, inForceWithin, 5*time.Millisecond)
-	away := &testControl{down: true}
+	unavailable := &testControl{down: true}
 	settings := testSettings()
 	settings.Box, settings.Seeds = "box-new", []string{sites[0].daemon.router.settings.Peers}
-	fresh := startSite(t, away, settings)
+	fresh := startSite(t, unavailable, settings)
 	require.Eventually(t, func() bool {
 		isReady, _ := fresh.daemon.router.ready()
 		return isReady
--- a/exchange/harm_fleet_test.go
+++ b/exchange/harm_fleet_test.go
@@ -49,8 +49,8 @@
 }
 
 // play lets the request arrive at the boxes for a duration of virtual time.
-func (h *poisonMesh) play(t *testing.T, length time.Duration, boxes ...*meshBox) {
-	for until := time.Now().Add(length); time.Now().Before(until); {
+func (h *poisonMesh) play(t *testing.T, duration time.Duration, boxes ...*meshBox) {
+	for until := time.Now().Add(duration); time.Now().Before(until); {
 		h.run(t, meshStep)
 		now := time.Now()
 		h.crashDue(now)
@@ -115,16 +115,16 @@
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
 		m := newMesh(1, size.boxes, size.halls, size.endpoints)
 		m.run(t, 3*time.Second)
-		for _, trouble := range []string{"none", "store unavailable", "boxes rejected"} {
-			m.isAway = trouble == "store unavailable"
+		for _, fault := range []string{"none", "store unavailable", "boxes rejected"} {
+			m.isAway = fault == "store unavailable"
 			for i, box := range m.boxes {
-				box.isRefused = trouble == "boxes rejected" && i%3 == 0
+				box.isRefused = fault == "boxes rejected" && i%3 == 0
 			}
-			h := newPoisonMesh(m, trouble)
+			h := newPoisonMesh(m, fault)
 			h.play(t, poisonGrace+4*time.Second, m.boxes...) // the third crash happens within a second
-			assert.LessOrEqual(t, h.late(time.Time{}), poisonSlack, "late sends, fault: %s", trouble)
+			assert.LessOrEqual(t, h.late(time.Time{}), poisonSlack, "late sends, fault: %s", fault)
 			h.requireRefused(t)
-			t.Logf("fault %s: %d crashes, %d late sends", trouble, len(h.crashes), h.late(time.Time{}))
+			t.Logf("fault %s: %d crashes, %d late sends", fault, len(h.crashes), h.late(time.Time{}))
 		}
 	})
 }
@@ -166,15 +166,15 @@
 		s.stop()
 		s.closeDaemon()
 	}
-	anew := startSite(t, h.control, testSettings())
-	require.Eventually(t, anew.refusesPoison, poisonGrace, 10*time.Millisecond)
+	restarted := startSite(t, h.control, testSettings())
+	require.Eventually(t, restarted.refusesPoison, poisonGrace, 10*time.Millisecond)
 	_, before := h.lateRuns()
-	reply := anew.do(t, http.MethodPost, "/stream/", "harmful-anew", poisonBody)
+	reply := restarted.do(t, http.MethodPost, "/stream/", "harmful-anew", poisonBody)
 	assert.Equal(t, http.StatusBadGateway, reply.status)
 	assert.Empty(t, reply.header.Get("Retry-After"), "it must not be retried")
 	_, after := h.lateRuns()
 	assert.Equal(t, before, after)
-	other := anew.do(t, http.MethodPost, "/stream/", "other", "another body")
+	other := restarted.do(t, http.MethodPost, "/stream/", "other", "another body")
 	assert.Equal(t, events(1), other.body)
 }
 
@@ -196,9 +196,9 @@
 			h.run(t, time.Duration(3+4*seed)*time.Second)
 			h.play(t, 6*time.Second, h.boxes[0], h.boxes[2], h.boxes[4])
 			h.isCut = false
-			healed := time.Now()
+			healedAt := time.Now()
 			h.play(t, 15*time.Second, h.boxes...)
-			assert.LessOrEqual(t, h.late(healed.Add(poisonGrace)), poisonSlack, "seed %d", seed)
+			assert.LessOrEqual(t, h.late(healedAt.Add(poisonGrace)), poisonSlack, "seed %d", seed)
 			h.requireRefused(t)
 		})
 	}
--- a/exchange/harm_test.go
+++ b/exchange/harm_test.go
@@ -111,11 +111,11 @@
 // third crash; all other requests must be served.
 func TestPoisonRequestIsQuarantined(t *testing.T) {
 	t.Parallel()
-	const boxes, endpoints, repeatEvery, lasts = 3, 8, 60 * time.Millisecond, 6 * time.Second
+	const boxes, endpoints, repeatInterval, duration = 3, 8, 60 * time.Millisecond, 6 * time.Second
 	h, sites := newPoisonSite(t, boxes, endpoints)
 	var others, served atomic.Int64
 	var callers sync.WaitGroup
-	for i, begin := 0, time.Now(); time.Since(begin) < lasts; i++ {
+	for i, begin := 0, time.Now(); time.Since(begin) < duration; i++ {
 		s := sites[i%boxes]
 		callers.Go(func() { s.do(t, http.MethodPost, "/stream/", fmt.Sprint("harmful-", i), poisonBody) })
 		callers.Go(func() {
@@ -124,7 +124,7 @@
 				served.Add(1)
 			}
 		})
-		time.Sleep(repeatEvery)
+		time.Sleep(repeatInterval)
 	}
 	callers.Wait()
 	late, ended := h.lateRuns()
@@ -136,16 +136,16 @@
 // A draining endpoint may be stopped at any time, and a connection may be reset on the way: neither is caused by the
 // request.
 func TestShutdownsAndResetsCountAgainstNoRequest(t *testing.T) {
-	for name, ends := range map[string]bool{"shut down": true, "reset": false} {
+	for name, isShutDown := range map[string]bool{"shut down": true, "reset": false} {
 		t.Run(name, func(t *testing.T) {
 			var s *site
 			var self *runner
 			self = newRunner(t, "r1", func(w http.ResponseWriter, _ *http.Request) {
-				if ends {
+				if isShutDown {
 					s.control.change(func() {
-						leaving := self.endpoint("v1")
-						leaving.Leaving = true
-						s.control.endpoints["r1"] = leaving
+						draining := self.endpoint("v1")
+						draining.Leaving = true
+						s.control.endpoints["r1"] = draining
 					})
 					assert.Eventually(t, func() bool {
 						entry, _ := s.daemon.router.sync.entry("r1")
@@ -240,20 +240,20 @@
 // in place, concurrent reads changed each other's times and the stored records.
 func TestReadingRefusedRequestsDoesNotModifyStore(t *testing.T) {
 	t.Parallel()
-	held := willowwick.HarmfulRequest{
+	stored := willowwick.HarmfulRequest{
 		Request: willowwick.FingerprintOf(testAccount, http.MethodPost, testHost, "/once/", []byte(poisonBody)),
 		Account: testAccount, Service: "work", Host: testHost, Target: "/once/",
 	}
 	for i := range poisonSlack {
 		at := time.Now().UTC().Truncate(time.Second).Add(-time.Duration(i+1) * time.Minute)
-		held.Ends = append(held.Ends, willowwick.EndpointEnd{Endpoint: willowwick.EndpointID(fmt.Sprint("r", i)), Release: "v1", At: at})
+		stored.Ends = append(stored.Ends, willowwick.EndpointEnd{Endpoint: willowwick.EndpointID(fmt.Sprint("r", i)), Release: "v1", At: at})
 	}
-	want := slices.Clone(held.Ends)
+	want := slices.Clone(stored.Ends)
 	control := newTestControl(testTable(1, onceRoute()))
-	control.harmful[held.Request] = held
+	control.harmful[stored.Request] = stored
 	s := startSite(t, control, testSettings())
-	require.Eventually(t, func() bool { return s.daemon.router.harm.Refuses(held.Request) }, waitTimeout, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return s.daemon.router.harm.Refuses(stored.Request) }, waitTimeout, 5*time.Millisecond)
 	control.mu.Lock()
 	defer control.mu.Unlock()
-	assert.Equal(t, want, control.harmful[held.Request].Ends)
+	assert.Equal(t, want, control.harmful[stored.Request].Ends)
 }
--- a/exchange/notices_test.go
+++ b/exchange/notices_test.go
@@ -61,9 +61,9 @@
 	return n
 }
 
-// recordArrival records a request of generateLoad and writes the notices; isTurnedAway reports that the request is
+// recordArrival records a request of generateLoad and writes the notices; isRejected reports that the request is
 // rejected.
-func (n *noticeRunner) recordArrival(w http.ResponseWriter, r *http.Request) (isTurnedAway bool) {
+func (n *noticeRunner) recordArrival(w http.ResponseWriter, r *http.Request) (isRejected bool) {
 	number, err := strconv.Atoi(r.Header.Get("T-Id")[strings.LastIndexByte(r.Header.Get("T-Id"), '/')+1:])
 	if err != nil {
 		panic(err)
@@ -98,19 +98,19 @@
 
 // lateAfterDraining counts the requests of boxes to which an answer had reported draining more than drainGrace
 // earlier, and those boxes.
-func (n *noticeRunner) lateAfterDraining() (late, told int) {
+func (n *noticeRunner) lateAfterDraining() (late, notified int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	toldAt := map[int]time.Time{}
+	notifiedAt := map[int]time.Time{}
 	for _, arrival := range n.arrivals {
-		if at, isTold := toldAt[arrival.box]; isTold && arrival.at.Sub(at) > drainGrace {
+		if at, isNotified := notifiedAt[arrival.box]; isNotified && arrival.at.Sub(at) > drainGrace {
 			late++
 		}
-		if _, isTold := toldAt[arrival.box]; arrival.draining && !isTold {
-			toldAt[arrival.box] = arrival.at
+		if _, isNotified := notifiedAt[arrival.box]; arrival.draining && !isNotified {
+			notifiedAt[arrival.box] = arrival.at
 		}
 	}
-	return late, len(toldAt)
+	return late, len(notifiedAt)
 }
 
 // maxDuringBackoff returns the largest number of requests from one box during a backoff requested from it, after the
@@ -164,9 +164,9 @@
 			runners[0].startDraining()
 			time.Sleep(4 * time.Second)
 			stop()
-			late, told := runners[0].lateAfterDraining()
-			require.Positive(t, told)
-			assert.Zero(t, late, "requests later than %s after an answer had reported draining to the box, %d boxes", drainGrace, told)
+			late, notified := runners[0].lateAfterDraining()
+			require.Positive(t, notified)
+			assert.Zero(t, late, "requests later than %s after an answer had reported draining to the box, %d boxes", drainGrace, notified)
 			assert.Empty(t, calls.refused, "the others take its requests")
 			assert.Empty(t, calls.other)
 		})
@@ -185,9 +185,9 @@
 	time.Sleep(3 * time.Second)
 	stop()
 	for _, r := range runners {
-		late, told := r.lateAfterDraining()
-		require.Positive(t, told)
-		assert.Zero(t, late, "requests later than %s after an answer had reported draining to the box, %d boxes", drainGrace, told)
+		late, notified := r.lateAfterDraining()
+		require.Positive(t, notified)
+		assert.Zero(t, late, "requests later than %s after an answer had reported draining to the box, %d boxes", drainGrace, notified)
 	}
 	assertRefusedAtOnce(t, calls)
 }
--- a/exchange/ratelimit_fleet_test.go
+++ b/exchange/ratelimit_fleet_test.go
@@ -49,8 +49,8 @@
 }
 
 // play lets requests arrive at the boxes for a duration of virtual time.
-func (l *limitMesh) play(t *testing.T, length time.Duration, boxes ...*meshBox) {
-	for until := time.Now().Add(length); time.Now().Before(until); {
+func (l *limitMesh) play(t *testing.T, duration time.Duration, boxes ...*meshBox) {
+	for until := time.Now().Add(duration); time.Now().Before(until); {
 		l.run(t, meshStep)
 		l.deliverAnswers(time.Now())
 		for l.dueRequests += limitDemand * meshStep.Seconds(); l.dueRequests >= 1; l.dueRequests-- {
--- a/exchange/ratelimit_test.go
+++ b/exchange/ratelimit_test.go
@@ -259,14 +259,14 @@
 		s.do(t, http.MethodPost, "/again/", fmt.Sprint("before-", i), "x")
 	}
 	from := time.Now()
-	tells := other.handler
+	normalHandler := other.handler
 	other.handle(func(w http.ResponseWriter, r *http.Request) {
 		if time.Since(from) < full {
 			w.Header().Set("T-Not-Run", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		tells(w, r)
+		normalHandler(w, r)
 	})
 	before := len(other.requests())
 	// The route's goal leaves a retry 75 ms to wait for a slot.
--- a/exchange/release_test.go
+++ b/exchange/release_test.go
@@ -189,28 +189,28 @@
 // A box that did not know yet that a roll-out was completed once took its release out of use when the next order
 // came, and made all others do so: the fleet moved to the next release at once.
 func TestCompletedReleaseIsNotGivenUpByLaggingBox(t *testing.T) {
-	leads, follows := newTestReleases(), newTestReleases()
-	for _, r := range []*releases{leads, follows} {
+	leader, follower := newTestReleases(), newTestReleases()
+	for _, r := range []*releases{leader, follower} {
 		r.begin(orderOf("v2", 1), 0, testStart)
 	}
-	leads.settle(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseCompleted}, true, "test")
+	leader.settle(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseCompleted}, true, "test")
 	now := time.Now()
-	for _, r := range []*releases{leads, follows} {
+	for _, r := range []*releases{leader, follower} {
 		r.begin(orderOf("v3", 2), 0, now)
 		assert.True(t, chooseNow(r, "s", now).allows(endpointOn("v2")))
 	}
-	leads.hearEnded(follows.ended(now))
-	follows.hearEnded(leads.ended(now))
+	leader.hearEnded(follower.ended(now))
+	follower.hearEnded(leader.ended(now))
 	later := now.Add(2 * givenUpAfter)
-	for _, r := range []*releases{leads, follows} {
+	for _, r := range []*releases{leader, follower} {
 		assert.True(t, chooseNow(r, "s", later).allows(endpointOn("v2")))
 	}
 	wrong := newTestReleases()
 	wrong.begin(orderOf("v2", 1), 0, testStart)
 	wrong.begin(orderOf("v3", 2), 0, testStart)
-	leads.hearEnded(wrong.ended(later))
-	assert.True(t, chooseNow(leads, "s", later).allows(endpointOn("v2")), "a known state overrides giving up")
-	wrong.hearEnded(leads.ended(later))
+	leader.hearEnded(wrong.ended(later))
+	assert.True(t, chooseNow(leader, "s", later).allows(endpointOn("v2")), "a known state overrides giving up")
+	wrong.hearEnded(leader.ended(later))
 	assert.True(t, chooseNow(wrong, "s", later).allows(endpointOn("v2")))
 }
 
@@ -284,11 +284,11 @@
 
 // Sessions assigned to a release without runners once moved to it with their second request.
 func TestSessionStaysWhenTargetHasNoEndpoints(t *testing.T) {
-	isThere := false
-	r := newReleases(ReleaseSettings{Session: 5 * time.Second}, func(willowwick.ServiceID, willowwick.ReleaseID) bool { return isThere })
+	hasEndpoints := false
+	r := newReleases(ReleaseSettings{Session: 5 * time.Second}, func(willowwick.ServiceID, willowwick.ReleaseID) bool { return hasEndpoints })
 	r.begin(orderOf("v2", 1), 0, testStart)
 	require.Zero(t, shareOf(r, at(0.01), "a"))
-	isThere = true
+	hasEndpoints = true
 	require.Zero(t, shareOf(r, at(0.1), "a"), "the same sessions")
 	require.NotZero(t, shareOf(r, at(0.1), "b"))
 }
--- a/exchange/suspension_test.go
+++ b/exchange/suspension_test.go
@@ -39,12 +39,12 @@
 	a := newRunner(t, "r1", answerText("ok"))
 	b := newRunner(t, "r2", answerText("ok"))
 	s := newSite(t, a.endpoint("v1"), b.endpoint("v1"))
-	breaks := func(w http.ResponseWriter, _ *http.Request) {
+	disconnect := func(w http.ResponseWriter, _ *http.Request) {
 		suspend(t)
 		hangUp(w)
 	}
-	a.handle(breaks)
-	b.handle(breaks)
+	a.handle(disconnect)
+	b.handle(disconnect)
 	reply := s.do(t, http.MethodGet, "/again/", "id", "")
 	assert.Equal(t, http.StatusGatewayTimeout, reply.status)
 	assert.Equal(t, 1, len(a.requests())+len(b.requests()))
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -45,8 +45,8 @@
 )
 
 type (
-	// Ledger records the requests under which endpoints crashed. Boxes exchange their records and reach the same
-	// verdicts, in whatever order the updates arrive.
+	// Ledger records the requests under which endpoints crashed. Boxes exchange their records and come to the same
+	// decisions, in whatever order the updates arrive.
 	Ledger struct {
 		hasSuspects atomic.Bool // whether suspects is not empty; read without the lock
 
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -157,7 +157,7 @@
 	assert.False(t, isAllowed, "a restarted box knows the trial")
 }
 
-// Boxes must reach the same verdicts in whatever order updates arrive, also through a third box and across restarts.
+// Boxes must come to the same decisions in whatever order updates arrive, also through a third box and across restarts.
 func TestBoxesConvergeForAnyUpdateOrder(t *testing.T) {
 	const boxes, steps = 4, 120
 	for seed := range uint64(50) {
--- a/ratelimit/granter.go
+++ b/ratelimit/granter.go
@@ -25,7 +25,7 @@
 )
 
 type (
-	// Granter grants permits to all boxes.
+	// Granter grants permits, each for one request to a limited endpoint. One box grants, and all others ask it.
 	Granter struct {
 		ledger *Ledger
 
--- a/ratelimit/granter_test.go
+++ b/ratelimit/granter_test.go
@@ -23,10 +23,10 @@
 }
 
 // countGranted asks in regular steps for the given duration and returns the number of granted permits.
-func countGranted(g *Granter, part float64, from time.Time, length time.Duration, wanted int) int {
+func countGranted(g *Granter, part float64, from time.Time, duration time.Duration, wanted int) int {
 	const step = 10 * time.Millisecond
 	sum := 0
-	for at := from; at.Before(from.Add(length)); at = at.Add(step) {
+	for at := from; at.Before(from.Add(duration)); at = at.Add(step) {
 		sum += g.Answer(callFrom("b1", wanted), part, at).Permits
 	}
 	return sum
@@ -53,12 +53,12 @@
 
 // Denied calls are repeated no more often than useful, however many boxes ask.
 func TestDeniedBoxesDoNotAskTooOften(t *testing.T) {
-	const boxes, rate, length = 200, 2, 60 * time.Second
+	const boxes, rate, duration = 200, 2, 60 * time.Second
 	start := time.Now()
 	g, _ := newActiveGranter(start, rate)
 	next := make([]time.Time, boxes)
 	asks, permits := 0, 0
-	for at := start.Add(takeoverDelay); at.Before(start.Add(takeoverDelay + length)); at = at.Add(10 * time.Millisecond) {
+	for at := start.Add(takeoverDelay); at.Before(start.Add(takeoverDelay + duration)); at = at.Add(10 * time.Millisecond) {
 		for box := range next {
 			if at.Before(next[box]) {
 				continue
@@ -69,8 +69,8 @@
 			next[box] = at.Add(time.Duration(reply.RetryMs) * time.Millisecond)
 		}
 	}
-	assert.InDelta(t, rate*length.Seconds(), permits, 0.2*rate*length.Seconds(), "permits are used")
-	assert.Less(t, asks, boxes+3*asksPerPermit*rate*int(length.Seconds()))
+	assert.InDelta(t, rate*duration.Seconds(), permits, 0.2*rate*duration.Seconds(), "permits are used")
+	assert.Less(t, asks, boxes+3*asksPerPermit*rate*int(duration.Seconds()))
 }
 
 func TestUnlimitedEndpointNeedsNoPermits(t *testing.T) {
