--- a/exchange/rest_test.go
+++ b/exchange/backoff_test.go
@@ -13,19 +13,19 @@
 	"github.com/willowwick/willowwick"
 )
 
-// newRestSite starts a box before one runner that first turns requests away and asks for rest, and after it answers. The route lets
-// requests wait for half a second.
-func newRestSite(t *testing.T, rest time.Duration, hasRun bool) (*site, *runner) {
-	var turnedAway atomic.Bool
+// newBackoffSite starts a box with one runner that rejects its first request with a backoff and answers the later
+// ones. The route lets requests wait for half a second.
+func newBackoffSite(t *testing.T, backoff time.Duration, hasRun bool) (*site, *runner) {
+	var rejected atomic.Bool
 	r := newRunner(t, "r1", func(w http.ResponseWriter, _ *http.Request) {
-		if turnedAway.Swap(true) {
+		if rejected.Swap(true) {
 			_, _ = w.Write([]byte("ok"))
 			return
 		}
 		if !hasRun {
 			w.Header().Set("T-Not-Run", "1")
 		}
-		w.Header().Set("T-Rest", strconv.FormatFloat(rest.Seconds(), 'f', 3, 64))
+		w.Header().Set("T-Rest", strconv.FormatFloat(backoff.Seconds(), 'f', 3, 64))
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
 	patient := onceRoute()
@@ -33,44 +33,45 @@
 	return startSite(t, newTestControl(testTable(1, patient), r.endpoint("v1")), testSettings()), r
 }
 
-// A request whose time leaves enough after the rest waits for its end; one whose time does not is refused, with the end of the rest.
-func TestARequestWaitsForAShortRestAlone(t *testing.T) {
-	for rest, status := range map[time.Duration]int{100 * time.Millisecond: http.StatusOK, time.Second: http.StatusServiceUnavailable} {
-		t.Run(rest.String(), func(t *testing.T) {
-			s, r := newRestSite(t, rest, false)
+// A request with enough time left after the backoff waits for its end; another one is refused, with the end of the
+// backoff in Retry-After.
+func TestRequestWaitsForShortBackoffOnly(t *testing.T) {
+	for backoff, status := range map[time.Duration]int{100 * time.Millisecond: http.StatusOK, time.Second: http.StatusServiceUnavailable} {
+		t.Run(backoff.String(), func(t *testing.T) {
+			s, r := newBackoffSite(t, backoff, false)
 			began := time.Now()
 			reply := s.do(t, http.MethodPost, "/once/", "first", "x")
 			assert.Equal(t, status, reply.status, reply.body)
 			reply = s.do(t, http.MethodPost, "/once/", "second", "x")
 			assert.Equal(t, status, reply.status, reply.body)
 			if status == http.StatusOK {
-				assert.GreaterOrEqual(t, time.Since(began), rest)
+				assert.GreaterOrEqual(t, time.Since(began), backoff)
 				return
 			}
-			assert.Less(t, time.Since(began), limitLast, "it is refused at once")
+			assert.Less(t, time.Since(began), refusalMax, "refused at once")
 			seconds, err := strconv.ParseFloat(reply.header.Get("Retry-After"), 64)
 			require.NoError(t, err)
-			assert.InDelta(t, 1.5*rest.Seconds(), seconds, rest.Seconds()/2+0.2, "the time of its return")
+			assert.InDelta(t, 1.5*backoff.Seconds(), seconds, backoff.Seconds()/2+0.2, "time of the retry")
 			assert.Len(t, r.requests(), 1)
 		})
 	}
 }
 
-// A 503 that does not say that nothing ran asks for rest all the same.
-func TestA503ThatMayHaveRunAsksForRest(t *testing.T) {
-	s, r := newRestSite(t, time.Second, true)
-	assert.Equal(t, http.StatusBadGateway, s.do(t, http.MethodPost, "/once/", "first", "x").status, "what may have run promises nothing")
+// A 503 requests a backoff even if it does not say that the request did not run.
+func TestBackoffIsHonoredFrom503ThatMayHaveRun(t *testing.T) {
+	s, r := newBackoffSite(t, time.Second, true)
+	assert.Equal(t, http.StatusBadGateway, s.do(t, http.MethodPost, "/once/", "first", "x").status, "it may have run")
 	for n := range 5 {
 		assert.Equal(t, http.StatusServiceUnavailable, s.do(t, http.MethodPost, "/once/", fmt.Sprint(n), "x").status)
 	}
 	assert.Len(t, r.requests(), 1)
 }
 
-// Where all other endpoints rest, a request that one has turned away goes there again after a moment.
-func TestARequestIsSentAgainToAFullEndpointWhileAllOthersRest(t *testing.T) {
+// While all other endpoints back off, a request that a full endpoint rejected is retried there after a delay.
+func TestRetryToFullEndpointIsDelayedWhenOthersBackOff(t *testing.T) {
 	const full = 150 * time.Millisecond
 	began := time.Now()
-	resting := newRunner(t, "r1", answerText("ok"))
+	backedOff := newRunner(t, "r1", answerText("ok"))
 	other := newRunner(t, "r2", func(w http.ResponseWriter, _ *http.Request) {
 		if time.Since(began) < full {
 			w.Header().Set("T-Not-Run", "1")
@@ -81,20 +82,20 @@
 	})
 	patient := onceRoute()
 	patient.Goal = 2 * time.Second
-	s := startSite(t, newTestControl(testTable(1, patient), resting.endpoint("v1"), other.endpoint("v1")), testSettings())
+	s := startSite(t, newTestControl(testTable(1, patient), backedOff.endpoint("v1"), other.endpoint("v1")), testSettings())
 	now := time.Now()
-	s.daemon.router.pool.ApplyNotice(now, now, resting.endpoint("v1"), willowwick.Notice{BackoffUntil: now.Add(time.Minute)})
+	s.daemon.router.pool.ApplyNotice(now, now, backedOff.endpoint("v1"), willowwick.Notice{BackoffUntil: now.Add(time.Minute)})
 	for range 20 {
 		s.daemon.router.retryBudget("work").Request(now)
 	}
 	began = time.Now()
 	assert.Equal(t, http.StatusOK, s.do(t, http.MethodPost, "/once/", "first", "x").status)
-	assert.Empty(t, resting.requests())
+	assert.Empty(t, backedOff.requests())
 	assert.LessOrEqual(t, len(other.requests()), maxSends)
 }
 
-// A rest that is asked for between the choice of an endpoint and the send holds for that request.
-func TestARequestIsNotSentToAnEndpointThatAskedForRestMeanwhile(t *testing.T) {
+// A backoff that is requested between the choice of an endpoint and the send holds for that request.
+func TestRequestIsWithheldWhenChosenEndpointBacksOff(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	s := newSite(t, r.endpoint("v1"))
 	c, _ := s.newCall(t, "/once/", "meanwhile")
@@ -109,9 +110,9 @@
 	assert.Equal(t, willowwick.CodeOverloaded, refusal.Code)
 }
 
-// All endpoints but one leave, and that one is full for a moment: a request was sent there eight times within two milliseconds, each time on
-// the fleet's budget of repeats, and then failed.
-func TestARequestIsSentAgainToTheOnlyEndpointAfterAMoment(t *testing.T) {
+// All endpoints but one are draining, and that one is full for a moment: a request was sent there eight times within
+// two milliseconds, each time using the fleet's retry budget, and then failed.
+func TestRetryToOnlyEndpointIsDelayed(t *testing.T) {
 	const full = 150 * time.Millisecond
 	began := time.Now()
 	r := newRunner(t, "r1", func(w http.ResponseWriter, _ *http.Request) {
--- a/exchange/cold_test.go
+++ b/exchange/cold_test.go
@@ -11,8 +11,8 @@
 	"github.com/willowwick/willowwick"
 )
 
-// A new endpoint once got all requests of the first moments, since it was the least loaded, and fell over.
-func TestColdEndpointIsGivenLittleUntilItIsWarm(t *testing.T) {
+// A new endpoint was the least loaded, so it once got all requests of the first moments and was overloaded.
+func TestColdEndpointGetsFewRequests(t *testing.T) {
 	const requests = 30
 	warm, cold := newRunner(t, "r1", answerText("ok")), newRunner(t, "r2", answerText("ok"))
 	s := newSite(t, warm.endpoint("v1"))
@@ -27,27 +27,27 @@
 	require.Eventually(t, func() bool {
 		_, found := s.daemon.router.sync.listedEndpoint(cold.id)
 		return found && s.daemon.router.configVersion() == 2
-	}, patience, time.Millisecond)
+	}, waitTimeout, time.Millisecond)
 	for i := range requests {
 		require.Equal(t, http.StatusOK, s.do(t, http.MethodPost, "/once/", fmt.Sprint(i), "x").status)
 	}
-	assert.LessOrEqual(t, len(cold.requests()), 1, "one of a fleet that may have fifty boxes")
+	assert.LessOrEqual(t, len(cold.requests()), 1, "the cold rate is shared by a fleet of up to fifty boxes")
 	assert.GreaterOrEqual(t, len(warm.requests()), requests-1)
 }
 
-// The time of day differs between boxes, so what is left of it counts, not when it ends.
-func TestBoxThatIsFedKnowsForHowLongAnEndpointIsCold(t *testing.T) {
-	const left, ahead = 3 * time.Second, time.Hour
+// Clocks differ between boxes, so the remaining cold time counts, not the time at which it ends.
+func TestColdTimeIsCorrectedForClockSkew(t *testing.T) {
+	const remaining, clockSkew = 3 * time.Second, time.Hour
 	r := newRunner(t, "r1", answerText("ok"))
 	_, sites := newHall(t, 1, r.endpoint("v1"))
 	s := sites[0].daemon.router.sync
 	now := time.Now()
 	endpoint := r.endpoint("v1")
-	endpoint.ID, endpoint.ColdUntil = "r2", now.Add(ahead+left)
+	endpoint.ID, endpoint.ColdUntil = "r2", now.Add(clockSkew+remaining)
 	s.applyPeerList(SwapReply{Endpoints: &EndpointList{
-		Endpoints: []willowwick.Endpoint{endpoint}, Next: 1 << 20, From: 1 << 20, Told: now.Add(ahead),
+		Endpoints: []willowwick.Endpoint{endpoint}, Next: 1 << 20, From: 1 << 20, Told: now.Add(clockSkew),
 	}}, now)
 	known, found := s.listedEndpoint("r2")
 	require.True(t, found)
-	assert.WithinDuration(t, now.Add(left), known.ColdUntil, time.Millisecond)
+	assert.WithinDuration(t, now.Add(remaining), known.ColdUntil, time.Millisecond)
 }
--- a/exchange/crash.go
+++ b/exchange/crash.go
@@ -129,7 +129,7 @@
 // probe runs the check; an endpoint whose state remains unknown counts as alive. It continues if the caller of its
 // request disconnects: other requests wait for the result, and without it would be sent to one more endpoint.
 func (e *crashDetector) probe(ctx context.Context, check *crashCheck, address string) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), quarantine.CheckLimit)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), quarantine.CrashCheckTimeout)
 	defer cancel()
 	listens, known := e.router.conns.IsListening(ctx, address)
 	check.crashed = known && !listens
@@ -200,7 +200,7 @@
 	var ended []brokenSend
 	e.mu.Lock()
 	e.drops = slices.DeleteFunc(e.drops, func(d droppedSend) bool {
-		at, isKnown := e.router.poison.EndOf(d.endpoint.ID, d.endpoint.Incarnation)
+		at, isKnown := e.router.poison.CrashTime(d.endpoint.ID, d.endpoint.Incarnation)
 		if isKnown && at.Sub(d.at).Abs() <= dropCrashWindow {
 			ended = append(ended, brokenSend{request: d.describePoison(), endpoint: d.endpoint, at: at})
 		}
--- a/exchange/digest.go
+++ b/exchange/digest.go
@@ -59,7 +59,7 @@
 		TakesChanges bool                     // accepts changes of the list of endpoints; a box of an earlier release accepts whole lists only
 		WantsList    bool                     // requests a whole list, since its own differs from the peer's last digest
 		Harm         quarantine.Call
-		Limits       ratelimit.News
+		Limits       ratelimit.Updates
 	}
 
 	// SwapReply is the reply of a gossip exchange: the peer's digest with what the caller lacks.
@@ -70,8 +70,8 @@
 		Endpoints *EndpointList
 		Known     []KnownRow // the whole roster, if the caller's differs
 		HallAges  []HallAge  // if the rosters are equal
-		Harm      quarantine.News
-		Limits    ratelimit.News
+		Harm      quarantine.Updates
+		Limits    ratelimit.Updates
 	}
 )
 
--- a/exchange/leaving_test.go
+++ b/exchange/draining_test.go
@@ -15,45 +15,45 @@
 	"github.com/willowwick/willowwick/route"
 )
 
-// newLeavingSite starts a box before two runners, of which the first answers by the handler.
-func newLeavingSite(t *testing.T, handler http.HandlerFunc) (b *bornSite, leaving, other *runner) {
-	leaving, other = newRunner(t, "r1", handler), newRunner(t, "r2", answerText("ok"))
-	b = newBornSite(t, leaving.endpoint("v1"))
+// newDrainingSite starts a box with two runners; the first one uses the handler.
+func newDrainingSite(t *testing.T, handler http.HandlerFunc) (b *restartSite, draining, other *runner) {
+	draining, other = newRunner(t, "r1", handler), newRunner(t, "r2", answerText("ok"))
+	b = newRestartSite(t, draining.endpoint("v1"))
 	b.control.change(func() { b.control.endpoints["r2"] = other.endpoint("v1") })
-	require.Eventually(t, func() bool { return len(b.daemon.router.pool.Endpoints()) == 2 }, patience, 5*time.Millisecond)
-	return b, leaving, other
+	require.Eventually(t, func() bool { return len(b.daemon.router.pool.Endpoints()) == 2 }, waitTimeout, 5*time.Millisecond)
+	return b, draining, other
 }
 
-// tell sends requests until the box knows that the first runner leaves.
-func (b *bornSite) tell(t *testing.T, path string, header ...string) {
+// sendUntilDraining sends requests until the box knows that the first runner is draining.
+func (b *restartSite) sendUntilDraining(t *testing.T, path string, header ...string) {
 	n := 0
 	require.Eventually(t, func() bool {
 		n++
 		b.do(t, http.MethodPost, path, fmt.Sprint("tell-", n), "x", header...)
 		return b.daemon.router.pool.IsLeaving("r1")
-	}, patience, time.Millisecond)
+	}, waitTimeout, time.Millisecond)
 }
 
-// assertUnused checks that the first runner gets nothing of many requests.
-func (b *bornSite) assertUnused(t *testing.T, r *runner) {
+// assertUnused checks that the first runner gets none of many requests.
+func (b *restartSite) assertUnused(t *testing.T, r *runner) {
 	t.Helper()
 	before := len(r.requests())
 	for n := range 40 {
 		assert.Equal(t, http.StatusOK, b.do(t, http.MethodPost, "/again/", fmt.Sprint("after-", n), "x").status)
 	}
-	assert.Equal(t, before, len(r.requests()), "requests to an endpoint that leaves")
+	assert.Equal(t, before, len(r.requests()), "requests to a draining endpoint")
 }
 
-func sayLeaving(w http.ResponseWriter) { w.Header().Set("T-Leaving", "1") }
+func writeDraining(w http.ResponseWriter) { w.Header().Set("T-Leaving", "1") }
 
-// Not only whole answers tell that an endpoint leaves: errors, refusals, heads of streams and answers that are dropped for another
-// model's do as well.
-func TestEveryAnswerTellsThatItsEndpointLeaves(t *testing.T) {
+// Complete answers are not the only ones that report draining: errors, refusals, stream heads and answers dropped in
+// favor of another model's do so, too.
+func TestEveryKindOfAnswerReportsDraining(t *testing.T) {
 	for name, answer := range map[string]http.HandlerFunc{
 		"failure": func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(http.StatusInternalServerError)
 		},
-		"turned away": func(w http.ResponseWriter, _ *http.Request) {
+		"rejected": func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("T-Not-Run", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		},
@@ -64,22 +64,22 @@
 			w.Header().Set("T-Confidence", map[string]string{"small": "10", "large": "90"}[r.Header.Get("T-Model")])
 			streamEvents(w, r, 3)
 		},
-		"whole": answerText("ok"),
+		"complete": answerText("ok"),
 	} {
 		t.Run(name, func(t *testing.T) {
-			b, leaving, _ := newLeavingSite(t, func(w http.ResponseWriter, r *http.Request) {
-				sayLeaving(w)
+			b, draining, _ := newDrainingSite(t, func(w http.ResponseWriter, r *http.Request) {
+				writeDraining(w)
 				answer(w, r)
 			})
-			b.tell(t, "/stream/", "T-Model", "*")
-			b.assertUnused(t, leaving)
+			b.sendUntilDraining(t, "/stream/", "T-Model", "*")
+			b.assertUnused(t, draining)
 		})
 	}
 }
 
-// A late answer to an earlier request comes in place of the one that is due, and tells of its endpoint all the same.
-func TestALateAnswerTellsThatItsEndpointLeaves(t *testing.T) {
-	b, leaving, _ := newLeavingSite(t, func(w http.ResponseWriter, r *http.Request) {
+// A late answer to an earlier request arrives in place of the current one; its draining notice counts all the same.
+func TestLateAnswerReportsDraining(t *testing.T) {
+	b, draining, _ := newDrainingSite(t, func(w http.ResponseWriter, r *http.Request) {
 		conn, _, err := http.NewResponseController(w).Hijack()
 		if !assert.NoError(t, err) {
 			return
@@ -88,54 +88,54 @@
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nT-Id: earlier\r\nT-Leaving: 1\r\nContent-Length: 0\r\n\r\n")
 		_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nT-Id: %s\r\nT-Seal: r1\r\nContent-Length: 2\r\n\r\nok", r.Header.Get("T-Id"))
 	})
-	b.tell(t, "/again/")
-	b.assertUnused(t, leaving)
+	b.sendUntilDraining(t, "/again/")
+	b.assertUnused(t, draining)
 }
 
-// The store may come back from a copy of itself in which an endpoint that left is listed as ready, after its entry had gone. What the
-// endpoint said holds on, and ends with its life.
-func TestALeavingEndpointWhoseEntryComesBackIsNotUsed(t *testing.T) {
-	b, leaving, _ := newLeavingSite(t, func(w http.ResponseWriter, _ *http.Request) {
-		sayLeaving(w)
+// The store may be restored from a backup that lists a drained endpoint as ready, after its entry was removed. The
+// draining notice must hold until the end of the incarnation.
+func TestDrainingEndpointIsNotUsedAfterStoreRestore(t *testing.T) {
+	b, draining, _ := newDrainingSite(t, func(w http.ResponseWriter, _ *http.Request) {
+		writeDraining(w)
 		_, _ = io.WriteString(w, "ok")
 	})
-	b.tell(t, "/again/")
-	b.remove(t)
-	b.control.comeBack(func() {
+	b.sendUntilDraining(t, "/again/")
+	b.removeEntry(t)
+	b.control.restoreFromBackup(func() {
 		b.endpoint.Beat += 10
 		b.control.endpoints["r1"] = b.endpoint
 	})
-	require.Eventually(t, func() bool { // one that is gone counts from the second heartbeat on that a read shows
-		b.write(func(endpoint *willowwick.Endpoint) { endpoint.Beat++ })
+	require.Eventually(t, func() bool { // a removed endpoint counts from the second heartbeat that a read shows
+		b.updateEntry(func(endpoint *willowwick.Endpoint) { endpoint.Beat++ })
 		return len(b.daemon.router.pool.Endpoints()) == 2
-	}, patience, 50*time.Millisecond)
-	b.assertUnused(t, leaving)
-	leaving.handle(answerText("ok"))
-	b.write(restart)
-	require.Eventually(t, func() bool { return !b.daemon.router.pool.IsLeaving("r1") }, patience, 5*time.Millisecond)
-	before := len(leaving.requests())
+	}, waitTimeout, 50*time.Millisecond)
+	b.assertUnused(t, draining)
+	draining.handle(answerText("ok"))
+	b.updateEntry(restart)
+	require.Eventually(t, func() bool { return !b.daemon.router.pool.IsLeaving("r1") }, waitTimeout, 5*time.Millisecond)
+	before := len(draining.requests())
 	require.Eventually(t, func() bool {
 		b.do(t, http.MethodPost, "/again/", fmt.Sprint("new-", time.Now().UnixNano()), "x")
-		return len(leaving.requests()) > before
-	}, patience, time.Millisecond, "its next life is used")
+		return len(draining.requests()) > before
+	}, waitTimeout, time.Millisecond, "its next incarnation is used")
 }
 
-// An endpoint that ends after it has said that it leaves ended by plan: what was at work there is not to blame.
-func TestTheEndOfAnEndpointThatSaidThatItLeavesIsNoRequestsFault(t *testing.T) {
-	b, _, _ := newLeavingSite(t, func(w http.ResponseWriter, _ *http.Request) {
-		sayLeaving(w)
+// An endpoint that stops after it reported draining was shut down: its running requests are not to blame.
+func TestEndOfDrainingEndpointIsNotACrash(t *testing.T) {
+	b, _, _ := newDrainingSite(t, func(w http.ResponseWriter, _ *http.Request) {
+		writeDraining(w)
 		_, _ = io.WriteString(w, "ok")
 	})
-	b.tell(t, "/again/")
+	b.sendUntilDraining(t, "/again/")
 	endpoint := b.daemon.router.pool.Endpoints()[0]
 	require.Equal(t, willowwick.EndpointID("r1"), endpoint.ID)
 	endpoint.Address = "127.0.0.1:1" // nothing listens there
 	assert.False(t, b.daemon.router.crashes.hasCrashed(t.Context(), endpoint, time.Now()))
 	assert.True(t, b.daemon.router.crashes.hasCrashed(t.Context(), willowwick.Endpoint{ID: "r2", Address: endpoint.Address}, time.Now()),
-		"the other one does not leave")
+		"the other one is not draining")
 }
 
-// newCall begins a request of a route as if it had come from a caller.
+// newCall begins a request of a route as if a caller had sent it.
 func (s *site) newCall(t *testing.T, path, id string) (*call, *httptest.ResponseRecorder) {
 	recorder := httptest.NewRecorder()
 	out := &reply{writer: recorder, controller: http.NewResponseController(recorder), codec: testCodec{}}
@@ -147,9 +147,9 @@
 	return c, recorder
 }
 
-// What an endpoint says holds for a request for which it was chosen before, and that is not sent yet.
-func TestARequestIsNotSentToAnEndpointThatSaidMeanwhileThatItLeaves(t *testing.T) {
-	b, leaving, other := newLeavingSite(t, answerText("ok"))
+// A notice also holds for a request for which the endpoint was chosen earlier, but which has not been sent yet.
+func TestRequestIsWithheldWhenChosenEndpointStartsDraining(t *testing.T) {
+	b, draining, other := newDrainingSite(t, answerText("ok"))
 	for len(other.requests()) == 0 {
 		c, recorder := b.newCall(t, "/once/", fmt.Sprint("meanwhile-", time.Now().UnixNano()))
 		ticket, refusal := c.awaitTicket()
@@ -164,13 +164,13 @@
 		c.run()
 		assert.Equal(t, http.StatusOK, recorder.Code)
 	}
-	assert.Empty(t, leaving.requests())
+	assert.Empty(t, draining.requests())
 }
 
-// Another endpoint at the address says nothing of the one that was meant.
-func TestAMisdirectedAnswerTellsOfAnotherEndpoint(t *testing.T) {
-	b, _, _ := newLeavingSite(t, func(w http.ResponseWriter, _ *http.Request) {
-		sayLeaving(w)
+// An answer of another endpoint at the address says nothing about the intended one.
+func TestMisdirectedAnswerDoesNotMarkEndpointDraining(t *testing.T) {
+	b, _, _ := newDrainingSite(t, func(w http.ResponseWriter, _ *http.Request) {
+		writeDraining(w)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 	})
 	for n := range 20 {
@@ -179,20 +179,20 @@
 	assert.False(t, b.daemon.router.pool.IsLeaving("r1"))
 }
 
-// While the store is away, an endpoint that leaves tells it to the boxes to which it answers alone. What others send there comes late,
-// and may be cut by its end, so that boxes tell each other, whatever the size of the fleet.
-func TestBoxesTellEachOtherWhichEndpointsLeave(t *testing.T) {
-	const within = 2 * time.Second // the shortest time that there is to leave an endpoint
+// While the store is unavailable, a draining endpoint reports that only to the boxes that it answers. Requests of
+// other boxes arrive late and may be cut by its shutdown, so boxes tell each other, at any fleet size.
+func TestBoxesShareDrainingEndpoints(t *testing.T) {
+	const within = 2 * time.Second // the shortest time in which an endpoint shuts down
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
 		m := newMesh(1, size.boxes, size.halls, size.endpoints)
 		m.run(t, 10*time.Second)
 		m.isAway = true
 		m.run(t, time.Second)
 		endpoint, now := meshEndpoint(0, size.halls), time.Now()
-		told := m.boxes[size.boxes-1]
-		news := told.pool.ApplyNotice(now, now, endpoint, willowwick.Notice{Draining: true})
-		require.True(t, news.Leaving)
-		for !m.allKnow(endpoint.ID) && time.Since(now) < 2*within {
+		notified := m.boxes[size.boxes-1]
+		changed := notified.pool.ApplyNotice(now, now, endpoint, willowwick.Notice{Draining: true})
+		require.True(t, changed.Leaving)
+		for !m.allKnowDraining(endpoint.ID) && time.Since(now) < 2*within {
 			m.run(t, meshStep)
 		}
 		t.Logf("%d boxes know after %s", size.boxes, time.Since(now))
@@ -200,8 +200,8 @@
 	})
 }
 
-// allKnow reports whether all boxes know that an endpoint leaves.
-func (m *mesh) allKnow(id willowwick.EndpointID) bool {
+// allKnowDraining reports whether all boxes know that an endpoint is draining.
+func (m *mesh) allKnowDraining(id willowwick.EndpointID) bool {
 	for _, box := range m.boxes {
 		if !box.pool.IsLeaving(id) {
 			return false
@@ -210,8 +210,8 @@
 	return true
 }
 
-// Once the list says that an endpoint leaves, boxes no longer tell each other.
-func TestBoxesDoNotTellEachOtherWhatTheListSays(t *testing.T) {
+// Once the list shows an endpoint as draining, boxes stop exchanging that.
+func TestBoxesDoNotShareDrainingOnceListed(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
 		m := newMesh(1, 6, 2, 8)
--- a/exchange/era_test.go
+++ b/exchange/era_test.go
@@ -139,8 +139,8 @@
 		harm := quarantine.New()
 		a := newAdmissions(harm)
 		request := willowwick.PoisonRequest{Request: willowwick.Fingerprint{1}}
-		for i := range quarantine.RefuseAfter {
-			harm.NoteEnd(request, willowwick.EndpointCrash{Endpoint: "gone", Incarnation: willowwick.Incarnation(i), At: time.Now()})
+		for i := range quarantine.RefuseAfterCrashes {
+			harm.RecordCrash(request, willowwick.EndpointCrash{Endpoint: "gone", Incarnation: willowwick.Incarnation(i), At: time.Now()})
 		}
 		require.True(t, harm.Refuses(request.Request))
 		admission := func(at willowwick.Position) []willowwick.Admission {
@@ -201,21 +201,21 @@
 	s := newSite(t, newRunner(t, "r1", answerText("ok")).endpoint("v1"), newRunner(t, "r2", answerText("ok")).endpoint("v2"))
 	x := s.daemon.router
 	request := willowwick.PoisonRequest{Request: willowwick.Fingerprint{7}, Service: "work"}
-	for i := range quarantine.RefuseAfter {
-		x.poison.NoteEnd(request, willowwick.EndpointCrash{Endpoint: "gone", Incarnation: willowwick.Incarnation(i), At: time.Now()})
+	for i := range quarantine.RefuseAfterCrashes {
+		x.poison.RecordCrash(request, willowwick.EndpointCrash{Endpoint: "gone", Incarnation: willowwick.Incarnation(i), At: time.Now()})
 	}
 	s.control.change(func() { s.control.orders = []willowwick.ReleaseOrder{orderOf("v2", 1)} })
-	require.Eventually(t, func() bool { return len(x.releases.progressList(time.Now())) == 1 }, patience, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return len(x.releases.progressList(time.Now())) == 1 }, waitTimeout, 5*time.Millisecond)
 	x.releases.applyStatus(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseRolledBack}, false, "test")
 	isWritten := func() bool {
 		s.control.mu.Lock()
 		defer s.control.mu.Unlock()
 		return len(s.control.harmful) == 1 && len(s.control.statuses) == 1 && s.control.statuses[0].State == willowwick.ReleaseRolledBack
 	}
-	require.Eventually(t, isWritten, patience, 5*time.Millisecond)
-	s.control.comeBack(func() {})
+	require.Eventually(t, isWritten, waitTimeout, 5*time.Millisecond)
+	s.control.restoreFromBackup(func() {})
 	require.False(t, isWritten())
-	require.Eventually(t, isWritten, patience, 5*time.Millisecond)
+	require.Eventually(t, isWritten, waitTimeout, 5*time.Millisecond)
 }
 
 // While the operator writes the lost declarations again, the newest configuration in the store need not be the one in
@@ -223,7 +223,7 @@
 func TestNoConfigurationIsConfirmedDuringRestore(t *testing.T) {
 	s := newSite(t, newRunner(t, "r1", answerText("ok")).endpoint("v1"))
 	x := s.daemon.router
-	s.control.comeBack(func() {})
+	s.control.restoreFromBackup(func() {})
 	require.Eventually(t, func() bool { return x.sync.isConfigStale(time.Now()) }, restoreTime, 5*time.Millisecond)
 	require.Eventually(t, func() bool { return !x.sync.isConfigStale(time.Now()) }, restoreTime, 5*time.Millisecond)
 }
@@ -300,8 +300,8 @@
 // permanently refuses what it lacks; the other boxes knew better.
 func TestBoxStartedDuringRestoreRefusesNothingPermanently(t *testing.T) {
 	s := newSite(t, newRunner(t, "r1", answerText("ok")).endpoint("v1"))
-	s.control.comeBack(func() {})
-	require.Eventually(t, func() bool { return s.daemon.router.sync.isRestoring(time.Now()) }, patience, time.Millisecond)
+	s.control.restoreFromBackup(func() {})
+	require.Eventually(t, func() bool { return s.daemon.router.sync.isRestoring(time.Now()) }, waitTimeout, time.Millisecond)
 	settings := testSettings()
 	settings.Box, settings.Seeds = "box-new", []string{s.daemon.router.settings.Peers}
 	fresh := startSite(t, s.control, settings)
--- a/exchange/evacuation_test.go
+++ b/exchange/evacuation_test.go
@@ -13,22 +13,22 @@
 	"github.com/willowwick/willowwick/route"
 )
 
-// atOnce is far below the time that a request may wait for a place in these tests.
-const atOnce = time.Second
+// maxRefusalTime is far below the time that a request may wait for a slot in these tests.
+const maxRefusalTime = time.Second
 
-// inHall moves an endpoint's entry to a hall.
+// inHall returns the endpoint with another hall.
 func inHall(hall willowwick.HallID, endpoint willowwick.Endpoint) willowwick.Endpoint {
 	endpoint.Hall = hall
 	return endpoint
 }
 
-// sendsTo reports whether the box uses endpoints of the hall for new work, as far as they have places and live.
+// sendsTo reports whether the box uses available endpoints of the hall for new work.
 func (s *site) sendsTo(hall willowwick.HallID) bool {
 	return s.daemon.router.pool.HasInService("work", func(endpoint willowwick.Endpoint) bool { return endpoint.Hall == hall })
 }
 
-// fill takes all places at the endpoints and returns a function that gives them back.
-func (s *site) fill(t *testing.T) (free func()) {
+// fillSlots takes all slots of the endpoints and returns a function that releases them.
+func (s *site) fillSlots(t *testing.T) (free func()) {
 	all := func(willowwick.Endpoint) bool { return true }
 	var places []*route.Slot
 	for s.daemon.router.pool.HasOpen(time.Now(), "work", all) {
@@ -43,22 +43,22 @@
 	}
 }
 
-// declare gives the box what a read of the store would bring.
-func (s *site) declare(declared willowwick.Declarations) {
+// applyDeclarations applies declarations as if they were read from the store.
+func (s *site) applyDeclarations(declared willowwick.Declarations) {
 	s.daemon.router.sync.applyDeclarations(declared)
 }
 
-// tell gives the box the digest of another one.
-func (s *site) tell(evacuated EvacuatedHalls) {
+// receiveEvacuated passes the digest of another box to the box.
+func (s *site) receiveEvacuated(evacuated EvacuatedHalls) {
 	s.daemon.router.peers.receiveDigest(Digest{Box: "box-9", Hall: "hall-z", Address: "10.0.0.9:1", Evacuated: evacuated}, time.Now())
 }
 
-func TestAnEvacuatedHallGetsNoNewWorkUntilItIsTakenBack(t *testing.T) {
-	began, mayEnd := make(chan struct{}, 1), make(chan struct{})
+func TestEvacuatedHallGetsNoNewWorkUntilEvacuationIsTakenBack(t *testing.T) {
+	began, finish := make(chan struct{}, 1), make(chan struct{})
 	own := newRunner(t, "r1", func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("T-Id") == "long" {
 			began <- struct{}{}
-			<-mayEnd
+			<-finish
 		}
 		answerText("own")(w, r)
 	})
@@ -69,30 +69,30 @@
 	asked.Go(func() { running = s.do(t, http.MethodPost, "/once/", "long", "x") })
 	<-began
 	end := sync.OnceFunc(func() {
-		close(mayEnd)
+		close(finish)
 		asked.Wait()
 	})
 	t.Cleanup(end)
 	s.control.evacuate("hall-a")
 	require.Eventually(t, func() bool { return !s.sendsTo("hall-a") }, inForceWithin, 5*time.Millisecond)
 	end()
-	assert.Equal(t, "own", running.body, "running work goes on")
+	assert.Equal(t, "own", running.body, "running requests continue")
 	for i := range 20 {
 		assert.Equal(t, "other", s.do(t, http.MethodPost, "/once/", fmt.Sprint("id-", i), "x").body)
 	}
 	assert.Len(t, own.requests(), 1)
 	isReady, _ := s.daemon.router.ready()
-	assert.True(t, isReady, "the box serves on, though its hall is evacuated")
+	assert.True(t, isReady, "the box keeps serving although its hall is evacuated")
 	s.control.evacuate()
 	require.Eventually(t, func() bool { return s.sendsTo("hall-a") }, inForceWithin, 5*time.Millisecond)
 	assert.Equal(t, "own", s.do(t, http.MethodPost, "/once/", "back", "x").body)
 }
 
-func TestBoxesThatAreFedLearnOfAnEvacuation(t *testing.T) {
+func TestEvacuationReachesBoxesThatDoNotReadTheStore(t *testing.T) {
 	own, other := newRunner(t, "r1", answerText("own")), newRunner(t, "r2", answerText("other"))
 	control, sites := newHall(t, 4, own.endpoint("v1"), inHall("hall-b", other.endpoint("v1")))
 	awaitReaders(t, sites, 1)
-	require.Eventually(t, func() bool { return control.held.Load() == 1 }, patience, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return control.waitingReads.Load() == 1 }, waitTimeout, 10*time.Millisecond)
 	control.evacuate("hall-a")
 	for _, s := range sites {
 		require.Eventually(t, func() bool { return !s.sendsTo("hall-a") }, inForceWithin, 5*time.Millisecond, "box %s", s.daemon.router.settings.Box)
@@ -105,25 +105,26 @@
 	}
 }
 
-// A box that has just started has the configuration from another box, before any answer of the store.
-func TestABoxThatIsToldTheConfigurationIsToldOfEvacuationsToo(t *testing.T) {
+// A box that has just started gets the configuration from another box before the store answers; evacuations must come
+// with it.
+func TestStartingBoxLearnsEvacuationsFromPeer(t *testing.T) {
 	own, other := newRunner(t, "r1", answerText("own")), newRunner(t, "r2", answerText("other"))
 	control, sites := newHall(t, 1, own.endpoint("v1"), inHall("hall-b", other.endpoint("v1")))
 	control.evacuate("hall-a")
 	require.Eventually(t, func() bool { return !sites[0].sendsTo("hall-a") }, inForceWithin, 5*time.Millisecond)
-	away := &testControl{down: true}
+	unavailable := &testControl{down: true}
 	settings := testSettings()
 	settings.Box, settings.Seeds = "box-new", []string{sites[0].daemon.router.settings.Peers}
-	fresh := startSite(t, away, settings)
+	fresh := startSite(t, unavailable, settings)
 	require.Eventually(t, func() bool {
 		isReady, _ := fresh.daemon.router.ready()
 		return isReady
-	}, patience, time.Millisecond)
+	}, waitTimeout, time.Millisecond)
 	assert.False(t, fresh.sendsTo("hall-a"))
 	assert.True(t, fresh.sendsTo("hall-b"))
 }
 
-func TestARequestIsNotRunAgainInAHallThatIsEvacuatedMeanwhile(t *testing.T) {
+func TestRetryAvoidsNewlyEvacuatedHall(t *testing.T) {
 	var s *site
 	own := newRunner(t, "r1", func(w http.ResponseWriter, _ *http.Request) {
 		s.control.evacuate("hall-b")
@@ -134,14 +135,14 @@
 	})
 	other := newRunner(t, "r2", answerText("other"))
 	s = newSite(t, own.endpoint("v1"), inHall("hall-b", other.endpoint("v1")))
-	// From then on the box learns of it well before it takes the endpoint to be silent.
-	require.Eventually(t, func() bool { return s.control.held.Load() == 1 }, patience, time.Millisecond)
+	// From then on the box learns of the evacuation well before it considers the endpoint silent.
+	require.Eventually(t, func() bool { return s.control.waitingReads.Load() == 1 }, waitTimeout, time.Millisecond)
 	assert.Equal(t, http.StatusInternalServerError, s.do(t, http.MethodGet, "/again/", "id", "").status)
 	assert.Empty(t, other.requests())
-	assert.Len(t, own.requests(), 2, "a second try at the endpoint that is left beats none")
+	assert.Len(t, own.requests(), 2, "retried at the only endpoint left")
 }
 
-func TestRequestsAreRefusedAtOnceWhereNoOtherHallServesThem(t *testing.T) {
+func TestRequestsAreRefusedAtOnceWhenNoOtherHallServesThem(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	s := newSite(t, r.endpoint("v1"))
 	s.control.evacuate("hall-a", "hall-x")
@@ -151,33 +152,33 @@
 		reply := s.do(t, http.MethodPost, path, "id", "x")
 		assert.Equal(t, http.StatusServiceUnavailable, reply.status)
 		assert.NotEmpty(t, reply.header.Get("Retry-After"))
-		assert.Less(t, time.Since(began), atOnce)
+		assert.Less(t, time.Since(began), maxRefusalTime)
 	}
 	assert.Empty(t, r.requests())
 }
 
-// Requests that wait for a place get none in a hall that is evacuated meanwhile.
-func TestRequestsThatWaitForAPlaceGetNoneInAnEvacuatedHall(t *testing.T) {
+// Requests in the queue must not get a slot in a hall that is evacuated meanwhile.
+func TestQueuedRequestsGetNoSlotInEvacuatedHall(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	s := newSite(t, r.endpoint("v1"))
 	patient := onceRoute()
 	patient.Timeout, patient.Goal = 20*time.Second, 20*time.Second
 	s.control.change(func() { s.control.table = testTable(2, patient) })
 	require.Eventually(t, func() bool { return s.daemon.router.configVersion() == 2 }, inForceWithin, 5*time.Millisecond)
-	free := s.fill(t)
+	free := s.fillSlots(t)
 	replies := make(chan siteReply, 1)
 	go func() { replies <- s.do(t, http.MethodPost, "/once/", "id", "x", "T-Left", "4000") }()
-	require.Eventually(t, func() bool { return s.daemon.router.gate.WaitingCount() == 1 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return s.daemon.router.gate.WaitingCount() == 1 }, waitTimeout, time.Millisecond)
 	began := time.Now()
 	s.control.evacuate("hall-a")
 	assert.Equal(t, http.StatusServiceUnavailable, (<-replies).status)
-	assert.Less(t, time.Since(began), inForceWithin, "it was not held until its time was up")
+	assert.Less(t, time.Since(began), inForceWithin, "it did not wait until its deadline")
 	free()
 	assert.False(t, s.sendsTo("hall-a"))
 	assert.Empty(t, r.requests())
 }
 
-func TestWhatComesLateNeverBringsAnOlderStateBack(t *testing.T) {
+func TestStaleEvacuationStateIsIgnored(t *testing.T) {
 	s := newSite(t, newRunner(t, "r1", answerText("ok")).endpoint("v1"))
 	const hall = willowwick.HallID("hall-a")
 	evacuated := func(at willowwick.Position) EvacuatedHalls {
@@ -188,36 +189,36 @@
 		do      func()
 		isEmpty bool
 	}{
-		{"a whole read", func() {
-			s.declare(willowwick.Declarations{Snapshot: true, Next: 100, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 99}}})
+		{"full read", func() {
+			s.applyDeclarations(willowwick.Declarations{Snapshot: true, Next: 100, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 99}}})
 		}, true},
-		{"a late read of changes", func() {
-			s.declare(willowwick.Declarations{Next: 61, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 60, Revoked: true}}})
+		{"late incremental read", func() {
+			s.applyDeclarations(willowwick.Declarations{Next: 61, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 60, Revoked: true}}})
 		}, true},
-		{"a late whole read", func() { s.declare(willowwick.Declarations{Snapshot: true, Next: 70}) }, true},
-		{"another box that knows less", func() { s.tell(EvacuatedHalls{AsOf: 80}) }, true},
-		{"a box that tells nothing of it", func() { s.tell(EvacuatedHalls{}) }, true},
-		{"another box that knows more", func() { s.tell(EvacuatedHalls{AsOf: 110}) }, false},
-		{"its old state", func() { s.tell(evacuated(105)) }, false},
-		{"a read that ends before what was told", func() {
-			s.declare(willowwick.Declarations{Next: 102, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 101}}})
+		{"late full read", func() { s.applyDeclarations(willowwick.Declarations{Snapshot: true, Next: 70}) }, true},
+		{"update from a box with an older state", func() { s.receiveEvacuated(EvacuatedHalls{AsOf: 80}) }, true},
+		{"update without evacuations", func() { s.receiveEvacuated(EvacuatedHalls{}) }, true},
+		{"update from a box with a newer state", func() { s.receiveEvacuated(EvacuatedHalls{AsOf: 110}) }, false},
+		{"older state of the same box", func() { s.receiveEvacuated(evacuated(105)) }, false},
+		{"read that ends before the update", func() {
+			s.applyDeclarations(willowwick.Declarations{Next: 102, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 101}}})
 		}, false},
-		{"a read that begins before what was told", func() {
-			s.declare(willowwick.Declarations{Next: 112, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 101}}})
+		{"read that begins before the update", func() {
+			s.applyDeclarations(willowwick.Declarations{Next: 112, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 101}}})
 		}, false},
-		{"a new record", func() {
-			s.declare(willowwick.Declarations{Next: 113, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 112}}})
+		{"new record", func() {
+			s.applyDeclarations(willowwick.Declarations{Next: 113, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 112}}})
 		}, true},
-		{"changes of other kinds", func() { s.declare(willowwick.Declarations{Next: 120}) }, true},
-		{"a whole read after the store forgot its history", func() { s.declare(willowwick.Declarations{Snapshot: true, Next: 130}) }, false},
-		{"a whole read that saw a record after its end", func() {
-			s.declare(willowwick.Declarations{Snapshot: true, Next: 140, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 145}}})
+		{"changes of other kinds", func() { s.applyDeclarations(willowwick.Declarations{Next: 120}) }, true},
+		{"full read after the store lost its history", func() { s.applyDeclarations(willowwick.Declarations{Snapshot: true, Next: 130}) }, false},
+		{"full read with a record beyond its end", func() {
+			s.applyDeclarations(willowwick.Declarations{Snapshot: true, Next: 140, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 145}}})
 		}, true},
-		{"the records between", func() {
-			s.declare(willowwick.Declarations{Next: 142, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 141, Revoked: true}}})
+		{"records in between", func() {
+			s.applyDeclarations(willowwick.Declarations{Next: 142, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 141, Revoked: true}}})
 		}, true},
-		{"many changes at once", func() {
-			s.declare(willowwick.Declarations{Next: 150, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 145}, {Hall: hall, At: 149, Revoked: true}}})
+		{"several changes at once", func() {
+			s.applyDeclarations(willowwick.Declarations{Next: 150, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 145}, {Hall: hall, At: 149, Revoked: true}}})
 		}, false},
 	}
 	for _, step := range steps {
@@ -226,8 +227,8 @@
 	}
 }
 
-// An endpoint that is listed in an evacuated hall gets no work from its first moment on.
-func TestNewEndpointsOfAnEvacuatedHallGetNoWork(t *testing.T) {
+// An endpoint that is listed in an evacuated hall gets no work from the start.
+func TestNewEndpointInEvacuatedHallGetsNoWork(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
 	s := newSite(t, inHall("hall-b", r.endpoint("v1")))
 	s.control.evacuate("hall-a")
@@ -237,7 +238,7 @@
 	require.Eventually(t, func() bool {
 		_, isListed := s.daemon.router.sync.listedEndpoint("r2")
 		return isListed
-	}, patience, time.Millisecond)
+	}, waitTimeout, time.Millisecond)
 	for range 20 {
 		require.Equal(t, "ok", s.do(t, http.MethodPost, "/once/", "id", "x").body)
 	}
--- a/exchange/freshness_test.go
+++ b/exchange/freshness_test.go
@@ -72,6 +72,6 @@
 	s := newSite(t, newRunner(t, "r1", answerText("ok")).endpoint("v1"))
 	x := s.daemon.router
 	require.True(t, x.peers.isSearchingForHub(time.Now()))
-	s.control.change(func() { s.control.table = testTable(2, againRoute()) })
+	s.control.change(func() { s.control.table = testTable(2, retryRoute()) })
 	require.Eventually(t, func() bool { return x.configVersion() == 2 }, x.sync.longPollLimit()+4*readerPollInterval, 5*time.Millisecond)
 }
--- a/exchange/gossip.go
+++ b/exchange/gossip.go
@@ -125,8 +125,8 @@
 	if version, takesPacked, hasDigest := p.configVersionOf(address); hasDigest {
 		call.Table, call.Packed = p.tableForPeer(version, takesPacked)
 	}
-	call.Harm = p.quarantine.CallTo(address, now)
-	call.Limits = p.limits.CallTo(address, now)
+	call.Harm = p.quarantine.NewCall(address, now)
+	call.Limits = p.limits.NewCall(address, now)
 	return call
 }
 
@@ -139,11 +139,11 @@
 	p.applyPeerTable(reply.Table, reply.Packed, &reply.Digest)
 	p.router.sync.noteConfigFromPeer(&reply.Digest, now)
 	p.router.sync.applyPeerList(reply, now)
-	quarantineChanged := p.quarantine.Took(call.Harm, reply.Harm, reply.Digest.Address, reply.Digest.Boot, now)
+	quarantineChanged := p.quarantine.HandleAnswer(call.Harm, reply.Harm, reply.Digest.Address, reply.Digest.Boot, now)
 	if quarantineChanged {
 		p.router.crashes.countDroppedAtCrash()
 	}
-	if p.limits.Took(reply.Limits, reply.Digest.Address, sent) || quarantineChanged {
+	if p.limits.HandleAnswer(reply.Limits, reply.Digest.Address, sent) || quarantineChanged {
 		p.requestRound()
 	}
 }
--- a/exchange/harm_test.go
+++ b/exchange/harm_test.go
@@ -15,47 +15,47 @@
 )
 
 const (
-	// harmfulBody is the body that ends each endpoint that runs it.
-	harmfulBody = "ends the endpoint that runs it"
-	// harmGrace is the time from the third end of an endpoint under a request within which all boxes know of it.
-	harmGrace = 3 * time.Second
-	// harmSlack is how many sends of such a request all boxes together may begin later.
-	harmSlack = 3
-	// replacedAfter is how long an endpoint that ended is missing.
-	replacedAfter = 400 * time.Millisecond
+	// poisonBody is the body that crashes each endpoint that runs it.
+	poisonBody = "ends the endpoint that runs it"
+	// poisonGrace is the time from the third crash under a request within which all boxes know of it.
+	poisonGrace = 3 * time.Second
+	// poisonSlack is how many sends of such a request all boxes together may begin later.
+	poisonSlack = 3
+	// replacementDelay is how long a crashed endpoint is missing.
+	replacementDelay = 400 * time.Millisecond
 )
 
-// harmSite is a service whose endpoints end while they run one body, and are replaced under new ids.
-type harmSite struct {
+// poisonSite is a service whose endpoints crash when they run one body, and are replaced under new IDs.
+type poisonSite struct {
 	control *testControl
 
-	mu    sync.Mutex
-	next  int
-	ended []time.Time // when the request ended an endpoint
-	ran   []time.Time // when an endpoint began to run it
+	mu      sync.Mutex
+	next    int
+	crashes []time.Time // when the request crashed an endpoint
+	runs    []time.Time // when an endpoint began to run it
 }
 
-// addRunner lists an endpoint that answers all but the harmful body.
-func (h *harmSite) addRunner(t *testing.T) {
+// addRunner lists an endpoint that answers all bodies but the poison one.
+func (h *poisonSite) addRunner(t *testing.T) {
 	h.mu.Lock()
 	h.next++
 	id := fmt.Sprint("r", h.next)
 	h.mu.Unlock()
 	var self *runner
 	self = newRunner(t, id, func(w http.ResponseWriter, r *http.Request) {
-		if self.lastBody(r) != harmfulBody {
+		if self.bodyOf(r) != poisonBody {
 			streamEvents(w, r, 1)
 			return
 		}
 		h.mu.Lock()
-		h.ran = append(h.ran, time.Now())
+		h.runs = append(h.runs, time.Now())
 		h.mu.Unlock()
 		time.Sleep(20 * time.Millisecond)
 		self.crash()
 		h.mu.Lock()
-		h.ended = append(h.ended, time.Now())
+		h.crashes = append(h.crashes, time.Now())
 		h.mu.Unlock()
-		time.AfterFunc(replacedAfter, func() {
+		time.AfterFunc(replacementDelay, func() {
 			h.control.change(func() { delete(h.control.endpoints, self.id) })
 			if t.Context().Err() == nil {
 				h.addRunner(t)
@@ -65,92 +65,92 @@
 	h.control.change(func() { h.control.endpoints[self.id] = self.endpoint("v1") })
 }
 
-// lateRuns counts the runs that began later than allowed after the third end, and all ends.
-func (h *harmSite) lateRuns() (late, ended int) {
+// lateRuns counts the runs that began later than allowed after the third crash, and all crashes.
+func (h *poisonSite) lateRuns() (late, crashes int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.ended) < harmSlack {
-		return 0, len(h.ended)
+	if len(h.crashes) < poisonSlack {
+		return 0, len(h.crashes)
 	}
-	for _, at := range h.ran {
-		if at.Sub(h.ended[harmSlack-1]) > harmGrace {
+	for _, at := range h.runs {
+		if at.Sub(h.crashes[poisonSlack-1]) > poisonGrace {
 			late++
 		}
 	}
-	return late, len(h.ended)
+	return late, len(h.crashes)
 }
 
-// lastBody is the body with which a request came.
-func (r *runner) lastBody(request *http.Request) string {
+// bodyOf returns the body of a request.
+func (r *runner) bodyOf(request *http.Request) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for i, seen := range r.seen {
-		if seen == request {
+	for i, received := range r.received {
+		if received == request {
 			return r.body[i]
 		}
 	}
 	return ""
 }
 
-// newHarmSite starts boxes of one hall before such a service.
-func newHarmSite(t *testing.T, boxes, endpoints int) (*harmSite, []*site) {
+// newPoisonSite starts boxes of one hall with such a service.
+func newPoisonSite(t *testing.T, boxes, endpoints int) (*poisonSite, []*site) {
 	control, sites := newHall(t, boxes)
-	h := &harmSite{control: control}
+	h := &poisonSite{control: control}
 	for range endpoints {
 		h.addRunner(t)
 	}
 	for _, s := range sites {
-		require.Eventually(t, func() bool { return len(s.daemon.router.pool.Endpoints()) == endpoints }, patience, 10*time.Millisecond)
+		require.Eventually(t, func() bool { return len(s.daemon.router.pool.Endpoints()) == endpoints }, waitTimeout, 10*time.Millisecond)
 	}
 	return h, sites
 }
 
-// Seen: one request, which came again and again with new ids at all boxes, ended more than thirty endpoints, and everything
-// that ran beside it was lost with them. Each arrival was sent to up to three endpoints, and the next one too. Cause: all that
-// is known of a request died with its call. Proof: the same caller's same body ends endpoints here, later than three seconds after
-// the third end as well; each other request is served.
-func TestARequestThatEndsEndpointsIsNotSentOn(t *testing.T) {
+// One request, which arrived repeatedly with new IDs at all boxes, crashed more than thirty endpoints together with
+// all requests running beside it: each arrival was sent to up to three endpoints, since all knowledge of a request
+// was lost with its call. Here the same caller's same body crashes endpoints, also later than three seconds after the
+// third crash; all other requests must be served.
+func TestPoisonRequestIsQuarantined(t *testing.T) {
 	t.Parallel()
-	const boxes, endpoints, repeatEvery, lasts = 3, 8, 60 * time.Millisecond, 6 * time.Second
-	h, sites := newHarmSite(t, boxes, endpoints)
+	const boxes, endpoints, repeatInterval, duration = 3, 8, 60 * time.Millisecond, 6 * time.Second
+	h, sites := newPoisonSite(t, boxes, endpoints)
 	var others, served atomic.Int64
 	var callers sync.WaitGroup
-	for i, begin := 0, time.Now(); time.Since(begin) < lasts; i++ {
+	for i, begin := 0, time.Now(); time.Since(begin) < duration; i++ {
 		s := sites[i%boxes]
-		callers.Go(func() { s.do(t, http.MethodPost, "/stream/", fmt.Sprint("harmful-", i), harmfulBody) })
+		callers.Go(func() { s.do(t, http.MethodPost, "/stream/", fmt.Sprint("harmful-", i), poisonBody) })
 		callers.Go(func() {
 			others.Add(1)
 			if reply := s.do(t, http.MethodPost, "/stream/", fmt.Sprint("other-", i), fmt.Sprint("body ", i)); reply.body == events(1) {
 				served.Add(1)
 			}
 		})
-		time.Sleep(repeatEvery)
+		time.Sleep(repeatInterval)
 	}
 	callers.Wait()
 	late, ended := h.lateRuns()
-	t.Logf("%d endpoints ended, %d late runs, %d of %d other requests served", ended, late, served.Load(), others.Load())
-	assert.LessOrEqual(t, late, harmSlack, "runs later than %s after the third end", harmGrace)
-	assert.Greater(t, served.Load(), others.Load()*8/10, "other requests go on")
+	t.Logf("%d endpoints crashed, %d late runs, %d of %d other requests served", ended, late, served.Load(), others.Load())
+	assert.LessOrEqual(t, late, poisonSlack, "runs later than %s after the third crash", poisonGrace)
+	assert.Greater(t, served.Load(), others.Load()*8/10, "other requests are served")
 }
 
-// An endpoint that says that it leaves may be stopped at any time, and a connection may be reset by whatever lies between: neither is
-// the request's doing.
-func TestStopsAndResetsCountAgainstNoRequest(t *testing.T) {
-	for name, ends := range map[string]bool{"stopped by plan": true, "reset": false} {
+// A draining endpoint may be stopped at any time, and a connection may be reset on the way: neither is caused by the
+// request.
+func TestShutdownsAndResetsCountAgainstNoRequest(t *testing.T) {
+	for name, isShutDown := range map[string]bool{"shut down": true, "reset": false} {
 		t.Run(name, func(t *testing.T) {
 			var s *site
 			var self *runner
 			self = newRunner(t, "r1", func(w http.ResponseWriter, _ *http.Request) {
-				if ends {
+				if isShutDown {
 					s.control.change(func() {
-						leaving := self.endpoint("v1")
-						leaving.Leaving = true
-						s.control.endpoints["r1"] = leaving
+						draining := self.endpoint("v1")
+						draining.Leaving = true
+						s.control.endpoints["r1"] = draining
 					})
 					assert.Eventually(t, func() bool {
 						entry, _ := s.daemon.router.sync.listedEndpoint("r1")
 						return entry.Leaving
-					}, patience, 5*time.Millisecond)
+					}, waitTimeout, 5*time.Millisecond)
 					self.crash()
 				}
 				hangUp(w)
@@ -162,7 +162,7 @@
 	}
 }
 
-// newFailedRack returns a box with a popular request that was at work on all its endpoints when their rack failed.
+// newFailedRack returns a box with a popular request that was running on all its endpoints when their rack failed.
 func newFailedRack(t *testing.T) *site {
 	const rack = 4
 	var endpoints []willowwick.Endpoint
@@ -186,7 +186,7 @@
 	return s
 }
 
-// replaceEndpoints lists an endpoint in the place of all others.
+// replaceEndpoints replaces all endpoints by one.
 func (s *site) replaceEndpoints(t *testing.T, endpoint willowwick.Endpoint) {
 	s.control.change(func() {
 		clear(s.control.endpoints)
@@ -195,29 +195,30 @@
 	require.Eventually(t, func() bool {
 		list := s.daemon.router.pool.Endpoints()
 		return len(list) == 1 && list[0].ID == endpoint.ID
-	}, patience, 5*time.Millisecond)
+	}, waitTimeout, 5*time.Millisecond)
 }
 
-// A popular request is at work on many endpoints when their rack fails. It is refused for a moment, like one that ended them; then
-// the box that leads tries it, once, and it is served again.
-func TestAPopularRequestIsServedAgainAfterARackFailed(t *testing.T) {
+// A popular request runs on many endpoints when their rack fails. It is refused for a moment like a poison request;
+// then the leader tries it once, and it is served again.
+func TestPopularRequestIsServedAgainAfterRackFailure(t *testing.T) {
 	t.Parallel()
 	s := newFailedRack(t)
 	s.replaceEndpoints(t, newRunner(t, "spare", answerText("ok")).endpoint("v1"))
 	began := time.Now()
 	assert.Equal(t, http.StatusBadGateway, s.do(t, http.MethodPost, "/once/", "refused", "popular").status)
-	assert.Less(t, time.Since(began), 100*time.Millisecond, "it is told so at once")
+	assert.Less(t, time.Since(began), 100*time.Millisecond, "it is refused at once")
 	assert.Equal(t, http.StatusOK, s.do(t, http.MethodPost, "/once/", "other", "another").status)
 	require.Eventually(t, func() bool {
 		return s.do(t, http.MethodPost, "/once/", "again", "popular").status == http.StatusOK
-	}, patience, 50*time.Millisecond)
+	}, waitTimeout, 50*time.Millisecond)
 	for range 3 {
 		assert.Equal(t, http.StatusOK, s.do(t, http.MethodPost, "/once/", "again", "popular").status)
 	}
 }
 
-// An endpoint may reject a request without having begun it. That says nothing of what the request does where it runs.
-func TestARejectionClearsNoRequest(t *testing.T) {
+// An endpoint may reject a request without having begun it, so a rejection does not show that the request is
+// harmless.
+func TestRejectionDoesNotClearRequest(t *testing.T) {
 	t.Parallel()
 	s := newSite(t)
 	for i, rejects := range []bool{false, false, true, false} {
@@ -230,29 +231,29 @@
 			self.crash()
 		})
 		s.replaceEndpoints(t, self.endpoint("v1"))
-		s.do(t, http.MethodPost, "/once/", fmt.Sprint("id-", i), harmfulBody)
+		s.do(t, http.MethodPost, "/once/", fmt.Sprint("id-", i), poisonBody)
 	}
-	assert.True(t, s.daemon.router.poison.Refuses(willowwick.FingerprintOf(testAccount, http.MethodPost, testHost, "/once/", []byte(harmfulBody))))
+	assert.True(t, s.daemon.router.poison.Refuses(willowwick.FingerprintOf(testAccount, http.MethodPost, testHost, "/once/", []byte(poisonBody))))
 }
 
-// A store in memory gives all boxes the records that it holds itself. Each box takes their times to its own clock; where it did so in
-// place, boxes that read at once changed each other's times and what the store holds.
-func TestReadingWhatIsRefusedLeavesTheStoreAsItIs(t *testing.T) {
+// An in-memory store returns its own records. Boxes convert the times in them to their own clocks; when they did so
+// in place, concurrent reads changed each other's times and the stored records.
+func TestReadingRefusedRequestsDoesNotModifyStore(t *testing.T) {
 	t.Parallel()
-	held := willowwick.PoisonRequest{
-		Request: willowwick.FingerprintOf(testAccount, http.MethodPost, testHost, "/once/", []byte(harmfulBody)),
+	stored := willowwick.PoisonRequest{
+		Request: willowwick.FingerprintOf(testAccount, http.MethodPost, testHost, "/once/", []byte(poisonBody)),
 		Account: testAccount, Service: "work", Host: testHost, Target: "/once/",
 	}
-	for i := range harmSlack {
+	for i := range poisonSlack {
 		at := time.Now().UTC().Truncate(time.Second).Add(-time.Duration(i+1) * time.Minute)
-		held.Crashes = append(held.Crashes, willowwick.EndpointCrash{Endpoint: willowwick.EndpointID(fmt.Sprint("r", i)), Release: "v1", At: at})
+		stored.Crashes = append(stored.Crashes, willowwick.EndpointCrash{Endpoint: willowwick.EndpointID(fmt.Sprint("r", i)), Release: "v1", At: at})
 	}
-	want := slices.Clone(held.Crashes)
+	want := slices.Clone(stored.Crashes)
 	control := newTestControl(testTable(1, onceRoute()))
-	control.harmful[held.Request] = held
+	control.harmful[stored.Request] = stored
 	s := startSite(t, control, testSettings())
-	require.Eventually(t, func() bool { return s.daemon.router.poison.Refuses(held.Request) }, patience, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return s.daemon.router.poison.Refuses(stored.Request) }, waitTimeout, 5*time.Millisecond)
 	control.mu.Lock()
 	defer control.mu.Unlock()
-	assert.Equal(t, want, control.harmful[held.Request].Crashes)
+	assert.Equal(t, want, control.harmful[stored.Request].Crashes)
 }
--- a/exchange/hints_test.go
+++ b/exchange/hints_test.go
@@ -36,7 +36,7 @@
 			}
 		}
 		return true
-	}, patience, 10*time.Millisecond)
+	}, waitTimeout, 10*time.Millisecond)
 	return sites
 }
 
@@ -61,7 +61,7 @@
 			reading.Added = time.Minute // its speed is unknown yet
 			x.hints.publish(reading, true)
 			for _, s := range sites[1:] {
-				require.Eventually(t, func() bool { return forecastAt(s, "r1") > time.Second }, patience, 5*time.Millisecond, s.daemon.router.settings.Box)
+				require.Eventually(t, func() bool { return forecastAt(s, "r1") > time.Second }, waitTimeout, 5*time.Millisecond, s.daemon.router.settings.Box)
 			}
 		})
 	}
--- a/exchange/born_test.go
+++ b/exchange/incarnation_test.go
@@ -13,30 +13,30 @@
 	"github.com/willowwick/willowwick/quarantine"
 )
 
-// bornSite is a site with one endpoint that starts again under its id.
-type bornSite struct {
+// restartSite is a site with one endpoint that restarts under its ID.
+type restartSite struct {
 	*site
 	endpoint willowwick.Endpoint
 }
 
-func newBornSite(t *testing.T, endpoint willowwick.Endpoint) *bornSite {
+func newRestartSite(t *testing.T, endpoint willowwick.Endpoint) *restartSite {
 	endpoint.Incarnation, endpoint.Beat = 1000, 50
-	return &bornSite{newSite(t, endpoint), endpoint}
+	return &restartSite{newSite(t, endpoint), endpoint}
 }
 
-// write writes the endpoint's entry as changed.
-func (b *bornSite) write(change func(endpoint *willowwick.Endpoint)) {
+// updateEntry changes the endpoint's entry in the store.
+func (b *restartSite) updateEntry(change func(endpoint *willowwick.Endpoint)) {
 	change(&b.endpoint)
 	b.control.change(func() { b.control.endpoints[b.endpoint.ID] = b.endpoint })
 }
 
-// remove takes the endpoint's entry away, and waits until the box knows.
-func (b *bornSite) remove(t *testing.T) {
+// removeEntry removes the endpoint's entry and waits until the box knows.
+func (b *restartSite) removeEntry(t *testing.T) {
 	b.control.change(func() { delete(b.control.endpoints, b.endpoint.ID) })
-	require.Eventually(t, func() bool { return !b.isListed() }, patience, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return !b.isListed() }, waitTimeout, 5*time.Millisecond)
 }
 
-func (b *bornSite) isListed() bool {
+func (b *restartSite) isListed() bool {
 	entry, isListed := b.daemon.router.sync.listedEndpoint(b.endpoint.ID)
 	return isListed && !entry.Leaving
 }
@@ -45,59 +45,59 @@
 	endpoint.Incarnation, endpoint.Beat, endpoint.Leaving = endpoint.Incarnation+5000, 1, false
 }
 
-// An endpoint may start again under its id, and its heartbeats count anew. It once stayed gone until it had sent more of them than
-// before.
-func TestAnEndpointThatStartsAgainIsBackAtOnce(t *testing.T) {
+// An endpoint may restart under its ID, and its heartbeat count starts again. It must be listed at once: it once
+// stayed gone until it had sent more heartbeats than before.
+func TestRestartedEndpointIsListedAtOnce(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
-	b := newBornSite(t, r.endpoint("v1"))
-	b.remove(t)
-	b.write(restart)
+	b := newRestartSite(t, r.endpoint("v1"))
+	b.removeEntry(t)
+	b.updateEntry(restart)
 	require.Eventually(t, b.isListed, time.Second, 5*time.Millisecond)
 	assert.Equal(t, http.StatusOK, b.do(t, http.MethodPost, "/once/", "id", "x").status)
 }
 
-// What a life of an endpoint said of its leaving holds for that life alone.
-func TestAnEndpointThatLeftAndStartsAgainStays(t *testing.T) {
+// A draining notice holds only for the incarnation that sent it.
+func TestRestartClearsDraining(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
-	b := newBornSite(t, r.endpoint("v1"))
-	b.write(func(endpoint *willowwick.Endpoint) { endpoint.Leaving = true })
-	require.Eventually(t, func() bool { return !b.isListed() }, patience, 5*time.Millisecond)
-	b.write(restart)
+	b := newRestartSite(t, r.endpoint("v1"))
+	b.updateEntry(func(endpoint *willowwick.Endpoint) { endpoint.Leaving = true })
+	require.Eventually(t, func() bool { return !b.isListed() }, waitTimeout, 5*time.Millisecond)
+	b.updateEntry(restart)
 	require.Eventually(t, b.isListed, time.Second, 5*time.Millisecond)
 	assert.Equal(t, http.StatusOK, b.do(t, http.MethodPost, "/once/", "id", "x").status)
 }
 
-// A heartbeat of the life before may be written late: it brings back neither that life nor its leaving.
-func TestALateHeartbeatOfAnEarlierLifeCountsForNothing(t *testing.T) {
+// A late heartbeat of the previous incarnation must bring back neither that incarnation nor its draining flag.
+func TestLateHeartbeatOfOldIncarnationIsIgnored(t *testing.T) {
 	r := newRunner(t, "r1", answerText("ok"))
-	b := newBornSite(t, r.endpoint("v1"))
+	b := newRestartSite(t, r.endpoint("v1"))
 	before := b.endpoint
 	before.Leaving, before.Beat = true, before.Beat+1
-	b.write(restart)
+	b.updateEntry(restart)
 	require.Eventually(t, func() bool {
 		entry, _ := b.daemon.router.sync.listedEndpoint("r1")
 		return entry.Incarnation == b.endpoint.Incarnation
-	}, patience, 5*time.Millisecond)
+	}, waitTimeout, 5*time.Millisecond)
 	b.control.change(func() { b.control.endpoints["r1"] = before })
 	time.Sleep(200 * time.Millisecond)
 	assert.True(t, b.isListed())
 	assert.Equal(t, http.StatusOK, b.do(t, http.MethodPost, "/once/", "id", "x").status)
 }
 
-// What a box knows of an endpoint's load, work and failures is of one life of it.
-func TestAnEndpointThatStartsAgainIsNotJudgedByItsLifeBefore(t *testing.T) {
+// Load, work and failures that a box knows of an endpoint belong to one incarnation.
+func TestRestartClearsEndpointState(t *testing.T) {
 	r := newRunner(t, "r1", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("T-Running", "8")
 		_, _ = io.WriteString(w, "ok")
 	})
-	b := newBornSite(t, r.endpoint("v1"))
+	b := newRestartSite(t, r.endpoint("v1"))
 	b.do(t, http.MethodPost, "/once/", "id", "x")
 	pool := b.daemon.router.pool
 	load, known := pool.LoadOf("r1")
 	require.True(t, known)
 	require.Equal(t, 8, load.Running)
 	pool.MarkLeaving("r1")
-	b.write(restart)
+	b.updateEntry(restart)
 	require.Eventually(t, func() bool {
 		_, known := pool.LoadOf("r1")
 		return !known
@@ -105,27 +105,27 @@
 	assert.Empty(t, pool.Leaving())
 }
 
-// An endpoint may be back before anybody looks whether something listens at its address. That it started anew shows that
-// it ended under what was at work there.
-func TestAnEndThatOnlyTheNextLifeShowsCountsAgainstTheRequest(t *testing.T) {
-	var b *bornSite
+// An endpoint may be back before the box checks whether its address accepts connections. Its new incarnation shows
+// that it crashed under the requests that were running there.
+func TestCrashShownByNextIncarnationCountsAgainstRequest(t *testing.T) {
+	var b *restartSite
 	r := newRunner(t, "r1", func(w http.ResponseWriter, _ *http.Request) { hangUp(w) })
-	b = newBornSite(t, r.endpoint("v1"))
-	for range quarantine.RefuseAfter {
+	b = newRestartSite(t, r.endpoint("v1"))
+	for range quarantine.RefuseAfterCrashes {
 		b.do(t, http.MethodPost, "/once/", "id", "harmful")
 		require.Equal(t, b.endpoint.Incarnation, b.daemon.router.pool.Endpoints()[0].Incarnation)
-		b.write(restart)
+		b.updateEntry(restart)
 		require.Eventually(t, func() bool {
 			entry, _ := b.daemon.router.sync.listedEndpoint("r1")
 			return entry.Incarnation == b.endpoint.Incarnation
-		}, patience, 5*time.Millisecond)
+		}, waitTimeout, 5*time.Millisecond)
 	}
 	identity := willowwick.FingerprintOf(testAccount, http.MethodPost, testHost, "/once/", []byte("harmful"))
 	assert.True(t, b.daemon.router.poison.Refuses(identity))
 }
 
-// Boxes that hear of endpoints from each other know the same lives of them.
-func TestListsOfEndpointsThatStartAgainStayAlike(t *testing.T) {
+// Boxes that learn endpoints from each other must agree on their incarnations.
+func TestListsConvergeWhenEndpointsRestart(t *testing.T) {
 	discardLogs(t)
 	for seed := range uint64(10) {
 		synctest.Test(t, func(t *testing.T) {
--- a/exchange/notices_test.go
+++ b/exchange/notices_test.go
@@ -17,40 +17,41 @@
 )
 
 const (
-	// leaveWithin is how long after an answer that told a box that the endpoint leaves requests of the box may still arrive there:
-	// what the answer says holds at once.
-	leaveWithin = 200 * time.Millisecond
-	// restGrace is how long after a 503 with rest requests may still arrive, and restSlack how many may later.
-	restGrace, restSlack = 500 * time.Millisecond, 2
-	// noticeRate is how many requests a second come to a fleet.
+	// drainGrace is how long after an answer reported draining to a box requests of that box may still arrive; the
+	// notice takes effect at once.
+	drainGrace = 200 * time.Millisecond
+	// backoffGrace is how long after a 503 with a backoff requests may still arrive, and backoffSlack how many may
+	// later.
+	backoffGrace, backoffSlack = 500 * time.Millisecond, 2
+	// noticeRate is the number of requests per second to a fleet.
 	noticeRate = 150
 )
 
 type (
-	// noticeRunner is an endpoint that says of itself in its answers what a test wants, and notes to which box.
+	// noticeRunner is an endpoint that sends the notices of a test in its answers, and records to which box.
 	noticeRunner struct {
 		*runner
 		boxes int
 
 		mu       sync.Mutex
-		leaving  bool
-		rest     string // that it asks for, turning all away; empty for none
+		draining bool
+		backoff  string // requested backoff, with all requests rejected; empty for none
 		arrivals []noticeArrival
 	}
 
-	// noticeArrival is a request with what its answer said.
+	// noticeArrival is a request with the notices in its answer.
 	noticeArrival struct {
-		box       int
-		at        time.Time
-		leaving   bool
-		restUntil time.Time
+		box          int
+		at           time.Time
+		draining     bool
+		backoffUntil time.Time
 	}
 )
 
 func newNoticeRunner(t *testing.T, id string, boxes int) *noticeRunner {
 	n := &noticeRunner{boxes: boxes}
 	n.runner = newRunner(t, id, func(w http.ResponseWriter, r *http.Request) {
-		if n.arrive(w, r) {
+		if n.recordArrival(w, r) {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -60,8 +61,9 @@
 	return n
 }
 
-// arrive notes a request of callAll, and writes what the answer says of the runner; isTurnedAway says that it is all the answer.
-func (n *noticeRunner) arrive(w http.ResponseWriter, r *http.Request) (isTurnedAway bool) {
+// recordArrival records a request of generateLoad and writes the notices; isRejected reports that the request is
+// rejected.
+func (n *noticeRunner) recordArrival(w http.ResponseWriter, r *http.Request) (isRejected bool) {
 	number, err := strconv.Atoi(r.Header.Get("T-Id")[strings.LastIndexByte(r.Header.Get("T-Id"), '/')+1:])
 	if err != nil {
 		panic(err)
@@ -69,59 +71,61 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	if n.leaving {
+	if n.draining {
 		w.Header().Set("T-Leaving", "1")
 	}
-	if n.rest != "" {
+	if n.backoff != "" {
 		w.Header().Set("T-Not-Run", "1")
-		w.Header().Set("T-Rest", n.rest)
+		w.Header().Set("T-Rest", n.backoff)
 	}
-	n.arrivals = append(n.arrivals, noticeArrival{number % n.boxes, now, n.leaving, willowwick.ParseRetryAfter(n.rest, now, now)})
-	return n.rest != ""
+	n.arrivals = append(n.arrivals, noticeArrival{number % n.boxes, now, n.draining, willowwick.ParseRetryAfter(n.backoff, now, now)})
+	return n.backoff != ""
 }
 
-// leave makes the runner say that it leaves.
-func (n *noticeRunner) leave() {
+// startDraining makes the runner report draining.
+func (n *noticeRunner) startDraining() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.leaving = true
+	n.draining = true
 }
 
-// askForRest makes the runner turn all requests away and ask for rest; empty for neither.
-func (n *noticeRunner) askForRest(rest string) {
+// requestBackoff makes the runner reject all requests with a backoff; empty for neither.
+func (n *noticeRunner) requestBackoff(backoff string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.rest = rest
+	n.backoff = backoff
 }
 
-// lateToLeave counts the requests of boxes that an answer had told long before that the runner leaves.
-func (n *noticeRunner) lateToLeave() (late, told int) {
+// lateAfterDraining counts the requests of boxes to which an answer had reported draining more than drainGrace
+// earlier, and those boxes.
+func (n *noticeRunner) lateAfterDraining() (late, notified int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	toldAt := map[int]time.Time{}
+	notifiedAt := map[int]time.Time{}
 	for _, arrival := range n.arrivals {
-		if at, isTold := toldAt[arrival.box]; isTold && arrival.at.Sub(at) > leaveWithin {
+		if at, isNotified := notifiedAt[arrival.box]; isNotified && arrival.at.Sub(at) > drainGrace {
 			late++
 		}
-		if _, isTold := toldAt[arrival.box]; arrival.leaving && !isTold {
-			toldAt[arrival.box] = arrival.at
+		if _, isNotified := notifiedAt[arrival.box]; arrival.draining && !isNotified {
+			notifiedAt[arrival.box] = arrival.at
 		}
 	}
-	return late, len(toldAt)
+	return late, len(notifiedAt)
 }
 
-// mostInRest is the most requests that came from one box in the rest that one answer to it had asked for, after the grace.
-func (n *noticeRunner) mostInRest() (most, asked int) {
+// maxDuringBackoff returns the largest number of requests from one box during a backoff requested from it, after the
+// grace, and the number of such answers.
+func (n *noticeRunner) maxDuringBackoff() (most, asked int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for i, answer := range n.arrivals {
-		if answer.restUntil.IsZero() {
+		if answer.backoffUntil.IsZero() {
 			continue
 		}
 		asked++
 		count := 0
 		for _, arrival := range n.arrivals[i+1:] {
-			isIn := arrival.at.Sub(answer.at) > restGrace && arrival.at.Before(answer.restUntil)
+			isIn := arrival.at.Sub(answer.at) > backoffGrace && arrival.at.Before(answer.backoffUntil)
 			if arrival.box == answer.box && isIn {
 				count++
 			}
@@ -131,14 +135,14 @@
 	return most, asked
 }
 
-// count is the number of requests that came.
+// count returns the number of requests.
 func (n *noticeRunner) count() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.arrivals)
 }
 
-// newNoticeFleet starts boxes in three halls before so many runners.
+// newNoticeFleet starts boxes in three halls with the given number of runners.
 func newNoticeFleet(t *testing.T, boxes, count int) (*testControl, []*site, []*noticeRunner) {
 	noticeRunners, runners := make([]*noticeRunner, count), make([]*runner, count)
 	for i := range count {
@@ -149,59 +153,59 @@
 	return control, sites, noticeRunners
 }
 
-// An endpoint said in its answers that it leaves, and boxes sent to it as before until the store told the same.
-func TestBoxesLeaveAnEndpointThatSaysInAnAnswerThatItLeaves(t *testing.T) {
+// An endpoint reported draining in its answers, and boxes kept sending to it until the store showed the same.
+func TestBoxesStopUsingEndpointThatReportsDraining(t *testing.T) {
 	t.Parallel()
 	for _, boxes := range []int{6, 24} {
 		t.Run(fmt.Sprint(boxes), func(t *testing.T) {
 			_, sites, runners := newNoticeFleet(t, boxes, 3)
-			calls, stop := callAll(t, sites, "/again/", noticeRate)
+			calls, stop := generateLoad(t, sites, "/again/", noticeRate)
 			time.Sleep(time.Second)
-			runners[0].leave()
+			runners[0].startDraining()
 			time.Sleep(4 * time.Second)
 			stop()
-			late, told := runners[0].lateToLeave()
-			require.Positive(t, told)
-			assert.Zero(t, late, "requests later than %s after an answer had told the box, %d boxes told", leaveWithin, told)
-			assert.Empty(t, calls.refused, "the others take what went there")
+			late, notified := runners[0].lateAfterDraining()
+			require.Positive(t, notified)
+			assert.Zero(t, late, "requests later than %s after an answer had reported draining to the box, %d boxes", drainGrace, notified)
+			assert.Empty(t, calls.refused, "the others take its requests")
 			assert.Empty(t, calls.other)
 		})
 	}
 }
 
-// Where every endpoint says that it leaves, nothing can be sent: requests are refused at once, with a time.
-func TestWhereAllEndpointsLeaveRequestsAreRefusedAtOnce(t *testing.T) {
+// When every endpoint is draining, nothing can be sent: requests must be refused at once, with a Retry-After.
+func TestRequestsAreRefusedAtOnceWhenAllEndpointsDrain(t *testing.T) {
 	t.Parallel()
 	_, sites, runners := newNoticeFleet(t, 6, 2)
-	calls, stop := callAll(t, sites, "/again/", noticeRate)
+	calls, stop := generateLoad(t, sites, "/again/", noticeRate)
 	time.Sleep(500 * time.Millisecond)
 	for _, r := range runners {
-		r.leave()
+		r.startDraining()
 	}
 	time.Sleep(3 * time.Second)
 	stop()
 	for _, r := range runners {
-		late, told := r.lateToLeave()
-		require.Positive(t, told)
-		assert.Zero(t, late, "requests later than %s after an answer had told the box, %d boxes told", leaveWithin, told)
+		late, notified := r.lateAfterDraining()
+		require.Positive(t, notified)
+		assert.Zero(t, late, "requests later than %s after an answer had reported draining to the box, %d boxes", drainGrace, notified)
 	}
 	assertRefusedAtOnce(t, calls)
 }
 
-// assertRefusedAtOnce checks that some requests were refused, at once and with a time, and none failed.
+// assertRefusedAtOnce checks that some requests were refused, at once and with a Retry-After, and that none failed.
 func assertRefusedAtOnce(t *testing.T, calls *limitCalls) {
 	t.Helper()
 	require.NotEmpty(t, calls.refused)
 	slices.Sort(calls.refused)
-	assert.Less(t, calls.refused[len(calls.refused)*9/10], limitAtOnce, "what cannot be served is refused at once")
-	assert.Less(t, slices.Max(calls.refused), limitLast)
-	assert.True(t, calls.hasTime, "a refusal says when to come back")
+	assert.Less(t, calls.refused[len(calls.refused)*9/10], refusalP90, "requests that cannot be served are refused at once")
+	assert.Less(t, slices.Max(calls.refused), refusalMax)
+	assert.True(t, calls.haveRetryAfter, "a refusal has a Retry-After")
 	assert.Empty(t, calls.other)
 }
 
-// An endpoint turned a request away and asked for rest, and boxes sent to it as before: it looked idle, and had what it turned
-// away sent on as repeats.
-func TestBoxesLetAnEndpointRestThatAsksForIt(t *testing.T) {
+// An endpoint rejected a request with a backoff, and boxes kept sending to it: it looked idle, and the rejected
+// requests were sent on as retries.
+func TestBoxesHonorBackoff(t *testing.T) {
 	t.Parallel()
 	for _, rest := range []string{"2.5", "3", "8"} {
 		t.Run(rest, func(t *testing.T) {
@@ -209,35 +213,35 @@
 			seconds, err := strconv.ParseFloat(rest, 64)
 			require.NoError(t, err)
 			_, sites, runners := newNoticeFleet(t, 6, 3)
-			calls, stop := callAll(t, sites, "/again/", noticeRate)
+			calls, stop := generateLoad(t, sites, "/again/", noticeRate)
 			time.Sleep(500 * time.Millisecond)
-			runners[0].askForRest(rest)
+			runners[0].requestBackoff(rest)
 			time.Sleep(time.Duration((seconds + 1) * float64(time.Second)))
 			stop()
-			most, asked := runners[0].mostInRest()
+			most, asked := runners[0].maxDuringBackoff()
 			require.Positive(t, asked)
-			assert.LessOrEqual(t, most, restSlack, "requests of a box in the rest of %s s that it was asked for, %d times in all", rest, asked)
-			assert.Empty(t, calls.refused, "the others take what went there")
+			assert.LessOrEqual(t, most, backoffSlack, "requests of a box during the backoff of %s s requested from it, %d times in all", rest, asked)
+			assert.Empty(t, calls.refused, "the others take its requests")
 			assert.Empty(t, calls.other)
 		})
 	}
 }
 
-// Where every endpoint asks for rest, nothing can be sent: requests are refused at once, with a time.
-func TestWhereAllEndpointsRestRequestsAreRefusedAtOnce(t *testing.T) {
+// When every endpoint requests a backoff, nothing can be sent: requests must be refused at once, with a Retry-After.
+func TestRequestsAreRefusedAtOnceWhenAllEndpointsBackOff(t *testing.T) {
 	t.Parallel()
 	_, sites, runners := newNoticeFleet(t, 6, 3)
-	calls, stop := callAll(t, sites, "/again/", noticeRate)
+	calls, stop := generateLoad(t, sites, "/again/", noticeRate)
 	time.Sleep(500 * time.Millisecond)
 	for _, r := range runners {
-		r.askForRest("3")
+		r.requestBackoff("3")
 	}
 	time.Sleep(4 * time.Second)
 	stop()
 	for _, r := range runners {
-		most, asked := r.mostInRest()
+		most, asked := r.maxDuringBackoff()
 		require.Positive(t, asked)
-		assert.LessOrEqual(t, most, restSlack, "requests of a box in the rest that it was asked for, %d times in all", asked)
+		assert.LessOrEqual(t, most, backoffSlack, "requests of a box during the backoff requested from it, %d times in all", asked)
 	}
 	assertRefusedAtOnce(t, calls)
 }
--- a/exchange/peers.go
+++ b/exchange/peers.go
@@ -66,7 +66,7 @@
 	}
 	p.askBox = p.callPermit
 	if len(x.settings.Seeds) > 0 {
-		x.limits.AwaitNews(p.startedAt.Add(hubSearchTime))
+		x.limits.AwaitUpdates(p.startedAt.Add(hubSearchTime))
 	}
 	for _, address := range x.settings.Seeds {
 		p.noteBox(KnownBox{Address: address}, clock.Now())
--- a/exchange/peers_test.go
+++ b/exchange/peers_test.go
@@ -42,7 +42,7 @@
 }
 
 func awaitReaders(t *testing.T, sites []*site, count int) []*site {
-	require.Eventually(t, func() bool { return len(readers(sites)) == count }, patience, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return len(readers(sites)) == count }, waitTimeout, 10*time.Millisecond)
 	return readers(sites)
 }
 
@@ -52,11 +52,11 @@
 	awaitReaders(t, sites, 1)
 	time.Sleep(peerLiveness)
 	control.mu.Lock()
-	before := control.reads
+	before := control.endpointReads
 	control.mu.Unlock()
 	time.Sleep(hallDrain)
 	control.mu.Lock()
-	during := control.reads - before
+	during := control.endpointReads - before
 	control.mu.Unlock()
 	assert.LessOrEqual(t, during, 5, "reads of one box in the time of two and a half")
 	leaving := newRunner(t, "r2", answerText("ok"))
@@ -119,7 +119,7 @@
 		defer control.mu.Unlock()
 		return len(control.written) > 0 && control.written[len(control.written)-1].State == willowwick.ReleaseRolledBack
 	}
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for i := 0; time.Now().Before(deadline) && !written(); i++ {
 		sites[i%2].do(t, http.MethodPost, "/once/", fmt.Sprint("id-", i), "x")
 	}
@@ -143,7 +143,7 @@
 			targets += len(s.daemon.router.peers.exchangeTargets(time.Now()))
 		}
 		return len(readers(sites)) == len(sites) && hubs == 1 && targets == len(sites)-1
-	}, patience, 10*time.Millisecond)
+	}, waitTimeout, 10*time.Millisecond)
 }
 
 // A reader that gets the list from another hall in time doesn't read the store itself; it used to lose its hall for
@@ -152,7 +152,7 @@
 	r := newRunner(t, "r1", answerText("ok"))
 	_, sites := newHall(t, 1, r.endpoint("v1"))
 	x := sites[0].daemon.router
-	require.Eventually(t, x.sync.hasEndpointList, patience, 10*time.Millisecond)
+	require.Eventually(t, x.sync.hasEndpointList, waitTimeout, 10*time.Millisecond)
 	isCutOff := func(unreachable bool) bool {
 		now := time.Now()
 		x.sync.mu.Lock()
@@ -198,7 +198,7 @@
 	require.Eventually(t, func() bool {
 		found := readers(sites)
 		return len(found) == 1 && found[0] == wide
-	}, patience, 10*time.Millisecond)
+	}, waitTimeout, 10*time.Millisecond)
 }
 
 // A box that has a reader needs no long poll; each costs a call whenever something changes.
@@ -206,7 +206,7 @@
 	r := newRunner(t, "r1", answerText("ok"))
 	control, sites := newHall(t, 4, r.endpoint("v1"))
 	awaitReaders(t, sites, 1)
-	require.Eventually(t, func() bool { return control.held.Load() == 1 }, patience, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return control.waitingReads.Load() == 1 }, waitTimeout, 10*time.Millisecond)
 }
 
 // Guards against boxes that each probe an unavailable store for themselves; joins and declarations can wait for its
@@ -224,7 +224,7 @@
 			}
 		}
 		return true
-	}, patience, 10*time.Millisecond)
+	}, waitTimeout, 10*time.Millisecond)
 	time.Sleep(2 * time.Second)
 	before := control.calls.Load()
 	const watched = 3 * time.Second
@@ -235,7 +235,7 @@
 	assert.LessOrEqual(t, float64(control.calls.Load()-before), first+others+boxes)
 	control.change(func() { control.down = false })
 	for _, s := range sites {
-		require.Eventually(t, func() bool { return !s.daemon.router.sync.isConfigStale(time.Now()) }, patience, 10*time.Millisecond)
+		require.Eventually(t, func() bool { return !s.daemon.router.sync.isConfigStale(time.Now()) }, waitTimeout, 10*time.Millisecond)
 	}
 }
 
@@ -245,7 +245,7 @@
 	r := newRunner(t, "r1", answerText("ok"))
 	_, sites := newHall(t, 1, r.endpoint("v1"))
 	p := sites[0].daemon.router.peers
-	require.Eventually(t, func() bool { return p.reachesStore(time.Now()) }, patience, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return p.reachesStore(time.Now()) }, waitTimeout, 10*time.Millisecond)
 	blind := Digest{Address: "10.0.0.1:1", Hall: p.self().Hall, LinkMbps: p.self().LinkMbps + 1, ReadAgeMs: time.Hour.Milliseconds()}
 	p.receiveDigest(blind, time.Now())
 	_, hasHub := p.hub(time.Now())
@@ -294,10 +294,10 @@
 		_, found := s.listedEndpoint("r1")
 		return found
 	}
-	require.Eventually(t, isListed, patience, time.Millisecond)
+	require.Eventually(t, isListed, waitTimeout, time.Millisecond)
 	s.mu.Lock()
 	s.lapsed["r1"] = time.Now()
 	s.mu.Unlock()
-	require.Eventually(t, func() bool { return !isListed() }, patience, time.Millisecond)
-	require.Eventually(t, isListed, wholeListInterval+patience, time.Millisecond, "its reader lists it")
+	require.Eventually(t, func() bool { return !isListed() }, waitTimeout, time.Millisecond)
+	require.Eventually(t, isListed, wholeListInterval+waitTimeout, time.Millisecond, "its reader lists it")
 }
--- a/exchange/poison.go
+++ b/exchange/poison.go
@@ -32,7 +32,7 @@
 	}
 	x := c.router
 	if x.sync.isRolloutLeader() {
-		if release, isAllowed := x.poison.Trial(c.describePoison(), x.usableReleases(c.service, now), now); isAllowed {
+		if release, isAllowed := x.poison.AllowTrial(c.describePoison(), x.usableReleases(c.service, now), now); isAllowed {
 			slog.Info("refused request is tried", "request", c.head.ID, "fingerprint", c.fingerprint().String(), "release", release)
 			x.peers.requestRound()
 			c.trialRelease = release
@@ -78,7 +78,7 @@
 func (x *Router) recordCrash(broken brokenSend) {
 	x.metrics.countSendCutByCrash()
 	endpoint := broken.endpoint
-	x.poison.NoteEnd(broken.request, willowwick.EndpointCrash{
+	x.poison.RecordCrash(broken.request, willowwick.EndpointCrash{
 		Endpoint: endpoint.ID, Incarnation: endpoint.Incarnation, Release: endpoint.Release, At: broken.at,
 	})
 	x.peers.requestRound()
@@ -86,8 +86,8 @@
 
 // recordHarmless records that an endpoint has answered the request completely.
 func (s *send) recordHarmless(now time.Time) {
-	if quarantine.IsHarmlessBy(s.answer.Status) && !s.router.poison.IsEmpty() {
-		s.router.poison.NoteAnswer(s.fingerprint(), now)
+	if quarantine.IsCompletedRun(s.answer.Status) && !s.router.poison.IsEmpty() {
+		s.router.poison.RecordAnswer(s.fingerprint(), now)
 	}
 }
 
@@ -142,14 +142,14 @@
 
 // writePoison writes the requests that are due, and reports whether the store accepted them.
 func (s *syncer) writePoison(ctx context.Context) bool {
-	for _, request := range s.router.poison.Due() {
+	for _, request := range s.router.poison.PendingWrites() {
 		era := s.currentEra()
 		if err := s.control.SetPoisonRequest(ctx, request.WithCrashTimes(clock.System)); err != nil {
 			slog.Info("write of a poison request failed", "fingerprint", request.Request.String(), "error", err)
 			return false
 		}
 		if era == s.currentEra() {
-			s.router.poison.Written(request)
+			s.router.poison.MarkWritten(request)
 		}
 	}
 	return true
--- a/exchange/ratelimit_fleet_test.go
+++ b/exchange/ratelimit_fleet_test.go
@@ -13,30 +13,30 @@
 )
 
 const (
-	// limitDemand is how many requests a second come to a fleet, all of which would go to the limited endpoint.
+	// limitDemand is the number of requests per second to a fleet, all of which would go to the limited endpoint.
 	limitDemand = 150
-	// limitAnswers is how long the endpoint takes to answer.
-	limitAnswers = 30 * time.Millisecond
+	// limitAnswerTime is how long the endpoint takes to answer.
+	limitAnswerTime = 30 * time.Millisecond
 )
 
 type (
-	// limitMesh is a mesh to whose boxes requests come that would all go to one endpoint.
+	// limitMesh is a mesh whose boxes receive requests that would all go to one endpoint.
 	limitMesh struct {
 		*mesh
-		endpoint willowwick.Endpoint
-		said     willowwick.RateLimit
-		arrivals []time.Time
-		answers  []limitAnswer
-		due      float64 // requests that have not come yet
-		denied   int
+		endpoint    willowwick.Endpoint
+		reported    willowwick.RateLimit
+		arrivals    []time.Time
+		answers     []limitAnswer
+		dueRequests float64 // requests that have not arrived yet
+		denied      int
 	}
 
 	// limitAnswer is an answer under way.
 	limitAnswer struct {
-		box    *meshBox
-		sentAt time.Time
-		at     time.Time
-		said   willowwick.RateLimit
+		box      *meshBox
+		sentAt   time.Time
+		at       time.Time
+		reported willowwick.RateLimit
 	}
 )
 
@@ -44,25 +44,25 @@
 	return &limitMesh{mesh: m, endpoint: meshEndpoint(0, 1)}
 }
 
-func (l *limitMesh) name(rate willowwick.PerSecond) {
-	l.said = willowwick.RateLimit{Rate: rate, IsSet: true}
+func (l *limitMesh) setLimit(rate willowwick.PerSecond) {
+	l.reported = willowwick.RateLimit{Rate: rate, IsSet: true}
 }
 
-// play lets requests come to the boxes for a length of virtual time.
-func (l *limitMesh) play(t *testing.T, length time.Duration, boxes ...*meshBox) {
-	for until := time.Now().Add(length); time.Now().Before(until); {
+// play lets requests arrive at the boxes for a duration of virtual time.
+func (l *limitMesh) play(t *testing.T, duration time.Duration, boxes ...*meshBox) {
+	for until := time.Now().Add(duration); time.Now().Before(until); {
 		l.run(t, meshStep)
-		l.answer(time.Now())
-		for l.due += limitDemand * meshStep.Seconds(); l.due >= 1; l.due-- {
+		l.deliverAnswers(time.Now())
+		for l.dueRequests += limitDemand * meshStep.Seconds(); l.dueRequests >= 1; l.dueRequests-- {
 			if box := boxes[l.random.IntN(len(boxes))]; !box.down {
-				l.request(t, box, time.Now())
+				l.receive(t, box, time.Now())
 			}
 		}
 	}
 }
 
-// request lets a request come to a box, which sends it if it may.
-func (l *limitMesh) request(t *testing.T, box *meshBox, now time.Time) {
+// receive lets a request arrive at a box, which sends it if it may.
+func (l *limitMesh) receive(t *testing.T, box *meshBox, now time.Time) {
 	if !box.limits.CanAcquire(now, l.endpoint.ID) {
 		return
 	}
@@ -72,32 +72,32 @@
 	}
 	now = time.Now()
 	l.arrivals = append(l.arrivals, now)
-	l.answers = append(l.answers, limitAnswer{box, now, now.Add(limitAnswers), l.said})
+	l.answers = append(l.answers, limitAnswer{box, now, now.Add(limitAnswerTime), l.reported})
 }
 
 func (l *limitMesh) ask(t *testing.T, box *meshBox, now time.Time) bool {
-	reply, err := box.peers.requestPermit(t.Context(), box.limits.Ask(now, l.endpoint.ID, box.settings.Box), now)
+	reply, err := box.peers.requestPermit(t.Context(), box.limits.NewCall(now, l.endpoint.ID, box.settings.Box), now)
 	if err != nil {
-		box.limits.Unanswered(clock.Now(), l.endpoint.ID)
+		box.limits.HandleNoReply(clock.Now(), l.endpoint.ID)
 		return false
 	}
-	return box.limits.Answered(clock.Now(), now, l.endpoint.ID, reply)
+	return box.limits.HandleReply(clock.Now(), now, l.endpoint.ID, reply)
 }
 
-// answer lets the answers come whose time it is.
-func (l *limitMesh) answer(now time.Time) {
+// deliverAnswers delivers the answers that are due.
+func (l *limitMesh) deliverAnswers(now time.Time) {
 	var underWay []limitAnswer
 	for _, answer := range l.answers {
 		if now.Before(answer.at) {
 			underWay = append(underWay, answer)
 			continue
 		}
-		answer.box.limits.Observe(now, answer.sentAt, l.endpoint, answer.said)
+		answer.box.limits.Observe(now, answer.sentAt, l.endpoint, answer.reported)
 	}
 	l.answers = underWay
 }
 
-// between counts the requests that the endpoint got in a span of time.
+// between counts the requests to the endpoint in a time span.
 func (l *limitMesh) between(from, to time.Time) int {
 	count := 0
 	for _, at := range l.arrivals {
@@ -108,10 +108,11 @@
 	return count
 }
 
-// assertHeld checks that the endpoint got no more than its limit allows in any window of a span, and at least a part of it.
+// assertHeld checks that the endpoint got no more than its limit allows in any window of a time span, and at least
+// the given part of it.
 func (l *limitMesh) assertHeld(t *testing.T, from, to time.Time, leastPart float64, what string) {
 	t.Helper()
-	rate := float64(l.said.Rate)
+	rate := float64(l.reported.Rate)
 	most := l.between(to.Add(-limitWindow), to)
 	for _, begin := range l.arrivals {
 		if end := begin.Add(limitWindow); !begin.Before(from) && !end.After(to) {
@@ -126,15 +127,15 @@
 	l.denied = 0
 }
 
-// Whatever the size of the fleet, and with the store away, boxes together send what a limit allows and no more.
-func TestALimitHoldsAndIsUsedAtAllSizes(t *testing.T) {
+// At any fleet size, and with the store unavailable, boxes together use the limit and do not exceed it.
+func TestRateLimitHoldsAtAllFleetSizes(t *testing.T) {
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
 		l := newLimitMesh(newMesh(1, size.boxes, size.halls, size.endpoints))
 		l.play(t, 3*time.Second, l.boxes...)
 		for _, rate := range []willowwick.PerSecond{0.5, 8} {
 			l.isAway = !l.isAway
-			l.name(rate)
-			l.play(t, limitContact, l.boxes...)
+			l.setLimit(rate)
+			l.play(t, limitPropagation, l.boxes...)
 			from := time.Now()
 			l.play(t, 2*limitWindow, l.boxes...)
 			l.assertHeld(t, from, time.Now(), 0.6, fmt.Sprint(size.boxes, " boxes"))
@@ -142,29 +143,29 @@
 	})
 }
 
-// All work comes to one box, which may send all that the limit allows.
-func TestABoxWithAllTheWorkUsesTheWholeLimit(t *testing.T) {
+// When all work arrives at one box, it may use the whole limit.
+func TestSingleBusyBoxUsesWholeRateLimit(t *testing.T) {
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
 		l := newLimitMesh(newMesh(1, size.boxes, size.halls, size.endpoints))
 		l.run(t, 3*time.Second)
-		l.name(2)
-		l.play(t, limitContact, l.boxes[size.boxes-1])
+		l.setLimit(2)
+		l.play(t, limitPropagation, l.boxes[size.boxes-1])
 		from := time.Now()
 		l.play(t, 2*limitWindow, l.boxes[size.boxes-1])
 		l.assertHeld(t, from, time.Now(), 0.8, "one box with all the work")
 	})
 }
 
-// Boxes that are started anew, one after the other and the one that grants among them, know of no limit and send no more.
-func TestALimitHoldsWhileBoxesStartAnew(t *testing.T) {
+// Boxes that restart one after the other, the granter among them, know no limit at first and must not exceed it.
+func TestRateLimitHoldsDuringRestarts(t *testing.T) {
 	discardLogs(t)
 	for seed := range uint64(5) {
 		synctest.Test(t, func(t *testing.T) {
 			const boxes, halls = 6, 3
 			l := newLimitMesh(newMesh(seed, boxes, halls, 20))
 			l.run(t, 6*time.Second)
-			l.name(2.3)
-			l.play(t, limitContact, l.boxes...)
+			l.setLimit(2.3)
+			l.play(t, limitPropagation, l.boxes...)
 			from := time.Now()
 			for i := range boxes {
 				l.boxes[i].down = true
@@ -177,16 +178,16 @@
 	}
 }
 
-// Halls that are cut from each other each use a part; all together send no more than the limit, during the cut and after it.
-func TestALimitHoldsForHallsThatAreCut(t *testing.T) {
+// Partitioned halls each use a part of the limit; together they do not exceed it, during the partition and after it.
+func TestRateLimitHoldsDuringPartition(t *testing.T) {
 	discardLogs(t)
 	for seed := range uint64(5) {
 		synctest.Test(t, func(t *testing.T) {
 			const boxes, halls = 9, 3
 			l := newLimitMesh(newMesh(seed, boxes, halls, 20))
 			l.run(t, 6*time.Second)
-			l.name(6)
-			l.play(t, limitContact, l.boxes...)
+			l.setLimit(6)
+			l.play(t, limitPropagation, l.boxes...)
 			from := time.Now()
 			l.isCut = true
 			l.play(t, time.Duration(5+4*seed)*time.Second, l.boxes...)
@@ -197,22 +198,23 @@
 	}
 }
 
-// An endpoint that names no limit any more is used fully again within seconds, by all boxes, and not by all at once.
-func TestAnEndpointWhoseLimitHasEndedIsUsedMoreAndMore(t *testing.T) {
+// An endpoint that no longer reports a limit is fully used again within seconds, by all boxes, but not by all at
+// once.
+func TestEndpointUseRampsUpAfterRateLimitEnds(t *testing.T) {
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
 		l := newLimitMesh(newMesh(1, size.boxes, size.halls, size.endpoints))
 		l.run(t, 3*time.Second)
-		l.name(2)
-		l.play(t, limitContact, l.boxes...)
-		l.said = willowwick.RateLimit{}
+		l.setLimit(2)
+		l.play(t, limitPropagation, l.boxes...)
+		l.reported = willowwick.RateLimit{}
 		ended := time.Now()
 		for len(l.boxes) > 0 && l.boxes[0].limits.Count() > 0 && time.Since(ended) < 10*time.Second {
 			l.play(t, meshStep, l.boxes...)
 		}
 		known := time.Now()
-		require.Less(t, known.Sub(ended), 6*time.Second, "the end is known")
+		require.Less(t, known.Sub(ended), 6*time.Second, "all boxes know the end")
 		l.play(t, 12*time.Second, l.boxes...)
-		assert.Less(t, l.between(known, known.Add(time.Second)), limitDemand/4, "no rush")
-		assert.GreaterOrEqual(t, l.between(known.Add(8*time.Second), known.Add(12*time.Second)), 4*limitDemand-limitDemand/10, "all comes there again")
+		assert.Less(t, l.between(known, known.Add(time.Second)), limitDemand/4, "no burst")
+		assert.GreaterOrEqual(t, l.between(known.Add(8*time.Second), known.Add(12*time.Second)), 4*limitDemand-limitDemand/10, "fully used again")
 	})
 }
--- a/exchange/ratelimit_test.go
+++ b/exchange/ratelimit_test.go
@@ -14,34 +14,34 @@
 )
 
 const (
-	// limitWindow is the length of time over which what an endpoint gets is counted against its limit.
+	// limitWindow is the duration over which requests to an endpoint are counted against its limit.
 	limitWindow = 4 * time.Second
-	// limitExcess and limitSlack bound it: so many times what the limit allows, and so many requests more.
+	// limitExcess and limitSlack bound the requests in a window: this multiple of the limit, plus this many requests.
 	limitExcess, limitSlack = 1.5, 5
-	// limitContact is how long boxes have until they hold a limit that is new.
-	limitContact = 3 * time.Second
-	// limitAtOnce is within what time nine of ten requests that cannot be served are refused, and limitLast all of them: less than
-	// they might wait for a place.
-	limitAtOnce, limitLast = 40 * time.Millisecond, 150 * time.Millisecond
+	// limitPropagation is the time until all boxes apply a new limit.
+	limitPropagation = 3 * time.Second
+	// refusalP90 is the time within which nine of ten requests that cannot be served are refused, refusalMax that for
+	// all of them: less than they might wait for a slot.
+	refusalP90, refusalMax = 40 * time.Millisecond, 150 * time.Millisecond
 )
 
 type (
-	// limitedRunner is an endpoint that names a limit in its answers for a time, and notes when it gets requests.
+	// limitedRunner is an endpoint that reports a settable limit in its answers and records its requests.
 	limitedRunner struct {
 		*runner
 		mu       sync.Mutex
-		rate     string // that it names; empty for none
+		rate     string // reported limit; empty for none
 		arrivals []time.Time
 	}
 
-	// limitCalls is what came of requests that come all the time.
+	// limitCalls holds the outcomes of continuous requests.
 	limitCalls struct {
-		path    string
-		mu      sync.Mutex
-		served  int
-		refused []time.Duration // measured lengths: until each was refused
-		other   []int
-		hasTime bool // all refusals say when to come back
+		path           string
+		mu             sync.Mutex
+		served         int
+		refused        []time.Duration // time until each was refused
+		other          []int
+		haveRetryAfter bool // all refusals have a Retry-After
 	}
 )
 
@@ -61,14 +61,14 @@
 	return l
 }
 
-// name makes the runner name a limit; empty for none.
-func (l *limitedRunner) name(rate string) {
+// setLimit sets the reported limit; empty for none.
+func (l *limitedRunner) setLimit(rate string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.rate = rate
 }
 
-// between counts the requests that it got in a span of time.
+// between counts the requests in a time span.
 func (l *limitedRunner) between(from, to time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,8 +81,8 @@
 	return count
 }
 
-// mostInWindow is the most requests that it got in any window within a span of time.
-func (l *limitedRunner) mostInWindow(from, to time.Time) int {
+// maxInWindow returns the largest number of requests in any limitWindow within a time span.
+func (l *limitedRunner) maxInWindow(from, to time.Time) int {
 	l.mu.Lock()
 	arrivals := append([]time.Time(nil), l.arrivals...)
 	l.mu.Unlock()
@@ -96,7 +96,7 @@
 	return max(most, l.between(to.Add(-limitWindow), to))
 }
 
-// newLimitSite starts boxes in halls that know each other by the first one, before endpoints.
+// newLimitSite starts boxes in halls, with the first box as seed, and limited endpoints.
 func newLimitSite(t *testing.T, boxes, halls int, limited ...*limitedRunner) (*testControl, []*site) {
 	runners := make([]*runner, len(limited))
 	for i, l := range limited {
@@ -105,7 +105,7 @@
 	return newFleet(t, boxes, halls, runners...)
 }
 
-// newFleet starts boxes in halls that know each other by the first one, before endpoints.
+// newFleet starts boxes in halls, with the first box as seed, and endpoints.
 func newFleet(t *testing.T, boxes, halls int, runners ...*runner) (*testControl, []*site) {
 	var endpoints []willowwick.Endpoint
 	for i, r := range runners {
@@ -114,7 +114,7 @@
 		endpoint.Incarnation = willowwick.Incarnation(i + 1)
 		endpoints = append(endpoints, endpoint)
 	}
-	control := newTestControl(testTable(1, onceRoute(), againRoute()), endpoints...)
+	control := newTestControl(testTable(1, onceRoute(), retryRoute()), endpoints...)
 	var sites []*site
 	for i := range boxes {
 		settings := testSettings()
@@ -129,9 +129,10 @@
 	return control, sites
 }
 
-// callAll lets requests of a route come to the boxes in turn, so many a second, until the test ends or the function it returns is called.
-func callAll(t *testing.T, sites []*site, path string, perSecond int) (calls *limitCalls, stop func()) {
-	calls = &limitCalls{path: path, hasTime: true}
+// generateLoad sends requests of a route to the boxes in rotation, at a rate per second, until the test ends or stop
+// is called.
+func generateLoad(t *testing.T, sites []*site, path string, perSecond int) (calls *limitCalls, stop func()) {
+	calls = &limitCalls{path: path, haveRetryAfter: true}
 	done := make(chan struct{})
 	var workers sync.WaitGroup
 	workers.Go(func() {
@@ -170,48 +171,48 @@
 	case http.StatusServiceUnavailable:
 		c.refused = append(c.refused, time.Since(sent))
 		seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
-		c.hasTime = c.hasTime && err == nil && seconds > 0
+		c.haveRetryAfter = c.haveRetryAfter && err == nil && seconds > 0
 	default:
 		c.other = append(c.other, response.StatusCode)
 	}
 }
 
-// assertWithin checks that the runner got what its limit allows and no more than the bound.
+// assertWithin checks that the runner got at least half of what its limit allows and no more than the bound.
 func (l *limitedRunner) assertWithin(t *testing.T, rate float64, from, to time.Time) {
 	t.Helper()
 	allowed := limitExcess*rate*limitWindow.Seconds() + limitSlack
-	most := l.mostInWindow(from, to)
-	assert.LessOrEqual(t, float64(most), allowed, "requests in %s at %s, which takes %v a second", limitWindow, l.id, rate)
+	most := l.maxInWindow(from, to)
+	assert.LessOrEqual(t, float64(most), allowed, "requests in %s at %s, limit %v/s", limitWindow, l.id, rate)
 	used := float64(l.between(from, to))
-	assert.GreaterOrEqual(t, used, rate*to.Sub(from).Seconds()/2, "%s is given what it takes", l.id)
-	t.Logf("%s takes %v a second: at most %d in %s (allowed %.0f), %.0f in %s", l.id, rate, most, limitWindow, allowed, used, to.Sub(from))
+	assert.GreaterOrEqual(t, used, rate*to.Sub(from).Seconds()/2, "%s gets at least half of its limit", l.id)
+	t.Logf("%s has a limit of %v/s: at most %d in %s (allowed %.0f), %.0f in %s", l.id, rate, most, limitWindow, allowed, used, to.Sub(from))
 }
 
-// An endpoint that named a limit got as much as any other, from all boxes that it had told of it.
-func TestBoxesTogetherKeepTheLimitThatAnEndpointNames(t *testing.T) {
+// An endpoint that reported a limit once got as many requests as any other, from all boxes that knew the limit.
+func TestBoxesTogetherKeepRateLimit(t *testing.T) {
 	t.Parallel()
 	limited, others := newLimitedRunner(t, "r0"), []*limitedRunner{newLimitedRunner(t, "r1"), newLimitedRunner(t, "r2")}
 	_, sites := newLimitSite(t, 6, 3, limited, others[0], others[1])
-	calls, stop := callAll(t, sites, "/again/", 150)
+	calls, stop := generateLoad(t, sites, "/again/", 150)
 	time.Sleep(time.Second)
-	limited.name("1.2")
-	time.Sleep(limitContact)
+	limited.setLimit("1.2")
+	time.Sleep(limitPropagation)
 	from := time.Now()
 	time.Sleep(2 * limitWindow)
 	limited.assertWithin(t, 1.2, from, time.Now())
 	stop()
-	assert.Empty(t, calls.refused, "the others take what is beyond the limit")
+	assert.Empty(t, calls.refused, "the others take requests beyond the limit")
 	assert.Empty(t, calls.other)
 }
 
-// Where every endpoint names a limit, what is beyond the limits is refused at once.
-func TestWhatNoLimitAllowsIsRefusedAtOnce(t *testing.T) {
+// When every endpoint reports a limit, requests beyond the limits are refused at once.
+func TestRequestsBeyondRateLimitAreRefusedAtOnce(t *testing.T) {
 	t.Parallel()
 	limited := newLimitedRunner(t, "r0")
-	limited.name("8")
+	limited.setLimit("8")
 	_, sites := newLimitSite(t, 6, 3, limited)
-	calls, stop := callAll(t, sites, "/again/", 100)
-	time.Sleep(limitContact)
+	calls, stop := generateLoad(t, sites, "/again/", 100)
+	time.Sleep(limitPropagation)
 	from := time.Now()
 	time.Sleep(2 * limitWindow)
 	limited.assertWithin(t, 8, from, time.Now())
@@ -219,22 +220,22 @@
 	assertRefusedAtOnce(t, calls)
 }
 
-// What limits allow goes to urgent requests first, and a part of it to others.
-func TestUrgentRequestsComeFirstWhereAllEndpointsNameLimits(t *testing.T) {
+// Urgent requests take precedence within the limits, but others get a part.
+func TestUrgentRequestsComeFirstWhenAllEndpointsAreLimited(t *testing.T) {
 	t.Parallel()
 	limited := newLimitedRunner(t, "r0")
-	limited.name("10")
+	limited.setLimit("10")
 	control, sites := newLimitSite(t, 3, 1, limited)
 	control.change(func() {
-		urgent, patient := onceRoute(), againRoute()
+		urgent, patient := onceRoute(), retryRoute()
 		urgent.Priority, patient.Priority = 1, 4
 		control.table = testTable(2, urgent, patient)
 	})
 	for _, s := range sites {
-		require.Eventually(t, func() bool { return s.daemon.router.configVersion() == 2 }, patience, 5*time.Millisecond)
+		require.Eventually(t, func() bool { return s.daemon.router.configVersion() == 2 }, waitTimeout, 5*time.Millisecond)
 	}
-	urgent, stopUrgent := callAll(t, sites, "/once/", 50)
-	patient, stopPatient := callAll(t, sites, "/again/", 50)
+	urgent, stopUrgent := generateLoad(t, sites, "/once/", 50)
+	patient, stopPatient := generateLoad(t, sites, "/again/", 50)
 	from := time.Now()
 	time.Sleep(2 * limitWindow)
 	stopUrgent()
@@ -242,36 +243,36 @@
 	limited.assertWithin(t, 10, from, time.Now())
 	mean := (urgent.served + patient.served) / 2
 	assert.Greater(t, urgent.served, mean+mean/4, "of %d and %d served", urgent.served, patient.served)
-	assert.Greater(t, patient.served, mean/4, "no kind of request is left without")
+	assert.Greater(t, patient.served, mean/4, "no priority is starved")
 	t.Logf("%d urgent and %d others served, %d and %d refused", urgent.served, patient.served, len(urgent.refused), len(patient.refused))
 }
 
-// A request that one endpoint turned away, while the other takes no more, was sent to the first one again and again within a
-// millisecond, and then failed.
-func TestARequestThatOnlyAFullEndpointMayTakeIsSentThereAgainAfterAMoment(t *testing.T) {
+// A request that one endpoint rejected as full, while the other was limited, was retried at the first one repeatedly
+// within a millisecond, and then failed.
+func TestRetryToFullEndpointIsDelayedWhenOthersAreLimited(t *testing.T) {
 	const full = 150 * time.Millisecond
 	limited, other := newLimitedRunner(t, "r0"), newLimitedRunner(t, "r1")
-	limited.name("0.2")
+	limited.setLimit("0.2")
 	_, sites := newLimitSite(t, 1, 1, limited, other)
 	s := sites[0]
-	for i := range 20 { // one of them tells the limit, others use up its permits
+	for i := range 20 { // one of them learns the limit, others use up its permits
 		s.do(t, http.MethodPost, "/again/", fmt.Sprint("before-", i), "x")
 	}
 	from := time.Now()
-	tells := other.handler
+	normalHandler := other.handler
 	other.handle(func(w http.ResponseWriter, r *http.Request) {
 		if time.Since(from) < full {
 			w.Header().Set("T-Not-Run", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		tells(w, r)
+		normalHandler(w, r)
 	})
 	before := len(other.requests())
-	// The route's goal leaves a request that is sent again 75 ms to wait for a place.
+	// The route's goal leaves a retry 75 ms to wait for a slot.
 	require.Eventually(t, func() bool {
 		return s.do(t, http.MethodPost, "/again/", fmt.Sprint("full-", time.Now().UnixNano()), "x").status == http.StatusOK
-	}, patience, time.Millisecond)
+	}, waitTimeout, time.Millisecond)
 	assert.Less(t, time.Since(from), time.Second)
 	assert.LessOrEqual(t, len(other.requests())-before, 12, "sends in %s", full)
 }
--- a/exchange/regain_test.go
+++ b/exchange/regain_test.go
@@ -59,15 +59,15 @@
 	settings.Box, settings.LinkMbps, settings.Drain = "box-second", 100, hallDrain
 	second := startSite(t, controls[1], settings)
 	x := second.daemon.router
-	require.Eventually(t, func() bool { return x.sync.declaredAge(time.Now()) > 0 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return x.sync.declaredAge(time.Now()) > 0 }, waitTimeout, time.Millisecond)
 	controls[1].isRefusing.Store(true)
-	require.Eventually(t, func() bool { return x.sync.isReadFailing(declarationsRead) }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return x.sync.isReadFailing(declarationsRead) }, waitTimeout, time.Millisecond)
 	settings.Box, settings.LinkMbps, settings.Seeds = "box-first", 200, []string{x.settings.Peers}
 	first := startSite(t, controls[0], settings)
 	require.Eventually(t, func() bool {
 		_, hasReader := x.peers.reader(time.Now())
 		return hasReader
-	}, patience, 10*time.Millisecond)
+	}, waitTimeout, 10*time.Millisecond)
 	time.Sleep(peerLiveness)
 	require.True(t, x.sync.isReadFailing(declarationsRead), "a box with a reader makes no read that could clear the failure")
 	controls[1].isRefusing.Store(false)
@@ -81,9 +81,9 @@
 func TestSecondBoxOfHallReadsDeclarationsWhileFirstIsRefused(t *testing.T) {
 	control, controls, sites := newRefusedHall(t)
 	controls[0].isRefusing.Store(true)
-	control.change(func() { control.table = testTable(2, againRoute()) })
+	control.change(func() { control.table = testTable(2, retryRoute()) })
 	second := sites[1].daemon.router
-	require.Eventually(t, func() bool { return second.configVersion() == 2 }, patience, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return second.configVersion() == 2 }, waitTimeout, 10*time.Millisecond)
 }
 
 // The leadership of the group also passes to a box that reaches the store; its join was skipped for the same reason.
@@ -100,5 +100,5 @@
 			}
 		}
 		return false
-	}, patience, 10*time.Millisecond)
+	}, waitTimeout, 10*time.Millisecond)
 }
--- a/exchange/release_test.go
+++ b/exchange/release_test.go
@@ -27,7 +27,7 @@
 	return newReleases(ReleaseSettings{Session: 5 * time.Second}, func(willowwick.ServiceID, willowwick.ReleaseID) bool { return true })
 }
 
-func on(release string) willowwick.Endpoint {
+func endpointOn(release string) willowwick.Endpoint {
 	return willowwick.Endpoint{Service: "work", Release: willowwick.ReleaseID(release)}
 }
 
@@ -36,7 +36,7 @@
 	return r.choose("work", session, now, now)
 }
 
-// shareOf is the part of new sessions that goes to the target of a roll-out.
+// shareOf returns the share of new sessions that goes to the target of a roll-out.
 func shareOf(r *releases, now time.Time, name string) float64 {
 	const sessions = 2000
 	n := 0
@@ -48,7 +48,7 @@
 	return float64(n) / sessions
 }
 
-// fleetEvidence counts answers of the target and of the others on one route.
+// fleetEvidence returns evidence for the target and for the other releases on one route.
 func fleetEvidence(target, others rollout.Evidence) map[evidenceKey]rollout.Evidence {
 	return map[evidenceKey]rollout.Evidence{
 		{"work", "v2", "r"}: target,
@@ -79,8 +79,9 @@
 	}
 }
 
-// A release of which a third of the answers were errors was once completed: each of three routes had seen two or three.
-func TestReleaseThatIsBadOnAllRoutesIsFoundByTheirSum(t *testing.T) {
+// A release with errors in a third of its answers was once completed, because each of three routes had seen only two
+// or three errors.
+func TestBadReleaseIsFoundBySumOverRoutes(t *testing.T) {
 	r := newTestReleases()
 	r.applyOrder(orderOf("v2", 1), 0, testStart)
 	evidence := map[evidenceKey]rollout.Evidence{}
@@ -95,8 +96,8 @@
 	require.Len(t, r.evaluate(evidence, at(0.3)), 1)
 }
 
-// What was seen of a release before there was anything to compare it with was once forgotten.
-func TestEvidenceOnAReleaseCountsAlsoWhenTheOthersAreNotKnownYet(t *testing.T) {
+// Evidence on a release from before there was a baseline was once dropped.
+func TestEvidenceBeforeBaselineCounts(t *testing.T) {
 	r := newTestReleases()
 	r.applyOrder(orderOf("v2", 1), 0, testStart)
 	bad := rollout.Evidence{Requests: 11, Errors: 9}
@@ -104,7 +105,7 @@
 	require.Len(t, r.evaluate(fleetEvidence(bad, rollout.Evidence{Requests: 300}), at(0.2)), 1)
 }
 
-func TestSessionsStayInTheFirstHalfAndDoNotGoBackAfterIt(t *testing.T) {
+func TestSessionsStayInFirstHalfAndNeverMoveBack(t *testing.T) {
 	r := newTestReleases()
 	early := at(0).Add(-time.Second)
 	for i := range 500 {
@@ -121,13 +122,13 @@
 	for step := canaryEnd; step < 1; step += 0.02 {
 		for i := range 500 {
 			useTarget := chooseNow(r, fmt.Sprint(i), at(step)).useTarget
-			require.False(t, moved[i] && !useTarget, "a session went back")
+			require.False(t, moved[i] && !useTarget, "a session moved back")
 			moved[i] = useTarget
 		}
 	}
 }
 
-func TestBadReleaseIsFoundAndLeft(t *testing.T) {
+func TestBadReleaseIsRolledBack(t *testing.T) {
 	for name, bad := range map[string]rollout.Evidence{
 		"errors": {Requests: 24, Errors: 10},
 		"slow":   {Requests: 40, Slow: 30},
@@ -140,12 +141,12 @@
 		require.Len(t, found, 1, name)
 		assert.Equal(t, willowwick.ReleaseRolledBack, found[0].State)
 		assert.InDelta(t, 0, shareOf(r, at(0.2), "a"), 0)
-		assert.False(t, chooseNow(r, "s", at(0.2)).allows(on("v2")))
-		assert.False(t, chooseNow(r, "s", at(0.2)).allowsFallback(on("v2")), "not even where there is no other")
+		assert.False(t, chooseNow(r, "s", at(0.2)).allows(endpointOn("v2")))
+		assert.False(t, chooseNow(r, "s", at(0.2)).allowsFallback(endpointOn("v2")), "not even as the only release")
 	}
 }
 
-func TestGoodReleaseIsNotTakenForBad(t *testing.T) {
+func TestGoodReleaseIsNotRolledBack(t *testing.T) {
 	r := newTestReleases()
 	r.applyOrder(orderOf("v2", 1), 0, testStart)
 	var target, others rollout.Evidence
@@ -156,72 +157,72 @@
 	}
 }
 
-// The runners of a release that was rolled back once got work again when the next roll-out began.
-func TestReleaseThatWasRolledBackStaysOutOfUseInTheNextRollOut(t *testing.T) {
+// The runners of a rolled-back release once got work again when the next roll-out began.
+func TestRolledBackReleaseStaysUnusedInNextRollOut(t *testing.T) {
 	r := newTestReleases()
 	r.applyOrder(orderOf("v2", 1), 0, testStart)
 	r.applyStatus(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseRolledBack}, true, "test")
 	r.applyOrder(orderOf("v3", 2), 0, at(0.2))
 	for i := range 200 {
 		choice := chooseNow(r, fmt.Sprint(i), at(0.3))
-		require.False(t, choice.allows(on("v2")))
-		require.False(t, choice.allowsFallback(on("v2")))
+		require.False(t, choice.allows(endpointOn("v2")))
+		require.False(t, choice.allowsFallback(endpointOn("v2")))
 	}
 	fresh := newTestReleases()
 	fresh.applyOrder(orderOf("v3", 2), 0, at(0.3))
 	fresh.receiveVerdicts(r.verdictRows(time.Now()))
-	assert.False(t, chooseNow(fresh, "s", at(0.3)).allows(on("v2")), "a box that starts later hears of it")
+	assert.False(t, chooseNow(fresh, "s", at(0.3)).allows(endpointOn("v2")), "a box that starts later learns of it")
 }
 
-func TestReleaseOfAnOrderThatWasReplacedIsGivenUp(t *testing.T) {
+func TestReleaseOfReplacedOrderIsGivenUp(t *testing.T) {
 	r := newTestReleases()
 	r.applyOrder(orderOf("v2", 1), 0, testStart)
 	r.applyOrder(orderOf("v3", 2), 0, at(0.2))
 	now := at(0.2).Add(supersedeDelay)
-	assert.False(t, chooseNow(r, "s", now).allows(on("v2")))
+	assert.False(t, chooseNow(r, "s", now).allows(endpointOn("v2")))
 	fresh := newTestReleases()
 	fresh.applyOrder(orderOf("v3", 2), 0, now)
 	fresh.receiveVerdicts(r.verdictRows(now))
-	assert.False(t, chooseNow(fresh, "s", now).allows(on("v2")), "a box that starts later hears of it")
+	assert.False(t, chooseNow(fresh, "s", now).allows(endpointOn("v2")), "a box that starts later learns of it")
 }
 
-// A box that had not heard yet that a roll-out was completed once took its release out of use as the next order came, and told
-// all others to: the fleet moved to the next release at once.
-func TestReleaseThatWasCompletedIsNotGivenUpByABoxThatHearsOfItLater(t *testing.T) {
-	leads, follows := newTestReleases(), newTestReleases()
-	for _, r := range []*releases{leads, follows} {
+// A box that did not know yet that a roll-out was completed once took its release out of use when the next order
+// came, and made all others do so: the fleet moved to the next release at once.
+func TestCompletedReleaseIsNotGivenUpByLaggingBox(t *testing.T) {
+	leader, follower := newTestReleases(), newTestReleases()
+	for _, r := range []*releases{leader, follower} {
 		r.applyOrder(orderOf("v2", 1), 0, testStart)
 	}
-	leads.applyStatus(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseCompleted}, true, "test")
+	leader.applyStatus(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseCompleted}, true, "test")
 	now := time.Now()
-	for _, r := range []*releases{leads, follows} {
+	for _, r := range []*releases{leader, follower} {
 		r.applyOrder(orderOf("v3", 2), 0, now)
-		assert.True(t, chooseNow(r, "s", now).allows(on("v2")))
+		assert.True(t, chooseNow(r, "s", now).allows(endpointOn("v2")))
 	}
-	leads.receiveVerdicts(follows.verdictRows(now))
-	follows.receiveVerdicts(leads.verdictRows(now))
+	leader.receiveVerdicts(follower.verdictRows(now))
+	follower.receiveVerdicts(leader.verdictRows(now))
 	later := now.Add(2 * supersedeDelay)
-	for _, r := range []*releases{leads, follows} {
-		assert.True(t, chooseNow(r, "s", later).allows(on("v2")))
+	for _, r := range []*releases{leader, follower} {
+		assert.True(t, chooseNow(r, "s", later).allows(endpointOn("v2")))
 	}
 	wrong := newTestReleases()
 	wrong.applyOrder(orderOf("v2", 1), 0, testStart)
 	wrong.applyOrder(orderOf("v3", 2), 0, testStart)
-	leads.receiveVerdicts(wrong.verdictRows(later))
-	assert.True(t, chooseNow(leads, "s", later).allows(on("v2")), "what is known goes before what was given up")
-	wrong.receiveVerdicts(leads.verdictRows(later))
-	assert.True(t, chooseNow(wrong, "s", later).allows(on("v2")))
+	leader.receiveVerdicts(wrong.verdictRows(later))
+	assert.True(t, chooseNow(leader, "s", later).allows(endpointOn("v2")), "a known state overrides giving up")
+	wrong.receiveVerdicts(leader.verdictRows(later))
+	assert.True(t, chooseNow(wrong, "s", later).allows(endpointOn("v2")))
 }
 
-// A box that lags behind once brought an older order back.
-func TestOlderOrderDoesNotComeBack(t *testing.T) {
+// A lagging box once restored an older order.
+func TestOlderOrderIsIgnored(t *testing.T) {
 	r := newTestReleases()
 	r.applyOrder(orderOf("v3", 2), 0, testStart)
 	r.applyOrder(orderOf("v2", 1), time.Second, at(0.1))
 	assert.Equal(t, willowwick.ReleaseID("v3"), chooseNow(r, "s", at(0.1)).release)
 }
 
-func TestAgeOfAnOrderIsThatOfTheBoxThatHeardItFirst(t *testing.T) {
+func TestOrderAgeIsThatOfFirstBox(t *testing.T) {
 	r := newTestReleases()
 	r.applyOrder(orderOf("v2", 1), 0, at(0.6))
 	r.applyOrder(orderOf("v2", 1), time.Duration(0.6*float64(testPeriod)), at(0.6))
@@ -229,18 +230,18 @@
 	assert.Greater(t, shareOf(r, at(0.75), "a"), 0.99)
 }
 
-func TestStateInTheStoreGoesBeforeOwnBelief(t *testing.T) {
+func TestStoredStateOverridesOwnState(t *testing.T) {
 	r := newTestReleases()
 	r.applyOrder(orderOf("v2", 1), 0, testStart)
 	r.applyStatus(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseRolledBack}, false, "peer")
 	r.applyStatus(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseCompleted}, true, "store")
 	choice := chooseNow(r, "s", at(0.5))
 	assert.True(t, choice.useTarget)
-	assert.True(t, choice.allows(on("v2")))
+	assert.True(t, choice.allows(endpointOn("v2")))
 }
 
-// The box that leads once took the state that it had written before for the one that it found itself.
-func TestBoxThatFindsAReleaseBadWritesIt(t *testing.T) {
+// The leader once mistook the state that it had written before for the one that it had just found.
+func TestRollBackIsWrittenToStore(t *testing.T) {
 	r := newTestReleases()
 	r.applyOrder(orderOf("v2", 1), 0, testStart)
 	r.applyStatus(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseRunning}, true, "written here")
@@ -253,7 +254,7 @@
 	assert.Equal(t, willowwick.ReleaseRolledBack, due[0].State)
 }
 
-func TestLargeFleetTriesANewReleaseWithASmallerShare(t *testing.T) {
+func TestLargeFleetUsesSmallerCanaryShare(t *testing.T) {
 	r := newTestReleases()
 	r.applyOrder(orderOf("v2", 1), 0, testStart)
 	for boxes, share := range map[int]float64{6: canaryShare, 15: canaryShare, 61: canaryShare / 4, 91: canaryShare / 8, 390: canaryShare / 32} {
@@ -264,8 +265,9 @@
 	assert.InDelta(t, canaryShare/4, shareOf(r, at(0.1), "a"), 0.01)
 }
 
-// A session was once forgotten while its request ran for longer than sessions are remembered, and moved in the first half.
-func TestSessionIsRememberedFromTheEndOfItsRequest(t *testing.T) {
+// A session was once forgotten while its request ran for longer than sessions are remembered, and moved in the first
+// half.
+func TestSessionIsRememberedFromEndOfRequest(t *testing.T) {
 	r := newTestReleases()
 	began := at(0).Add(-time.Second)
 	for i := range 500 {
@@ -280,19 +282,19 @@
 	}
 }
 
-// Sessions that were meant for a release whose runners had not come yet once moved to it with their second request.
-func TestSessionOfAReleaseThatIsNotThereYetStaysWhereItRan(t *testing.T) {
-	isThere := false
-	r := newReleases(ReleaseSettings{Session: 5 * time.Second}, func(willowwick.ServiceID, willowwick.ReleaseID) bool { return isThere })
+// Sessions assigned to a release without runners once moved to it with their second request.
+func TestSessionStaysWhenTargetHasNoEndpoints(t *testing.T) {
+	hasEndpoints := false
+	r := newReleases(ReleaseSettings{Session: 5 * time.Second}, func(willowwick.ServiceID, willowwick.ReleaseID) bool { return hasEndpoints })
 	r.applyOrder(orderOf("v2", 1), 0, testStart)
 	require.Zero(t, shareOf(r, at(0.01), "a"))
-	isThere = true
+	hasEndpoints = true
 	require.Zero(t, shareOf(r, at(0.1), "a"), "the same sessions")
 	require.NotZero(t, shareOf(r, at(0.1), "b"))
 }
 
-// A session that another box of the hall took up was once taken for a new one, and moved in the first half.
-func TestSessionThatAnotherBoxHasOnTheOthersIsNotMoved(t *testing.T) {
+// A session that moved to another box of the hall was once taken for a new one there, and moved in the first half.
+func TestSessionKeptByAnotherBoxIsNotMoved(t *testing.T) {
 	one, other := newTestReleases(), newTestReleases()
 	early := at(0).Add(-time.Second)
 	for i := range 2000 {
@@ -301,23 +303,24 @@
 	for _, r := range []*releases{one, other} {
 		r.applyOrder(orderOf("v2", 1), 0, testStart)
 	}
-	require.Zero(t, shareOf(other, at(0.05), "b"), "no session moves before boxes have told each other")
+	require.Zero(t, shareOf(other, at(0.05), "b"), "no session moves before boxes have exchanged sessions")
 	kept := one.pinnedSessions(at(0.1))
-	assert.InDelta(t, 2000*canaryShare, len(kept), 40, "only those that would move are named")
+	assert.InDelta(t, 2000*canaryShare, len(kept), 40, "only sessions that would move are listed")
 	assert.NotZero(t, shareOf(other, at(0.15), "c"))
 	other.setPinnedElsewhere(kept)
 	assert.Zero(t, shareOf(other, at(0.2), "a"))
-	assert.Empty(t, one.pinnedSessions(at(canaryEnd)), "sessions may move from the half on")
+	assert.Empty(t, one.pinnedSessions(at(canaryEnd)), "sessions may move in the second half")
 }
 
-func TestFirstShareStaysWellUnderTheBoundOnExposure(t *testing.T) {
+func TestFirstShareStaysBelowExposureBound(t *testing.T) {
 	assert.InDelta(t, canaryShare, ReleaseSettings{}.initialCanaryShare(), 1e-9)
 	assert.InDelta(t, canaryShare, ReleaseSettings{Exposure: 0.15}.initialCanaryShare(), 1e-9)
 	assert.InDelta(t, 0.015, ReleaseSettings{Exposure: 0.05}.initialCanaryShare(), 1e-9)
 }
 
-// Sessions on the target of a roll-out that had just ended were once taken for those of the next one's, and moved to it at once.
-func TestSessionsOfACompletedReleaseStayThereInTheFirstHalfOfTheNextRollOut(t *testing.T) {
+// Sessions on the target of a completed roll-out were once counted as sessions on the target of the next one, and
+// moved to it at once.
+func TestSessionsOfCompletedReleaseStayInFirstHalfOfNextRollOut(t *testing.T) {
 	r := newTestReleases()
 	r.applyOrder(orderOf("v2", 1), 0, testStart)
 	r.applyStatus(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseCompleted}, true, "test")
@@ -328,5 +331,5 @@
 	for i := range 500 {
 		require.False(t, chooseNow(r, fmt.Sprint(i), at(0.95)).useTarget, "session %d", i)
 	}
-	assert.InDelta(t, 500*canaryShare, len(r.pinnedSessions(at(0.95))), 10, "other boxes are told of those that would try it first")
+	assert.InDelta(t, 500*canaryShare, len(r.pinnedSessions(at(0.95))), 10, "lists the sessions that would move first")
 }
--- a/exchange/site_test.go
+++ b/exchange/site_test.go
@@ -26,10 +26,10 @@
 	testHost    = "site.example"
 	testKey     = "key-of-ada"
 	testAccount = willowwick.AccountID("ada")
-	patience    = 5 * time.Second
+	waitTimeout = 5 * time.Second
 )
 
-// testCodec implements willowwick.HeaderCodec with names of its own.
+// testCodec implements willowwick.HeaderCodec with test headers.
 type testCodec struct{}
 
 func (testCodec) DecodeRequest(header http.Header, arrived time.Time) (willowwick.RequestHead, error) {
@@ -91,27 +91,27 @@
 
 // testControl implements willowwick.Control in memory.
 type testControl struct {
-	mu        sync.Mutex
-	down      bool
-	era       willowwick.Era
-	table     *willowwick.RoutingTable
-	orders    []willowwick.ReleaseOrder
-	evacuated []willowwick.Evacuation
-	admitted  []willowwick.Admission
-	changes   willowwick.Position // of declarations
-	endpoints map[willowwick.EndpointID]willowwick.Endpoint
-	listed    willowwick.Position
-	statuses  []willowwick.ReleaseStatus
-	written   []willowwick.ReleaseStatus
-	harmful   map[willowwick.Fingerprint]willowwick.PoisonRequest
-	members   []string
-	leader    string
-	reads     int // of the list of endpoints
-	calls     atomic.Int64
-	held      atomic.Int64 // reads of declarations that wait
-}
-
-// newTestControl returns a store that holds a configuration, nil for none, and endpoints.
+	mu            sync.Mutex
+	down          bool
+	era           willowwick.Era
+	table         *willowwick.RoutingTable
+	orders        []willowwick.ReleaseOrder
+	evacuations   []willowwick.Evacuation
+	admissions    []willowwick.Admission
+	changes       willowwick.Position // counts changes of declarations
+	endpoints     map[willowwick.EndpointID]willowwick.Endpoint
+	listChanges   willowwick.Position
+	statuses      []willowwick.ReleaseStatus
+	written       []willowwick.ReleaseStatus
+	harmful       map[willowwick.Fingerprint]willowwick.PoisonRequest
+	members       []string
+	leader        string
+	endpointReads int // reads of the endpoint list
+	calls         atomic.Int64
+	waitingReads  atomic.Int64 // reads of declarations that are blocked
+}
+
+// newTestControl returns a store with a configuration, nil for none, and endpoints.
 func newTestControl(table *willowwick.RoutingTable, endpoints ...willowwick.Endpoint) *testControl {
 	control := &testControl{
 		endpoints: map[willowwick.EndpointID]willowwick.Endpoint{}, harmful: map[willowwick.Fingerprint]willowwick.PoisonRequest{},
@@ -125,7 +125,7 @@
 	return control
 }
 
-// siteControl is a testControl, or one with troubles of its own around it.
+// siteControl is a testControl, or a wrapper that adds faults to one.
 type siteControl interface {
 	willowwick.Control
 	base() *testControl
@@ -137,14 +137,14 @@
 
 func (c *testControl) Declarations(ctx context.Context, from willowwick.Position, wait time.Duration) (willowwick.Declarations, error) {
 	c.calls.Add(1)
-	c.held.Add(1)
-	defer c.held.Add(-1)
+	c.waitingReads.Add(1)
+	defer c.waitingReads.Add(-1)
 	until := time.Now().Add(wait)
 	for {
 		c.mu.Lock()
 		declared := willowwick.Declarations{
-			Snapshot: true, Table: c.table, Orders: c.orders, Evacuations: slices.Clone(c.evacuated), Next: c.at(c.changes),
-			Admissions: slices.Clone(c.admitted),
+			Snapshot: true, Table: c.table, Orders: c.orders, Evacuations: slices.Clone(c.evacuations), Next: c.position(c.changes),
+			Admissions: slices.Clone(c.admissions),
 		}
 		down := c.down
 		c.mu.Unlock()
@@ -169,8 +169,8 @@
 	if c.down {
 		return willowwick.EndpointChanges{}, errDown
 	}
-	c.reads++
-	changes := willowwick.EndpointChanges{Snapshot: true, Next: c.at(c.listed)}
+	c.endpointReads++
+	changes := willowwick.EndpointChanges{Snapshot: true, Next: c.position(c.listChanges)}
 	for _, endpoint := range c.endpoints {
 		changes.Present = append(changes.Present, endpoint)
 	}
@@ -184,7 +184,7 @@
 	if c.down {
 		return willowwick.ReleaseStatuses{}, errDown
 	}
-	return willowwick.ReleaseStatuses{Statuses: append([]willowwick.ReleaseStatus(nil), c.statuses...), End: c.at(willowwick.Position(len(c.written)))}, nil
+	return willowwick.ReleaseStatuses{Statuses: append([]willowwick.ReleaseStatus(nil), c.statuses...), End: c.position(willowwick.Position(len(c.written)))}, nil
 }
 
 func (c *testControl) SetStatus(_ context.Context, status willowwick.ReleaseStatus, end willowwick.Position) error {
@@ -193,7 +193,7 @@
 	if c.down {
 		return errDown
 	}
-	if end != c.at(willowwick.Position(len(c.written))) {
+	if end != c.position(willowwick.Position(len(c.written))) {
 		return willowwick.ErrConflict
 	}
 	c.written = append(c.written, status)
@@ -268,46 +268,46 @@
 	defer c.mu.Unlock()
 	change()
 	c.changes++
-	c.listed++
+	c.listChanges++
 }
 
-// at is a place in the store's era.
-func (c *testControl) at(offset willowwick.Position) willowwick.Position {
+// position returns a position in the store's current era.
+func (c *testControl) position(offset willowwick.Position) willowwick.Position {
 	return willowwick.NewPosition(c.era, offset.Offset())
 }
 
-// comeBack begins a new era of the store without what boxes had written there, and with fewer changes than there were.
-func (c *testControl) comeBack(change func()) {
+// restoreFromBackup begins a new era of the store, without what boxes had written and with fewer changes than before.
+func (c *testControl) restoreFromBackup(change func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.era++
-	c.changes, c.listed = c.changes/2, c.listed/2
+	c.changes, c.listChanges = c.changes/2, c.listChanges/2
 	c.statuses, c.written = nil, nil
 	clear(c.harmful)
 	change()
 }
 
-// evacuate declares the halls evacuated, and no others.
+// evacuate declares exactly these halls evacuated.
 func (c *testControl) evacuate(halls ...willowwick.HallID) {
 	c.change(func() {
-		c.evacuated = nil
+		c.evacuations = nil
 		for _, hall := range halls {
-			c.evacuated = append(c.evacuated, willowwick.Evacuation{Hall: hall, At: c.at(c.changes)})
+			c.evacuations = append(c.evacuations, willowwick.Evacuation{Hall: hall, At: c.position(c.changes)})
 		}
 	})
 }
 
-// runner is an endpoint whose handler a test sets.
+// runner is an endpoint with a replaceable handler.
 type runner struct {
 	*httptest.Server
-	id      willowwick.EndpointID
-	mu      sync.Mutex
-	handler http.HandlerFunc
-	seen    []*http.Request
-	body    []string
+	id       willowwick.EndpointID
+	mu       sync.Mutex
+	handler  http.HandlerFunc
+	received []*http.Request
+	body     []string
 }
 
-// handle changes what the runner does with requests from now on.
+// handle replaces the handler.
 func (r *runner) handle(handler http.HandlerFunc) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -319,7 +319,7 @@
 	r.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		body, _ := io.ReadAll(request.Body)
 		r.mu.Lock()
-		r.seen = append(r.seen, request)
+		r.received = append(r.received, request)
 		r.body = append(r.body, string(body))
 		r.mu.Unlock()
 		w.Header().Set("T-Id", request.Header.Get("T-Id"))
@@ -336,7 +336,7 @@
 func (r *runner) requests() []*http.Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]*http.Request(nil), r.seen...)
+	return append([]*http.Request(nil), r.received...)
 }
 
 func (r *runner) endpoint(release string) willowwick.Endpoint {
@@ -346,14 +346,14 @@
 	}
 }
 
-// site is a daemon with its control and endpoints.
+// site is a daemon with its store.
 type site struct {
 	control *testControl
 	daemon  *Daemon
 	url     string
 	client  *http.Client
 	stop    func()
-	// closeDaemon ends its connections too.
+	// closeDaemon also closes its connections.
 	closeDaemon func()
 }
 
@@ -372,7 +372,7 @@
 	}
 }
 
-func againRoute() willowwick.Route {
+func retryRoute() willowwick.Route {
 	r := onceRoute()
 	r.Name, r.Prefix, r.Repeatable, r.MaxRuns = "again", "/again/", true, 2
 	return r
@@ -401,9 +401,9 @@
 	return listener
 }
 
-// newSite starts a daemon with the three usual routes in front of the endpoints.
+// newSite starts a daemon with the three usual routes and the endpoints.
 func newSite(t *testing.T, endpoints ...willowwick.Endpoint) *site {
-	return startSite(t, newTestControl(testTable(1, onceRoute(), againRoute(), streamRoute()), endpoints...), testSettings())
+	return startSite(t, newTestControl(testTable(1, onceRoute(), retryRoute(), streamRoute()), endpoints...), testSettings())
 }
 
 func startSite(t *testing.T, control siteControl, settings Settings) *site {
@@ -424,11 +424,11 @@
 	require.Eventually(t, func() bool {
 		ok, _ := daemon.router.ready()
 		return ok || s.control.table == nil
-	}, patience, 5*time.Millisecond)
+	}, waitTimeout, 5*time.Millisecond)
 	return s
 }
 
-// reply of a site, read to its end.
+// siteReply is a complete reply of a site.
 type siteReply struct {
 	status int
 	header http.Header
@@ -461,12 +461,12 @@
 	return func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, text) }
 }
 
-// event is the text of one event of a stream.
+// event returns the text of one stream event.
 func event(id int) string {
 	return fmt.Sprintf("id: %d\ndata: part %d\n\n", id, id)
 }
 
-// streamEvents sends events up to the last one, from after the one that the request names.
+// streamEvents sends events up to the last one, starting after the one that the request names.
 func streamEvents(w http.ResponseWriter, r *http.Request, last int) {
 	from, _ := strconv.Atoi(r.Header.Get("T-Resume"))
 	w.Header().Set("Content-Type", "text/event-stream")
@@ -484,7 +484,7 @@
 	return text
 }
 
-// hangUp closes the connection of a request without more bytes.
+// hangUp closes the connection of a request without sending more bytes.
 func hangUp(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err == nil {
--- a/exchange/stop_random_test.go
+++ b/exchange/stop_random_test.go
@@ -194,7 +194,7 @@
 			c.pause()
 			continue
 		}
-		_ = conn.SetDeadline(time.Now().Add(patience))
+		_ = conn.SetDeadline(time.Now().Add(waitTimeout))
 		caller := &rawCaller{conn, bufio.NewReader(conn)}
 		for use(caller) && !c.test.isStopped() {
 			c.pause()
--- a/exchange/transit_test.go
+++ b/exchange/transit_test.go
@@ -36,7 +36,7 @@
 	_, hearers := newHall(t, 1, r.endpoint("v1"))
 	hearer := hearers[0].daemon.router
 	hearers[0].control.change(func() { hearers[0].control.down = true })
-	require.Eventually(t, func() bool { return hearer.sync.isReadFailing(endpointsRead) }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return hearer.sync.isReadFailing(endpointsRead) }, waitTimeout, time.Millisecond)
 	// The first box learns of the second by the call; the second one's own exchanges would bring newer data.
 	hearers[0].daemon.stop()
 	hearers[0].daemon.workers.Close()
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -13,90 +13,93 @@
 )
 
 const (
-	// RefuseAfter is how many endpoints a request must have ended, without a whole answer since, to be refused. Operators allow
-	// three; one that fails by itself takes some requests with it that are as good as any others.
-	RefuseAfter = 3
-	// togetherWithin is the time within which ends are rather a failure of the endpoints, by a rack or a release: a request
-	// that comes to many of them at once is refused, but is tried again.
-	togetherWithin = time.Second
-	// trialAfter is how long after its last end a refused request may be tried: by then all boxes refuse it.
-	trialAfter = 2 * time.Second
-	// trialGrowth is by how much the pause before each further trial is longer: 2 s, 20 s, 3 min. Each may end one more endpoint
-	// with all that is at work there; operators allow three, of which one is left for boxes that have not been told.
-	trialGrowth = 10
-	// clearMargin is how much later than a whole answer an end still counts as before it: boxes tell each other how long ago
-	// something was, and news may be under way for a swap.
-	clearMargin = time.Second
-	// suspectKept is how long ends count that have not led to a refusal: callers repeat for less than a minute.
-	suspectKept = 10 * time.Minute
-	// refusedKept is how long a request is refused after its last end. Within a day somebody has seen why endpoints end.
-	refusedKept = 24 * time.Hour
-	// expireEvery is how often what is too old to count is looked for.
-	expireEvery = time.Minute
-	// mostSuspects bounds the requests that are kept: 40 ends of endpoints with a hundred requests each, in 1 MB.
-	mostSuspects = 4096
-	// mostRefused bounds the requests that are refused; an endpoint has to end three times for each.
-	mostRefused = 256
-	// mostEnds bounds the ends that are kept of a request: more prove nothing.
-	mostEnds = 8
+	// RefuseAfterCrashes is how many endpoints must crash under a request, without a complete answer since, before it
+	// is refused. Operators allow three; an endpoint that crashes for another reason takes innocent requests with it.
+	RefuseAfterCrashes = 3
+	// correlationWindow is the time within which crashes rather point to the endpoints, such as a failed rack or a
+	// bad release: a request that was on many of them at once is refused but gets a trial.
+	correlationWindow = time.Second
+	// firstTrialDelay is the time from the last crash to the first trial of a refused request; by then all boxes
+	// refuse it.
+	firstTrialDelay = 2 * time.Second
+	// trialBackoffFactor multiplies the delay before each further trial: 2 s, 20 s, 3 min. Each trial may crash one
+	// more endpoint with all its requests; operators allow three, and one is left for boxes that have not received
+	// the updates yet.
+	trialBackoffFactor = 10
+	// clearTolerance is how much later than a complete answer a crash still counts as before it: boxes exchange ages,
+	// and an update may be under way for the duration of a gossip exchange.
+	clearTolerance = time.Second
+	// suspectTTL is how long crashes count that have not led to a refusal; callers retry for less than a minute.
+	suspectTTL = 10 * time.Minute
+	// refusedTTL is how long a request is refused after its last crash. Within a day somebody has looked into the
+	// crashes.
+	refusedTTL = 24 * time.Hour
+	// expireInterval is the minimum time between two sweeps for expired entries.
+	expireInterval = time.Minute
+	// maxSuspects bounds the requests that are kept: 40 crashes of endpoints with a hundred requests each, in 1 MB.
+	maxSuspects = 4096
+	// maxRefused bounds the refused requests; three endpoints have to crash for each.
+	maxRefused = 256
+	// maxCrashes bounds the crashes that are kept for a request; more prove nothing.
+	maxCrashes = 8
 )
 
 type (
-	// Ledger remembers under which requests endpoints ended; all boxes tell each other what they noted, and so come to the
-	// same opinion of a request, in whatever order the news reach them.
+	// Ledger records the requests under which endpoints crashed. Boxes exchange their records and come to the same
+	// decisions, in whatever order the updates arrive.
 	Ledger struct {
-		isUsed atomic.Bool // anything is kept
-
-		mu       sync.Mutex
-		suspects map[willowwick.Fingerprint]*suspect
-		likely   map[willowwick.Fingerprint]*suspect // those with enough ends to be refused
-		refused  map[willowwick.Fingerprint]bool
-		admitted map[willowwick.Fingerprint]willowwick.Position // by the operator
-		known    map[endKey]time.Time                           // ends of endpoints under whatever request
-		history  history
-		due      map[willowwick.Fingerprint]bool // what of them is kept at the store has to be written
-		stored   map[willowwick.Fingerprint]bool // the store holds it, as far as this box wrote or read it
-		expireAt time.Time                       // not looked for what is too old before
-	}
-
-	// endKey names the end of one life of an endpoint.
-	endKey struct {
+		hasSuspects atomic.Bool // whether suspects is not empty; read without the lock
+
+		mu            sync.Mutex
+		suspects      map[willowwick.Fingerprint]*suspect
+		candidates    map[willowwick.Fingerprint]*suspect // suspects with enough crashes to be refused
+		refused       map[willowwick.Fingerprint]bool
+		admitted      map[willowwick.Fingerprint]willowwick.Position // by the operator
+		knownCrashes  map[crashKey]time.Time                         // crashes under any request
+		history       history
+		pendingWrites map[willowwick.Fingerprint]bool // requests whose stored record has to be written or dropped
+		stored        map[willowwick.Fingerprint]bool // requests with a stored record, as far as this box wrote or read it
+		nextExpiry    time.Time                       // no sweep for expired entries before
+	}
+
+	// crashKey identifies a crash by the incarnation of the endpoint.
+	crashKey struct {
 		endpoint    willowwick.EndpointID
 		incarnation willowwick.Incarnation
 	}
 
-	// suspect is a request under which an endpoint ended.
+	// suspect is a request under which an endpoint crashed.
 	suspect struct {
-		about     *willowwick.PoisonRequest // without ends; nil if only other boxes saw the request
-		ends      map[endKey]willowwick.EndpointCrash
-		clearedAt time.Time // of its newest whole answer; ends before it do not count
-		tried     map[trial]bool
-		triedAt   time.Time // of its newest trial
-		updated   time.Time
+		details     *willowwick.PoisonRequest // without crashes; nil if only other boxes saw the request
+		crashes     map[crashKey]willowwick.EndpointCrash
+		clearedAt   time.Time // time of the newest complete answer; crashes before it do not count
+		trials      map[trial]bool
+		lastTrialAt time.Time // time of the newest trial
+		updatedAt   time.Time
 	}
 
-	// trial is one of the sends of a refused request that find out whether it still ends endpoints.
+	// trial is one send of a refused request that tests whether it still crashes endpoints.
 	trial struct {
 		release willowwick.ReleaseID
-		number  int // of trials before it
+		number  int // number of earlier trials
 	}
 )
 
 // New returns an empty ledger.
 func New() *Ledger {
 	return &Ledger{
-		suspects: map[willowwick.Fingerprint]*suspect{}, likely: map[willowwick.Fingerprint]*suspect{},
-		refused: map[willowwick.Fingerprint]bool{}, due: map[willowwick.Fingerprint]bool{}, known: map[endKey]time.Time{},
+		suspects: map[willowwick.Fingerprint]*suspect{}, candidates: map[willowwick.Fingerprint]*suspect{},
+		refused: map[willowwick.Fingerprint]bool{}, pendingWrites: map[willowwick.Fingerprint]bool{}, knownCrashes: map[crashKey]time.Time{},
 		stored: map[willowwick.Fingerprint]bool{},
 	}
 }
 
-// IsEmpty reports whether no request is suspected, so that none needs to be told from others.
+// IsEmpty reports whether no request is suspected, so that requests need no fingerprint.
 func (l *Ledger) IsEmpty() bool {
-	return !l.isUsed.Load()
+	return !l.hasSuspects.Load()
 }
 
-// Refuses reports whether a request is sent to no endpoint.
+// Refuses reports whether the request must not be sent to any endpoint.
 func (l *Ledger) Refuses(request willowwick.Fingerprint) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -104,7 +107,7 @@
 	return l.refused[request] && !isAdmitted
 }
 
-// SetAdmitted says which requests the operator has sent to endpoints whatever they did there, and no others.
+// SetAdmitted replaces the set of requests that the operator admits despite their crashes.
 func (l *Ledger) SetAdmitted(requests map[willowwick.Fingerprint]willowwick.Position) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -118,294 +121,296 @@
 	return len(l.suspects), len(l.refused)
 }
 
-// NoteEnd notes that an endpoint ended while this box had the request there, and reports whether the end was not known before
-// under any request.
-func (l *Ledger) NoteEnd(about willowwick.PoisonRequest, end willowwick.EndpointCrash) (isFirst bool) {
+// RecordCrash records that an endpoint crashed while it ran the request for this box, and reports whether the crash
+// was not known before under any request.
+func (l *Ledger) RecordCrash(details willowwick.PoisonRequest, crash willowwick.EndpointCrash) (isFirst bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_, isKnown := l.known[endKey{end.Endpoint, end.Incarnation}]
-	s := l.suspect(about.Request, end.At)
-	s.identify(about)
-	l.addEnd(about.Request, end, "")
-	l.judge(end.At, "seen here")
+	_, isKnown := l.knownCrashes[crashKey{crash.Endpoint, crash.Incarnation}]
+	s := l.ensureSuspect(details.Request, crash.At)
+	s.setDetails(details)
+	l.addCrash(details.Request, crash, "")
+	l.updateRefused(crash.At, "seen here")
 	return !isKnown
 }
 
-// EndOf returns when one life of an endpoint ended, if it is known to have ended under any request.
-func (l *Ledger) EndOf(endpoint willowwick.EndpointID, incarnation willowwick.Incarnation) (at time.Time, isKnown bool) {
+// CrashTime returns when the incarnation of the endpoint crashed, if a crash is known under any request.
+func (l *Ledger) CrashTime(endpoint willowwick.EndpointID, incarnation willowwick.Incarnation) (at time.Time, isKnown bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	at, isKnown = l.known[endKey{endpoint, incarnation}]
+	at, isKnown = l.knownCrashes[crashKey{endpoint, incarnation}]
 	return at, isKnown
 }
 
-// NoteAnswer notes that an endpoint has answered the request whole: what ended others before was something else.
-func (l *Ledger) NoteAnswer(request willowwick.Fingerprint, now time.Time) {
+// RecordAnswer records that an endpoint answered the request completely, so that earlier crashes had another cause.
+func (l *Ledger) RecordAnswer(request willowwick.Fingerprint, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.clear(request, now, "") {
-		l.judge(now, "answered here")
+		l.updateRefused(now, "answered here")
 	}
 }
 
-// Trial returns the release on whose endpoints a refused request may be tried, if there is one; no other box may ask at the same
-// time. It is tried on a release that it has ended no endpoint of, which may bear it, and on any where something else may have been
-// the cause of its ends: they came close together, or another request was at work at all of them.
-func (l *Ledger) Trial(
-	about willowwick.PoisonRequest, releases []willowwick.ReleaseID, now time.Time,
+// AllowTrial returns the release on whose endpoints a refused request may be tried, if there is one; only one box may
+// call it at a time. The request may be tried on a release none of whose endpoints crashed under it, and on any
+// release if its crashes may have another cause: they came close together, or another request was running at all of
+// them.
+func (l *Ledger) AllowTrial(
+	details willowwick.PoisonRequest, releases []willowwick.ReleaseID, now time.Time,
 ) (release willowwick.ReleaseID, allowed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	request := about.Request
+	request := details.Request
 	s := l.suspects[request]
-	if s == nil || !l.refused[request] || now.Before(s.nextTrial()) {
+	if s == nil || !l.refused[request] || now.Before(s.nextTrialAt()) {
 		return "", false
 	}
-	s.identify(about)
-	isDoubtful := s.cameTogether() || l.hasTwin(s)
+	s.setDetails(details)
+	isDoubtful := s.hasCorrelatedCrashes() || l.hasEqualCandidate(s)
 	for _, release := range releases {
-		if isDoubtful || !s.endedOn(release) {
-			l.addTrial(request, trial{release, len(s.tried)}, now, "")
-			l.due[request] = true
+		if isDoubtful || !s.crashedOn(release) {
+			l.addTrial(request, trial{release, len(s.trials)}, now, "")
+			l.pendingWrites[request] = true
 			return release, true
 		}
 	}
 	return "", false
 }
 
-// Expire forgets what is too old to count; it may be called often.
+// Expire drops entries that are too old to count; it may be called often.
 func (l *Ledger) Expire(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now.Before(l.expireAt) {
+	if now.Before(l.nextExpiry) {
 		return
 	}
-	l.expireAt = now.Add(expireEvery)
+	l.nextExpiry = now.Add(expireInterval)
 	for request, s := range l.suspects {
-		kept := suspectKept
+		ttl := suspectTTL
 		if l.refused[request] {
-			kept = refusedKept
+			ttl = refusedTTL
 		}
-		if now.Sub(s.updated) > kept {
-			l.forget(request)
+		if now.Sub(s.updatedAt) > ttl {
+			l.remove(request)
 		}
 	}
-	for key, at := range l.known {
-		if now.Sub(at) > suspectKept {
-			delete(l.known, key)
+	for key, at := range l.knownCrashes {
+		if now.Sub(at) > suspectTTL {
+			delete(l.knownCrashes, key)
 		}
 	}
-	l.judge(now, "too old")
+	l.updateRefused(now, "too old")
 }
 
-// suspect returns what is kept of a request, from now on if it is new; the caller holds the lock.
-func (l *Ledger) suspect(request willowwick.Fingerprint, now time.Time) *suspect {
+// ensureSuspect returns the entry of a request and creates it if there is none. The caller holds the lock.
+func (l *Ledger) ensureSuspect(request willowwick.Fingerprint, now time.Time) *suspect {
 	s := l.suspects[request]
 	if s == nil {
-		l.makeRoom()
-		s = &suspect{ends: map[endKey]willowwick.EndpointCrash{}, tried: map[trial]bool{}}
+		l.evictLeastSuspect()
+		s = &suspect{crashes: map[crashKey]willowwick.EndpointCrash{}, trials: map[trial]bool{}}
 		l.suspects[request] = s
-		l.isUsed.Store(true)
+		l.hasSuspects.Store(true)
 	}
-	if now.After(s.updated) {
-		s.updated = now
+	if now.After(s.updatedAt) {
+		s.updatedAt = now
 	}
 	return s
 }
 
-// makeRoom forgets the request with the fewest ends, of these the oldest, where as many are kept as may be; the caller holds
-// the lock.
-func (l *Ledger) makeRoom() {
-	if len(l.suspects) < mostSuspects {
+// evictLeastSuspect drops the request with the fewest crashes, the oldest of these, if the ledger is full. The caller
+// holds the lock.
+func (l *Ledger) evictLeastSuspect() {
+	if len(l.suspects) < maxSuspects {
 		return
 	}
 	var least willowwick.Fingerprint
 	var found *suspect
 	for request, s := range l.suspects {
-		isLess := found == nil || len(s.ends) < len(found.ends) || len(s.ends) == len(found.ends) && s.updated.Before(found.updated)
+		isLess := found == nil || len(s.crashes) < len(found.crashes) || len(s.crashes) == len(found.crashes) && s.updatedAt.Before(found.updatedAt)
 		if isLess {
 			least, found = request, s
 		}
 	}
-	l.forget(least)
+	l.remove(least)
 }
 
-// forget drops a request; the caller holds the lock.
-func (l *Ledger) forget(request willowwick.Fingerprint) {
+// remove drops a request. The caller holds the lock.
+func (l *Ledger) remove(request willowwick.Fingerprint) {
 	delete(l.suspects, request)
-	delete(l.likely, request)
-	l.isUsed.Store(len(l.suspects) > 0)
+	delete(l.candidates, request)
+	l.hasSuspects.Store(len(l.suspects) > 0)
 }
 
-// addEnd takes the end of an endpoint under a request, and reports whether it is news; the caller holds the lock.
-func (l *Ledger) addEnd(request willowwick.Fingerprint, end willowwick.EndpointCrash, from string) bool {
-	s := l.suspect(request, end.At)
-	key := endKey{end.Endpoint, end.Incarnation}
-	_, known := s.ends[key]
-	if known || s.isCleared(end) || len(s.ends) >= mostEnds {
+// addCrash adds a crash under a request and reports whether it is new. The caller holds the lock.
+func (l *Ledger) addCrash(request willowwick.Fingerprint, crash willowwick.EndpointCrash, from string) bool {
+	s := l.ensureSuspect(request, crash.At)
+	key := crashKey{crash.Endpoint, crash.Incarnation}
+	_, known := s.crashes[key]
+	if known || s.isCleared(crash) || len(s.crashes) >= maxCrashes {
 		return false
 	}
-	s.ends[key] = end
-	l.known[key] = end.At
-	if len(s.ends) >= RefuseAfter {
-		l.likely[request] = s
+	s.crashes[key] = crash
+	l.knownCrashes[key] = crash.At
+	if len(s.crashes) >= RefuseAfterCrashes {
+		l.candidates[request] = s
 	}
-	l.history.add(entry{kind: kindEnd, request: request, end: end, from: from})
+	l.history.add(entry{kind: kindCrash, request: request, crash: crash, from: from})
 	return true
 }
 
-// clear takes that a request was answered whole at a moment, and reports whether it is news; the caller holds the lock.
+// clear clears a request's crashes up to the time of a complete answer, and reports whether that is new. The
+// caller holds the lock.
 func (l *Ledger) clear(request willowwick.Fingerprint, at time.Time, from string) bool {
 	s := l.suspects[request]
-	if s == nil || len(s.ends) == 0 || !at.After(s.clearedAt) {
+	if s == nil || len(s.crashes) == 0 || !at.After(s.clearedAt) {
 		return false
 	}
-	s.clearedAt, s.updated = at, at
-	for key, end := range s.ends {
-		if s.isCleared(end) {
-			delete(s.ends, key)
+	s.clearedAt, s.updatedAt = at, at
+	for key, crash := range s.crashes {
+		if s.isCleared(crash) {
+			delete(s.crashes, key)
 		}
 	}
-	if len(s.ends) < RefuseAfter {
-		delete(l.likely, request)
+	if len(s.crashes) < RefuseAfterCrashes {
+		delete(l.candidates, request)
 	}
-	l.history.add(entry{kind: kindAnswer, request: request, end: willowwick.EndpointCrash{At: at}, from: from})
+	l.history.add(entry{kind: kindAnswer, request: request, crash: willowwick.EndpointCrash{At: at}, from: from})
 	return true
 }
 
-// addTrial takes that a request is tried, and reports whether it is news; the caller holds the lock.
+// addTrial adds a trial of a request and reports whether it is new. The caller holds the lock.
 func (l *Ledger) addTrial(request willowwick.Fingerprint, tried trial, at time.Time, from string) bool {
 	s := l.suspects[request]
-	if s == nil || s.tried[tried] {
+	if s == nil || s.trials[tried] {
 		return false
 	}
-	s.tried[tried] = true
-	if at.After(s.triedAt) {
-		s.triedAt = at
+	s.trials[tried] = true
+	if at.After(s.lastTrialAt) {
+		s.lastTrialAt = at
 	}
-	l.history.add(entry{kind: kindTrial, request: request, end: willowwick.EndpointCrash{Release: tried.release, At: at}, trial: tried.number, from: from})
+	l.history.add(entry{kind: kindTrial, request: request, crash: willowwick.EndpointCrash{Release: tried.release, At: at}, trial: tried.number, from: from})
 	return true
 }
 
-// judge finds the requests that are refused now; the caller holds the lock.
-func (l *Ledger) judge(now time.Time, source string) {
+// updateRefused recomputes which requests are refused. The caller holds the lock.
+func (l *Ledger) updateRefused(now time.Time, source string) {
 	for request := range l.refused {
-		if l.likely[request] == nil || l.isVictim(l.likely[request]) {
+		if l.candidates[request] == nil || l.isExplainedByOther(l.candidates[request]) {
 			l.admit(request, source)
 		}
 	}
-	for request, s := range l.likely {
-		if !l.refused[request] && !l.isVictim(s) && len(l.refused) < mostRefused {
+	for request, s := range l.candidates {
+		if !l.refused[request] && !l.isExplainedByOther(s) && len(l.refused) < maxRefused {
 			l.refuse(request, s, now, source)
 		}
 	}
 }
 
-// refuse notes that a request is refused from now on; the caller holds the lock.
+// refuse starts refusing a request. The caller holds the lock.
 func (l *Ledger) refuse(request willowwick.Fingerprint, s *suspect, now time.Time, source string) {
 	l.refused[request] = true
-	l.due[request] = true
-	attributes := []any{"fingerprint", request.String(), "ends", len(s.ends), "source", source, "last_end_ms_ago", now.Sub(s.lastEnd()).Milliseconds()}
+	l.pendingWrites[request] = true
+	attributes := []any{"fingerprint", request.String(), "ends", len(s.crashes), "source", source, "last_end_ms_ago", now.Sub(s.lastCrash()).Milliseconds()}
 	var endpoints []string
-	for _, end := range s.sorted() {
-		endpoints = append(endpoints, string(end.Endpoint))
+	for _, crash := range s.sortedCrashes() {
+		endpoints = append(endpoints, string(crash.Endpoint))
 	}
 	attributes = append(attributes, "endpoints", endpoints)
-	if s.about != nil {
-		attributes = append(attributes, "account", s.about.Account, "service", s.about.Service, "host", s.about.Host, "target", s.about.Target)
+	if s.details != nil {
+		attributes = append(attributes, "account", s.details.Account, "service", s.details.Service, "host", s.details.Host, "target", s.details.Target)
 	}
 	slog.Warn("request is refused from now on: endpoints ended while they ran it", attributes...)
 }
 
-// admit notes that a request is sent to endpoints again; the caller holds the lock.
+// admit stops refusing a request. The caller holds the lock.
 func (l *Ledger) admit(request willowwick.Fingerprint, source string) {
 	delete(l.refused, request)
-	l.due[request] = l.stored[request] // others drop what they wrote
+	l.pendingWrites[request] = l.stored[request] // other boxes drop the records that they wrote
 	slog.Info("request is sent to endpoints again", "fingerprint", request.String(), "source", source)
 }
 
-// isVictim reports whether another request was at work wherever endpoints ended under this one, and at more ends besides: they
-// are that one's doing. The caller holds the lock.
-func (l *Ledger) isVictim(s *suspect) bool {
-	for _, other := range l.likely {
-		if len(other.ends) > len(s.ends) && other.holds(s) {
+// isExplainedByOther reports whether another request was running at all crashes of this one and at more besides, and
+// so is the likely cause. The caller holds the lock.
+func (l *Ledger) isExplainedByOther(s *suspect) bool {
+	for _, other := range l.candidates {
+		if len(other.crashes) > len(s.crashes) && other.includesCrashesOf(s) {
 			return true
 		}
 	}
 	return false
 }
 
-// hasTwin reports whether another request was at work at the same ends, and at no others; the caller holds the lock.
-func (l *Ledger) hasTwin(s *suspect) bool {
-	for _, other := range l.likely {
-		if other != s && len(other.ends) == len(s.ends) && other.holds(s) {
+// hasEqualCandidate reports whether another request has exactly the same crashes. The caller holds the lock.
+func (l *Ledger) hasEqualCandidate(s *suspect) bool {
+	for _, other := range l.candidates {
+		if other != s && len(other.crashes) == len(s.crashes) && other.includesCrashesOf(s) {
 			return true
 		}
 	}
 	return false
 }
 
-// identify keeps what is told of a request to operators, unless it is known.
-func (s *suspect) identify(about willowwick.PoisonRequest) {
-	if s.about == nil {
-		about.Crashes, about.Tried = nil, nil
-		s.about = &about
+// setDetails sets the description of the request for operators, unless it is known.
+func (s *suspect) setDetails(details willowwick.PoisonRequest) {
+	if s.details == nil {
+		details.Crashes, details.Tried = nil, nil
+		s.details = &details
 	}
 }
 
-// isCleared reports whether a whole answer makes an end count for nothing.
-func (s *suspect) isCleared(end willowwick.EndpointCrash) bool {
-	return !s.clearedAt.IsZero() && !end.At.After(s.clearedAt.Add(clearMargin))
+// isCleared reports whether a complete answer makes the crash irrelevant.
+func (s *suspect) isCleared(crash willowwick.EndpointCrash) bool {
+	return !s.clearedAt.IsZero() && !crash.At.After(s.clearedAt.Add(clearTolerance))
 }
 
-// holds reports whether all ends of another request are among those of this one.
-func (s *suspect) holds(other *suspect) bool {
-	for key := range other.ends {
-		if _, found := s.ends[key]; !found {
+// includesCrashesOf reports whether all crashes of the other request are among those of this one.
+func (s *suspect) includesCrashesOf(other *suspect) bool {
+	for key := range other.crashes {
+		if _, found := s.crashes[key]; !found {
 			return false
 		}
 	}
 	return true
 }
 
-// sorted are the ends in the order in which they came.
-func (s *suspect) sorted() []willowwick.EndpointCrash {
-	ends := make([]willowwick.EndpointCrash, 0, len(s.ends))
-	for _, end := range s.ends {
-		ends = append(ends, end)
+// sortedCrashes returns the crashes in order of time.
+func (s *suspect) sortedCrashes() []willowwick.EndpointCrash {
+	crashes := make([]willowwick.EndpointCrash, 0, len(s.crashes))
+	for _, crash := range s.crashes {
+		crashes = append(crashes, crash)
 	}
-	slices.SortFunc(ends, func(a, b willowwick.EndpointCrash) int { return a.At.Compare(b.At) })
-	return ends
+	slices.SortFunc(crashes, func(a, b willowwick.EndpointCrash) int { return a.At.Compare(b.At) })
+	return crashes
 }
 
-// lastEnd is when the last endpoint ended under the request; zero if none did.
-func (s *suspect) lastEnd() time.Time {
+// lastCrash returns the time of the newest crash, zero if there is none.
+func (s *suspect) lastCrash() time.Time {
 	var last time.Time
-	for _, end := range s.ends {
-		if end.At.After(last) {
-			last = end.At
+	for _, crash := range s.crashes {
+		if crash.At.After(last) {
+			last = crash.At
 		}
 	}
 	return last
 }
 
-// nextTrial is when the request may be tried again.
-func (s *suspect) nextTrial() time.Time {
-	pause := trialAfter
-	for range s.tried {
-		pause = min(trialGrowth*pause, refusedKept)
+// nextTrialAt returns the time of the next allowed trial.
+func (s *suspect) nextTrialAt() time.Time {
+	delay := firstTrialDelay
+	for range s.trials {
+		delay = min(trialBackoffFactor*delay, refusedTTL)
 	}
-	last := s.lastEnd()
-	if s.triedAt.After(last) {
-		last = s.triedAt
+	last := s.lastCrash()
+	if s.lastTrialAt.After(last) {
+		last = s.lastTrialAt
 	}
-	return last.Add(pause)
+	return last.Add(delay)
 }
 
-// trials are the releases on which the request was tried, in the order of the trials.
-func (s *suspect) trials() []willowwick.ReleaseID {
+// triedReleases returns the releases of the trials, in the order of the trials.
+func (s *suspect) triedReleases() []willowwick.ReleaseID {
 	var list []willowwick.ReleaseID
-	for _, tried := range slices.SortedFunc(maps.Keys(s.tried), compareTrials) {
+	for _, tried := range slices.SortedFunc(maps.Keys(s.trials), compareTrials) {
 		list = append(list, tried.release)
 	}
 	return list
@@ -415,18 +420,18 @@
 	return cmp.Or(cmp.Compare(a.number, b.number), cmp.Compare(a.release, b.release))
 }
 
-// endedOn reports whether an endpoint of the release ended under the request.
-func (s *suspect) endedOn(release willowwick.ReleaseID) bool {
-	for _, end := range s.ends {
-		if end.Release == release {
+// crashedOn reports whether an endpoint of the release crashed under the request.
+func (s *suspect) crashedOn(release willowwick.ReleaseID) bool {
+	for _, crash := range s.crashes {
+		if crash.Release == release {
 			return true
 		}
 	}
 	return false
 }
 
-// cameTogether reports whether all ends came within a moment.
-func (s *suspect) cameTogether() bool {
-	ends := s.sorted()
-	return len(ends) > 0 && ends[len(ends)-1].At.Sub(ends[0].At) < togetherWithin
+// hasCorrelatedCrashes reports whether all crashes lie within correlationWindow.
+func (s *suspect) hasCorrelatedCrashes() bool {
+	crashes := s.sortedCrashes()
+	return len(crashes) > 0 && crashes[len(crashes)-1].At.Sub(crashes[0].At) < correlationWindow
 }
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -6,83 +6,83 @@
 	"github.com/willowwick/willowwick"
 )
 
-// Due returns what has to be written to the store: the refused requests that this box has seen itself, and those that are admitted
-// again, without ends.
-func (l *Ledger) Due() []willowwick.PoisonRequest {
+// PendingWrites returns the records to write to the store: refused requests that this box has seen itself, and
+// admitted requests, without crashes, whose records are to be dropped.
+func (l *Ledger) PendingWrites() []willowwick.PoisonRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var list []willowwick.PoisonRequest
-	for request, isDue := range l.due {
+	for request, isDue := range l.pendingWrites {
 		s := l.suspects[request]
 		switch {
 		case !isDue:
-			delete(l.due, request)
+			delete(l.pendingWrites, request)
 		case !l.refused[request]:
 			list = append(list, willowwick.PoisonRequest{Request: request})
-		case s != nil && s.about != nil:
-			record := *s.about
-			record.Crashes, record.Tried = s.sorted(), s.trials()
+		case s != nil && s.details != nil:
+			record := *s.details
+			record.Crashes, record.Tried = s.sortedCrashes(), s.triedReleases()
 			list = append(list, record)
 		default:
-			delete(l.due, request) // a box that has seen it writes it
+			delete(l.pendingWrites, request) // a box that has seen the request writes it
 		}
 	}
 	return list
 }
 
-// Written notes that the store has what was due of a request. What changed meanwhile is due again.
-func (l *Ledger) Written(record willowwick.PoisonRequest) {
+// MarkWritten records that the store holds the given record. What changed meanwhile is written again.
+func (l *Ledger) MarkWritten(record willowwick.PoisonRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	request, holds := record.Request, len(record.Crashes) > 0
-	if holds {
+	request, hasCrashes := record.Request, len(record.Crashes) > 0
+	if hasCrashes {
 		l.stored[request] = true
 	} else {
 		delete(l.stored, request)
 	}
 	s := l.suspects[request]
-	isCurrent := holds == l.refused[request] && (!holds || len(record.Tried) == len(s.tried))
-	l.due[request] = !isCurrent
+	isCurrent := hasCrashes == l.refused[request] && (!hasCrashes || len(record.Tried) == len(s.trials))
+	l.pendingWrites[request] = !isCurrent
 }
 
-// WriteAgain makes all that is refused due, since the store has lost it, and returns how much that is.
-func (l *Ledger) WriteAgain() int {
+// MarkRefusedPending marks all refused requests to be written after the store lost them, and returns their number.
+func (l *Ledger) MarkRefusedPending() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for request := range l.refused {
-		l.due[request] = true
+		l.pendingWrites[request] = true
 	}
 	return len(l.refused)
 }
 
-// Restore takes what the store holds; what is too old to count is to be dropped there.
+// Restore merges the records of the store and marks those that are too old to be dropped there.
 func (l *Ledger) Restore(records []willowwick.PoisonRequest, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, record := range records {
 		l.restore(record, now)
 	}
-	l.judge(now, "store")
+	l.updateRefused(now, "store")
 	for _, record := range records {
 		if l.refused[record.Request] {
-			delete(l.due, record.Request)
+			delete(l.pendingWrites, record.Request)
 		}
 	}
 }
 
-// restore takes one record; the caller holds the lock.
+// restore merges one record. The caller holds the lock.
 func (l *Ledger) restore(record willowwick.PoisonRequest, now time.Time) {
 	l.stored[record.Request] = true
-	for _, end := range record.Crashes {
-		if end.At.After(now) {
-			end.At = now // clocks of boxes differ
+	for _, crash := range record.Crashes {
+		if crash.At.After(now) {
+			crash.At = now // clocks of boxes differ
 		}
-		if now.Sub(end.At) > refusedKept {
-			l.due[record.Request] = true
+		if now.Sub(crash.At) > refusedTTL {
+			l.pendingWrites[record.Request] = true
 			continue
 		}
-		l.suspect(record.Request, end.At).identify(record)
-		l.addEnd(record.Request, end, "")
+		l.ensureSuspect(record.Request, crash.At).setDetails(record)
+		l.addCrash(record.Request, crash, "")
 	}
 	for number, release := range record.Tried {
 		l.addTrial(record.Request, trial{release, number}, now, "")
--- a/ratelimit/ledger.go
+++ b/ratelimit/ledger.go
@@ -12,96 +12,96 @@
 )
 
 const (
-	// leastRate is the rate at which an endpoint that takes nothing is asked again: only an answer shows that it takes
-	// something.
-	leastRate willowwick.PerSecond = 0.1
-	// mostRate is the rate from which on a limit bounds nothing: boxes do not send one endpoint as much.
-	mostRate willowwick.PerSecond = 10_000
-	// recoverFor is how long an endpoint that names no limit any more is used more and more, doubling once each
-	// recoverDouble: it has nothing to do then, and all boxes would choose it at once.
-	recoverFor    = 6 * time.Second
-	recoverDouble = time.Second
-	// permitFor is how long after it was asked for a permit may be used; what is used later may come together with
-	// later permits.
-	permitFor = 250 * time.Millisecond
-	// askFor is how long a question for a permit may take; the endpoint is not given to other requests meanwhile.
-	askFor = time.Second
-	// askPause is the least pause after a question that nobody answered; up to as much again is added at random.
-	askPause = 250 * time.Millisecond
-	// batchFor is for how long a box may be given permits at once.
-	batchFor = 50 * time.Millisecond
+	// minRate is the rate at which an endpoint with a limit of zero is probed: only an answer shows that it accepts
+	// requests again.
+	minRate willowwick.PerSecond = 0.1
+	// maxRate is the rate from which on a limit is ignored: boxes do not send as much to one endpoint.
+	maxRate willowwick.PerSecond = 10_000
+	// recoveryPeriod is how long the rate of an endpoint that no longer reports a limit ramps up, doubling once each
+	// recoveryDoubling: it is idle then, and all boxes would choose it at once.
+	recoveryPeriod   = 6 * time.Second
+	recoveryDoubling = time.Second
+	// permitTTL is how long after it was requested a permit may be used; one used later may coincide with later
+	// permits.
+	permitTTL = 250 * time.Millisecond
+	// askTimeout bounds a call for a permit; meanwhile the endpoint is not given to other requests.
+	askTimeout = time.Second
+	// minAskDelay is the minimum delay after a call without reply; up to as much again is added at random.
+	minAskDelay = 250 * time.Millisecond
+	// batchWindow is the time for which a box may get permits in one call.
+	batchWindow = 50 * time.Millisecond
 )
 
 type (
-	// Ledger is what one box knows of the limits that endpoints name. It implements willowwick.RateLimiter.
+	// Ledger holds the rate limits of endpoints that one box knows. It implements willowwick.RateLimiter.
 	Ledger struct {
-		// isNeeded is false while nothing bounds any endpoint: the choice of one asks for each of them.
-		isNeeded atomic.Bool
+		// mayBeLimited is false while no endpoint is limited. It is read for each candidate of each request.
+		mayBeLimited atomic.Bool
 
 		mu     sync.Mutex
 		limits map[willowwick.EndpointID]*limit
 
-		untoldUntil time.Time                      // no other box has told of limits yet, and may still
-		unanswered  map[willowwick.EndpointID]bool // until then, endpoints with a request that is the first one
+		awaitUntil          time.Time                      // other boxes may still send limits that are unknown here
+		awaitingFirstAnswer map[willowwick.EndpointID]bool // while awaiting: true until the endpoint answers its first request, then false
 	}
 
-	// limit is the limit of one endpoint, with what this box may send there.
+	// limit is the rate limit of one endpoint, with the permits of this box.
 	limit struct {
 		incarnation willowwick.Incarnation
 		rate        willowwick.PerSecond
-		namedAt     time.Time // when an answer named it first, or with another rate
-		endedAt     time.Time // when an answer to a later request named none; before namedAt if none did since
-		isListed    bool      // the list has held the endpoint since
+		namedAt     time.Time // when an answer first reported it, or another rate
+		endedAt     time.Time // when an answer to a later request reported none; before namedAt if none did since
+		wasListed   bool      // whether the list has held the endpoint since
 
-		permits     int       // at hand
-		usableUntil time.Time // they are
-		askingUntil time.Time // a permit is being asked for; zero if none is
-		askedAt     time.Time // last
-		used        int       // permits since then
-		nextAt      time.Time // no permit is asked for before
+		permits      int       // available permits
+		usableUntil  time.Time // expiry of the permits
+		askingUntil  time.Time // end of the pending call for a permit; zero if none is pending
+		askedAt      time.Time // time of the last call
+		usedSinceAsk int       // permits used since the last call
+		nextAskAt    time.Time // earliest time of the next call
 	}
 )
 
-// NewLedger returns a ledger that knows of no limit.
+// NewLedger returns an empty ledger.
 func NewLedger() *Ledger {
-	return &Ledger{limits: map[willowwick.EndpointID]*limit{}, unanswered: map[willowwick.EndpointID]bool{}}
+	return &Ledger{limits: map[willowwick.EndpointID]*limit{}, awaitingFirstAnswer: map[willowwick.EndpointID]bool{}}
 }
 
-// AwaitNews tells that nothing is known yet of what endpoints have named to other boxes. Until one of them tells, or the given
-// time, an endpoint gets one request, and others only after its answer.
-func (l *Ledger) AwaitNews(until time.Time) {
+// AwaitUpdates marks the limits as unknown after a start. Until another box sends its limits, or until the given
+// time, each endpoint gets one request, and more only after its answer.
+func (l *Ledger) AwaitUpdates(until time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.untoldUntil = until
-	l.isNeeded.Store(true)
+	l.awaitUntil = until
+	l.mayBeLimited.Store(true)
 }
 
-// isUntold reports whether other boxes may know of limits that this one does not; the caller holds the lock.
-func (l *Ledger) isUntold(now time.Time) bool {
-	return now.Before(l.untoldUntil)
+// isAwaitingUpdates reports whether other boxes may know limits that this one does not. The caller holds the lock.
+func (l *Ledger) isAwaitingUpdates(now time.Time) bool {
+	return now.Before(l.awaitUntil)
 }
 
 // Observe implements willowwick.RateLimiter.
 //
-// An answer without a limit ends one only if its request was sent after the limit was known: others may have been on their way
-// since before.
-func (l *Ledger) Observe(now, sentAt time.Time, endpoint willowwick.Endpoint, said willowwick.RateLimit) bool {
+// An answer without a limit ends one only if its request was sent after the limit was known: answers to earlier
+// requests may still be under way.
+func (l *Ledger) Observe(now, sentAt time.Time, endpoint willowwick.Endpoint, reported willowwick.RateLimit) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.isUntold(now) {
-		l.unanswered[endpoint.ID] = false
+	if l.isAwaitingUpdates(now) {
+		l.awaitingFirstAnswer[endpoint.ID] = false
 	}
 	known := l.limits[endpoint.ID]
 	switch {
-	case said.Unreadable != "":
-		slog.Debug("limit of an endpoint cannot be read", "endpoint", endpoint.ID, "text", said.Unreadable)
+	case reported.Unreadable != "":
+		slog.Debug("cannot parse rate limit of endpoint", "endpoint", endpoint.ID, "text", reported.Unreadable)
 		return false
-	case said.IsSet && (known == nil || !known.isNamed() || known.rate != said.Rate):
-		known = l.entry(endpoint.ID, endpoint.Incarnation)
-		known.rate, known.namedAt = said.Rate, now
+	case reported.IsSet && (known == nil || !known.isNamed() || known.rate != reported.Rate):
+		known = l.ensureLimit(endpoint.ID, endpoint.Incarnation)
+		known.rate, known.namedAt = reported.Rate, now
 		known.log(endpoint.ID, "answer")
 		return true
-	case !said.IsSet && known != nil && known.isNamed() && sentAt.After(known.namedAt):
+	case !reported.IsSet && known != nil && known.isNamed() && sentAt.After(known.namedAt):
 		known.endedAt = now
 		known.log(endpoint.ID, "answer")
 		return true
@@ -109,45 +109,45 @@
 	return false
 }
 
-// entry returns the endpoint's limit, a new one if there is none; the caller holds the lock.
-func (l *Ledger) entry(endpoint willowwick.EndpointID, incarnation willowwick.Incarnation) *limit {
+// ensureLimit returns the endpoint's limit and creates it if there is none. The caller holds the lock.
+func (l *Ledger) ensureLimit(endpoint willowwick.EndpointID, incarnation willowwick.Incarnation) *limit {
 	known := l.limits[endpoint]
 	if known == nil {
 		known = &limit{incarnation: incarnation}
 		l.limits[endpoint] = known
-		l.isNeeded.Store(true)
+		l.mayBeLimited.Store(true)
 	}
 	return known
 }
 
-// log writes a line about a change of the limit.
+// log logs a change of the limit.
 func (k *limit) log(endpoint willowwick.EndpointID, source string) {
-	what := "endpoint names no rate limit any more"
+	what := "endpoint no longer reports a rate limit"
 	if k.isNamed() {
-		what = "endpoint names a rate limit"
+		what = "endpoint reports a rate limit"
 	}
 	slog.Info(what, "endpoint", endpoint, "per_second", float64(k.rate), "source", source)
 }
 
-// isNamed reports whether the endpoint still names the limit, as far as is known.
+// isNamed reports whether the endpoint still reports the limit, as far as is known.
 func (k *limit) isNamed() bool {
 	return k.namedAt.After(k.endedAt)
 }
 
-// rateAt is what the endpoint may be sent, and false if nothing bounds it.
+// rateAt returns the rate for the endpoint, and false if it is not limited.
 func (k *limit) rateAt(now time.Time) (willowwick.PerSecond, bool) {
-	rate := max(k.rate, leastRate)
+	rate := max(k.rate, minRate)
 	if k.isNamed() {
-		return rate, rate < mostRate
+		return rate, rate < maxRate
 	}
 	since := now.Sub(k.endedAt)
-	if since >= recoverFor {
+	if since >= recoveryPeriod {
 		return 0, false
 	}
-	return rate * willowwick.PerSecond(math.Exp2(since.Seconds()/recoverDouble.Seconds())), true
+	return rate * willowwick.PerSecond(math.Exp2(since.Seconds()/recoveryDoubling.Seconds())), true
 }
 
-// Rate is what all boxes together may send to the endpoint, and false if nothing bounds it.
+// Rate returns the rate for all boxes together to the endpoint, and false if it is not limited.
 func (l *Ledger) Rate(now time.Time, endpoint willowwick.EndpointID) (willowwick.PerSecond, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -159,43 +159,43 @@
 
 // CanAcquire implements willowwick.RateLimiter.
 func (l *Ledger) CanAcquire(now time.Time, endpoint willowwick.EndpointID) bool {
-	if !l.isNeeded.Load() {
+	if !l.mayBeLimited.Load() {
 		return true
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known := l.limits[endpoint]
 	if known == nil {
-		return !l.isUntold(now) || !l.unanswered[endpoint]
+		return !l.isAwaitingUpdates(now) || !l.awaitingFirstAnswer[endpoint]
 	}
 	if _, isLimited := known.rateAt(now); !isLimited {
 		return true
 	}
-	return known.hasPermit(now) || !now.Before(known.askAt())
+	return known.hasPermit(now) || !now.Before(known.nextAsk())
 }
 
 func (k *limit) hasPermit(now time.Time) bool {
 	return k.permits > 0 && now.Before(k.usableUntil)
 }
 
-// askAt is when a permit may next be asked for.
-func (k *limit) askAt() time.Time {
-	if k.askingUntil.After(k.nextAt) {
+// nextAsk returns the earliest time of the next call for a permit.
+func (k *limit) nextAsk() time.Time {
+	if k.askingUntil.After(k.nextAskAt) {
 		return k.askingUntil
 	}
-	return k.nextAt
+	return k.nextAskAt
 }
 
 // Acquire implements willowwick.RateLimiter.
 func (l *Ledger) Acquire(now time.Time, endpoint willowwick.EndpointID) willowwick.PermitState {
-	if !l.isNeeded.Load() {
+	if !l.mayBeLimited.Load() {
 		return willowwick.PermitNotNeeded
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known := l.limits[endpoint]
 	if known == nil {
-		l.noteFirst(now, endpoint)
+		l.recordFirstUse(now, endpoint)
 		return willowwick.PermitNotNeeded
 	}
 	if _, isLimited := known.rateAt(now); !isLimited {
@@ -203,10 +203,10 @@
 	}
 	if known.hasPermit(now) {
 		known.permits--
-		known.used++
+		known.usedSinceAsk++
 		return willowwick.PermitHeld
 	}
-	known.askingUntil = now.Add(askFor)
+	known.askingUntil = now.Add(askTimeout)
 	return willowwick.PermitRequired
 }
 
@@ -219,16 +219,16 @@
 	}
 }
 
-// noteFirst notes that an endpoint gets its first request of a box that knows nothing yet; the caller holds the lock.
-func (l *Ledger) noteFirst(now time.Time, endpoint willowwick.EndpointID) {
-	if _, isTried := l.unanswered[endpoint]; l.isUntold(now) && !isTried {
-		l.unanswered[endpoint] = true
+// recordFirstUse records the first request to an endpoint while the box awaits updates. The caller holds the lock.
+func (l *Ledger) recordFirstUse(now time.Time, endpoint willowwick.EndpointID) {
+	if _, isTried := l.awaitingFirstAnswer[endpoint]; l.isAwaitingUpdates(now) && !isTried {
+		l.awaitingFirstAnswer[endpoint] = true
 	}
 }
 
 // NextAt implements willowwick.RateLimiter.
-func (l *Ledger) NextAt(now time.Time, endpoint willowwick.EndpointID) (nextAt time.Time, isLimited bool) {
-	if !l.isNeeded.Load() {
+func (l *Ledger) NextAt(now time.Time, endpoint willowwick.EndpointID) (nextAskAt time.Time, isLimited bool) {
+	if !l.mayBeLimited.Load() {
 		return time.Time{}, false
 	}
 	l.mu.Lock()
@@ -240,11 +240,11 @@
 	if _, isLimited := known.rateAt(now); !isLimited {
 		return time.Time{}, false
 	}
-	isAsking := now.Before(known.askingUntil) // a permit may come at any moment
-	if known.hasPermit(now) || isAsking && !known.nextAt.After(now) {
+	isAsking := now.Before(known.askingUntil) // a permit may arrive at any moment
+	if known.hasPermit(now) || isAsking && !known.nextAskAt.After(now) {
 		return now, true
 	}
-	return known.nextAt, true
+	return known.nextAskAt, true
 }
 
 // Retain implements willowwick.RateLimiter.
@@ -252,7 +252,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.limits) == 0 {
-		l.isNeeded.Store(!l.untoldUntil.IsZero())
+		l.mayBeLimited.Store(!l.awaitUntil.IsZero())
 		return
 	}
 	listed := make(map[willowwick.EndpointID]bool, len(listing))
@@ -265,18 +265,18 @@
 			delete(l.limits, endpoint.ID)
 			continue
 		}
-		listed[endpoint.ID], known.isListed = true, true
+		listed[endpoint.ID], known.wasListed = true, true
 	}
 	for id, known := range l.limits {
-		// One that another box told of may not be listed here yet.
-		if known.isListed && !listed[id] {
+		// An endpoint that was received from another box may not be listed here yet.
+		if known.wasListed && !listed[id] {
 			delete(l.limits, id)
 		}
 	}
 }
 
-// Ask makes the question for a permit that Acquire has told to ask for.
-func (l *Ledger) Ask(now time.Time, endpoint willowwick.EndpointID, box willowwick.BoxID) Call {
+// NewCall returns the call for a permit after Acquire returned PermissionToAsk.
+func (l *Ledger) NewCall(now time.Time, endpoint willowwick.EndpointID, box willowwick.BoxID) Call {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known := l.limits[endpoint]
@@ -284,32 +284,32 @@
 		return Call{Box: box, Row: unknownRow(endpoint), Wanted: 1}
 	}
 	call := Call{Box: box, Row: known.row(endpoint, now), Wanted: known.wanted(now)}
-	known.askedAt, known.used = now, 0
+	known.askedAt, known.usedSinceAsk = now, 0
 	return call
 }
 
-// wanted is how many permits a box asks for at once: more only where it has just used as many.
+// wanted returns how many permits to ask for at once: more than one only if as many have just been used.
 func (k *limit) wanted(now time.Time) int {
 	rate, _ := k.rateAt(now)
-	most := int(min(float64(rate)*batchFor.Seconds(), math.MaxInt16))
-	if now.Sub(k.askedAt) > batchFor {
+	most := int(min(float64(rate)*batchWindow.Seconds(), math.MaxInt16))
+	if now.Sub(k.askedAt) > batchWindow {
 		return 1
 	}
-	return max(1, min(2*k.used, most))
+	return max(1, min(2*k.usedSinceAsk, most))
 }
 
-// Answered takes the answer to a question that was asked at the given time, and reports whether the request may be sent.
-func (l *Ledger) Answered(now, askedAt time.Time, endpoint willowwick.EndpointID, reply Reply) bool {
+// HandleReply applies the reply to a call that was made at askedAt, and reports whether the request may be sent.
+func (l *Ledger) HandleReply(now, askedAt time.Time, endpoint willowwick.EndpointID, reply Reply) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.merge(reply.Row, "grant", now)
+	l.mergeRow(reply.Row, "grant", now)
 	known := l.limits[endpoint]
 	if known == nil {
-		return true // it is gone, or has started again
+		return true // the endpoint is gone or has restarted
 	}
 	known.askingUntil = time.Time{}
-	known.nextAt = now.Add(time.Duration(reply.RetryMs) * time.Millisecond)
-	known.permits, known.usableUntil = reply.Permits, askedAt.Add(permitFor)
+	known.nextAskAt = now.Add(time.Duration(reply.RetryMs) * time.Millisecond)
+	known.permits, known.usableUntil = reply.Permits, askedAt.Add(permitTTL)
 	if _, isLimited := known.rateAt(now); !isLimited {
 		return true
 	}
@@ -317,21 +317,21 @@
 		return false
 	}
 	known.permits--
-	known.used++
+	known.usedSinceAsk++
 	return true
 }
 
-// Unanswered notes that nobody answered a question; the next one is asked after a pause.
-func (l *Ledger) Unanswered(now time.Time, endpoint willowwick.EndpointID) {
+// HandleNoReply records that a call got no reply; the next one waits for a random delay.
+func (l *Ledger) HandleNoReply(now time.Time, endpoint willowwick.EndpointID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if known := l.limits[endpoint]; known != nil {
 		known.askingUntil = time.Time{}
-		known.nextAt = now.Add(askPause + time.Duration(rand.Int64N(int64(askPause))))
+		known.nextAskAt = now.Add(minAskDelay + time.Duration(rand.Int64N(int64(minAskDelay))))
 	}
 }
 
-// Count is the number of endpoints that name a limit.
+// Count returns the number of endpoints that report a limit.
 func (l *Ledger) Count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/serve/poison.go
+++ b/serve/poison.go
@@ -49,7 +49,7 @@
 	}
 	now := clock.Now()
 	if _, holdsLease := d.node.Lease.Fence(now); holdsLease {
-		if _, isAllowed := harm.Trial(c.poison, []willowwick.ReleaseID{release}, now); isAllowed {
+		if _, isAllowed := harm.AllowTrial(c.poison, []willowwick.ReleaseID{release}, now); isAllowed {
 			return nil
 		}
 	}
@@ -65,18 +65,18 @@
 	if !isSent || ctx.Err() != nil || !d.pool.IsInService(endpoint.ID) {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(ctx, quarantine.CheckLimit)
+	ctx, cancel := context.WithTimeout(ctx, quarantine.CrashCheckTimeout)
 	defer cancel()
 	if listens, known := d.deps.Engine.IsListening(ctx, endpoint); listens || !known {
 		return true
 	}
 	c.fingerprint()
-	return d.node.Harm.NoteEnd(c.poison, willowwick.EndpointCrash{Endpoint: endpoint.ID, Release: release, At: clock.Now()})
+	return d.node.Harm.RecordCrash(c.poison, willowwick.EndpointCrash{Endpoint: endpoint.ID, Release: release, At: clock.Now()})
 }
 
 // recordCompleted records that an endpoint has answered the request completely.
 func (d *Daemon) recordCompleted(c *content) {
 	if !d.node.Harm.IsEmpty() {
-		d.node.Harm.NoteAnswer(c.fingerprint(), clock.Now())
+		d.node.Harm.RecordAnswer(c.fingerprint(), clock.Now())
 	}
 }
