--- a/exchange/mesh_test.go
+++ b/exchange/mesh_test.go
@@ -431,13 +431,14 @@
 	endpoint.Leaving = true
 	m.store.put(endpoint)
 	began := time.Now()
-	for time.Since(began) <= meshDrain && !m.allKnowDraining(endpoint.ID) {
+	for time.Since(began) <= meshDrain && !m.allListDraining(endpoint.ID) {
 		m.run(t, meshStep)
 	}
 	return time.Since(began)
 }
 
-func (m *mesh) allKnowDraining(id willowwick.EndpointID) bool {
+// allListDraining reports whether all boxes that the store serves list an endpoint as draining.
+func (m *mesh) allListDraining(id willowwick.EndpointID) bool {
 	for _, box := range m.boxes {
 		if entry, _ := box.sync.listedEndpoint(id); !entry.Leaving && !box.isRefused {
 			return false
