--- a/serve/daemon.go
+++ b/serve/daemon.go
@@ -275,7 +275,7 @@
 	case d.node.Follower.IsBlocked():
 		return false, "the log contains a record of a newer schema"
 	case d.isIsolated(now):
-		return false, "neither the log nor half of the fleet is reachable"
+		return false, "neither the log nor half of the fleet is reached"
 	case d.node.Usage.IsFull():
 		return false, "the usage backlog is full"
 	}
