--- a/exchange/permits.go
+++ b/exchange/permits.go
@@ -131,7 +131,7 @@
 }
 
 // grantedShare returns the share of a limit that this box grants: the boxes that follow it, divided by all known
-// boxes. A box that has just started and is in touch with none does not know them yet, and assumes youngFleet
+// boxes. A box that has just started and is in touch with none does not know them yet, and assumes assumedFleetSize
 // boxes.
 func (p *peers) grantedShare(now time.Time) float64 {
 	p.mu.Lock()
--- a/exchange/router.go
+++ b/exchange/router.go
@@ -257,7 +257,7 @@
 }
 
 // setColdPauses divides the load that cold endpoints can take among the boxes. A box that has just started has not
-// counted the others yet, and assumes a fleet of youngFleet boxes.
+// counted the others yet, and assumes a fleet of assumedFleetSize boxes.
 func (x *Router) setColdPauses(now time.Time) {
 	t := x.table.Load()
 	if t == nil {
--- a/exchange/sync.go
+++ b/exchange/sync.go
@@ -55,7 +55,7 @@
 		control        willowwick.Control
 		rolloutOrdered chan struct{} // signals that a roll-out was ordered and its state has to be read
 
-		nextQuarantineRead time.Time // no read of the quarantine before; zero until it was read; used runPoisonSync keepHarmful only
+		nextQuarantineRead time.Time // no read of the quarantine before; zero until it was read; used by runPoisonSync only
 
 		mu sync.Mutex
 
--- a/ratelimit/ledger.go
+++ b/ratelimit/ledger.go
@@ -275,7 +275,7 @@
 	}
 }
 
-// NewCall returns the call for a permit after Acquire returned PermissionToAsk.
+// NewCall returns the call for a permit after Acquire returned PermitRequired.
 func (l *Ledger) NewCall(now time.Time, endpoint willowwick.EndpointID, box willowwick.BoxID) Call {
 	l.mu.Lock()
 	defer l.mu.Unlock()
