--- a/cmd/e2e/copy_test.go
+++ b/cmd/e2e/copy_test.go
@@ -27,7 +27,7 @@
 	settings.Hall = "hall-b"
 	s.serveRunner(t, settings)
 	before(s)
-	s.store.TakeCopy()
+	s.store.SaveBackup()
 	for range 20 {
 		require.NoError(t, s.store.Put("keyed.op", "rollout/nobody", map[string]any{"service": "nobody", "target-version": "v9", "period-s": 1}))
 	}
@@ -43,7 +43,7 @@
 		if status, _, err := s.boxes[i%len(s.boxes)].ask("/lookup/x", id, false); err == nil && status == 200 {
 			served++
 		}
-		inHall += s.runners["app-0"].Ran()[id] + s.runners["app-1"].Ran()[id]
+		inHall += s.runners["app-0"].RunCounts()[id] + s.runners["app-1"].RunCounts()[id]
 	}
 	return inHall, served
 }
@@ -76,7 +76,7 @@
 			}, startWithin, 20*time.Millisecond)
 			s.store.SetFaults(standin.StoreFaults{Down: true})
 			time.Sleep(700 * time.Millisecond)
-			s.store.WriteAgain(s.store.ComeBack()...)
+			s.store.RewriteRecords(s.store.RestoreBackup()...)
 			test.while(s)
 			s.store.SetFaults(standin.StoreFaults{})
 			test.after(s)
--- a/cmd/e2e/lab_test.go
+++ b/cmd/e2e/lab_test.go
@@ -237,7 +237,7 @@
 	l.t.Helper()
 	status, text, got := l.chat(d, prompt, header)
 	require.Equal(l.t, http.StatusOK, status, text)
-	require.True(l.t, standin.IsWhole(prompt+"\n", text, 400), text)
+	require.True(l.t, standin.IsCompleteAnswer(prompt+"\n", text, 400), text)
 	return got
 }
 
--- a/cmd/e2e/process_test.go
+++ b/cmd/e2e/process_test.go
@@ -31,7 +31,7 @@
 	const prompt = "be short\nsummarise run 7\n"
 	whole, err := client.Chat.Completions.New(ctx, params)
 	require.NoError(t, err)
-	require.True(t, standin.IsWhole(prompt, whole.Choices[0].Message.Content, 400))
+	require.True(t, standin.IsCompleteAnswer(prompt, whole.Choices[0].Message.Content, 400))
 	require.Equal(t, "stop", whole.Choices[0].FinishReason)
 	require.Positive(t, whole.Usage.TotalTokens)
 
@@ -41,7 +41,7 @@
 		require.True(t, gathered.AddChunk(stream.Current()))
 	}
 	require.NoError(t, stream.Err())
-	require.True(t, standin.IsWhole(prompt, gathered.Choices[0].Message.Content, 400))
+	require.True(t, standin.IsCompleteAnswer(prompt, gathered.Choices[0].Message.Content, 400))
 
 	models, err := client.Models.List(ctx)
 	require.NoError(t, err)
@@ -92,7 +92,7 @@
 		status, text, _ := tr.lab.chat(d, prompt, nil)
 		_, skippedNow := tr.skip.Load(d.name)
 		switch {
-		case status == http.StatusOK && standin.IsWhole(prompt+"\n", text, 400):
+		case status == http.StatusOK && standin.IsCompleteAnswer(prompt+"\n", text, 400):
 			tr.answered.Add(1)
 		case skippedNow || strings.HasPrefix(text, "not_run") || strings.Contains(text, "connection refused"):
 		default:
--- a/cmd/e2e/site_test.go
+++ b/cmd/e2e/site_test.go
@@ -122,7 +122,7 @@
 func runnerSettings(id, service, release, address string) standin.BatchSettings {
 	return standin.BatchSettings{
 		ID: id, Service: service, Hall: "hall-a", Address: address, Release: release,
-		Slots: 16, Events: siteEvents, EventPause: 5 * time.Millisecond,
+		Slots: 16, Events: siteEvents, EventInterval: 5 * time.Millisecond,
 	}
 }
 
@@ -234,7 +234,7 @@
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, status)
 	}
-	ran := s.runners["app-1"].Ran()
+	ran := s.runners["app-1"].RunCounts()
 	for i := range 12 {
 		assert.Equal(t, 1, ran[fmt.Sprint("once-", i)])
 	}
@@ -250,8 +250,8 @@
 		require.Equal(t, http.StatusOK, status, "a box serves on while the store is away")
 	}
 	s.store.SetFaults(standin.StoreFaults{})
-	s.store.Forget("keyed.op")
-	s.store.Forget("keyed.servers")
+	s.store.TrimHistory("keyed.op")
+	s.store.TrimHistory("keyed.servers")
 	s.configure(t, 7)
 	for _, box := range s.boxes {
 		require.Eventually(t, func() bool {
@@ -270,7 +270,7 @@
 			s.runners["llm-new-1"].SetFaults(faults)
 			order := map[string]any{"service": "llm", "target-version": "v2", "period-s": 6}
 			require.NoError(t, s.store.Put("keyed.op", "rollout/llm", order))
-			s.store.SetFaults(standin.StoreFaults{LoseAnswer: 1})
+			s.store.SetFaults(standin.StoreFaults{DroppedAnswers: 1})
 			stop := make(chan struct{})
 			var callers sync.WaitGroup
 			for caller := range 20 {
--- a/cmd/e2e/soak_changes_test.go
+++ b/cmd/e2e/soak_changes_test.go
@@ -74,9 +74,9 @@
 	lasting := a.lasting() + soakApply
 	a.add(at, fmt.Sprint("declarations away ", lasting), func() {
 		defer a.storeDown.begin()()
-		a.site.store.SetAway("keyed.op", true)
+		a.site.store.SetUnavailable("keyed.op", true)
 		time.Sleep(lasting)
-		a.site.store.SetAway("keyed.op", false)
+		a.site.store.SetUnavailable("keyed.op", false)
 	})
 }
 
--- a/cmd/e2e/soak_copy_test.go
+++ b/cmd/e2e/soak_copy_test.go
@@ -74,18 +74,18 @@
 	a.add(at, fmt.Sprintf("store comes back from a copy %s old, after %s, %d times; written again within %s", age, away, times, rewrite), func() {
 		c.drills.Lock()
 		defer c.drills.Unlock()
-		c.site.store.TakeCopy()
+		c.site.store.SaveBackup()
 		time.Sleep(age)
 		defer a.storeDown.begin()()
 		for range times {
 			c.site.store.SetFaults(standin.StoreFaults{Down: true})
 			time.Sleep(away)
-			lost := c.site.store.ComeBack()
+			lost := c.site.store.RestoreBackup()
 			c.site.store.SetFaults(standin.StoreFaults{})
 			order.Shuffle(len(lost), func(i, j int) { lost[i], lost[j] = lost[j], lost[i] })
 			for _, record := range lost {
 				time.Sleep(rewrite / time.Duration(len(lost)))
-				c.site.store.WriteAgain(record)
+				c.site.store.RewriteRecords(record)
 			}
 		}
 	})
--- a/cmd/e2e/soak_faults_test.go
+++ b/cmd/e2e/soak_faults_test.go
@@ -169,8 +169,8 @@
 // storeForgets lets the store drop its history but the newest record of each key, so that boxes must read anew.
 func (a *agenda) storeForgets(at time.Duration) {
 	a.add(at, "store forgets its history", func() {
-		a.site.store.Forget("keyed.op")
-		a.site.store.Forget("keyed.servers")
+		a.site.store.TrimHistory("keyed.op")
+		a.site.store.TrimHistory("keyed.servers")
 	})
 }
 
@@ -178,7 +178,7 @@
 func (a *agenda) storeLosesAnswers(at time.Duration) {
 	lasting := a.lasting()
 	a.add(at, fmt.Sprint("store loses answers ", lasting), func() {
-		a.site.store.SetFaults(standin.StoreFaults{LoseAnswer: 2})
+		a.site.store.SetFaults(standin.StoreFaults{DroppedAnswers: 2})
 		time.Sleep(lasting)
 		a.site.store.SetFaults(standin.StoreFaults{})
 	})
--- a/cmd/e2e/soak_limits_test.go
+++ b/cmd/e2e/soak_limits_test.go
@@ -88,10 +88,10 @@
 // name lets an endpoint name a limit for a time.
 func (l *limits) name(runner *soakRunner, rate float64, length time.Duration) {
 	span := limitSpan{runner: runner, rate: rate, from: time.Now()}
-	runner.NameLimit(fmt.Sprint(rate))
+	runner.SetRateLimit(fmt.Sprint(rate))
 	time.Sleep(length)
 	span.to = time.Now()
-	runner.NameLimit("")
+	runner.SetRateLimit("")
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.spans = append(l.spans, span)
--- a/cmd/e2e/soak_notices_test.go
+++ b/cmd/e2e/soak_notices_test.go
@@ -69,7 +69,7 @@
 		case a.random.IntN(2) == 0:
 			a.add(at, runner.id+" says that it leaves", func() {
 				site.addRunner(runner.id+"-new", runner.service, runner.release)
-				runner.SayLeaving()
+				runner.AnnounceDraining()
 			})
 		default:
 			a.askForRest(at, runner, rests[a.random.IntN(len(rests))])
@@ -84,9 +84,9 @@
 func (a *agenda) askForRest(at time.Duration, runner *soakRunner, seconds string) {
 	lasting := a.lasting()
 	a.add(at, fmt.Sprintf("%s asks for %s s of rest, %s long", runner.id, seconds, lasting), func() {
-		runner.AskForRest(seconds)
+		runner.SetBackoff(seconds)
 		time.Sleep(lasting)
-		runner.AskForRest("")
+		runner.SetBackoff("")
 	})
 }
 
@@ -105,8 +105,8 @@
 				continue // judged as a run that nobody asked for
 			}
 			from := boxLife{j.site.boxes[a.box], a.life}
-			seconds, _ := strconv.ParseFloat(arrival.Rest, 64)
-			arrivals[from] = append(arrivals[from], heardArrival{arrival.At, a, from, arrival.Leaving, time.Duration(seconds * float64(time.Second))})
+			seconds, _ := strconv.ParseFloat(arrival.Backoff, 64)
+			arrivals[from] = append(arrivals[from], heardArrival{arrival.At, a, from, arrival.Draining, time.Duration(seconds * float64(time.Second))})
 		}
 		told, rested := 0, 0
 		for _, ofBox := range arrivals {
--- a/cmd/e2e/soak_site_test.go
+++ b/cmd/e2e/soak_site_test.go
@@ -156,7 +156,7 @@
 		settings.Hall = r.hall
 	}
 	if s.onHarm != nil {
-		settings.EndOn, settings.OnEnd = harmfulBody, func() { s.onHarm(r) }
+		settings.CrashOn, settings.OnCrash = harmfulBody, func() { s.onHarm(r) }
 	}
 	runner, stopBeats := standin.NewBatchRunner(settings, s.store)
 	r.BatchRunner = runner
@@ -209,7 +209,7 @@
 
 // leave lets a runner say that it leaves, serve on for a while, and end.
 func (r *soakRunner) leave(store *standin.Store) {
-	r.Leave()
+	r.Drain()
 	r.mu.Lock()
 	r.leftAt = time.Now()
 	r.mu.Unlock()
--- a/exchange/silent_conns_test.go
+++ b/exchange/silent_conns_test.go
@@ -30,7 +30,7 @@
 		_, _ = io.WriteString(w, "ok")
 	})
 	endpoint := r.endpoint("v1")
-	link, closeLink, err := standin.NewSilencer(endpoint.Address)
+	link, closeLink, err := standin.NewStallingProxy(endpoint.Address)
 	require.NoError(t, err)
 	t.Cleanup(closeLink)
 	endpoint.Address = link.Address()
@@ -46,7 +46,7 @@
 	}
 	close(goOn)
 	calls.Wait()
-	require.Equal(t, before, link.Silence())
+	require.Equal(t, before, link.Stall())
 	// An endpoint that doesn't report a keep-alive has its connections closed after half a second; the deadlines of
 	// these requests are short enough for all of them to meet the silent ones.
 	lost := 0
--- a/lab/caller.go
+++ b/lab/caller.go
@@ -92,7 +92,7 @@
 		return err
 	}
 	return send(client, request, begun, read, func(text string) bool {
-		return standin.IsWhole(chat.Prompt+"\n", text, willowwick.Tokens(chat.MaxTokens))
+		return standin.IsCompleteAnswer(chat.Prompt+"\n", text, willowwick.Tokens(chat.MaxTokens))
 	})
 }
 
--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -154,7 +154,7 @@
 	engine := standin.NewEngine(id, max(f.options.Slots, 1), behaviours)
 	engine.ChecksFencing = true
 	address, end, err := f.serveUntil(string(id), engine)
-	engine.End = end
+	engine.Crash = end
 	if err != nil {
 		return err
 	}
--- a/lab/fleet_promises_test.go
+++ b/lab/fleet_promises_test.go
@@ -70,7 +70,7 @@
 func TestCallRunsAtMostOnce(t *testing.T) {
 	inScene(t, 5, func(s *scene) {
 		for _, instance := range s.Services["bookkeeping"] {
-			instance.SetFaults(func(f *standin.ServiceFaults) { f.DropAfter = 1 })
+			instance.SetFaults(func(f *standin.ServiceFaults) { f.DroppedAnswers = 1 })
 		}
 		lost := s.enter(0, "key-1", "entry-1")
 		require.Equal(t, OutcomeRefused, lost.Outcome, "%+v", lost)
--- a/lab/fuzz_test.go
+++ b/lab/fuzz_test.go
@@ -148,14 +148,14 @@
 		f.logDown = step.Kind == "log down"
 		f.Platform.SetFaults(func(faults *standin.PlatformFaults) { faults.LogDown = f.logDown })
 	case "lose answer":
-		f.Platform.SetFaults(func(faults *standin.PlatformFaults) { faults.LoseAnswer = 1 })
+		f.Platform.SetFaults(func(faults *standin.PlatformFaults) { faults.DroppedAnswers = 1 })
 	case "engine":
 		runner.SetFaults(func(faults *standin.EngineFaults) {
 			switch step.Box {
 			case 0:
 				faults.CutTimes, faults.CutAfter = 1, step.Which%3
 			case 1:
-				faults.Cross = 1
+				faults.MixUp = 1
 			case 2:
 				faults.Skip = 1
 			default:
@@ -164,7 +164,7 @@
 		})
 	case "leave":
 		if step.Which%len(f.Runners) == 0 {
-			runner.SetFaults(func(faults *standin.EngineFaults) { faults.Leaving = true })
+			runner.SetFaults(func(faults *standin.EngineFaults) { faults.Draining = true })
 		}
 	case "withdraw":
 		return f.playWithdraw()
@@ -261,14 +261,14 @@
 	entry := "entry-" + itoa(step.Which%fuzzKeys)
 	if step.Which >= fuzzKeys {
 		for _, instance := range f.Services["bookkeeping"] {
-			instance.SetFaults(func(faults *standin.ServiceFaults) { faults.DropAfter = 1 })
+			instance.SetFaults(func(faults *standin.ServiceFaults) { faults.DroppedAnswers = 1 })
 		}
 	}
 	before := f.effects(entry)
 	reply := f.enter(step.Box, entry, entry)
 	after := f.effects(entry)
 	for _, instance := range f.Services["bookkeeping"] {
-		instance.SetFaults(func(faults *standin.ServiceFaults) { faults.DropAfter = 0 })
+		instance.SetFaults(func(faults *standin.ServiceFaults) { faults.DroppedAnswers = 0 })
 	}
 	switch {
 	case after > 1:
--- a/lab/harm_test.go
+++ b/lab/harm_test.go
@@ -20,7 +20,7 @@
 		s.addRunner(t)
 		s.addRunner(t)
 		for _, runner := range s.Runners {
-			runner.SetFaults(func(faults *standin.EngineFaults) { faults.EndOn = harmfulPrompt })
+			runner.SetFaults(func(faults *standin.EngineFaults) { faults.CrashOn = harmfulPrompt })
 		}
 		for i := range 12 {
 			reply := s.ask(i%3, Chat{Prompt: harmfulPrompt})
@@ -38,7 +38,7 @@
 		}
 		live := 0
 		for _, runner := range s.Runners {
-			if !runner.HasEnded() {
+			if !runner.HasCrashed() {
 				live++
 			}
 		}
--- a/lab/notices_test.go
+++ b/lab/notices_test.go
@@ -16,7 +16,7 @@
 func TestARunnerThatSaysInAnswersThatItLeavesGetsNothing(t *testing.T) {
 	inScene(t, 3, func(s *scene) {
 		leaving := s.Runners[0]
-		leaving.SetFaults(func(f *standin.EngineFaults) { f.Announced = true })
+		leaving.SetFaults(func(f *standin.EngineFaults) { f.AnnouncesDraining = true })
 		before := len(servedBy(leaving))
 		for n := 0; len(servedBy(leaving)) == before; n++ {
 			require.Less(t, n, 200)
@@ -39,7 +39,7 @@
 func TestAServiceThatSaysInAnswersThatItLeavesGetsNothing(t *testing.T) {
 	inScene(t, 3, func(s *scene) {
 		leaving := s.Services["bookkeeping"][0]
-		leaving.SetFaults(func(f *standin.ServiceFaults) { f.Announced = true })
+		leaving.SetFaults(func(f *standin.ServiceFaults) { f.AnnouncesDraining = true })
 		for n := 0; len(leaving.Effects()) == 0; n++ {
 			require.Less(t, n, 200)
 			require.Equal(t, OutcomeWhole, s.enter(0, "tell"+itoa(n), "tell"+itoa(n)).Outcome)
@@ -58,12 +58,12 @@
 	const rest = 8 * time.Second
 	inScene(t, 3, func(s *scene) {
 		resting := s.Runners[0]
-		resting.SetFaults(func(f *standin.EngineFaults) { f.Rest = "8" })
+		resting.SetFaults(func(f *standin.EngineFaults) { f.BackoffSeconds = "8" })
 		statuses := s.keepAsking(rest - time.Second)
-		require.Positive(t, resting.TurnedAway())
-		require.LessOrEqual(t, resting.TurnedAway(), 3*len(s.Boxes), "%v", statuses)
+		require.Positive(t, resting.Rejected())
+		require.LessOrEqual(t, resting.Rejected(), 3*len(s.Boxes), "%v", statuses)
 		require.Len(t, statuses, 1, "the other runners take all: %v", statuses)
-		resting.SetFaults(func(f *standin.EngineFaults) { f.Rest = "" })
+		resting.SetFaults(func(f *standin.EngineFaults) { f.BackoffSeconds = "" })
 		before := len(servedBy(resting))
 		s.keepAsking(rest)
 		require.Greater(t, len(servedBy(resting)), before, "it is used again after its rest")
@@ -74,14 +74,14 @@
 func TestWhereAllRunnersRestChatsAreRefusedAtOnce(t *testing.T) {
 	inScene(t, 1, func(s *scene) {
 		for _, runner := range s.Runners {
-			runner.SetFaults(func(f *standin.EngineFaults) { f.Rest = "600" })
+			runner.SetFaults(func(f *standin.EngineFaults) { f.BackoffSeconds = "600" })
 		}
 		for n := range 12 { // each runner tells the box
 			s.askOnce(0, "tell "+itoa(n))
 		}
 		before := 0
 		for _, runner := range s.Runners {
-			before += runner.TurnedAway()
+			before += runner.Rejected()
 		}
 		began := time.Now()
 		reply := s.askOnce(0, "after")
@@ -89,7 +89,7 @@
 		require.Less(t, time.Since(began), 100*time.Millisecond)
 		after := 0
 		for _, runner := range s.Runners {
-			after += runner.TurnedAway()
+			after += runner.Rejected()
 		}
 		require.Equal(t, before, after)
 	})
--- a/lab/promises_test.go
+++ b/lab/promises_test.go
@@ -274,7 +274,7 @@
 // TestEachRequestIsBilledOnce through lost append answers, an outage of the log, and boxes killed with their memory.
 func TestEachRequestIsBilledOnce(t *testing.T) {
 	inScene(t, 3, func(s *scene) {
-		s.Platform.SetFaults(func(f *standin.PlatformFaults) { f.LoseAnswer = 3 })
+		s.Platform.SetFaults(func(f *standin.PlatformFaults) { f.DroppedAnswers = 3 })
 		for n := range 12 {
 			s.whole(n%3, Chat{})
 		}
@@ -311,7 +311,7 @@
 		{"cut", func(f *standin.EngineFaults) { f.CutTimes, f.CutAfter = 1, 2 }},
 		{"cut at the start", func(f *standin.EngineFaults) { f.CutTimes, f.CutAfter = 1, 0 }},
 		{"silent", func(f *standin.EngineFaults) { f.Stall = 1 }},
-		{"crossed", func(f *standin.EngineFaults) { f.Cross = 1 }},
+		{"crossed", func(f *standin.EngineFaults) { f.MixUp = 1 }},
 		{"gapped", func(f *standin.EngineFaults) { f.Skip = 1 }},
 		{"repeated", func(f *standin.EngineFaults) { f.Repeat = 1 }},
 	} {
@@ -395,8 +395,8 @@
 
 // TestLeavingEndpointGetsNoNewWork within 3 s, though the list lags by a minute; what is under way is finished.
 func TestLeavingEndpointGetsNoNewWork(t *testing.T) {
-	t.Run("refuses", func(t *testing.T) { checkLeaving(t, standin.EngineFaults{Leaving: true}) })
-	t.Run("takes what comes", func(t *testing.T) { checkLeaving(t, standin.EngineFaults{Leaving: true, Quietly: true}) })
+	t.Run("refuses", func(t *testing.T) { checkLeaving(t, standin.EngineFaults{Draining: true}) })
+	t.Run("takes what comes", func(t *testing.T) { checkLeaving(t, standin.EngineFaults{Draining: true, DrainsSilently: true}) })
 }
 
 func checkLeaving(t *testing.T, faults standin.EngineFaults) {
@@ -474,7 +474,7 @@
 func TestNotRunIsTrueAfterFailedCalls(t *testing.T) {
 	inScene(t, 2, func(s *scene) {
 		for _, runner := range s.Runners {
-			runner.SetFaults(func(f *standin.EngineFaults) { f.DenyAfter = true })
+			runner.SetFaults(func(f *standin.EngineFaults) { f.FailAll = true })
 		}
 		for n := range 8 {
 			before := s.ServedSince("run-large-1", time.Time{})
--- a/remote/silence_test.go
+++ b/remote/silence_test.go
@@ -106,18 +106,18 @@
 	calls.Wait()
 }
 
-func withKeptConnections(t *testing.T, test func(*testing.T, *standin.Silencer, *crowd, func(context.Context) error)) {
+func withKeptConnections(t *testing.T, test func(*testing.T, *standin.StallingProxy, *crowd, func(context.Context) error)) {
 	for _, name := range []string{"platform", "runner", "service"} {
 		t.Run(name, func(t *testing.T) {
 			server := &crowd{}
 			listening := httptest.NewServer(server)
 			defer listening.Close()
-			network, closeNetwork, err := standin.NewSilencer(strings.TrimPrefix(listening.URL, "http://"))
+			network, closeNetwork, err := standin.NewStallingProxy(strings.TrimPrefix(listening.URL, "http://"))
 			require.NoError(t, err)
 			defer closeNetwork()
 			call := callers(t, network.Address())[name]
 			together(t, server, keptConnections, call)
-			require.Equal(t, keptConnections, network.Opened())
+			require.Equal(t, keptConnections, network.ConnsOpened())
 			test(t, network, server, call)
 		})
 	}
@@ -127,8 +127,8 @@
 // turn, for as long as connections are kept; the platform's log was then out of reach for half a minute, though new
 // connections worked.
 func TestCallAfterOneOnASilentConnectionIsAnswered(t *testing.T) {
-	withKeptConnections(t, func(t *testing.T, network *standin.Silencer, server *crowd, call func(context.Context) error) {
-		network.Silence()
+	withKeptConnections(t, func(t *testing.T, network *standin.StallingProxy, server *crowd, call func(context.Context) error) {
+		network.Stall()
 		ctx, cancel := context.WithTimeout(t.Context(), callLimit)
 		defer cancel()
 		require.ErrorIs(t, call(ctx), context.DeadlineExceeded)
@@ -138,8 +138,8 @@
 
 // A stall is found out by who waits for the answer, who then leaves as a caller does, only later.
 func TestCallAfterOneThatWasGivenUpLateIsAnswered(t *testing.T) {
-	withKeptConnections(t, func(t *testing.T, network *standin.Silencer, server *crowd, call func(context.Context) error) {
-		network.Silence()
+	withKeptConnections(t, func(t *testing.T, network *standin.StallingProxy, server *crowd, call func(context.Context) error) {
+		network.Stall()
 		ctx, cancel := context.WithCancel(t.Context())
 		leaves := time.AfterFunc(wellLimit, cancel)
 		defer leaves.Stop()
@@ -150,13 +150,13 @@
 
 // A caller that leaves soon says nothing of the connections: the others are kept.
 func TestConnectionsAreKeptWhenACallerLeavesSoon(t *testing.T) {
-	withKeptConnections(t, func(t *testing.T, network *standin.Silencer, server *crowd, call func(context.Context) error) {
+	withKeptConnections(t, func(t *testing.T, network *standin.StallingProxy, server *crowd, call func(context.Context) error) {
 		server.gather(2)
 		ctx, cancel := context.WithCancel(t.Context())
 		leaves := time.AfterFunc(callLimit, cancel)
 		defer leaves.Stop()
 		require.ErrorIs(t, call(ctx), context.Canceled)
 		together(t, server, keptConnections-1, call)
-		assert.Equal(t, keptConnections, network.Opened())
+		assert.Equal(t, keptConnections, network.ConnsOpened())
 	})
 }
--- a/standin/batch.go
+++ b/standin/batch.go
@@ -11,23 +11,23 @@
 	"time"
 )
 
-// batchHeartbeat is how often a runner renews its entry.
-const batchHeartbeat = 200 * time.Millisecond
+// heartbeatInterval is how often a runner renews its entry.
+const heartbeatInterval = 200 * time.Millisecond
 
 type (
 	// BatchSettings describe a runner of the users' platform.
 	BatchSettings struct {
-		ID         string
-		Service    string
-		Hall       string
-		Address    string // host:port
-		Release    string
-		Slots      int
-		Events     int           // of each stream
-		EventPause time.Duration // setting
-		// EndOn is the body that ends the runner when it begins to run it; OnEnd then ends its process, as far as it goes.
-		EndOn string
-		OnEnd func()
+		ID            string
+		Service       string
+		Hall          string
+		Address       string // host:port
+		Release       string
+		Slots         int
+		Events        int           // of each stream
+		EventInterval time.Duration // setting
+		// CrashOn is the body that ends the runner when it begins to run it; OnCrash then ends its process, as far as it goes.
+		CrashOn string
+		OnCrash func()
 	}
 
 	// BatchFaults are the troubles of a runner.
@@ -39,20 +39,20 @@
 
 	// BatchRunner stands in for a runner of the users' platform; it keeps its entry in a store.
 	BatchRunner struct {
-		settings BatchSettings
-		born     int64 // Unix milliseconds
-		store    *Store
-		mu       sync.Mutex
-		faults   BatchFaults
-		leaving  bool
-		beats    int
-		running  int
-		runs     []BatchRun
-		limit    string // that answers name; empty for none
-		says     bool   // answers say that it leaves, whatever its entry says
-		rest     string // seconds that it asks for as it turns all requests away; empty for none
-		arrivals []BatchArrival
-		stop     chan struct{}
+		settings          BatchSettings
+		startedMs         int64 // Unix milliseconds
+		store             *Store
+		mu                sync.Mutex
+		faults            BatchFaults
+		draining          bool
+		heartbeats        int
+		running           int
+		runs              []BatchRun
+		rateLimit         string // that answers name; empty for none
+		announcesDraining bool   // answers say that it leaves, whatever its entry says
+		backoffSeconds    string // seconds that it asks for as it turns all requests away; empty for none
+		arrivals          []BatchArrival
+		stop              chan struct{}
 	}
 
 	// BatchRun is one run of a request at a runner.
@@ -66,37 +66,37 @@
 
 	// BatchArrival is a request that came, whether it ran or not, with what its answer says.
 	BatchArrival struct {
-		Request string
-		At      time.Time
-		Leaving bool
-		Rest    string // empty if it asks for none
+		Request  string
+		At       time.Time
+		Draining bool
+		Backoff  string // empty if it asks for none
 	}
 
 	batchEntry struct {
-		Service string `json:"service"`
-		Address string `json:"address"`
-		Zone    string `json:"zone"`
-		Version string `json:"version"`
-		Slots   int    `json:"slots"`
-		State   string `json:"state"`
-		ColdMs  int    `json:"cold-remaining-ms"`
-		Beat    int    `json:"sequence"`
-		Born    int64  `json:"born"`
+		Service   string `json:"service"`
+		Address   string `json:"address"`
+		Zone      string `json:"zone"`
+		Version   string `json:"version"`
+		Slots     int    `json:"slots"`
+		State     string `json:"state"`
+		ColdMs    int    `json:"cold-remaining-ms"`
+		Sequence  int    `json:"sequence"`
+		StartedMs int64  `json:"born"`
 	}
 )
 
 // NewBatchRunner returns a runner that keeps its entry, and a function that ends it without taking the entry out.
 func NewBatchRunner(settings BatchSettings, store *Store) (*BatchRunner, func()) {
-	b := &BatchRunner{settings: settings, store: store, stop: make(chan struct{}), born: time.Now().UnixMilli()}
-	go b.heartbeat()
+	b := &BatchRunner{settings: settings, store: store, stop: make(chan struct{}), startedMs: time.Now().UnixMilli()}
+	go b.sendHeartbeats()
 	return b, sync.OnceFunc(func() { close(b.stop) })
 }
 
-func (b *BatchRunner) heartbeat() {
-	ticker := time.NewTicker(batchHeartbeat)
+func (b *BatchRunner) sendHeartbeats() {
+	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	for {
-		b.beat()
+		b.writeEntry()
 		select {
 		case <-b.stop:
 			return
@@ -105,25 +105,25 @@
 	}
 }
 
-func (b *BatchRunner) beat() {
+func (b *BatchRunner) writeEntry() {
 	b.mu.Lock()
-	b.beats++
+	b.heartbeats++
 	state := "ready"
-	if b.leaving {
+	if b.draining {
 		state = "draining"
 	}
-	entry := batchEntry{b.settings.Service, b.settings.Address, b.settings.Hall, b.settings.Release, b.settings.Slots, state, 0, b.beats, b.born}
+	entry := batchEntry{b.settings.Service, b.settings.Address, b.settings.Hall, b.settings.Release, b.settings.Slots, state, 0, b.heartbeats, b.startedMs}
 	b.mu.Unlock()
 	// An entry that cannot be encoded would be a fault of this file; the store itself takes all.
 	_ = b.store.Put("keyed.servers", b.settings.ID, entry)
 }
 
-// Leave says that the runner is leaving.
-func (b *BatchRunner) Leave() {
+// Drain says that the runner is leaving.
+func (b *BatchRunner) Drain() {
 	b.mu.Lock()
-	b.leaving = true
+	b.draining = true
 	b.mu.Unlock()
-	b.beat()
+	b.writeEntry()
 }
 
 // SetFaults changes the runner's troubles.
@@ -133,25 +133,25 @@
 	b.faults = faults
 }
 
-// NameLimit makes the runner name a limit in its answers from now on; empty for none.
-func (b *BatchRunner) NameLimit(limit string) {
+// SetRateLimit makes the runner name a limit in its answers from now on; empty for none.
+func (b *BatchRunner) SetRateLimit(rateLimit string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.limit = limit
+	b.rateLimit = rateLimit
 }
 
-// SayLeaving makes the runner say in all its answers from now on that it leaves; its entry goes on telling that it is ready.
-func (b *BatchRunner) SayLeaving() {
+// AnnounceDraining makes the runner say in all its answers from now on that it leaves; its entry goes on telling that it is ready.
+func (b *BatchRunner) AnnounceDraining() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.says = true
+	b.announcesDraining = true
 }
 
-// AskForRest makes the runner turn all requests away from now on and ask for so many seconds of rest; empty for neither.
-func (b *BatchRunner) AskForRest(seconds string) {
+// SetBackoff makes the runner turn all requests away from now on and ask for so many seconds of rest; empty for neither.
+func (b *BatchRunner) SetBackoff(seconds string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.rest = seconds
+	b.backoffSeconds = seconds
 }
 
 // Arrivals lists the requests that came so far, the oldest first.
@@ -161,16 +161,16 @@
 	return slices.Clone(b.arrivals)
 }
 
-// arrive notes a request, and writes what its answer says of the runner.
-func (b *BatchRunner) arrive(id string, header http.Header) BatchArrival {
+// recordArrival notes a request, and writes what its answer says of the runner.
+func (b *BatchRunner) recordArrival(id string, header http.Header) BatchArrival {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	arrival := BatchArrival{id, time.Now(), b.says || b.leaving, b.rest}
+	arrival := BatchArrival{id, time.Now(), b.announcesDraining || b.draining, b.backoffSeconds}
 	b.arrivals = append(b.arrivals, arrival)
-	if b.limit != "" {
-		header.Set("Server-Limit", b.limit)
+	if b.rateLimit != "" {
+		header.Set("Server-Limit", b.rateLimit)
 	}
-	if arrival.Leaving {
+	if arrival.Draining {
 		header.Set("Server-Leaving", "1")
 	}
 	return arrival
@@ -183,13 +183,13 @@
 	return slices.Clone(b.runs)
 }
 
-// Ran tells how often each request has run here.
-func (b *BatchRunner) Ran() map[string]int {
-	ran := map[string]int{}
+// RunCounts tells how often each request has run here.
+func (b *BatchRunner) RunCounts() map[string]int {
+	counts := map[string]int{}
 	for _, run := range b.Runs() {
-		ran[run.Request]++
+		counts[run.Request]++
 	}
-	return ran
+	return counts
 }
 
 // ServeHTTP implements http.Handler.
@@ -200,29 +200,29 @@
 	}
 	id := r.Header.Get("Attempt-Id")
 	w.Header().Set("Attempt-Id", id)
-	arrival := b.arrive(id, w.Header())
+	arrival := b.recordArrival(id, w.Header())
 	if expected := r.Header.Get("Expect-Instance"); expected != "" && expected != b.settings.ID {
 		w.Header().Set("Instance-Id", b.settings.ID)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	if arrival.Rest != "" {
-		w.Header().Set("Retry-After", arrival.Rest)
+	if arrival.Backoff != "" {
+		w.Header().Set("Retry-After", arrival.Backoff)
 		w.Header().Set("Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	number, running, faults, taken := b.begin(batchRun(r, body))
+	number, running, faults, accepted := b.startRun(newBatchRun(r, body))
 	w.Header().Set("Server-Load", fmt.Sprintf("%d,0,%d", running, b.settings.Slots))
-	if !taken {
+	if !accepted {
 		w.Header().Set("Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	defer b.end()
-	if b.settings.OnEnd != nil && string(body) == b.settings.EndOn {
-		time.Sleep(b.settings.EventPause)
-		b.settings.OnEnd()
+	defer b.finishRun()
+	if b.settings.OnCrash != nil && string(body) == b.settings.CrashOn {
+		time.Sleep(b.settings.EventInterval)
+		b.settings.OnCrash()
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Response-Seal", b.settings.ID+"."+id)
@@ -234,12 +234,12 @@
 		b.stream(w, r, faults)
 		return
 	}
-	time.Sleep(b.settings.EventPause)
+	time.Sleep(b.settings.EventInterval)
 	_, _ = io.WriteString(w, "answer of "+id)
 }
 
-// batchRun is the run that a request asks for.
-func batchRun(r *http.Request, body []byte) BatchRun {
+// newBatchRun is the run that a request asks for.
+func newBatchRun(r *http.Request, body []byte) BatchRun {
 	return BatchRun{
 		Request: r.Header.Get("Attempt-Id"),
 		Account: r.Header.Get("Tenant"),
@@ -249,8 +249,8 @@
 	}
 }
 
-// begin takes a slot and notes the run; number is the run's among all here.
-func (b *BatchRunner) begin(run BatchRun) (number, running int, faults BatchFaults, taken bool) {
+// admit takes a slot and notes the run; number is the run's among all here.
+func (b *BatchRunner) startRun(run BatchRun) (number, running int, faults BatchFaults, accepted bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.faults.Full || b.running >= b.settings.Slots {
@@ -261,7 +261,7 @@
 	return len(b.runs), b.running, b.faults, true
 }
 
-func (b *BatchRunner) end() {
+func (b *BatchRunner) finishRun() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.running--
@@ -286,7 +286,7 @@
 		if http.NewResponseController(w).Flush() != nil {
 			return
 		}
-		time.Sleep(b.settings.EventPause)
+		time.Sleep(b.settings.EventInterval)
 	}
 }
 
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// poorMark stands in answers that the rater gives a low score.
-	poorMark = "[poor]"
-
-	hashScale     = 10_000
-	shortestReply = 6
-	replySpread   = 18
-	loadLag       = 200 * time.Millisecond
-	tokensAChunk  = 4
+	// lowScoreMarker stands in answers that the rater gives a low score.
+	lowScoreMarker = "[poor]"
+
+	hashBuckets        = 10_000
+	minChunks          = 6
+	chunkCountSpread   = 18
+	loadReportInterval = 200 * time.Millisecond
+	tokensPerChunk     = 4
 )
 
 type (
@@ -36,22 +36,22 @@
 
 	// EngineFaults are the troubles of one runner.
 	EngineFaults struct {
-		Leaving   bool `json:"leaving"`   // say so, and refuse new work
-		Quietly   bool `json:"quietly"`   // when leaving, say so in load reports only, and take what comes
-		Announced bool `json:"announced"` // say in answers alone that it leaves, and take what comes
-		CutAfter  int  `json:"cutAfter"`  // cut the next stream after so many chunks
-		CutTimes  int  `json:"cutTimes"`  // how many streams to cut
-		Stall     int  `json:"stall"`     // streams to stall after their first chunk
-		Cross     int  `json:"cross"`     // streams that switch to a wrong request id
-		Skip      int  `json:"skip"`      // streams that leave out a chunk
-		Repeat    int  `json:"repeat"`    // streams that send a chunk twice
-		DenyAfter bool `json:"denyAfter"` // answer 500 to all
-		// EndOn ends the runner when it begins to run a prompt that holds this.
-		EndOn string `json:"endOn"`
+		Draining          bool `json:"leaving"`   // say so, and refuse new work
+		DrainsSilently    bool `json:"quietly"`   // when leaving, say so in load reports only, and take what comes
+		AnnouncesDraining bool `json:"announced"` // say in answers alone that it leaves, and take what comes
+		CutAfter          int  `json:"cutAfter"`  // cut the next stream after so many chunks
+		CutTimes          int  `json:"cutTimes"`  // how many streams to cut
+		Stall             int  `json:"stall"`     // streams to stall after their first chunk
+		MixUp             int  `json:"cross"`     // streams that switch to a wrong request id
+		Skip              int  `json:"skip"`      // streams that leave out a chunk
+		Repeat            int  `json:"repeat"`    // streams that send a chunk twice
+		FailAll           bool `json:"denyAfter"` // answer 500 to all
+		// CrashOn ends the runner when it begins to run a prompt that holds this.
+		CrashOn string `json:"endOn"`
 		// RateLimit is the limit that answers name; empty for none.
 		RateLimit string `json:"rateLimit"`
-		// Rest is how many seconds of rest the runner asks for as it turns all calls away; empty for none.
-		Rest string `json:"rest"`
+		// BackoffSeconds is how many seconds of rest the runner asks for as it turns all calls away; empty for none.
+		BackoffSeconds string `json:"rest"`
 	}
 
 	// Engine stands in for a runner.
@@ -62,19 +62,19 @@
 		BetweenChunks time.Duration
 		ChecksFencing bool
 		IgnoresOrders bool
-		// End ends the runner as the end of its process would; nil if it cannot.
-		End func()
+		// Crash ends the runner as the end of its process would; nil if it cannot.
+		Crash func()
 
 		mu         sync.Mutex
 		versions   map[willowwick.VersionID]VersionBehaviour
 		faults     EngineFaults
-		ended      bool
-		places     chan struct{}
+		crashed    bool
+		slots      chan struct{}
 		waiting    int
 		running    int
-		reported   willowwick.EndpointLoad
+		lastReport willowwick.EndpointLoad
 		served     map[willowwick.VersionID][]time.Time
-		turnedAway int
+		rejected   int
 		fence      willowwick.Fence
 		orders     []willowwick.Order
 		mux        *http.ServeMux
@@ -85,7 +85,7 @@
 func NewEngine(id willowwick.EndpointID, slots int, versions map[willowwick.VersionID]VersionBehaviour) *Engine {
 	e := &Engine{
 		ID: id, Slots: slots, FirstToken: 30 * time.Millisecond, BetweenChunks: 4 * time.Millisecond,
-		versions: versions, places: make(chan struct{}, slots),
+		versions: versions, slots: make(chan struct{}, slots),
 		served: map[willowwick.VersionID][]time.Time{}, mux: http.NewServeMux(),
 	}
 	e.mux.HandleFunc("POST "+remote.PathCompletions, e.handleChat)
@@ -107,11 +107,11 @@
 	change(&e.faults)
 }
 
-// HasEnded reports whether a prompt ended the runner.
-func (e *Engine) HasEnded() bool {
+// HasCrashed reports whether a prompt ended the runner.
+func (e *Engine) HasCrashed() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.ended
+	return e.crashed
 }
 
 // SetBehaviour changes how a version answers.
@@ -128,11 +128,11 @@
 	return append([]time.Time(nil), e.served[version]...)
 }
 
-// TurnedAway counts the calls that the runner turned away to have rest.
-func (e *Engine) TurnedAway() int {
+// Rejected counts the calls that the runner turned away to have rest.
+func (e *Engine) Rejected() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.turnedAway
+	return e.rejected
 }
 
 // Orders returns the orders that were obeyed.
@@ -145,36 +145,36 @@
 // AnswerTo returns the whole answer of a version to a prompt, in chunks; it is always the same.
 func AnswerTo(prompt string, version willowwick.VersionID, quality float64, maxTokens willowwick.Tokens) []string {
 	hash := xxhash.Sum64String(prompt)
-	count := shortestReply + int(hash%replySpread)
+	count := minChunks + int(hash%chunkCountSpread)
 	if maxTokens > 0 {
-		count = min(count, int(maxTokens+tokensAChunk-1)/tokensAChunk)
+		count = min(count, int(maxTokens+tokensPerChunk-1)/tokensPerChunk)
 	}
-	poor := float64(xxhash.Sum64String(prompt+string(version))%hashScale) >= quality*hashScale
+	isLowScored := float64(xxhash.Sum64String(prompt+string(version))%hashBuckets) >= quality*hashBuckets
 	chunks := make([]string, max(count, 1))
 	for i := range chunks {
 		chunks[i] = fmt.Sprintf("%08x-%d ", uint32(hash), i)
 	}
-	if poor {
-		chunks[0] = poorMark + " " + chunks[0]
+	if isLowScored {
+		chunks[0] = lowScoreMarker + " " + chunks[0]
 	}
 	return chunks
 }
 
-// AnswerKey is the start of every chunk of the answers to a prompt.
-func AnswerKey(prompt string) string {
+// AnswerPrefix is the start of every chunk of the answers to a prompt.
+func AnswerPrefix(prompt string) string {
 	return fmt.Sprintf("%08x-", uint32(xxhash.Sum64String(prompt)))
 }
 
-// IsWhole reports whether a text is a whole answer to the prompt.
-func IsWhole(prompt, text string, maxTokens willowwick.Tokens) bool {
-	text = strings.TrimPrefix(text, poorMark+" ")
+// IsCompleteAnswer reports whether a text is a whole answer to the prompt.
+func IsCompleteAnswer(prompt, text string, maxTokens willowwick.Tokens) bool {
+	text = strings.TrimPrefix(text, lowScoreMarker+" ")
 	return text == strings.Join(AnswerTo(prompt, "", 1, maxTokens), "")
 }
 
 type chatRun struct {
 	request  willowwick.RequestID
 	call     remote.ChatRequest
-	slow     time.Duration
+	slowdown time.Duration
 	chunks   []string
 	prompt   string
 	resumeAt int
@@ -182,7 +182,7 @@
 }
 
 func (e *Engine) handleChat(w http.ResponseWriter, r *http.Request) {
-	run := chatRun{request: willowwick.RequestID(r.Header.Get(remote.HeaderRequestID)), slow: 1}
+	run := chatRun{request: willowwick.RequestID(r.Header.Get(remote.HeaderRequestID)), slowdown: 1}
 	if err := json.NewDecoder(r.Body).Decode(&run.call); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -195,39 +195,39 @@
 		}
 		run.resumeAt = at
 	}
-	if !e.begin(w, &run) {
+	if !e.admit(w, &run) {
 		return
 	}
-	if !e.takePlace(r) {
+	if !e.acquireSlot(r) {
 		return
 	}
-	defer e.leavePlace()
-	if mark := run.faults.EndOn; mark != "" && e.End != nil && strings.Contains(run.prompt, mark) {
+	defer e.releaseSlot()
+	if marker := run.faults.CrashOn; marker != "" && e.Crash != nil && strings.Contains(run.prompt, marker) {
 		e.mu.Lock()
-		e.ended = true
+		e.crashed = true
 		e.mu.Unlock()
-		e.End()
+		e.Crash()
 		panic(http.ErrAbortHandler)
 	}
 	e.stream(w, r, run)
 }
 
-// begin checks the call and fixes how it will go.
-func (e *Engine) begin(w http.ResponseWriter, run *chatRun) bool {
+// admit checks the call and fixes how it will go.
+func (e *Engine) admit(w http.ResponseWriter, run *chatRun) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.writeLoad(w.Header())
-	if e.faults.Announced {
+	if e.faults.AnnouncesDraining {
 		w.Header().Set(remote.HeaderLeaving, "true")
 	}
-	if e.faults.Leaving && !e.faults.Quietly {
+	if e.faults.Draining && !e.faults.DrainsSilently {
 		w.Header().Set(remote.HeaderLeaving, "true")
 		http.Error(w, "leaving", http.StatusServiceUnavailable)
 		return false
 	}
-	if e.faults.Rest != "" {
-		e.turnedAway++
-		w.Header().Set(remote.HeaderRest, e.faults.Rest)
+	if e.faults.BackoffSeconds != "" {
+		e.rejected++
+		w.Header().Set(remote.HeaderRest, e.faults.BackoffSeconds)
 		http.Error(w, "busy", http.StatusServiceUnavailable)
 		return false
 	}
@@ -238,76 +238,76 @@
 	}
 	run.prompt = willowwick.PromptText(run.call.Messages)
 	e.served[run.call.Model] = append(e.served[run.call.Model], time.Now())
-	lot := float64(xxhash.Sum64String(string(run.request)+run.prompt)%hashScale) / hashScale
-	if e.faults.DenyAfter || lot < behaviour.Errors {
+	draw := float64(xxhash.Sum64String(string(run.request)+run.prompt)%hashBuckets) / hashBuckets
+	if e.faults.FailAll || draw < behaviour.Errors {
 		http.Error(w, "engine failure", http.StatusInternalServerError)
 		return false
 	}
 	if behaviour.Slow > 1 {
-		run.slow = time.Duration(behaviour.Slow)
+		run.slowdown = time.Duration(behaviour.Slow)
 	}
 	run.chunks = AnswerTo(run.prompt, run.call.Model, behaviour.Quality, run.call.MaxTokens)
-	run.faults = e.takeFaults()
+	run.faults = e.consumeFaults()
 	return true
 }
 
-// takeFaults uses up the faults that strike one stream.
-func (e *Engine) takeFaults() EngineFaults {
-	struck := EngineFaults{EndOn: e.faults.EndOn}
-	take := func(left *int, struck *int) {
-		if *left > 0 {
-			*left--
-			*struck = 1
+// consumeFaults uses up the faults that strike one stream.
+func (e *Engine) consumeFaults() EngineFaults {
+	active := EngineFaults{CrashOn: e.faults.CrashOn}
+	consume := func(remaining *int, active *int) {
+		if *remaining > 0 {
+			*remaining--
+			*active = 1
 		}
 	}
 	if e.faults.CutTimes > 0 {
 		e.faults.CutTimes--
-		struck.CutTimes, struck.CutAfter = 1, e.faults.CutAfter
+		active.CutTimes, active.CutAfter = 1, e.faults.CutAfter
 	}
-	take(&e.faults.Stall, &struck.Stall)
-	take(&e.faults.Cross, &struck.Cross)
-	take(&e.faults.Skip, &struck.Skip)
-	take(&e.faults.Repeat, &struck.Repeat)
-	return struck
+	consume(&e.faults.Stall, &active.Stall)
+	consume(&e.faults.MixUp, &active.MixUp)
+	consume(&e.faults.Skip, &active.Skip)
+	consume(&e.faults.Repeat, &active.Repeat)
+	return active
 }
 
-func (e *Engine) takePlace(r *http.Request) bool {
+func (e *Engine) acquireSlot(r *http.Request) bool {
 	e.mu.Lock()
 	e.waiting++
 	e.mu.Unlock()
-	var got bool
+	var acquired bool
 	select {
-	case e.places <- struct{}{}:
-		got = true
+	case e.slots <- struct{}{}:
+		acquired = true
 	case <-r.Context().Done():
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.waiting--
-	if got {
+	if acquired {
 		e.running++
 	}
-	return got
+	return acquired
 }
 
-func (e *Engine) leavePlace() {
+func (e *Engine) releaseSlot() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.running--
-	<-e.places
+	<-e.slots
 }
 
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, run chatRun) {
-	if !pause(r, e.FirstToken*run.slow) {
+	if !pause(r, e.FirstToken*run.slowdown) {
 		return
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
 	controller := http.NewResponseController(w)
 	for i := run.resumeAt; i < len(run.chunks); i++ {
-		if i > run.resumeAt && !pause(r, e.BetweenChunks*run.slow) {
+		if i > run.resumeAt && !pause(r, e.BetweenChunks*run.slowdown) {
 			return
 		}
-		if !e.strike(r, run, i) {
+		if !e.injectFault(r, run, i) {
 			continue
 		}
 		e.send(w, run, i)
@@ -323,8 +323,8 @@
 	_, _ = done.WriteTo(w)
 }
 
-// strike lets a fault happen at a chunk and reports whether the chunk is sent.
-func (e *Engine) strike(r *http.Request, run chatRun, i int) bool {
+// injectFault lets a fault happen at a chunk and reports whether the chunk is sent.
+func (e *Engine) injectFault(r *http.Request, run chatRun, i int) bool {
 	if run.faults.CutTimes > 0 && i-run.resumeAt >= run.faults.CutAfter {
 		panic(http.ErrAbortHandler)
 	}
@@ -342,7 +342,7 @@
 		Model: string(run.call.Model), Position: &position,
 		Choices: []remote.ChatChoice{{Delta: remote.ChatDelta{Content: run.chunks[i]}}},
 	}
-	if run.faults.Cross > 0 && i > run.resumeAt {
+	if run.faults.MixUp > 0 && i > run.resumeAt {
 		chunk.ID = "somebody-else"
 		chunk.Choices[0].Delta.Content = "not yours "
 	}
@@ -351,7 +351,7 @@
 		chunk.Choices[0].FinishReason = &reason
 		usage := willowwick.Usage{
 			Prompt: willowwick.EstimateTokens(run.prompt),
-			Output: willowwick.Tokens(tokensAChunk * len(run.chunks)),
+			Output: willowwick.Tokens(tokensPerChunk * len(run.chunks)),
 		}
 		chunk.Usage = &remote.ChatUsage{Usage: usage, Total: usage.Prompt + usage.Output}
 	}
@@ -364,8 +364,8 @@
 	_, _ = message.WriteTo(w)
 }
 
-func pause(r *http.Request, length time.Duration) bool {
-	timer := time.NewTimer(length)
+func pause(r *http.Request, duration time.Duration) bool {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -377,7 +377,7 @@
 
 // writeLoad sets the load headers; the numbers are those of the last report.
 func (e *Engine) writeLoad(header http.Header) {
-	load := e.report()
+	load := e.loadReport()
 	header.Set(remote.HeaderRunning, strconv.Itoa(load.Running))
 	header.Set(remote.HeaderWaiting, strconv.Itoa(load.Waiting))
 	header.Set(remote.HeaderSlots, strconv.Itoa(load.Slots))
@@ -386,20 +386,20 @@
 	}
 }
 
-// report renews the load report when it has lagged enough.
-func (e *Engine) report() willowwick.EndpointLoad {
+// loadReport renews the load report when it has lagged enough.
+func (e *Engine) loadReport() willowwick.EndpointLoad {
 	now := time.Now()
-	if now.Sub(e.reported.At) >= loadLag {
-		e.reported = willowwick.EndpointLoad{
-			Endpoint: e.ID, Running: e.running, Waiting: e.waiting, Slots: e.Slots, Leaving: e.faults.Leaving, At: now,
+	if now.Sub(e.lastReport.At) >= loadReportInterval {
+		e.lastReport = willowwick.EndpointLoad{
+			Endpoint: e.ID, Running: e.running, Waiting: e.waiting, Slots: e.Slots, Leaving: e.faults.Draining, At: now,
 		}
 	}
-	return e.reported
+	return e.lastReport
 }
 
 func (e *Engine) handleLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	load := e.report()
+	load := e.loadReport()
 	e.mu.Unlock()
 	writeJSON(w, load)
 }
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -15,25 +15,25 @@
 )
 
 const (
-	goodScore  = willowwick.Score(0.95)
-	poorScore  = willowwick.Score(0.2)
-	maxRecord  = 16 << 20
-	pathFaults = "/faults"
-	pathBoxes  = "/live/boxes"
-	pathPoints = "/live/endpoints"
+	highScore      = willowwick.Score(0.95)
+	lowScore       = willowwick.Score(0.2)
+	maxRecordBytes = 16 << 20
+	pathFaults     = "/faults"
+	pathBoxes      = "/live/boxes"
+	pathEndpoints  = "/live/endpoints"
 )
 
 type (
 	// PlatformFaults are the troubles of the platform.
 	PlatformFaults struct {
-		LogDown    bool `json:"logDown"`
-		LoseAnswer int  `json:"loseAnswer"` // appends that take effect and are not answered
-		SlowMs     int  `json:"slowMs"`
-		ListDown   bool `json:"listDown"`
-		ListLagMs  int  `json:"listLagMs"`
-		RaterDown  bool `json:"raterDown"`
-		RaterMs    int  `json:"raterMs"`
-		Retain     int  `json:"retain"` // records kept on a stream; 0 keeps all
+		LogDown        bool `json:"logDown"`
+		DroppedAnswers int  `json:"loseAnswer"` // appends that take effect and are not answered
+		SlowMs         int  `json:"slowMs"`
+		ListDown       bool `json:"listDown"`
+		ListLagMs      int  `json:"listLagMs"`
+		RaterDown      bool `json:"raterDown"`
+		RaterMs        int  `json:"raterMs"`
+		Retain         int  `json:"retain"` // records kept on a stream; 0 keeps all
 	}
 
 	// Platform stands in for the log, the list of boxes and endpoints, and the rater.
@@ -54,8 +54,8 @@
 	}
 
 	timedListing struct {
-		at      time.Time
-		listing willowwick.Listing
+		publishedAt time.Time
+		listing     willowwick.Listing
 	}
 )
 
@@ -73,8 +73,8 @@
 	p.mux.HandleFunc("POST "+remote.PathRate, p.handleRate)
 	p.mux.HandleFunc("PUT "+pathFaults, p.handleFaults)
 	p.mux.HandleFunc("PUT "+pathBoxes, handlePut(p.SetBox))
-	p.mux.HandleFunc("PUT "+pathPoints, handlePut(p.SetEndpoint))
-	p.relist()
+	p.mux.HandleFunc("PUT "+pathEndpoints, handlePut(p.SetEndpoint))
+	p.publishListing()
 	return p
 }
 
@@ -95,7 +95,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.boxes[box.ID] = box
-	p.relist()
+	p.publishListing()
 }
 
 // RemoveBox takes a box off the list.
@@ -103,7 +103,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.boxes, id)
-	p.relist()
+	p.publishListing()
 }
 
 // SetEndpoint puts an endpoint on the list.
@@ -111,7 +111,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.endpoints[endpoint.ID] = endpoint
-	p.relist()
+	p.publishListing()
 }
 
 // Endpoints returns the endpoints on the list, by id.
@@ -135,7 +135,7 @@
 	return p.appends
 }
 
-func (p *Platform) relist() {
+func (p *Platform) publishListing() {
 	listing := willowwick.Listing{Revision: strconv.Itoa(len(p.listings) + 1)}
 	for _, box := range p.boxes {
 		listing.Boxes = append(listing.Boxes, box)
@@ -143,7 +143,7 @@
 	for _, endpoint := range p.endpoints {
 		listing.Endpoints = append(listing.Endpoints, endpoint)
 	}
-	p.listings = append(p.listings, timedListing{at: time.Now(), listing: listing})
+	p.listings = append(p.listings, timedListing{publishedAt: time.Now(), listing: listing})
 }
 
 func (p *Platform) stream(id willowwick.StreamID) *stream {
@@ -176,29 +176,29 @@
 }
 
 func (p *Platform) handleAppend(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(io.LimitReader(r.Body, maxRecord))
+	data, err := io.ReadAll(io.LimitReader(r.Body, maxRecordBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !p.pass(w, func(f PlatformFaults) bool { return f.LogDown }) {
+	if !p.checkAvailable(w, func(f PlatformFaults) bool { return f.LogDown }) {
 		return
 	}
 	p.mu.Lock()
 	offset := p.append(willowwick.StreamID(r.PathValue("stream")), data)
-	lose := p.faults.LoseAnswer > 0
-	if lose {
-		p.faults.LoseAnswer--
+	dropAnswer := p.faults.DroppedAnswers > 0
+	if dropAnswer {
+		p.faults.DroppedAnswers--
 	}
 	p.mu.Unlock()
-	if lose {
+	if dropAnswer {
 		panic(http.ErrAbortHandler)
 	}
 	writeJSON(w, map[string]willowwick.Offset{"offset": offset})
 }
 
-// pass waits as long as the platform is slow, and answers an error if the part is down.
-func (p *Platform) pass(w http.ResponseWriter, isDown func(PlatformFaults) bool) bool {
+// forward waits as long as the platform is slow, and answers an error if the part is down.
+func (p *Platform) checkAvailable(w http.ResponseWriter, isDown func(PlatformFaults) bool) bool {
 	p.mu.Lock()
 	faults := p.faults
 	p.mu.Unlock()
@@ -213,7 +213,7 @@
 }
 
 func (p *Platform) handleRead(w http.ResponseWriter, r *http.Request) {
-	if !p.pass(w, func(f PlatformFaults) bool { return f.LogDown }) {
+	if !p.checkAvailable(w, func(f PlatformFaults) bool { return f.LogDown }) {
 		return
 	}
 	from, err := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
@@ -243,11 +243,11 @@
 }
 
 func (p *Platform) handleList(w http.ResponseWriter, r *http.Request) {
-	if !p.pass(w, func(f PlatformFaults) bool { return f.ListDown }) {
+	if !p.checkAvailable(w, func(f PlatformFaults) bool { return f.ListDown }) {
 		return
 	}
 	p.mu.Lock()
-	listing := p.laggingListing()
+	listing := p.visibleListing()
 	p.mu.Unlock()
 	if listing.Revision == r.URL.Query().Get("known") {
 		w.WriteHeader(http.StatusNotModified)
@@ -256,10 +256,10 @@
 	writeJSON(w, listing)
 }
 
-func (p *Platform) laggingListing() willowwick.Listing {
+func (p *Platform) visibleListing() willowwick.Listing {
 	visible := time.Now().Add(-time.Duration(p.faults.ListLagMs) * time.Millisecond)
 	for i := len(p.listings) - 1; i > 0; i-- {
-		if !p.listings[i].at.After(visible) {
+		if !p.listings[i].publishedAt.After(visible) {
 			return p.listings[i].listing
 		}
 	}
@@ -272,16 +272,16 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !p.pass(w, func(f PlatformFaults) bool { return f.RaterDown }) {
+	if !p.checkAvailable(w, func(f PlatformFaults) bool { return f.RaterDown }) {
 		return
 	}
 	p.mu.Lock()
-	lag := p.faults.RaterMs
+	delayMs := p.faults.RaterMs
 	p.mu.Unlock()
-	time.Sleep(time.Duration(lag) * time.Millisecond)
-	score := goodScore
-	if strings.Contains(rating.Answer, poorMark) {
-		score = poorScore
+	time.Sleep(time.Duration(delayMs) * time.Millisecond)
+	score := highScore
+	if strings.Contains(rating.Answer, lowScoreMarker) {
+		score = lowScore
 	}
 	writeJSON(w, map[string]willowwick.Score{"score": score})
 }
--- a/standin/service.go
+++ b/standin/service.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	headerEntry = "X-Entry"
-	maxBody     = 1 << 20
+	headerEntry  = "X-Entry"
+	maxBodyBytes = 1 << 20
 )
 
 type (
 	// ServiceFaults are the troubles of one instance of a plain service.
 	ServiceFaults struct {
-		Leaving   bool `json:"leaving"`   // say so, and refuse calls
-		Announced bool `json:"announced"` // say in answers alone that it leaves, and take what comes
-		DropAfter int  `json:"dropAfter"` // calls that take effect and are not answered
-		SlowMs    int  `json:"slowMs"`
+		Draining          bool `json:"leaving"`   // say so, and refuse calls
+		AnnouncesDraining bool `json:"announced"` // say in answers alone that it leaves, and take what comes
+		DroppedAnswers    int  `json:"dropAfter"` // calls that take effect and are not answered
+		SlowMs            int  `json:"slowMs"`
 		// RateLimit is the limit that answers name; empty for none.
 		RateLimit string `json:"rateLimit"`
 	}
@@ -66,7 +66,7 @@
 }
 
 func (s *Service) handleCall(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -76,22 +76,22 @@
 	if faults.RateLimit != "" {
 		w.Header().Set(remote.HeaderRateLimit, faults.RateLimit)
 	}
-	if faults.Announced {
+	if faults.AnnouncesDraining {
 		w.Header().Set(remote.HeaderLeaving, "true")
 	}
-	if faults.Leaving {
+	if faults.Draining {
 		s.mu.Unlock()
 		w.Header().Set(remote.HeaderLeaving, "true")
 		http.Error(w, "leaving", http.StatusServiceUnavailable)
 		return
 	}
 	s.effects[r.Header.Get(headerEntry)]++
-	if s.faults.DropAfter > 0 {
-		s.faults.DropAfter--
+	if s.faults.DroppedAnswers > 0 {
+		s.faults.DroppedAnswers--
 	}
 	s.mu.Unlock()
 	time.Sleep(time.Duration(faults.SlowMs) * time.Millisecond)
-	if faults.DropAfter > 0 {
+	if faults.DroppedAnswers > 0 {
 		panic(http.ErrAbortHandler)
 	}
 	writeJSON(w, map[string]string{
@@ -101,7 +101,7 @@
 
 func (s *Service) handleLoad(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
-	leaving := s.faults.Leaving
+	draining := s.faults.Draining
 	s.mu.Unlock()
-	writeJSON(w, willowwick.EndpointLoad{Endpoint: s.ID, Leaving: leaving, At: time.Now()})
+	writeJSON(w, willowwick.EndpointLoad{Endpoint: s.ID, Leaving: draining, At: time.Now()})
 }
--- a/standin/store.go
+++ b/standin/store.go
@@ -13,39 +13,39 @@
 )
 
 const (
-	// maxStoreCall bounds what one call may append.
-	maxStoreCall = 2 << 20
-	// storePoll is how often a read that waits looks again.
-	storePoll = 5 * time.Millisecond
-	// lengthBytes is the length in front of each record on the wire.
-	lengthBytes = 4
+	// maxAppendBytes bounds what one call may append.
+	maxAppendBytes = 2 << 20
+	// readPollInterval is how often a read that waits looks again.
+	readPollInterval = 5 * time.Millisecond
+	// lengthPrefixBytes is the length in front of each record on the wire.
+	lengthPrefixBytes = 4
 )
 
 type (
 	// StoreFaults are the troubles of the users' platform's store.
 	StoreFaults struct {
-		Down       bool
-		LoseAnswer int // writes that take effect and are not answered
+		Down           bool
+		DroppedAnswers int // writes that take effect and are not answered
 	}
 
 	// Store stands in for the users' platform's store: topics of records and groups of members.
 	Store struct {
-		mu     sync.Mutex
-		faults StoreFaults
-		away   map[string]bool // topics that are not served
-		topics map[string]*storeTopic
-		groups map[string]*storeGroup
-		calls  map[string]int
-		era    uint64                 // 0 if answers name none
-		copied map[string]*storeTopic // what the store held as a copy was taken
-		mux    *http.ServeMux
+		mu          sync.Mutex
+		faults      StoreFaults
+		unavailable map[string]bool // topics that are not served
+		topics      map[string]*storeTopic
+		groups      map[string]*storeGroup
+		calls       map[string]int
+		era         uint64                 // 0 if answers name none
+		backup      map[string]*storeTopic // what the store held as a copy was taken
+		mux         *http.ServeMux
 	}
 
 	storeTopic struct {
-		first   uint64
-		records [][]byte
-		newest  map[string]storeRecord
-		changed map[string]uint64 // where each key was last written or dropped
+		first      uint64
+		records    [][]byte
+		newest     map[string]storeRecord
+		lastWrites map[string]uint64 // where each key was last written or dropped
 	}
 
 	storeRecord struct {
@@ -59,7 +59,7 @@
 		topic      string
 	}
 
-	storeJoin struct {
+	joinRequest struct {
 		Group  string   `json:"group"`
 		Member string   `json:"member"`
 		Topics []string `json:"topics"`
@@ -76,7 +76,7 @@
 // NewStore returns an empty store.
 func NewStore() *Store {
 	s := &Store{
-		away: map[string]bool{}, topics: map[string]*storeTopic{}, groups: map[string]*storeGroup{}, calls: map[string]int{},
+		unavailable: map[string]bool{}, topics: map[string]*storeTopic{}, groups: map[string]*storeGroup{}, calls: map[string]int{},
 		mux: http.NewServeMux(),
 	}
 	s.mux.HandleFunc("POST /log-append", s.appendRecords)
@@ -93,8 +93,8 @@
 	s.mu.Lock()
 	s.calls[r.URL.Path]++
 	down := s.isDown(r.URL.Query().Get("topic"))
-	if era := s.eraText(); era != "" {
-		w.Header().Set(headerEra, era)
+	if era := s.eraValue(); era != "" {
+		w.Header().Set(eraHeader, era)
 	}
 	s.mu.Unlock()
 	if down {
@@ -111,16 +111,16 @@
 	s.faults = faults
 }
 
-// SetAway takes one topic away, or brings it back; the others are served.
-func (s *Store) SetAway(topic string, away bool) {
+// SetUnavailable takes one topic away, or brings it back; the others are served.
+func (s *Store) SetUnavailable(topic string, unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away[topic] = away
+	s.unavailable[topic] = unavailable
 }
 
 // isDown reports whether calls for a topic, or for none, are not served; the caller holds the lock.
 func (s *Store) isDown(topic string) bool {
-	return s.faults.Down || s.away[topic]
+	return s.faults.Down || s.unavailable[topic]
 }
 
 // Calls is how often a call was made.
@@ -166,8 +166,8 @@
 	return record.value, found
 }
 
-// Forget drops the history of a topic; the newest record of each key stays.
-func (s *Store) Forget(topic string) {
+// TrimHistory drops the history of a topic; the newest record of each key stays.
+func (s *Store) TrimHistory(topic string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.topic(topic)
@@ -178,7 +178,7 @@
 func (s *Store) topic(name string) *storeTopic {
 	t := s.topics[name]
 	if t == nil {
-		t = &storeTopic{newest: map[string]storeRecord{}, changed: map[string]uint64{}}
+		t = &storeTopic{newest: map[string]storeRecord{}, lastWrites: map[string]uint64{}}
 		s.topics[name] = t
 	}
 	return t
@@ -191,7 +191,7 @@
 func (t *storeTopic) append(record []byte) {
 	keyEnd := 1 + int(record[0])
 	key, value := string(record[1:keyEnd]), record[keyEnd:]
-	t.changed[key] = t.end()
+	t.lastWrites[key] = t.end()
 	if len(value) == 0 {
 		delete(t.newest, key)
 	} else {
@@ -201,32 +201,32 @@
 }
 
 func (s *Store) appendRecords(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxStoreCall))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxAppendBytes))
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
 	t := s.topic(r.URL.Query().Get("topic"))
-	if wanted := r.URL.Query().Get("store-revision"); wanted != "" && wanted != strconv.FormatUint(t.end(), 10) {
+	if expectedEnd := r.URL.Query().Get("store-revision"); expectedEnd != "" && expectedEnd != strconv.FormatUint(t.end(), 10) {
 		end := t.end()
 		s.mu.Unlock()
 		writeStatus(w, http.StatusPreconditionFailed, map[string]uint64{"end": end})
 		return
 	}
 	offset := t.end()
-	for len(body) > lengthBytes {
+	for len(body) > lengthPrefixBytes {
 		size := int(binary.BigEndian.Uint32(body))
-		t.append(body[lengthBytes : lengthBytes+size])
-		body = body[lengthBytes+size:]
+		t.append(body[lengthPrefixBytes : lengthPrefixBytes+size])
+		body = body[lengthPrefixBytes+size:]
 	}
 	end := t.end()
-	lose := s.faults.LoseAnswer > 0
-	if lose {
-		s.faults.LoseAnswer--
+	dropAnswer := s.faults.DroppedAnswers > 0
+	if dropAnswer {
+		s.faults.DroppedAnswers--
 	}
 	s.mu.Unlock()
-	if lose {
+	if dropAnswer {
 		panic(http.ErrAbortHandler)
 	}
 	writeStatus(w, http.StatusOK, map[string]uint64{"offset": offset, "end": end})
@@ -247,42 +247,42 @@
 		return
 	}
 	wait, _ := strconv.Atoi(query.Get("wait-ms"))
-	until := time.Now().Add(time.Duration(wait) * time.Millisecond)
-	era := w.Header().Get(headerEra)
+	deadline := time.Now().Add(time.Duration(wait) * time.Millisecond)
+	era := w.Header().Get(eraHeader)
 	for {
 		s.mu.Lock()
 		t := s.topic(query.Get("topic"))
 		first, end, down := t.first, t.end(), s.isDown(query.Get("topic"))
-		isCut := era != s.eraText()
+		eraChanged := era != s.eraValue()
 		var records [][]byte
 		if from >= first && from <= end {
-			records = upTo(t.records[from-first:], query.Get("max-kb"))
+			records = firstRecordsWithin(t.records[from-first:], query.Get("max-kb"))
 		}
 		s.mu.Unlock()
 		switch {
-		case down, isCut:
+		case down, eraChanged:
 			panic(http.ErrAbortHandler)
 		case from < first, from > end:
 			writeStatus(w, http.StatusGone, map[string]uint64{"first": first})
 			return
-		case len(records) > 0 || time.Now().After(until) || r.Context().Err() != nil:
+		case len(records) > 0 || time.Now().After(deadline) || r.Context().Err() != nil:
 			writeRecords(w, end, first, records)
 			return
 		}
-		time.Sleep(storePoll)
+		time.Sleep(readPollInterval)
 	}
 }
 
-// upTo returns the first of the records that have so many KB together, and one at the least; all of them if the text is
+// firstRecordsWithin returns the first of the records that have so many KB together, and one at the least; all of them if the text is
 // empty.
-func upTo(records [][]byte, kb string) [][]byte {
-	limit, err := strconv.Atoi(kb)
+func firstRecordsWithin(records [][]byte, limitKB string) [][]byte {
+	limit, err := strconv.Atoi(limitKB)
 	if err != nil {
 		return records
 	}
 	size := 0
 	for i, record := range records {
-		if size += lengthBytes + len(record); size > limit<<10 && i > 0 {
+		if size += lengthPrefixBytes + len(record); size > limit<<10 && i > 0 {
 			return records[:i]
 		}
 	}
@@ -317,7 +317,7 @@
 }
 
 func (s *Store) join(w http.ResponseWriter, r *http.Request) {
-	var call storeJoin
+	var call joinRequest
 	if err := json.NewDecoder(r.Body).Decode(&call); err != nil || len(call.Topics) == 0 {
 		w.WriteHeader(http.StatusBadRequest)
 		return
@@ -343,8 +343,8 @@
 }
 
 func (g *storeGroup) expire() {
-	for member, until := range g.members {
-		if time.Now().After(until) {
+	for member, expiry := range g.members {
+		if time.Now().After(expiry) {
 			delete(g.members, member)
 			g.generation++
 		}
@@ -363,7 +363,7 @@
 }
 
 func (s *Store) leave(w http.ResponseWriter, r *http.Request) {
-	var call storeJoin
+	var call joinRequest
 	if err := json.NewDecoder(r.Body).Decode(&call); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
