--- a/cmd/willowctl/demo.go
+++ b/cmd/willowctl/demo.go
@@ -207,7 +207,7 @@
 	}
 	result := &demoResult{
 		Requests: tally.Requests, Answered: tally.Answered, RefusedByKind: tally.Refused,
-		Lost: tally.Lost, Crossed: tally.Crossed, Doubled: f.Doubled(),
+		Lost: tally.Lost, Crossed: tally.Mismatched, Doubled: f.DuplicateEffects(),
 		Billed: ledger.TotalCount, BilledTwice: ledger.BilledTwice(), Cost: ledger.TotalCost,
 		P50: tally.FirstToken(50), P95: tally.FirstToken(95), P99: tally.FirstToken(99),
 		Exposure: f.ServedSince(demoBad, turnedBad), Answers: tally.Versions, details: tally.Details,
@@ -272,10 +272,10 @@
 func (t *tool) stayUp(ctx context.Context, f *lab.Fleet) error {
 	fmt.Fprintf(t.out, "platform: %s\n", f.PlatformURL())
 	for _, box := range f.Boxes {
-		fmt.Fprintf(t.out, "%s: callers http://%s, operators http://%s\n", box.ID, box.Callers, box.Admin)
+		fmt.Fprintf(t.out, "%s: callers http://%s, operators http://%s\n", box.ID, box.CallerAddress, box.AdminAddress)
 	}
 	fmt.Fprintf(t.out, `try: curl -N http://%s/v1/chat/completions -H 'Authorization: Bearer demo-lab-coimbra' -H 'Content-Type: application/json' -d '{"model":"auto","stream":true,"messages":[{"role":"user","content":"summarise run 7"}]}'
-`, f.Boxes[0].Callers)
+`, f.Boxes[0].CallerAddress)
 	fmt.Fprintf(t.out, "and: willowctl status -platform %s\nCtrl-C ends it.\n", f.PlatformURL())
 	<-ctx.Done()
 	return nil
--- a/cmd/willowctl/slopes.go
+++ b/cmd/willowctl/slopes.go
@@ -56,6 +56,6 @@
 		"boxes", "halls", "KB/s", "worst", "% core", "MB", "reads/s", "appends/s", "in force", "roster")
 	for _, c := range costs {
 		fmt.Fprintf(w, "%6d %6d %9.1f %9.1f %9.2f %9.2f %9.1f %9.2f %8.1fs %8.1fs\n",
-			c.Boxes, c.Halls, c.KBPerSecond, c.WorstKB, c.CorePercent, c.HeapMB, c.ReadsPerSecond, c.AppendsPerSec, c.InForceSeconds, c.RosterSeconds)
+			c.Boxes, c.Halls, c.KBPerSecond, c.MaxKBPerSecond, c.CorePercent, c.HeapMB, c.ReadsPerSecond, c.AppendsPerSecond, c.InForceSeconds, c.RosterSeconds)
 	}
 }
--- a/lab/bench_test.go
+++ b/lab/bench_test.go
@@ -36,18 +36,18 @@
 	require.NoError(b, err)
 	b.Run("direct", func(b *testing.B) {
 		for b.Loop() {
-			drain(b, client, "http://"+f.RunnerAddress(0)+remote.PathCompletions, body, "")
+			streamAnswer(b, client, "http://"+f.RunnerAddress(0)+remote.PathCompletions, body, "")
 		}
 	})
 	body = bytes.Replace(body, []byte("run-large-1"), []byte("run-large"), 1)
 	b.Run("through a daemon", func(b *testing.B) {
 		for b.Loop() {
-			drain(b, client, "http://"+f.Boxes[0].Callers+remote.PathCompletions, body, coimbra)
+			streamAnswer(b, client, "http://"+f.Boxes[0].CallerAddress+remote.PathCompletions, body, coimbra)
 		}
 	})
 }
 
-func drain(b *testing.B, client *http.Client, url string, body []byte, key string) {
+func streamAnswer(b *testing.B, client *http.Client, url string, body []byte, key string) {
 	b.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
--- a/lab/caller.go
+++ b/lab/caller.go
@@ -47,10 +47,10 @@
 		Detail     string
 		RetryAfter int
 		FirstToken time.Duration
-		Took       time.Duration
+		Duration   time.Duration
 	}
 
-	errorAnswer struct {
+	errorResponse struct {
 		Error struct {
 			Message string                 `json:"message"`
 			Kind    willowwick.RefusalKind `json:"kind"`
@@ -58,7 +58,7 @@
 		} `json:"error"`
 	}
 
-	wholeAnswer struct {
+	completionResponse struct {
 		Choices []struct {
 			Message struct {
 				Content string `json:"content"`
@@ -69,62 +69,62 @@
 
 // Outcomes of a call.
 const (
-	OutcomeWhole    Outcome = "whole"
-	OutcomeRefused  Outcome = "refused"
-	OutcomeCrossed  Outcome = "crossed" // looked whole, and was not the whole answer to this prompt
-	OutcomeLost     Outcome = "lost"    // neither an answer nor a refusal
-	OutcomeNotTaken Outcome = "not taken"
+	OutcomeComplete    Outcome = "whole"
+	OutcomeRefused     Outcome = "refused"
+	OutcomeMismatched  Outcome = "crossed" // looked whole, and was not the whole answer to this prompt
+	OutcomeLost        Outcome = "lost"    // neither an answer nor a refusal
+	OutcomeNotAccepted Outcome = "not taken"
 )
 
 // Ask sends a chat request to a box and checks the answer against the prompt.
 func Ask(ctx context.Context, client *http.Client, address string, chat Chat) Reply {
-	begun := time.Now()
-	request, err := newChat(ctx, address, chat)
+	started := time.Now()
+	request, err := newChatRequest(ctx, address, chat)
 	if err != nil {
-		return Reply{Outcome: OutcomeNotTaken, Detail: err.Error()}
+		return Reply{Outcome: OutcomeNotAccepted, Detail: err.Error()}
 	}
 	read := func(reply *Reply, body io.Reader) error {
 		if chat.Stream {
-			return reply.readStream(body, begun)
+			return reply.readStream(body, started)
 		}
-		err := reply.readWhole(body)
-		reply.FirstToken = time.Since(begun)
+		err := reply.readCompletion(body)
+		reply.FirstToken = time.Since(started)
 		return err
 	}
-	return send(client, request, begun, read, func(text string) bool {
+	return send(client, request, started, read, func(text string) bool {
 		return standin.IsCompleteAnswer(chat.Prompt+"\n", text, willowwick.Tokens(chat.MaxTokens))
 	})
 }
 
 // send makes a call and sorts what came of it; read takes the body of an answer, isOwn tells whether its text is the
-// whole answer to this call.
+// requireAnswer answer to this call.
 func send(
-	client *http.Client, request *http.Request, begun time.Time,
-	read func(reply *Reply, body io.Reader) error, isOwn func(text string) bool,
+	client *http.Client, request *http.Request, started time.Time,
+	read func(reply *Reply, body io.Reader) error, isComplete func(text string) bool,
 ) Reply {
 	response, err := client.Do(request)
 	if err != nil {
-		return notAnswered(err)
+		return replyFromError(err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	reply := replyFrom(response)
+	reply := newReply(response)
 	if response.StatusCode != http.StatusOK {
-		return refused(reply, response)
+		return replyFromRefusal(reply, response)
 	}
 	err = read(&reply, response.Body)
-	reply.Took = time.Since(begun)
+	reply.Duration = time.Since(started)
 	switch {
 	case err != nil:
 		reply.Outcome, reply.Detail = OutcomeLost, err.Error()
-	case !isOwn(reply.Text):
-		reply.Outcome, reply.Detail = OutcomeCrossed, reply.Text
+	case !isComplete(reply.Text):
+		reply.Outcome, reply.Detail = OutcomeMismatched, reply.Text
 	default:
-		reply.Outcome = OutcomeWhole
+		reply.Outcome = OutcomeComplete
 	}
 	return reply
 }
 
-func newChat(ctx context.Context, address string, chat Chat) (*http.Request, error) {
+func newChatRequest(ctx context.Context, address string, chat Chat) (*http.Request, error) {
 	body, err := json.Marshal(remote.ChatRequest{
 		Model: willowwick.VersionID(chat.Model), Messages: []willowwick.Message{{Role: "user", Content: chat.Prompt}},
 		MaxTokens: willowwick.Tokens(chat.MaxTokens), Stream: chat.Stream,
@@ -158,18 +158,18 @@
 
 // CallService calls a plain service through a box; the entry names the effect.
 func CallService(ctx context.Context, client *http.Client, address, key, method, path, idempotency, entry string) Reply {
-	begun := time.Now()
+	started := time.Now()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, strings.NewReader(entry))
 	if err != nil {
-		return Reply{Outcome: OutcomeNotTaken, Detail: err.Error()}
+		return Reply{Outcome: OutcomeNotAccepted, Detail: err.Error()}
 	}
 	setHeaders(request, key, map[string]string{serve.HeaderIdempotency: idempotency, "X-Entry": entry})
-	return send(client, request, begun, (*Reply).readText, func(text string) bool {
+	return send(client, request, started, (*Reply).readText, func(text string) bool {
 		return method == http.MethodGet || strings.Contains(text, entry)
 	})
 }
 
-func replyFrom(response *http.Response) Reply {
+func newReply(response *http.Response) Reply {
 	retryAfter, err := strconv.Atoi(response.Header.Get("Retry-After"))
 	if err != nil {
 		retryAfter = 0
@@ -181,15 +181,15 @@
 	}
 }
 
-func notAnswered(err error) Reply {
-	if strings.Contains(err.Error(), "refused") || strings.Contains(err.Error(), errCut.Error()) {
-		return Reply{Outcome: OutcomeNotTaken, Detail: err.Error()}
+func replyFromError(err error) Reply {
+	if strings.Contains(err.Error(), "refused") || strings.Contains(err.Error(), errLinkCut.Error()) {
+		return Reply{Outcome: OutcomeNotAccepted, Detail: err.Error()}
 	}
 	return Reply{Outcome: OutcomeLost, Detail: err.Error()}
 }
 
-func refused(reply Reply, response *http.Response) Reply {
-	var answer errorAnswer
+func replyFromRefusal(reply Reply, response *http.Response) Reply {
+	var answer errorResponse
 	if err := json.NewDecoder(response.Body).Decode(&answer); err != nil || answer.Error.Kind == "" {
 		reply.Outcome, reply.Detail = OutcomeLost, "status "+response.Status+" without a kind of refusal"
 		return reply
@@ -199,7 +199,7 @@
 	return reply
 }
 
-func (r *Reply) readStream(body io.Reader, begun time.Time) error {
+func (r *Reply) readStream(body io.Reader, started time.Time) error {
 	var text strings.Builder
 	finished := false
 	for event, err := range sse.Read(body, nil) {
@@ -218,7 +218,7 @@
 			return err
 		}
 		if r.FirstToken == 0 {
-			r.FirstToken = time.Since(begun)
+			r.FirstToken = time.Since(started)
 		}
 		text.WriteString(chunk.Choices[0].Delta.Content)
 		finished = finished || chunk.Choices[0].FinishReason != nil
@@ -226,8 +226,8 @@
 	return errors.New("the stream ended without its end mark")
 }
 
-func (r *Reply) readWhole(body io.Reader) error {
-	var answer wholeAnswer
+func (r *Reply) readCompletion(body io.Reader) error {
+	var answer completionResponse
 	if err := json.NewDecoder(body).Decode(&answer); err != nil {
 		return err
 	}
--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	hostPlatform = "platform"
-	fleetKey     = "the key of the lab's fleet"
-	readyPoll    = 50 * time.Millisecond
-	headerWait   = 5 * time.Second
+	platformHost      = "platform"
+	fleetKey          = "the key of the lab's fleet"
+	readyPollInterval = 50 * time.Millisecond
+	readHeaderTimeout = 5 * time.Second
 )
 
 type (
@@ -44,30 +44,30 @@
 		Services map[willowwick.ServiceID][]*standin.Service
 		Boxes    []*Box
 
-		options     Options
-		platformURL string
-		addresses   []string // of the runners
-		closers     []func()
+		options         Options
+		platformURL     string
+		runnerAddresses []string // of the runners
+		closers         []func()
 	}
 
 	// Box is one box and the daemon that runs on it, if one does.
 	Box struct {
-		ID      willowwick.BoxID
-		Hall    willowwick.HallID
-		Callers string
-		Admin   string
-		Daemon  *serve.Daemon
+		ID            willowwick.BoxID
+		Hall          willowwick.HallID
+		CallerAddress string
+		AdminAddress  string
+		Daemon        *serve.Daemon
 
-		fleet  *Fleet
-		starts int
-		stop   func()
+		fleet      *Fleet
+		startCount int
+		stop       func()
 	}
 )
 
 // NewFleet starts the stand-ins and the daemons; the function it returns stops them all.
 func NewFleet(options Options) (*Fleet, func(), error) {
 	f := &Fleet{options: options, Platform: standin.NewPlatform(), Services: map[willowwick.ServiceID][]*standin.Service{}}
-	address, err := f.serve(hostPlatform, f.Platform)
+	address, err := f.serve(platformHost, f.Platform)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -77,7 +77,7 @@
 		return nil, nil, err
 	}
 	for i := range options.Boxes {
-		box := &Box{ID: willowwick.BoxID("box" + itoa(i+1)), Hall: f.hall(i), fleet: f}
+		box := &Box{ID: willowwick.BoxID("box" + itoa(i+1)), Hall: f.hallOf(i), fleet: f}
 		f.Boxes = append(f.Boxes, box)
 		if err := box.Start(); err != nil {
 			f.close()
@@ -91,34 +91,34 @@
 	return strconv.Itoa(n)
 }
 
-func (f *Fleet) hall(i int) willowwick.HallID {
+func (f *Fleet) hallOf(i int) willowwick.HallID {
 	return willowwick.HallID(fmt.Sprintf("hall-%c", 'a'+rune(i%max(f.options.Halls, 1))))
 }
 
 // serve runs an HTTP server for a host until the fleet is closed.
 func (f *Fleet) serve(host string, handler http.Handler) (string, error) {
-	address, _, err := f.serveUntil(host, handler)
+	address, _, err := f.serveStoppable(host, handler)
 	return address, err
 }
 
-// serveUntil runs an HTTP server for a host until the fleet is closed, or the function it returns ends it with all its connections.
-func (f *Fleet) serveUntil(host string, handler http.Handler) (address string, end func(), err error) {
+// serveStoppable runs an HTTP server for a host until the fleet is closed, or the function it returns ends it with all its connections.
+func (f *Fleet) serveStoppable(host string, handler http.Handler) (address string, stop func(), err error) {
 	listener, err := f.options.Network.Listen(host)
 	if err != nil {
 		return "", nil, errors.Wrap(err, "lab")
 	}
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerWait}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		_ = server.Serve(listener)
 	}()
-	end = func() { _ = server.Close() }
+	stop = func() { _ = server.Close() }
 	f.closers = append(f.closers, func() {
-		end()
+		stop()
 		<-done
 	})
-	return listener.Addr().String(), end, nil
+	return listener.Addr().String(), stop, nil
 }
 
 func (f *Fleet) startEndpoints() error {
@@ -136,7 +136,7 @@
 				return err
 			}
 			f.Services[name] = append(f.Services[name], service)
-			f.Platform.SetEndpoint(willowwick.Endpoint{ID: id, Kind: willowwick.KindService, Hall: f.hall(i), Address: address, Service: name})
+			f.Platform.SetEndpoint(willowwick.Endpoint{ID: id, Kind: willowwick.KindService, Hall: f.hallOf(i), Address: address, Service: name})
 		}
 	}
 	return nil
@@ -146,20 +146,20 @@
 func (f *Fleet) startRunner(i int) error {
 	id := willowwick.EndpointID("runner" + itoa(i+1))
 	behaviours := map[willowwick.VersionID]standin.VersionBehaviour{}
-	endpoint := willowwick.Endpoint{ID: id, Kind: willowwick.KindRunner, Hall: f.hall(i), ChecksFencing: true}
+	endpoint := willowwick.Endpoint{ID: id, Kind: willowwick.KindRunner, Hall: f.hallOf(i), ChecksFencing: true}
 	for version, behaviour := range f.options.Versions {
 		behaviours[version] = behaviour
 		endpoint.Versions = append(endpoint.Versions, version)
 	}
 	engine := standin.NewEngine(id, max(f.options.Slots, 1), behaviours)
 	engine.ChecksFencing = true
-	address, end, err := f.serveUntil(string(id), engine)
-	engine.Crash = end
+	address, stop, err := f.serveStoppable(string(id), engine)
+	engine.Crash = stop
 	if err != nil {
 		return err
 	}
 	endpoint.Address = address
-	f.addresses = append(f.addresses, address)
+	f.runnerAddresses = append(f.runnerAddresses, address)
 	f.Runners = append(f.Runners, engine)
 	f.Platform.SetEndpoint(endpoint)
 	return nil
@@ -185,11 +185,11 @@
 		}
 		listeners[i] = listener
 	}
-	b.starts++
-	b.Callers, b.Admin = listeners[0].Addr().String(), listeners[2].Addr().String()
+	b.startCount++
+	b.CallerAddress, b.AdminAddress = listeners[0].Addr().String(), listeners[2].Addr().String()
 	settings := b.fleet.options.Settings
 	settings.Box, settings.Hall = b.ID, b.Hall
-	settings.Boot = willowwick.BootID(fmt.Sprintf("%s.%d", b.ID, b.starts))
+	settings.Boot = willowwick.BootID(fmt.Sprintf("%s.%d", b.ID, b.startCount))
 	settings.PeerAddress, settings.Key = listeners[1].Addr().String(), []byte(fleetKey)
 	dial := network.Dial(string(b.ID))
 	client, closeClient := remote.NewClient(b.fleet.platformURL, dial)
@@ -215,7 +215,7 @@
 		closeEngines()
 		closeServices()
 	}
-	b.fleet.Platform.SetBox(willowwick.Box{ID: b.ID, Hall: b.Hall, Peer: settings.PeerAddress, Admin: b.Admin})
+	b.fleet.Platform.SetBox(willowwick.Box{ID: b.ID, Hall: b.Hall, Peer: settings.PeerAddress, Admin: b.AdminAddress})
 	return nil
 }
 
@@ -278,20 +278,20 @@
 
 // WaitReady waits until every running box is ready and on the roster.
 func (f *Fleet) WaitReady(within time.Duration) error {
-	limit := time.Now().Add(within)
+	deadline := time.Now().Add(within)
 	for {
-		waiting := f.notReady()
-		if waiting == "" {
+		reason := f.unreadyReason()
+		if reason == "" {
 			return nil
 		}
-		if time.Now().After(limit) {
-			return errors.Errorf("not ready: %s", waiting)
+		if time.Now().After(deadline) {
+			return errors.Errorf("not ready: %s", reason)
 		}
-		time.Sleep(readyPoll)
+		time.Sleep(readyPollInterval)
 	}
 }
 
-func (f *Fleet) notReady() string {
+func (f *Fleet) unreadyReason() string {
 	state, err := f.State()
 	if err != nil {
 		return err.Error()
@@ -330,5 +330,5 @@
 
 // RunnerAddress is the address of a runner.
 func (f *Fleet) RunnerAddress(i int) string {
-	return f.addresses[i]
+	return f.runnerAddresses[i]
 }
--- a/lab/slopes.go
+++ b/lab/fleet_cost.go
@@ -20,15 +20,15 @@
 
 // The content of the digests at the size to design for.
 const (
-	slopeAccounts  = 10
-	slopeVersions  = 23
-	slopeRunners   = 670
-	slopeChanges   = 5
-	slopeSettle    = 100 * time.Millisecond
-	slopeLimit     = 60 * time.Second
-	slopeRest      = 25 * time.Second
-	slopeBytesUnit = 1000
-	slopeAge       = 500 * time.Millisecond
+	digestAccounts          = 10
+	digestVersions          = 23
+	digestRunners           = 670
+	measuredChanges         = 5
+	convergencePollInterval = 100 * time.Millisecond
+	convergenceTimeout      = 60 * time.Second
+	warmUpTime              = 25 * time.Second
+	bytesPerKB              = 1000
+	loadAge                 = 500 * time.Millisecond
 )
 
 type (
@@ -40,34 +40,34 @@
 
 	// FleetCost is what the fleet costs each daemon at a size.
 	FleetCost struct {
-		Boxes          int     `json:"boxes"`
-		Halls          int     `json:"halls"`
-		KBPerSecond    float64 `json:"kb_per_second"`       // sent and received, by a daemon on average
-		WorstKB        float64 `json:"worst_kb_per_second"` // by the daemon with the most
-		CorePercent    float64 `json:"core_percent"`        // of one core, by a daemon on average
-		HeapMB         float64 `json:"heap_mb"`             // by a daemon on average
-		ReadsPerSecond float64 `json:"log_reads_per_second"`
-		AppendsPerSec  float64 `json:"log_appends_per_second"`
-		InForceSeconds float64 `json:"in_force_seconds"` // the slowest of some changes, everywhere
-		RosterSeconds  float64 `json:"roster_seconds"`   // from the start until all boxes are on the roster
+		Boxes            int     `json:"boxes"`
+		Halls            int     `json:"halls"`
+		KBPerSecond      float64 `json:"kb_per_second"`       // sent and received, by a daemon on average
+		MaxKBPerSecond   float64 `json:"worst_kb_per_second"` // by the daemon with the most
+		CorePercent      float64 `json:"core_percent"`        // of one core, by a daemon on average
+		HeapMB           float64 `json:"heap_mb"`             // by a daemon on average
+		ReadsPerSecond   float64 `json:"log_reads_per_second"`
+		AppendsPerSecond float64 `json:"log_appends_per_second"`
+		InForceSeconds   float64 `json:"in_force_seconds"` // the slowest of some changes, everywhere
+		RosterSeconds    float64 `json:"roster_seconds"`   // from the start until all boxes are on the roster
 	}
 
-	// countedLog is the platform's log without a network, counting calls.
-	countedLog struct {
+	// countingLog is the platform's log without a network, counting calls.
+	countingLog struct {
 		mu      sync.Mutex
 		entries []willowwick.Entry
 		reads   atomic.Int64
 		appends atomic.Int64
 	}
 
-	// fixedList is a list that does not change.
-	fixedList struct {
+	// staticList is a list that does not change.
+	staticList struct {
 		listing willowwick.Listing
 	}
 )
 
 // Append implements willowwick.Log.
-func (l *countedLog) Append(_ context.Context, stream willowwick.StreamID, data []byte) (willowwick.Offset, error) {
+func (l *countingLog) Append(_ context.Context, stream willowwick.StreamID, data []byte) (willowwick.Offset, error) {
 	l.appends.Add(1)
 	if stream != willowwick.StreamConfig {
 		return 1, nil
@@ -80,7 +80,7 @@
 }
 
 // Read implements willowwick.Log.
-func (l *countedLog) Read(_ context.Context, _ willowwick.StreamID, from willowwick.Offset, limit int) (willowwick.Page, error) {
+func (l *countingLog) Read(_ context.Context, _ willowwick.StreamID, from willowwick.Offset, limit int) (willowwick.Page, error) {
 	l.reads.Add(1)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,49 +93,49 @@
 }
 
 // List implements willowwick.LiveList.
-func (l *fixedList) List(_ context.Context, known string) (willowwick.Listing, bool, error) {
+func (l *staticList) List(_ context.Context, known string) (willowwick.Listing, bool, error) {
 	return l.listing, known != l.listing.Revision, nil
 }
 
-// slopeFleet is a fleet of nodes without callers.
-type slopeFleet struct {
+// measuredFleet is a fleet of nodes without callers.
+type measuredFleet struct {
 	size       FleetSize
-	log        *countedLog
+	log        *countingLog
 	nodes      []*fleet.Node
 	transports []*fleet.Transport
 	closers    []func()
 }
 
 // MeasureFleet runs a fleet of a size in this process and measures it for a while.
-func MeasureFleet(size FleetSize, length time.Duration) (FleetCost, error) {
-	before := heapBytes()
-	begun := time.Now()
-	f, err := newSlopeFleet(size)
+func MeasureFleet(size FleetSize, duration time.Duration) (FleetCost, error) {
+	heapBefore := heapBytes()
+	started := time.Now()
+	f, err := newMeasuredFleet(size)
 	if err != nil {
 		return FleetCost{}, err
 	}
 	defer f.close()
-	if err := f.waitRoster(); err != nil {
+	if err := f.waitForRoster(); err != nil {
 		return FleetCost{}, err
 	}
-	cost := FleetCost{Boxes: size.Boxes, Halls: size.Halls, RosterSeconds: time.Since(begun).Seconds()}
+	cost := FleetCost{Boxes: size.Boxes, Halls: size.Halls, RosterSeconds: time.Since(started).Seconds()}
 	// What the start cost is over when the tables are full and the roster rests.
-	time.Sleep(slopeRest)
-	f.measure(&cost, length)
-	cost.HeapMB = float64(heapBytes()-before) / float64(size.Boxes) / 1e6
-	for n := range slopeChanges {
-		took, err := f.spread(n)
+	time.Sleep(warmUpTime)
+	f.measureTraffic(&cost, duration)
+	cost.HeapMB = float64(heapBytes()-heapBefore) / float64(size.Boxes) / 1e6
+	for n := range measuredChanges {
+		elapsed, err := f.timeChange(n)
 		if err != nil {
 			return FleetCost{}, err
 		}
-		cost.InForceSeconds = max(cost.InForceSeconds, took.Seconds())
+		cost.InForceSeconds = max(cost.InForceSeconds, elapsed.Seconds())
 	}
 	return cost, nil
 }
 
-func newSlopeFleet(size FleetSize) (*slopeFleet, error) {
-	f := &slopeFleet{size: size, log: &countedLog{}}
-	network := NewMemory()
+func newMeasuredFleet(size FleetSize) (*measuredFleet, error) {
+	f := &measuredFleet{size: size, log: &countingLog{}}
+	network := NewMemoryNetwork()
 	listing := willowwick.Listing{Revision: "1"}
 	var listeners []net.Listener
 	for i := range size.Boxes {
@@ -148,7 +148,7 @@
 			ID: willowwick.BoxID("box" + itoa(i)), Hall: willowwick.HallID("hall" + itoa(i%size.Halls)), Peer: listener.Addr().String(),
 		})
 	}
-	list := &fixedList{listing: listing}
+	list := &staticList{listing: listing}
 	for i, box := range listing.Boxes {
 		if err := f.start(network, list, listeners[i], box); err != nil {
 			f.close()
@@ -158,7 +158,7 @@
 	return f, nil
 }
 
-func (f *slopeFleet) start(network *Memory, list *fixedList, listener net.Listener, box willowwick.Box) error {
+func (f *measuredFleet) start(network *MemoryNetwork, list *staticList, listener net.Listener, box willowwick.Box) error {
 	dial := network.Dial(string(box.ID))
 	transport, closeTransport := fleet.NewTransport([]byte(fleetKey), func(ctx context.Context, address string) (net.Conn, error) {
 		return dial(ctx, "tcp", address)
@@ -172,7 +172,7 @@
 		OnRevision: func(*config.Revision) {}, OnListing: func(willowwick.Listing) {},
 		Fill: func(d *fleet.Digest) {
 			seq++
-			fillSlope(d, seq, slopeRunners*f.size.Halls/f.size.Boxes)
+			fillDigest(d, seq, digestRunners*f.size.Halls/f.size.Boxes)
 		},
 		OnDigests: func([]fleet.Digest, []fleet.HallDigest) {},
 		Lead:      func(context.Context, willowwick.Fence) {},
@@ -190,24 +190,24 @@
 	return nil
 }
 
-// fillSlope makes a digest as full as it is at the size to design for.
-func fillSlope(d *fleet.Digest, seq uint64, loads int) {
-	for i := range slopeAccounts {
+// fillDigest makes a digest as full as it is at the size to design for.
+func fillDigest(d *fleet.Digest, seq uint64, loads int) {
+	for i := range digestAccounts {
 		d.Demand.Add(fleet.HashName(fmt.Sprintf("account-%02d", i)), float64(seq*10))
 	}
-	for i := range slopeVersions {
+	for i := range digestVersions {
 		d.Evidence.Add(fleet.HashName(fmt.Sprintf("model-%02d-version-1", i)),
 			rollout.Evidence{Requests: seq * 100, Errors: seq, Slow: seq * 3, Rated: seq * 10, Low: seq})
 	}
 	now := time.Now()
 	for i := range loads {
 		d.Loads.Add(willowwick.EndpointLoad{
-			Endpoint: willowwick.EndpointID(fmt.Sprintf("runner-%03d", i)), Running: 20, Waiting: 3, Slots: 64, At: now.Add(-slopeAge),
+			Endpoint: willowwick.EndpointID(fmt.Sprintf("runner-%03d", i)), Running: 20, Waiting: 3, Slots: 64, At: now.Add(-loadAge),
 		}, now)
 	}
 }
 
-func (f *slopeFleet) close() {
+func (f *measuredFleet) close() {
 	var closing sync.WaitGroup
 	for _, closer := range f.closers {
 		closing.Go(closer)
@@ -215,9 +215,9 @@
 	closing.Wait()
 }
 
-func (f *slopeFleet) waitRoster() error {
-	limit := time.Now().Add(slopeLimit)
-	for time.Now().Before(limit) {
+func (f *measuredFleet) waitForRoster() error {
+	deadline := time.Now().Add(convergenceTimeout)
+	for time.Now().Before(deadline) {
 		done := true
 		for _, node := range f.nodes {
 			done = done && len(node.Follower.Revision().Roster.Members) == f.size.Boxes
@@ -225,48 +225,48 @@
 		if done {
 			return nil
 		}
-		time.Sleep(slopeSettle)
+		time.Sleep(convergencePollInterval)
 	}
-	return errors.Errorf("%d boxes were not all on the roster within %s", f.size.Boxes, slopeLimit)
+	return errors.Errorf("%d boxes were not all on the roster within %s", f.size.Boxes, convergenceTimeout)
 }
 
-func (f *slopeFleet) measure(cost *FleetCost, length time.Duration) {
+func (f *measuredFleet) measureTraffic(cost *FleetCost, duration time.Duration) {
 	bytesBefore := make([]uint64, len(f.transports))
 	for i, transport := range f.transports {
 		bytesBefore[i] = transport.Sent.Load() + transport.Received.Load()
 	}
 	reads, appends, cpu := f.log.reads.Load(), f.log.appends.Load(), cpuTime()
-	begun := time.Now()
-	time.Sleep(length)
-	seconds := time.Since(begun).Seconds()
-	used := (cpuTime() - cpu).Seconds()
+	started := time.Now()
+	time.Sleep(duration)
+	seconds := time.Since(started).Seconds()
+	cpuUsed := (cpuTime() - cpu).Seconds()
 	var rates []float64
 	total := 0.0
 	for i, transport := range f.transports {
-		rate := float64(transport.Sent.Load()+transport.Received.Load()-bytesBefore[i]) / seconds / slopeBytesUnit
+		rate := float64(transport.Sent.Load()+transport.Received.Load()-bytesBefore[i]) / seconds / bytesPerKB
 		rates = append(rates, rate)
 		total += rate
 	}
 	sort.Float64s(rates)
 	boxes := float64(f.size.Boxes)
-	cost.KBPerSecond, cost.WorstKB = total/boxes, rates[len(rates)-1]
-	cost.CorePercent = 100 * used / seconds / boxes
+	cost.KBPerSecond, cost.MaxKBPerSecond = total/boxes, rates[len(rates)-1]
+	cost.CorePercent = 100 * cpuUsed / seconds / boxes
 	cost.ReadsPerSecond = float64(f.log.reads.Load()-reads) / seconds
-	cost.AppendsPerSec = float64(f.log.appends.Load()-appends) / seconds
+	cost.AppendsPerSecond = float64(f.log.appends.Load()-appends) / seconds
 }
 
-// spread publishes a change and waits until every node has it in force.
-func (f *slopeFleet) spread(n int) (time.Duration, error) {
+// timeChange publishes a change and waits until every node has it in force.
+func (f *measuredFleet) timeChange(n int) (time.Duration, error) {
 	withdraw := &config.Withdraw{ID: willowwick.ChangeID("slope" + itoa(n)), Version: willowwick.VersionID("version" + itoa(n))}
 	data, err := config.Record{Kind: config.RecordWithdraw, Withdraw: withdraw}.Encode()
 	if err != nil {
 		return 0, err
 	}
-	begun := time.Now()
+	started := time.Now()
 	if _, err := f.log.Append(context.Background(), willowwick.StreamConfig, data); err != nil {
 		return 0, err
 	}
-	for time.Since(begun) < slopeLimit {
+	for time.Since(started) < convergenceTimeout {
 		missing := 0
 		for _, node := range f.nodes {
 			if !node.Follower.Revision().IsWithdrawn(withdraw.Version) {
@@ -274,11 +274,11 @@
 			}
 		}
 		if missing == 0 {
-			return time.Since(begun), nil
+			return time.Since(started), nil
 		}
-		time.Sleep(slopeSettle)
+		time.Sleep(convergencePollInterval)
 	}
-	return 0, errors.Errorf("a change was not in force everywhere within %s", slopeLimit)
+	return 0, errors.Errorf("a change was not in force everywhere within %s", convergenceTimeout)
 }
 
 func heapBytes() uint64 {
--- a/lab/fleet_promises_test.go
+++ b/lab/fleet_promises_test.go
@@ -17,17 +17,17 @@
 	"github.com/willowwick/willowwick/standin"
 )
 
-// enter posts a calibration entry through a box under an idempotency key.
-func (s *scene) enter(box int, key, entry string) Reply {
-	reply := CallService(context.Background(), s.client, s.Boxes[box].Callers, coimbra,
+// postEntry posts a calibration entry through a box under an idempotency key.
+func (s *testFleet) postEntry(box int, key, entry string) Reply {
+	reply := CallService(context.Background(), s.client, s.Boxes[box].CallerAddress, coimbra,
 		http.MethodPost, "/services/bookkeeping/calibrations/"+entry, key, entry)
-	if reply.Outcome == OutcomeWhole {
+	if reply.Outcome == OutcomeComplete {
 		s.billed++
 	}
 	return reply
 }
 
-func (s *scene) effects(entry string) int {
+func (s *testFleet) effects(entry string) int {
 	count := 0
 	for _, instance := range s.Services["bookkeeping"] {
 		count += instance.Effects()[entry]
@@ -35,8 +35,8 @@
 	return count
 }
 
-// keepers returns the indexes of the boxes that keep a calibration's key.
-func (s *scene) keepers(key string) []int {
+// replicasOf returns the indexes of the boxes that keep a calibration's key.
+func (s *testFleet) replicasOf(key string) []int {
 	s.t.Helper()
 	state, err := s.State()
 	require.NoError(s.t, err)
@@ -51,7 +51,7 @@
 	return boxes
 }
 
-func (s *scene) otherThan(boxes ...int) int {
+func (s *testFleet) boxExcept(boxes ...int) int {
 	for i := range s.Boxes {
 		taken := false
 		for _, box := range boxes {
@@ -68,39 +68,39 @@
 // TestCallRunsAtMostOnce: a lost answer is not tried again, and no resubmission through any box runs, while a keeper
 // of its key is killed and restarted.
 func TestCallRunsAtMostOnce(t *testing.T) {
-	inScene(t, 5, func(s *scene) {
+	withTestFleet(t, 5, func(s *testFleet) {
 		for _, instance := range s.Services["bookkeeping"] {
 			instance.SetFaults(func(f *standin.ServiceFaults) { f.DroppedAnswers = 1 })
 		}
-		lost := s.enter(0, "key-1", "entry-1")
+		lost := s.postEntry(0, "key-1", "entry-1")
 		require.Equal(t, OutcomeRefused, lost.Outcome, "%+v", lost)
 		require.Equal(t, string(willowwick.KindOutcomeUnknown), lost.Text)
 		for box := range s.Boxes {
-			again := s.enter(box, "key-1", "entry-1")
+			again := s.postEntry(box, "key-1", "entry-1")
 			require.Equal(t, string(willowwick.KindOutcomeUnknown), again.Text, "%+v", again)
 		}
 		require.Equal(t, 1, s.effects("entry-1"))
 
-		keepers := s.keepers("key-1")
-		s.Boxes[keepers[0]].Kill()
+		replicas := s.replicasOf("key-1")
+		s.Boxes[replicas[0]].Kill()
 		for range 40 {
-			again := s.enter(s.otherThan(keepers[0]), "key-1", "entry-1")
+			again := s.postEntry(s.boxExcept(replicas[0]), "key-1", "entry-1")
 			require.Equal(t, OutcomeRefused, again.Outcome, "%+v", again)
 			time.Sleep(time.Second)
 		}
-		require.NoError(t, s.Boxes[keepers[0]].Start())
+		require.NoError(t, s.Boxes[replicas[0]].Start())
 		require.NoError(t, s.WaitReady(readyTime))
 		for box := range s.Boxes {
-			again := s.enter(box, "key-1", "entry-1")
+			again := s.postEntry(box, "key-1", "entry-1")
 			require.Equal(t, OutcomeRefused, again.Outcome, "%+v", again)
 		}
 		require.Equal(t, 1, s.effects("entry-1"))
 
 		// One keeper after the other goes; whoever takes over was told.
 		for range 2 {
-			s.Boxes[s.keepers("key-1")[0]].Kill()
+			s.Boxes[s.replicasOf("key-1")[0]].Kill()
 			time.Sleep(30 * time.Second)
-			again := s.enter(s.running(), "key-1", "entry-1")
+			again := s.postEntry(s.runningBox(), "key-1", "entry-1")
 			require.Equal(t, OutcomeRefused, again.Outcome, "%+v", again)
 		}
 		require.Equal(t, 1, s.effects("entry-1"))
@@ -109,34 +109,34 @@
 
 // TestBothKeepersGone: when nobody can know whether a key was used, its call is not run; new keys are.
 func TestBothKeepersGone(t *testing.T) {
-	inScene(t, 5, func(s *scene) {
+	withTestFleet(t, 5, func(s *testFleet) {
 		// A box that has just come into the roster refuses claims until it has those of the others: callers return.
-		s.eventually(2*time.Second, "entered", func() bool { return s.enter(0, "key-2", "entry-2").Outcome == OutcomeWhole })
-		keepers := s.keepers("key-2")
-		for _, keeper := range keepers {
-			s.Boxes[keeper].Kill()
+		s.eventually(2*time.Second, "entered", func() bool { return s.postEntry(0, "key-2", "entry-2").Outcome == OutcomeComplete })
+		replicas := s.replicasOf("key-2")
+		for _, replica := range replicas {
+			s.Boxes[replica].Kill()
 		}
-		left := s.otherThan(keepers...)
+		survivor := s.boxExcept(replicas...)
 		time.Sleep(40 * time.Second)
-		again := s.enter(left, "key-2", "entry-2")
+		again := s.postEntry(survivor, "key-2", "entry-2")
 		require.Equal(t, string(willowwick.KindOutcomeUnknown), again.Text, "%+v", again)
 		require.Equal(t, 1, s.effects("entry-2"))
 		for n := range 20 {
 			fresh := uuid.Must(uuid.NewV7()).String()
-			reply := s.enter(left, fresh, fmt.Sprintf("fresh-%d", n))
-			require.Equal(t, OutcomeWhole, reply.Outcome, "%+v", reply)
+			reply := s.postEntry(survivor, fresh, fmt.Sprintf("fresh-%d", n))
+			require.Equal(t, OutcomeComplete, reply.Outcome, "%+v", reply)
 		}
 	})
 }
 
 // TestRacingResubmissions: the same key through all boxes at once runs once.
 func TestRacingResubmissions(t *testing.T) {
-	inScene(t, 4, func(s *scene) {
+	withTestFleet(t, 4, func(s *testFleet) {
 		var callers sync.WaitGroup
 		for n := range 10 {
 			for box := range s.Boxes {
 				callers.Go(func() {
-					CallService(context.Background(), s.client, s.Boxes[box].Callers, coimbra, http.MethodPost,
+					CallService(context.Background(), s.client, s.Boxes[box].CallerAddress, coimbra, http.MethodPost,
 						"/services/bookkeeping/calibrations/x", "race-"+itoa(n), "race-"+itoa(n))
 				})
 			}
@@ -150,13 +150,13 @@
 
 // TestNotSentCallMayRunLater: a call refused before anything was sent gives its key back.
 func TestNotSentCallMayRunLater(t *testing.T) {
-	inScene(t, 3, func(s *scene) {
+	withTestFleet(t, 3, func(s *testFleet) {
 		for _, instance := range s.Services["bookkeeping"] {
 			s.net.Cut(string(instance.ID), string(s.Boxes[0].ID))
 		}
-		refused := s.enter(0, "key-3", "entry-3")
+		refused := s.postEntry(0, "key-3", "entry-3")
 		require.Equal(t, string(willowwick.KindNotRun), refused.Text, "%+v", refused)
-		require.Equal(t, OutcomeWhole, s.enter(1, "key-3", "entry-3").Outcome)
+		require.Equal(t, OutcomeComplete, s.postEntry(1, "key-3", "entry-3").Outcome)
 		require.Equal(t, 1, s.effects("entry-3"))
 	})
 }
@@ -164,9 +164,9 @@
 // TestConfigurationIsInForceEverywhereAndStays: with boxes cut off from the log, lost append answers, an outage, a
 // fresh box that can only ask its peers, and racing operators.
 func TestConfigurationIsInForceEverywhereAndStays(t *testing.T) {
-	inScene(t, 5, func(s *scene) {
+	withTestFleet(t, 5, func(s *testFleet) {
 		highest := make([]willowwick.Offset, len(s.Boxes))
-		watch := func() {
+		checkOffsets := func() {
 			for i, box := range s.Boxes {
 				if !box.Running() {
 					highest[i] = 0
@@ -179,10 +179,10 @@
 		}
 		s.cutLog(1)
 		s.cutLog(2)
-		begun := time.Now()
-		s.change("cascade-1", object(t, config.KindCascade, "extra", &config.Cascade{Stages: []willowwick.ModelID{"run-small"}, Judge: config.JudgeRater}))
-		require.Less(t, time.Since(begun), 16*time.Second)
-		watch()
+		started := time.Now()
+		s.change("cascade-1", newObject(t, config.KindCascade, "extra", &config.Cascade{Stages: []willowwick.ModelID{"run-small"}, Judge: config.JudgeRater}))
+		require.Less(t, time.Since(started), 16*time.Second)
+		checkOffsets()
 
 		// Two operators who read the same state: one winner, the same on every box.
 		state, err := s.State()
@@ -190,12 +190,12 @@
 		for _, quality := range []willowwick.Score{0.5, 0.6} {
 			_, err := s.Publish(config.Record{Kind: config.RecordChange, Change: &config.Change{
 				ID: willowwick.ChangeID(fmt.Sprint("race-", quality)), Author: "operator", Reason: "race", Basis: state.Offset,
-				Objects: []config.Object{object(t, config.KindCascade, "extra", &config.Cascade{Stages: []willowwick.ModelID{"run-small"}, Quality: quality, Judge: config.JudgeRater})},
+				Objects: []config.Object{newObject(t, config.KindCascade, "extra", &config.Cascade{Stages: []willowwick.ModelID{"run-small"}, Quality: quality, Judge: config.JudgeRater})},
 			}})
 			require.NoError(t, err)
 		}
 		time.Sleep(16 * time.Second)
-		watch()
+		checkOffsets()
 		hashes := map[uint64]bool{}
 		for _, box := range s.Boxes {
 			r := box.Daemon.Node().Follower.Revision()
@@ -213,18 +213,18 @@
 		// A fresh box joins from its peers while the log is down.
 		s.logDown(true)
 		s.Boxes[4].Kill()
-		watch() // what its former life alone had read of the log is gone
+		checkOffsets() // what its former life alone had read of the log is gone
 		newest := slices.Max(highest)
 		require.NoError(t, s.Boxes[4].Start())
 		s.eventually(20*time.Second, "joined from peers", func() bool { return s.Boxes[4].Daemon.Status().Offset >= newest })
 		_, ok := s.Boxes[4].Daemon.Node().Follower.Revision().Cascade("extra")
 		require.True(t, ok)
-		watch()
+		checkOffsets()
 		s.logDown(false)
 		s.healLog(1)
 		s.healLog(2)
 		time.Sleep(20 * time.Second)
-		watch()
+		checkOffsets()
 	})
 }
 
@@ -233,18 +233,18 @@
 	t.Helper()
 	entry, ok := r.Find(id)
 	require.True(t, ok)
-	part := config.NewState()
-	part.Objects = r.Objects
-	part.Audit = []config.AuditEntry{entry}
-	hash, err := part.Hash()
+	state := config.NewState()
+	state.Objects = r.Objects
+	state.Audit = []config.AuditEntry{entry}
+	hash, err := state.Hash()
 	require.NoError(t, err)
 	return hash
 }
 
 // TestJoinAfterTheHeadIsGone: a box that starts after the log dropped its oldest records takes the snapshot.
 func TestJoinAfterTheHeadIsGone(t *testing.T) {
-	inScene(t, 3, func(s *scene) {
-		s.change("kept", object(t, config.KindCascade, "kept", &config.Cascade{Stages: []willowwick.ModelID{"run-small"}, Judge: config.JudgeRater}))
+	withTestFleet(t, 3, func(s *testFleet) {
+		s.change("kept", newObject(t, config.KindCascade, "kept", &config.Cascade{Stages: []willowwick.ModelID{"run-small"}, Judge: config.JudgeRater}))
 		s.Platform.SetFaults(func(f *standin.PlatformFaults) { f.Retain = 40 })
 		time.Sleep(10 * time.Minute)
 		page := s.Platform.Read(willowwick.StreamConfig, 1, 1)
@@ -262,7 +262,7 @@
 
 // TestLeaseHolderThatIsCutOff: its successor gets a higher fence; what the old one writes afterwards is void.
 func TestLeaseHolderThatIsCutOff(t *testing.T) {
-	inScene(t, 3, func(s *scene) {
+	withTestFleet(t, 3, func(s *testFleet) {
 		holder := -1
 		for i, box := range s.Boxes {
 			if box.Daemon.Status().HoldsLease {
@@ -272,14 +272,14 @@
 		require.GreaterOrEqual(t, holder, 0)
 		state, err := s.State()
 		require.NoError(t, err)
-		old := state.Lease
+		previous := state.Lease
 		s.isolate(holder)
 		s.eventually(40*time.Second, "a successor", func() bool {
 			state, err = s.State()
 			require.NoError(t, err)
-			return state.Lease.Boot != old.Boot
+			return state.Lease.Boot != previous.Boot
 		})
-		require.Greater(t, state.Lease.Fence, old.Fence)
+		require.Greater(t, state.Lease.Fence, previous.Fence)
 		require.False(t, s.Boxes[holder].Daemon.Status().HoldsLease)
 		holders := 0
 		for _, box := range s.Boxes {
@@ -290,7 +290,7 @@
 		require.LessOrEqual(t, holders, 1)
 
 		// The old holder's late records and orders come to nothing.
-		_, err = s.Publish(config.Record{Kind: config.RecordRoster, Roster: &config.RosterProposal{Fence: old.Fence}})
+		_, err = s.Publish(config.Record{Kind: config.RecordRoster, Roster: &config.RosterProposal{Fence: previous.Fence}})
 		require.NoError(t, err)
 		after, err := s.State()
 		require.NoError(t, err)
@@ -301,9 +301,9 @@
 
 // TestLimitHoldsOverTheFleet also while a box is cut off from the others.
 func TestLimitHoldsOverTheFleet(t *testing.T) {
-	inScene(t, 3, func(s *scene) {
+	withTestFleet(t, 3, func(s *testFleet) {
 		const limit = 1500.0
-		s.change("limit", object(t, config.KindLimit, "braga", &config.Limit{Account: "lab-braga", TokensPerSecond: limit, BurstSeconds: 1}))
+		s.change("limit", newObject(t, config.KindLimit, "braga", &config.Limit{Account: "lab-braga", TokensPerSecond: limit, BurstSeconds: 1}))
 		load := func(seconds int, boxes ...int) float64 {
 			var mu sync.Mutex
 			var callers sync.WaitGroup
@@ -311,7 +311,7 @@
 			for n := range seconds * 20 {
 				for _, box := range boxes {
 					callers.Go(func() {
-						if reply := s.askQuietly(box, Chat{Key: braga, Model: "run-small", Prompt: fmt.Sprint("limit ", n, box, seconds, len(boxes))}); reply.Outcome == OutcomeWhole {
+						if reply := s.askUncounted(box, Chat{Key: braga, Model: "run-small", Prompt: fmt.Sprint("limit ", n, box, seconds, len(boxes))}); reply.Outcome == OutcomeComplete {
 							ledger := 4.0 + float64(4*len(standin.AnswerTo(fmt.Sprint("limit ", n, box, seconds, len(boxes))+"\n", "", 1, tokens)))
 							mu.Lock()
 							taken += ledger
@@ -341,25 +341,25 @@
 
 // TestHeavyAccountDoesNotDelayLightOne: one account's flood leaves another's small requests their turns.
 func TestHeavyAccountDoesNotDelayLightOne(t *testing.T) {
-	inScene(t, 2, func(s *scene) {
+	withTestFleet(t, 2, func(s *testFleet) {
 		for _, runner := range s.Runners {
 			runner.FirstToken = time.Second
 		}
 		// A box takes in only a few requests before it knows how fast they are worked off.
-		s.whole(0, Chat{})
-		s.whole(1, Chat{})
+		s.requireAnswer(0, Chat{})
+		s.requireAnswer(1, Chat{})
 		var callers sync.WaitGroup
 		for n := range 1500 {
 			callers.Go(func() {
-				s.askQuietly(n%2, Chat{Key: braga, Prompt: "flood " + itoa(n), Deadline: 100 * time.Second})
+				s.askUncounted(n%2, Chat{Key: braga, Prompt: "flood " + itoa(n), Deadline: 100 * time.Second})
 			})
 		}
 		time.Sleep(2 * time.Second)
 		for n := range 10 {
-			begun := time.Now()
-			reply := s.askQuietly(n%2, Chat{Prompt: "light " + itoa(n)})
-			require.Equal(t, OutcomeWhole, reply.Outcome, "%+v", reply)
-			require.Less(t, time.Since(begun), 15*time.Second)
+			started := time.Now()
+			reply := s.askUncounted(n%2, Chat{Prompt: "light " + itoa(n)})
+			require.Equal(t, OutcomeComplete, reply.Outcome, "%+v", reply)
+			require.Less(t, time.Since(started), 15*time.Second)
 		}
 		callers.Wait()
 	})
@@ -370,9 +370,9 @@
 func TestStoppingBoxHandsOverWhatItHolds(t *testing.T) {
 	for _, down := range []bool{false, true} {
 		t.Run(fmt.Sprint("log down ", down), func(t *testing.T) {
-			inScene(t, 4, func(s *scene) {
+			withTestFleet(t, 4, func(s *testFleet) {
 				s.logDown(true)
-				s.whole(0, Chat{})
+				s.requireAnswer(0, Chat{})
 				s.Boxes[0].Kill()
 				s.logDown(down)
 				var stops sync.WaitGroup
--- a/lab/fuzz_test.go
+++ b/lab/fuzz_test.go
@@ -18,12 +18,12 @@
 var fuzzSteps = flag.Int("steps", 40, "steps of each run of the stateful fuzzing of a fleet")
 
 const (
-	fuzzBoxes    = 4
-	fuzzKeys     = 5
-	fuzzSessions = 4
-	settleTime   = 15 * time.Second
-	forceTime    = 16 * time.Second
-	loseWindow   = 20 * time.Second
+	fuzzBoxes       = 4
+	fuzzKeys        = 5
+	fuzzSessions    = 4
+	settleTime      = 15 * time.Second
+	inForceTime     = 16 * time.Second
+	usageLossWindow = 20 * time.Second
 )
 
 // fuzzStep is one thing that happens; what it is depends on the kind.
@@ -41,11 +41,11 @@
 
 // fuzzRun plays steps on a fleet and keeps what must be true of it: the oracle.
 type fuzzRun struct {
-	*scene
+	*testFleet
 	isolated  map[int]bool
 	logCut    map[int]bool
 	logDown   bool
-	lostKill  time.Time // the last kill while bills may have been in two memories only
+	lastKill  time.Time // the last kill while bills may have been in two memories only
 	versions  map[string]willowwick.VersionID
 	tokens    map[string]string
 	withdrawn map[willowwick.VersionID]time.Time
@@ -66,7 +66,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(gen, *fuzzSteps, *fuzzSteps).Draw(rt, "steps")
 		var failure error
-		inScene(t, fuzzBoxes, func(s *scene) {
+		withTestFleet(t, fuzzBoxes, func(s *testFleet) {
 			failure = playSteps(s, steps)
 		})
 		if failure != nil {
@@ -75,16 +75,16 @@
 	})
 }
 
-func playSteps(s *scene, steps []fuzzStep) error {
+func playSteps(s *testFleet, steps []fuzzStep) error {
 	run := &fuzzRun{
-		scene: s, isolated: map[int]bool{}, logCut: map[int]bool{},
+		testFleet: s, isolated: map[int]bool{}, logCut: map[int]bool{},
 		versions: map[string]willowwick.VersionID{}, tokens: map[string]string{},
 		withdrawn: map[willowwick.VersionID]time.Time{}, offsets: map[willowwick.BootID]willowwick.Offset{},
 	}
 	for i, step := range steps {
 		err := run.play(step)
 		if err == nil {
-			err = run.invariants()
+			err = run.checkInvariants()
 		}
 		if err != nil {
 			return errors.Wrapf(err, "step %d, %s at box %d", i, step.Kind, step.Box)
@@ -111,7 +111,7 @@
 			return box.Start()
 		}
 	case "stop":
-		if box.Running() && f.down() == 0 && len(f.isolated) == 0 {
+		if box.Running() && f.stoppedCount() == 0 && len(f.isolated) == 0 {
 			return box.Stop(context.Background())
 		}
 	case "cut log":
@@ -123,7 +123,7 @@
 			delete(f.logCut, step.Box)
 		}
 	case "isolate":
-		if len(f.isolated) == 0 && f.down() == 0 {
+		if len(f.isolated) == 0 && f.stoppedCount() == 0 {
 			f.isolate(step.Box)
 			f.isolated[step.Box] = true
 		}
@@ -179,28 +179,28 @@
 	return nil
 }
 
-func (f *fuzzRun) down() int {
-	down := 0
+func (f *fuzzRun) stoppedCount() int {
+	stopped := 0
 	for _, box := range f.Boxes {
 		if !box.Running() {
-			down++
+			stopped++
 		}
 	}
-	return down
+	return stopped
 }
 
 // playKill kills a box, unless a bill could then be in no memory: with one box
-// down already, or soon after another kill while the log was not reached.
+// stoppedCount already, or soon after another kill while the log was not reached.
 func (f *fuzzRun) playKill(step fuzzStep) {
 	box := f.Boxes[step.Box]
-	unsafe := f.down() > 0 || len(f.isolated) > 0 || time.Since(f.lostKill) < loseWindow || f.logDown || len(f.logCut) > 0
+	unsafe := f.stoppedCount() > 0 || len(f.isolated) > 0 || time.Since(f.lastKill) < usageLossWindow || f.logDown || len(f.logCut) > 0
 	if box.Running() && !unsafe {
 		box.Kill()
-		f.lostKill = time.Now()
+		f.lastKill = time.Now()
 	}
 }
 
-func (f *fuzzRun) served() int {
+func (f *fuzzRun) servedCount() int {
 	total := 0
 	for version := range goodVersions() {
 		total += f.ServedSince(version, time.Time{})
@@ -208,10 +208,10 @@
 	return total
 }
 
-// judge checks a reply against what the endpoints saw.
-func (f *fuzzRun) judge(reply Reply, began int) error {
+// checkReply checks a reply against what the endpoints saw.
+func (f *fuzzRun) checkReply(reply Reply, began int) error {
 	switch {
-	case reply.Outcome == OutcomeCrossed:
+	case reply.Outcome == OutcomeMismatched:
 		return errors.Errorf("not the whole answer: %+v", reply)
 	case reply.Outcome == OutcomeRefused && reply.Text == string(willowwick.KindNotRun) && began > 0:
 		return errors.Errorf("refused as not run, but %d calls began: %+v", began, reply)
@@ -225,10 +225,10 @@
 	if !f.Boxes[step.Box].Running() {
 		return nil
 	}
-	before := f.served()
+	before := f.servedCount()
 	chat.Deadline = 20 * time.Second
 	reply := f.ask(step.Box, chat)
-	return f.judge(reply, f.served()-before)
+	return f.checkReply(reply, f.servedCount()-before)
 }
 
 // playSession asks in a session, whose token the caller carries.
@@ -237,17 +237,17 @@
 		return nil
 	}
 	id := "session-" + itoa(step.Which%fuzzSessions)
-	before := f.served()
+	before := f.servedCount()
 	reply := f.ask(step.Box, Chat{Model: "run-small", Session: id, Token: f.tokens[id], Deadline: 20 * time.Second})
-	if err := f.judge(reply, f.served()-before); err != nil {
+	if err := f.checkReply(reply, f.servedCount()-before); err != nil {
 		return err
 	}
-	if reply.Outcome != OutcomeWhole {
+	if reply.Outcome != OutcomeComplete {
 		return nil
 	}
-	was := f.versions[id]
-	if _, gone := f.withdrawn[was]; was != "" && !gone && reply.Version != was {
-		return errors.Errorf("%s moved from %s to %s", id, was, reply.Version)
+	previous := f.versions[id]
+	if _, withdrawn := f.withdrawn[previous]; previous != "" && !withdrawn && reply.Version != previous {
+		return errors.Errorf("%s moved from %s to %s", id, previous, reply.Version)
 	}
 	f.versions[id], f.tokens[id] = reply.Version, reply.Token
 	return nil
@@ -265,7 +265,7 @@
 		}
 	}
 	before := f.effects(entry)
-	reply := f.enter(step.Box, entry, entry)
+	reply := f.postEntry(step.Box, entry, entry)
 	after := f.effects(entry)
 	for _, instance := range f.Services["bookkeeping"] {
 		instance.SetFaults(func(faults *standin.ServiceFaults) { faults.DroppedAnswers = 0 })
@@ -273,10 +273,10 @@
 	switch {
 	case after > 1:
 		return errors.Errorf("%s took effect %d times", entry, after)
-	case reply.Outcome == OutcomeWhole && after-before != 1:
+	case reply.Outcome == OutcomeComplete && after-before != 1:
 		return errors.Errorf("%s was answered and took effect %d times", entry, after-before)
 	}
-	return f.judge(reply, after-before)
+	return f.checkReply(reply, after-before)
 }
 
 func (f *fuzzRun) playWithdraw() error {
@@ -292,7 +292,7 @@
 }
 
 func (f *fuzzRun) tryChange(kind config.Kind, name string, spec any) error {
-	made, err := config.NewObject(kind, name, spec)
+	object, err := config.NewObject(kind, name, spec)
 	if err != nil {
 		return err
 	}
@@ -302,7 +302,7 @@
 	}
 	f.changes++
 	_, err = f.Publish(config.Record{Kind: config.RecordChange, Change: &config.Change{
-		ID: willowwick.ChangeID(fmt.Sprint("fuzz-", f.changes)), Author: "fuzz", Reason: "fuzz", Basis: state.Offset, Objects: []config.Object{made},
+		ID: willowwick.ChangeID(fmt.Sprint("fuzz-", f.changes)), Author: "fuzz", Reason: "fuzz", Basis: state.Offset, Objects: []config.Object{object},
 	}})
 	return err
 }
@@ -318,8 +318,8 @@
 	return err
 }
 
-// invariants checks what must hold after every step.
-func (f *fuzzRun) invariants() error {
+// checkInvariants checks what must hold after every step.
+func (f *fuzzRun) checkInvariants() error {
 	holders := 0
 	for _, box := range f.Boxes {
 		if !box.Running() {
@@ -338,7 +338,7 @@
 		return errors.Errorf("%d boxes hold the lease", holders)
 	}
 	for version, since := range f.withdrawn {
-		if late := f.ServedSince(version, since.Add(forceTime)); late > 0 {
+		if late := f.ServedSince(version, since.Add(inForceTime)); late > 0 {
 			return errors.Errorf("%s began %d calls long after it was withdrawn", version, late)
 		}
 	}
@@ -373,7 +373,7 @@
 	if ledger.TotalCount != f.billed || ledger.BilledTwice() > 0 {
 		return errors.Errorf("%d answers, %d bills, %d of them twice", f.billed, ledger.TotalCount, ledger.BilledTwice())
 	}
-	return f.invariants()
+	return f.checkInvariants()
 }
 
 // checkStates compares every box with the fold of the log.
@@ -384,20 +384,20 @@
 	}
 	for _, box := range f.Boxes {
 		r := box.Daemon.Node().Follower.Revision()
-		part, err := config.FoldAll(config.NewState(), f.Platform.Entries(willowwick.StreamConfig)[:r.Offset])
+		expected, err := config.FoldAll(config.NewState(), f.Platform.Entries(willowwick.StreamConfig)[:r.Offset])
 		if err != nil {
 			return err
 		}
-		own, err := r.Hash()
+		actualHash, err := r.Hash()
 		if err != nil {
 			return err
 		}
-		wanted, err := part.Hash()
+		expectedHash, err := expected.Hash()
 		if err != nil {
 			return err
 		}
-		if own != wanted || oracle.Offset-r.Offset > 5 {
-			return errors.Errorf("%s is at offset %d of %d, its state differs: %t", box.ID, r.Offset, oracle.Offset, own != wanted)
+		if actualHash != expectedHash || oracle.Offset-r.Offset > 5 {
+			return errors.Errorf("%s is at offset %d of %d, its state differs: %t", box.ID, r.Offset, oracle.Offset, actualHash != expectedHash)
 		}
 	}
 	return nil
--- a/lab/handover_test.go
+++ b/lab/handover_test.go
@@ -18,10 +18,10 @@
 // What caused it: a box kept its own records as held for another; what is held so is due after heldFor and goes only with
 // a record of another boot, so that it was appended without end and without a pause.
 func TestBillsThatComeBackToTheirOwnerAreAppendedOnce(t *testing.T) {
-	inScene(t, 2, func(s *scene) {
+	withTestFleet(t, 2, func(s *testFleet) {
 		s.logDown(true)
 		for range 5 {
-			s.whole(0, Chat{})
+			s.requireAnswer(0, Chat{})
 		}
 		require.NoError(t, s.Boxes[1].Stop(context.Background()))
 		// Longer than a holder leaves bills to their owner.
--- a/lab/lab_test.go
+++ b/lab/lab_test.go
@@ -24,11 +24,11 @@
 	tokens    = 400
 )
 
-// scene is a fleet in virtual time with a caller.
-type scene struct {
+// testFleet is a fleet in virtual time with a caller.
+type testFleet struct {
 	*Fleet
 	t       *testing.T
-	net     *Memory
+	net     *MemoryNetwork
 	client  *http.Client
 	billed  int // answers that must be on the ledger
 	prompts int
@@ -42,17 +42,17 @@
 	return versions
 }
 
-// inScene runs a test in virtual time on a fleet of three boxes in three halls.
-func inScene(t *testing.T, boxes int, test func(*scene)) {
+// withTestFleet runs a test in virtual time on a fleet of three boxes in three halls.
+func withTestFleet(t *testing.T, boxes int, test func(*testFleet)) {
 	t.Helper()
-	inSceneWith(t, boxes, serve.Settings{DrainWait: time.Second, Stall: time.Second}, test)
+	withTestFleetSettings(t, boxes, serve.Settings{DrainWait: time.Second, Stall: time.Second}, test)
 }
 
-// inSceneWith is inScene with settings of the daemons.
-func inSceneWith(t *testing.T, boxes int, settings serve.Settings, test func(*scene)) {
+// withTestFleetSettings is inScene with settings of the daemons.
+func withTestFleetSettings(t *testing.T, boxes int, settings serve.Settings, test func(*testFleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		s := &scene{t: t, net: NewMemory()}
+		s := &testFleet{t: t, net: NewMemoryNetwork()}
 		fleet, closeFleet, err := NewFleet(Options{
 			Network: s.net, Boxes: boxes, Halls: 3, Runners: 3, Slots: 8, Versions: goodVersions(),
 			Services: map[willowwick.ServiceID]int{"registry": 2, "bookkeeping": 2},
@@ -68,13 +68,13 @@
 	})
 }
 
-func (s *scene) prompt() string {
+func (s *testFleet) prompt() string {
 	s.prompts++
 	return "prompt " + itoa(s.prompts)
 }
 
 // ask sends a chat to a box.
-func (s *scene) ask(box int, chat Chat) Reply {
+func (s *testFleet) ask(box int, chat Chat) Reply {
 	if chat.Prompt == "" {
 		chat.Prompt = s.prompt()
 	}
@@ -85,22 +85,22 @@
 		chat.Model = "run-large"
 	}
 	chat.MaxTokens = tokens
-	reply := Ask(context.Background(), s.client, s.Boxes[box].Callers, chat)
-	if reply.Outcome == OutcomeWhole {
+	reply := Ask(context.Background(), s.client, s.Boxes[box].CallerAddress, chat)
+	if reply.Outcome == OutcomeComplete {
 		s.billed++
 	}
 	return reply
 }
 
-func (s *scene) whole(box int, chat Chat) Reply {
+func (s *testFleet) requireAnswer(box int, chat Chat) Reply {
 	s.t.Helper()
 	reply := s.ask(box, chat)
-	require.Equal(s.t, OutcomeWhole, reply.Outcome, "%+v", reply)
+	require.Equal(s.t, OutcomeComplete, reply.Outcome, "%+v", reply)
 	return reply
 }
 
 // requireBills waits until the ledger has every answer, once.
-func (s *scene) requireBills() *fleet.Ledger {
+func (s *testFleet) requireBills() *fleet.Ledger {
 	s.t.Helper()
 	var ledger *fleet.Ledger
 	for range 60 {
@@ -119,17 +119,17 @@
 }
 
 func TestFleetAnswersAndBills(t *testing.T) {
-	inScene(t, 3, func(s *scene) {
+	withTestFleet(t, 3, func(s *testFleet) {
 		for box := range s.Boxes {
-			s.whole(box, Chat{Stream: true})
-			s.whole(box, Chat{})
-			s.whole(box, Chat{Model: "auto"})
+			s.requireAnswer(box, Chat{Stream: true})
+			s.requireAnswer(box, Chat{})
+			s.requireAnswer(box, Chat{Model: "auto"})
 		}
 		s.requireBills()
 	})
 }
 
-// wideRule is a rule that asks for more than some accounts may use.
-func wideRule() policy.Rule {
+// disallowedModelRule is a rule that asks for more than some accounts may use.
+func disallowedModelRule() policy.Rule {
 	return policy.Rule{Name: "wide", When: "true", Then: policy.Action{Model: "scan-large"}}
 }
--- a/lab/network.go
+++ b/lab/network.go
@@ -24,8 +24,8 @@
 	// Loopback is the machine's own loopback network.
 	Loopback struct{}
 
-	// Memory is a network within the process, whose links can be cut.
-	Memory struct {
+	// MemoryNetwork is a network within the process, whose links can be cut.
+	MemoryNetwork struct {
 		mu        sync.Mutex
 		listeners map[string]*memoryListener
 		ports     int
@@ -39,7 +39,7 @@
 	}
 
 	memoryListener struct {
-		network *Memory
+		memory  *MemoryNetwork
 		address string
 		accept  chan net.Conn
 		closed  chan struct{}
@@ -48,14 +48,14 @@
 
 	memoryConn struct {
 		net.Conn
-		network *Memory
-		link    link
+		memory *MemoryNetwork
+		link   link
 	}
 
 	memoryAddr string
 )
 
-var errCut = errors.New("link is cut")
+var errLinkCut = errors.New("link is cut")
 
 // Listen implements Network.
 func (Loopback) Listen(string) (net.Listener, error) {
@@ -67,9 +67,9 @@
 	return (&net.Dialer{Timeout: 2 * time.Second}).DialContext
 }
 
-// NewMemory returns a network on which everybody reaches everybody.
-func NewMemory() *Memory {
-	return &Memory{listeners: map[string]*memoryListener{}, cuts: map[link]bool{}, conns: map[*memoryConn]bool{}}
+// NewMemoryNetwork returns a network on which everybody reaches everybody.
+func NewMemoryNetwork() *MemoryNetwork {
+	return &MemoryNetwork{listeners: map[string]*memoryListener{}, cuts: map[link]bool{}, conns: map[*memoryConn]bool{}}
 }
 
 func newLink(a, b string) link {
@@ -80,7 +80,7 @@
 }
 
 // Cut breaks the link between two hosts and all connections on it.
-func (m *Memory) Cut(a, b string) {
+func (m *MemoryNetwork) Cut(a, b string) {
 	m.mu.Lock()
 	m.cuts[newLink(a, b)] = true
 	var broken []*memoryConn
@@ -96,19 +96,19 @@
 }
 
 // Heal mends the link between two hosts.
-func (m *Memory) Heal(a, b string) {
+func (m *MemoryNetwork) Heal(a, b string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.cuts, newLink(a, b))
 }
 
 // Listen implements Network.
-func (m *Memory) Listen(host string) (net.Listener, error) {
+func (m *MemoryNetwork) Listen(host string) (net.Listener, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.ports++
 	l := &memoryListener{
-		network: m, address: net.JoinHostPort(host, itoa(m.ports)),
+		memory: m, address: net.JoinHostPort(host, itoa(m.ports)),
 		accept: make(chan net.Conn), closed: make(chan struct{}),
 	}
 	m.listeners[l.address] = l
@@ -116,7 +116,7 @@
 }
 
 // Dial implements Network.
-func (m *Memory) Dial(host string) remote.DialFunc {
+func (m *MemoryNetwork) Dial(host string) remote.DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := m.connect(ctx, host, address)
 		if err != nil {
@@ -126,24 +126,24 @@
 	}
 }
 
-func (m *Memory) connect(ctx context.Context, host, address string) (net.Conn, error) {
+func (m *MemoryNetwork) connect(ctx context.Context, host, address string) (net.Conn, error) {
 	target, _, _ := strings.Cut(address, ":")
 	m.mu.Lock()
 	listener := m.listeners[address]
 	cut := m.cuts[newLink(host, target)]
 	m.mu.Unlock()
 	if cut {
-		return nil, errCut
+		return nil, errLinkCut
 	}
 	if listener == nil {
 		return nil, syscall.ECONNREFUSED
 	}
-	near, far := net.Pipe()
-	nearConn := m.track(near, newLink(host, target))
-	farConn := m.track(far, newLink(host, target))
+	clientPipe, serverPipe := net.Pipe()
+	clientConn := m.track(clientPipe, newLink(host, target))
+	serverConn := m.track(serverPipe, newLink(host, target))
 	select {
-	case listener.accept <- farConn:
-		return nearConn, nil
+	case listener.accept <- serverConn:
+		return clientConn, nil
 	case <-listener.closed:
 		return nil, errors.New("connection refused")
 	case <-ctx.Done():
@@ -151,8 +151,8 @@
 	}
 }
 
-func (m *Memory) track(conn net.Conn, on link) *memoryConn {
-	tracked := &memoryConn{Conn: conn, network: m, link: on}
+func (m *MemoryNetwork) track(conn net.Conn, on link) *memoryConn {
+	tracked := &memoryConn{Conn: conn, memory: m, link: on}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.conns[tracked] = true
@@ -161,20 +161,20 @@
 
 // Write implements net.Conn.
 func (c *memoryConn) Write(p []byte) (int, error) {
-	c.network.mu.Lock()
-	cut := c.network.cuts[c.link]
-	c.network.mu.Unlock()
+	c.memory.mu.Lock()
+	cut := c.memory.cuts[c.link]
+	c.memory.mu.Unlock()
 	if cut {
-		return 0, errCut
+		return 0, errLinkCut
 	}
 	return c.Conn.Write(p)
 }
 
 // Close implements net.Conn.
 func (c *memoryConn) Close() error {
-	c.network.mu.Lock()
-	delete(c.network.conns, c)
-	c.network.mu.Unlock()
+	c.memory.mu.Lock()
+	delete(c.memory.conns, c)
+	c.memory.mu.Unlock()
 	return c.Conn.Close()
 }
 
@@ -191,9 +191,9 @@
 // Close implements net.Listener.
 func (l *memoryListener) Close() error {
 	l.once.Do(func() {
-		l.network.mu.Lock()
-		delete(l.network.listeners, l.address)
-		l.network.mu.Unlock()
+		l.memory.mu.Lock()
+		delete(l.memory.listeners, l.address)
+		l.memory.mu.Unlock()
 		close(l.closed)
 	})
 	return nil
--- a/lab/harm_test.go
+++ b/lab/poison_test.go
@@ -11,44 +11,44 @@
 	"github.com/willowwick/willowwick/standin"
 )
 
-const harmfulPrompt = "ends the runner that runs it"
+const poisonPrompt = "ends the runner that runs it"
 
 // A prompt that ends the runner that runs it comes again, at all boxes. The fourth runner is spared, also by other boxes than those
 // that saw the ends, and answers everything else; the versions that ran it are not taken for bad ones.
 func TestAPromptThatEndsRunnersIsNotSentOn(t *testing.T) {
-	inScene(t, 3, func(s *scene) {
+	withTestFleet(t, 3, func(s *testFleet) {
 		s.addRunner(t)
 		s.addRunner(t)
 		for _, runner := range s.Runners {
-			runner.SetFaults(func(faults *standin.EngineFaults) { faults.CrashOn = harmfulPrompt })
+			runner.SetFaults(func(faults *standin.EngineFaults) { faults.CrashOn = poisonPrompt })
 		}
 		for i := range 12 {
-			reply := s.ask(i%3, Chat{Prompt: harmfulPrompt})
-			assert.NotEqual(t, OutcomeWhole, reply.Outcome)
+			reply := s.ask(i%3, Chat{Prompt: poisonPrompt})
+			assert.NotEqual(t, OutcomeComplete, reply.Outcome)
 			time.Sleep(500 * time.Millisecond)
 		}
 		for box := range s.Boxes {
-			begun := time.Now()
-			reply := s.ask(box, Chat{Prompt: harmfulPrompt})
+			started := time.Now()
+			reply := s.ask(box, Chat{Prompt: poisonPrompt})
 			assert.Equal(t, http.StatusBadGateway, reply.Status)
 			assert.Contains(t, reply.Detail, string(willowwick.CodeHarmful))
 			assert.Zero(t, reply.RetryAfter, "it is not to come again")
-			assert.Less(t, time.Since(begun), 50*time.Millisecond, "it is told so at once")
-			s.whole(box, Chat{})
+			assert.Less(t, time.Since(started), 50*time.Millisecond, "it is told so at once")
+			s.requireAnswer(box, Chat{})
 		}
-		live := 0
+		running := 0
 		for _, runner := range s.Runners {
 			if !runner.HasCrashed() {
-				live++
+				running++
 			}
 		}
-		assert.GreaterOrEqual(t, live, 1)
+		assert.GreaterOrEqual(t, running, 1)
 		assert.False(t, s.isWithdrawn("run-large-1"))
 	})
 }
 
 // addRunner adds a runner to those that the fleet was started with.
-func (s *scene) addRunner(t *testing.T) {
+func (s *testFleet) addRunner(t *testing.T) {
 	require.NoError(t, s.startRunner(len(s.Runners)))
 	time.Sleep(5 * time.Second)
 }
--- a/lab/promises_test.go
+++ b/lab/promises_test.go
@@ -15,7 +15,7 @@
 )
 
 // withdraw publishes a withdrawal and waits until every running box has it.
-func (s *scene) withdraw(version willowwick.VersionID) {
+func (s *testFleet) withdraw(version willowwick.VersionID) {
 	s.t.Helper()
 	s.publish(config.Record{Kind: config.RecordWithdraw, Withdraw: &config.Withdraw{
 		ID: willowwick.ChangeID("withdraw-" + string(version)), Author: "test", Reason: "test", Version: version,
@@ -23,7 +23,7 @@
 }
 
 // publish puts a record on the log and waits until every running box has folded it.
-func (s *scene) publish(record config.Record) willowwick.Offset {
+func (s *testFleet) publish(record config.Record) willowwick.Offset {
 	s.t.Helper()
 	offset, err := s.Publish(record)
 	require.NoError(s.t, err)
@@ -31,7 +31,7 @@
 	return offset
 }
 
-func (s *scene) waitInForce(offset willowwick.Offset) {
+func (s *testFleet) waitInForce(offset willowwick.Offset) {
 	s.t.Helper()
 	s.eventually(16*time.Second, "in force", func() bool {
 		for _, box := range s.Boxes {
@@ -44,18 +44,18 @@
 }
 
 // eventually waits in virtual time.
-func (s *scene) eventually(within time.Duration, what string, condition func() bool) {
+func (s *testFleet) eventually(within time.Duration, what string, condition func() bool) {
 	s.t.Helper()
-	for limit := time.Now().Add(within); ; time.Sleep(100 * time.Millisecond) {
+	for deadline := time.Now().Add(within); ; time.Sleep(100 * time.Millisecond) {
 		if condition() {
 			return
 		}
-		require.False(s.t, time.Now().After(limit), "%s within %s", what, within)
+		require.False(s.t, time.Now().After(deadline), "%s within %s", what, within)
 	}
 }
 
 // change publishes objects as one change.
-func (s *scene) change(id string, objects ...config.Object) willowwick.Offset {
+func (s *testFleet) change(id string, objects ...config.Object) willowwick.Offset {
 	s.t.Helper()
 	state, err := s.State()
 	require.NoError(s.t, err)
@@ -64,24 +64,24 @@
 	}})
 }
 
-func object(t *testing.T, kind config.Kind, name string, spec any) config.Object {
+func newObject(t *testing.T, kind config.Kind, name string, spec any) config.Object {
 	t.Helper()
-	made, err := config.NewObject(kind, name, spec)
+	object, err := config.NewObject(kind, name, spec)
 	require.NoError(t, err)
-	return made
+	return object
 }
 
 // cutLog takes the log away from a box.
-func (s *scene) cutLog(box int) {
-	s.net.Cut(string(s.Boxes[box].ID), hostPlatform)
+func (s *testFleet) cutLog(box int) {
+	s.net.Cut(string(s.Boxes[box].ID), platformHost)
 }
 
-func (s *scene) healLog(box int) {
-	s.net.Heal(string(s.Boxes[box].ID), hostPlatform)
+func (s *testFleet) healLog(box int) {
+	s.net.Heal(string(s.Boxes[box].ID), platformHost)
 }
 
 // isolate cuts a box off from the platform and the other boxes.
-func (s *scene) isolate(box int) {
+func (s *testFleet) isolate(box int) {
 	s.cutLog(box)
 	for other := range s.Boxes {
 		if other != box {
@@ -90,27 +90,27 @@
 	}
 }
 
-func (s *scene) rejoin(box int) {
+func (s *testFleet) rejoin(box int) {
 	s.healLog(box)
 	for other := range s.Boxes {
 		s.net.Heal(string(s.Boxes[box].ID), string(s.Boxes[other].ID))
 	}
 }
 
-func (s *scene) logDown(down bool) {
+func (s *testFleet) logDown(down bool) {
 	s.Platform.SetFaults(func(f *standin.PlatformFaults) { f.LogDown = down })
 }
 
 // TestAccountGetsAllowedVersionsOnly: neither a policy nor a race widens what an account may use.
 func TestAccountGetsAllowedVersionsOnly(t *testing.T) {
-	inScene(t, 3, func(s *scene) {
+	withTestFleet(t, 3, func(s *testFleet) {
 		refusal := s.ask(0, Chat{Key: "demo-quay-notes", Model: "scan-large"})
 		require.Equal(t, http.StatusForbidden, refusal.Status, "%+v", refusal)
 
 		policy := &config.Policy{}
-		policy.Rules = append(policy.Rules, wideRule())
-		s.change("wide", object(t, config.KindPolicy, "scans", policy))
-		s.change("point", object(t, config.KindClientAccount, "quay-notes", &config.ClientAccount{
+		policy.Rules = append(policy.Rules, disallowedModelRule())
+		s.change("wide", newObject(t, config.KindPolicy, "scans", policy))
+		s.change("point", newObject(t, config.KindClientAccount, "quay-notes", &config.ClientAccount{
 			Keys: []string{config.HashKey("demo-quay-notes")}, Allow: []string{"scan-small"}, Default: "notes", Policy: "scans",
 		}))
 		for box := range s.Boxes {
@@ -123,7 +123,7 @@
 
 // TestQueuedRequestIsCheckedAgain: a request that waits while its version is withdrawn is not sent to it.
 func TestQueuedRequestIsCheckedAgain(t *testing.T) {
-	inScene(t, 2, func(s *scene) {
+	withTestFleet(t, 2, func(s *testFleet) {
 		for _, runner := range s.Runners {
 			runner.FirstToken = 20 * time.Second
 			runner.IgnoresOrders = true
@@ -133,7 +133,7 @@
 		outcomes := map[Outcome]int{}
 		for n := range 60 {
 			callers.Go(func() {
-				reply := s.askQuietly(n%2, Chat{Model: "scan-small", Key: harbour, Prompt: "queued " + itoa(n)})
+				reply := s.askUncounted(n%2, Chat{Model: "scan-small", Key: harbour, Prompt: "queued " + itoa(n)})
 				mu.Lock()
 				defer mu.Unlock()
 				outcomes[reply.Outcome]++
@@ -144,12 +144,12 @@
 		inForce := time.Now()
 		callers.Wait()
 		require.Zero(t, s.ServedSince("scan-small-1", inForce))
-		require.Zero(t, outcomes[OutcomeLost]+outcomes[OutcomeCrossed], "%v", outcomes)
+		require.Zero(t, outcomes[OutcomeLost]+outcomes[OutcomeMismatched], "%v", outcomes)
 	})
 }
 
-// askQuietly sends a chat without counting it; callers may run at once.
-func (s *scene) askQuietly(box int, chat Chat) Reply {
+// askUncounted sends a chat without counting it; callers may run at once.
+func (s *testFleet) askUncounted(box int, chat Chat) Reply {
 	if chat.Key == "" {
 		chat.Key = coimbra
 	}
@@ -157,14 +157,14 @@
 		chat.Model = "run-large"
 	}
 	chat.MaxTokens = tokens
-	return Ask(context.Background(), s.client, s.Boxes[box].Callers, chat)
+	return Ask(context.Background(), s.client, s.Boxes[box].CallerAddress, chat)
 }
 
 // TestWithdrawnVersionGetsNoNewWork: also while a change races, a box is cut off from the log, or from all.
 func TestWithdrawnVersionGetsNoNewWork(t *testing.T) {
-	inScene(t, 3, func(s *scene) {
-		s.change("fallback", object(t, config.KindModel, "run-large", &config.Model{Settled: "run-large-1", Fallback: []willowwick.VersionID{"run-large-0"}}),
-			object(t, config.KindVersion, "run-large-0", &config.Version{Model: "run-large"}))
+	withTestFleet(t, 3, func(s *testFleet) {
+		s.change("fallback", newObject(t, config.KindModel, "run-large", &config.Model{Settled: "run-large-1", Fallback: []willowwick.VersionID{"run-large-0"}}),
+			newObject(t, config.KindVersion, "run-large-0", &config.Version{Model: "run-large"}))
 		for _, runner := range s.Runners {
 			runner.SetBehaviour("run-large-0", standin.VersionBehaviour{Quality: 1})
 		}
@@ -176,11 +176,11 @@
 		inForce := time.Now()
 		s.publish(config.Record{Kind: config.RecordChange, Change: &config.Change{
 			ID: "race", Author: "test", Reason: "test", Basis: state.Offset,
-			Objects: []config.Object{object(t, config.KindVersion, "run-large-1", &config.Version{Model: "run-large", Price: willowwick.Price{Prompt: 1}})},
+			Objects: []config.Object{newObject(t, config.KindVersion, "run-large-1", &config.Version{Model: "run-large", Price: willowwick.Price{Prompt: 1}})},
 		}})
 		for box := range s.Boxes {
 			for range 5 {
-				s.askQuietly(box, Chat{Model: "run-large", Prompt: s.prompt()})
+				s.askUncounted(box, Chat{Model: "run-large", Prompt: s.prompt()})
 			}
 		}
 		require.Zero(t, s.ServedSince("run-large-1", inForce))
@@ -189,8 +189,8 @@
 
 // TestIsolatedBoxTakesNoWork: a box that cannot know of a withdrawal stops taking work, and says that it did not run.
 func TestIsolatedBoxTakesNoWork(t *testing.T) {
-	inScene(t, 3, func(s *scene) {
-		s.whole(2, Chat{})
+	withTestFleet(t, 3, func(s *testFleet) {
+		s.requireAnswer(2, Chat{})
 		s.isolate(2)
 		time.Sleep(20 * time.Second)
 		reply := s.ask(2, Chat{})
@@ -198,21 +198,21 @@
 		require.Equal(t, string(willowwick.KindNotRun), reply.Text)
 		require.Positive(t, reply.RetryAfter)
 		s.rejoin(2)
-		s.eventually(20*time.Second, "serving again", func() bool { return s.ask(2, Chat{}).Outcome == OutcomeWhole })
+		s.eventually(20*time.Second, "serving again", func() bool { return s.ask(2, Chat{}).Outcome == OutcomeComplete })
 	})
 }
 
 // TestSessionKeepsItsVersion through roll-out steps, a killed box, a restarted one and an outage of the log.
 func TestSessionKeepsItsVersion(t *testing.T) {
-	inScene(t, 4, func(s *scene) {
+	withTestFleet(t, 4, func(s *testFleet) {
 		rollout := &config.Rollout{Model: "run-small", From: "run-small-1", To: "run-small-2", Steps: []float64{50, 80, 100}, MinRequests: 1000}
-		s.change("roll", object(t, config.KindRollout, "run", rollout))
+		s.change("roll", newObject(t, config.KindRollout, "run", rollout))
 		const sessions = 24
 		before := map[string]willowwick.VersionID{}
 		tokensOf := map[string]string{}
 		for n := range sessions {
 			id := "session-" + itoa(n)
-			reply := s.whole(n%len(s.Boxes), Chat{Model: "run-small", Session: id})
+			reply := s.requireAnswer(n%len(s.Boxes), Chat{Model: "run-small", Session: id})
 			before[id], tokensOf[id] = reply.Version, reply.Token
 			require.NotEmpty(t, reply.Token)
 		}
@@ -224,41 +224,41 @@
 					if !s.Boxes[box].Running() {
 						continue
 					}
-					require.Equal(t, before[id], s.whole(box, Chat{Model: "run-small", Session: id}).Version, "%s: %s at box %d", event, id, box)
+					require.Equal(t, before[id], s.requireAnswer(box, Chat{Model: "run-small", Session: id}).Version, "%s: %s at box %d", event, id, box)
 				}
 			}
 		}
 		check("no event")
-		s.advance("run")
+		s.advanceRollout("run")
 		check("a step")
 		s.Boxes[1].Kill()
 		time.Sleep(30 * time.Second)
 		check("a killed box")
 		require.NoError(t, s.Boxes[1].Start())
 		require.NoError(t, s.WaitReady(readyTime))
-		s.advance("run")
+		s.advanceRollout("run")
 		check("a restarted box and another step")
 		s.logDown(true)
 		time.Sleep(10 * time.Second)
 		check("an outage of the log")
 		s.logDown(false)
-		// Callers that carry tokens do not even need the boxes' memory.
+		// CallerAddress that carry tokens do not even need the boxes' memory.
 		for id, token := range tokensOf {
-			require.Equal(t, before[id], s.whole(0, Chat{Model: "run-small", Token: token}).Version)
+			require.Equal(t, before[id], s.requireAnswer(0, Chat{Model: "run-small", Token: token}).Version)
 		}
 		s.withdraw("run-small-2")
 		for id, version := range before {
 			if version == "run-small-2" {
-				moved := s.whole(0, Chat{Model: "run-small", Session: id}).Version
+				moved := s.requireAnswer(0, Chat{Model: "run-small", Session: id}).Version
 				require.Equal(t, willowwick.VersionID("run-small-1"), moved)
-				require.Equal(t, moved, s.whole(2, Chat{Model: "run-small", Session: id}).Version)
+				require.Equal(t, moved, s.requireAnswer(2, Chat{Model: "run-small", Session: id}).Version)
 			}
 		}
 	})
 }
 
-// advance writes the next step of a roll-out, as the holder of the lease would.
-func (s *scene) advance(id willowwick.RolloutID) {
+// advanceRollout writes the next step of a roll-out, as the holder of the lease would.
+func (s *testFleet) advanceRollout(id willowwick.RolloutID) {
 	s.t.Helper()
 	state, err := s.State()
 	require.NoError(s.t, err)
@@ -273,28 +273,28 @@
 
 // TestEachRequestIsBilledOnce through lost append answers, an outage of the log, and boxes killed with their memory.
 func TestEachRequestIsBilledOnce(t *testing.T) {
-	inScene(t, 3, func(s *scene) {
+	withTestFleet(t, 3, func(s *testFleet) {
 		s.Platform.SetFaults(func(f *standin.PlatformFaults) { f.DroppedAnswers = 3 })
 		for n := range 12 {
-			s.whole(n%3, Chat{})
+			s.requireAnswer(n%3, Chat{})
 		}
 		s.requireBills()
 
 		s.logDown(true)
 		for range 10 {
-			s.whole(1, Chat{Stream: true})
+			s.requireAnswer(1, Chat{Stream: true})
 		}
 		s.Boxes[1].Kill()
 		time.Sleep(5 * time.Second)
 		for range 5 {
-			s.whole(0, Chat{})
+			s.requireAnswer(0, Chat{})
 		}
 		s.logDown(false)
 		s.requireBills()
 
 		// The owner dies between the answer and the append.
 		for range 5 {
-			s.whole(2, Chat{})
+			s.requireAnswer(2, Chat{})
 		}
 		s.Boxes[2].Kill()
 		ledger := s.requireBills()
@@ -316,13 +316,13 @@
 		{"repeated", func(f *standin.EngineFaults) { f.Repeat = 1 }},
 	} {
 		t.Run(fault.name, func(t *testing.T) {
-			inScene(t, 3, func(s *scene) {
+			withTestFleet(t, 3, func(s *testFleet) {
 				for _, stream := range []bool{true, false} {
 					for _, runner := range s.Runners {
 						runner.SetFaults(fault.set)
 					}
 					for box := range s.Boxes {
-						s.whole(box, Chat{Stream: stream})
+						s.requireAnswer(box, Chat{Stream: stream})
 					}
 				}
 				s.requireBills()
@@ -333,7 +333,7 @@
 
 // TestBrokenAnswerNeverLooksWhole: when no runner can finish an answer, the caller gets an error.
 func TestBrokenAnswerNeverLooksWhole(t *testing.T) {
-	inScene(t, 2, func(s *scene) {
+	withTestFleet(t, 2, func(s *testFleet) {
 		for _, stream := range []bool{true, false} {
 			for _, runner := range s.Runners {
 				runner.SetFaults(func(f *standin.EngineFaults) { f.CutTimes, f.CutAfter = 100, 1 })
@@ -348,7 +348,7 @@
 			runner.SetFaults(func(f *standin.EngineFaults) { *f = standin.EngineFaults{} })
 		}
 		time.Sleep(5 * time.Second)
-		s.whole(0, Chat{})
+		s.requireAnswer(0, Chat{})
 		s.requireBills()
 	})
 }
@@ -356,24 +356,24 @@
 // TestNotRunIsTrueAndAtOnce: under overload and with a box short of time, what is refused as not run reached no
 // runner, and the refusal does not wait for the deadline.
 func TestNotRunIsTrueAndAtOnce(t *testing.T) {
-	inScene(t, 2, func(s *scene) {
+	withTestFleet(t, 2, func(s *testFleet) {
 		for _, runner := range s.Runners {
 			runner.FirstToken = 2 * time.Second
 		}
-		s.whole(0, Chat{})
-		s.whole(1, Chat{})
+		s.requireAnswer(0, Chat{})
+		s.requireAnswer(1, Chat{})
 		var mu sync.Mutex
 		var callers sync.WaitGroup
 		notRun, answered := 0, 0
-		begun := time.Now()
+		started := time.Now()
 		for n := range 300 {
 			callers.Go(func() {
 				sent := time.Now()
-				reply := s.askQuietly(n%2, Chat{Prompt: "heavy " + itoa(n), Deadline: 10 * time.Second})
+				reply := s.askUncounted(n%2, Chat{Prompt: "heavy " + itoa(n), Deadline: 10 * time.Second})
 				mu.Lock()
 				defer mu.Unlock()
 				switch {
-				case reply.Outcome == OutcomeWhole:
+				case reply.Outcome == OutcomeComplete:
 					answered++
 				case reply.Outcome == OutcomeRefused && reply.Text == string(willowwick.KindNotRun):
 					notRun++
@@ -384,7 +384,7 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 		callers.Wait()
-		served := s.ServedSince("run-large-1", begun.Add(-time.Millisecond))
+		served := s.ServedSince("run-large-1", started.Add(-time.Millisecond))
 		require.Positive(t, notRun)
 		require.Greater(t, answered, 40)
 		require.LessOrEqual(t, served, 300-notRun)
@@ -395,55 +395,55 @@
 
 // TestLeavingEndpointGetsNoNewWork within 3 s, though the list lags by a minute; what is under way is finished.
 func TestLeavingEndpointGetsNoNewWork(t *testing.T) {
-	t.Run("refuses", func(t *testing.T) { checkLeaving(t, standin.EngineFaults{Draining: true}) })
-	t.Run("takes what comes", func(t *testing.T) { checkLeaving(t, standin.EngineFaults{Draining: true, DrainsSilently: true}) })
+	t.Run("refuses", func(t *testing.T) { checkDraining(t, standin.EngineFaults{Draining: true}) })
+	t.Run("takes what comes", func(t *testing.T) { checkDraining(t, standin.EngineFaults{Draining: true, DrainsSilently: true}) })
 }
 
-func checkLeaving(t *testing.T, faults standin.EngineFaults) {
+func checkDraining(t *testing.T, faults standin.EngineFaults) {
 	t.Helper()
-	inScene(t, 3, func(s *scene) {
+	withTestFleet(t, 3, func(s *testFleet) {
 		time.Sleep(time.Minute)
 		s.Platform.SetFaults(func(f *standin.PlatformFaults) { f.ListLagMs = 60_000 })
-		leaving := s.Runners[0]
+		draining := s.Runners[0]
 		for _, runner := range s.Runners {
 			runner.BetweenChunks = 500 * time.Millisecond
 		}
-		var underWay sync.WaitGroup
+		var callers sync.WaitGroup
 		for n := range 12 {
-			underWay.Go(func() {
-				reply := s.askQuietly(n%3, Chat{Prompt: "long " + itoa(n), Stream: true})
-				require.Equal(t, OutcomeWhole, reply.Outcome, "%+v", reply)
+			callers.Go(func() {
+				reply := s.askUncounted(n%3, Chat{Prompt: "long " + itoa(n), Stream: true})
+				require.Equal(t, OutcomeComplete, reply.Outcome, "%+v", reply)
 			})
 		}
 		time.Sleep(time.Second)
-		leaving.SetFaults(func(f *standin.EngineFaults) { *f = faults })
+		draining.SetFaults(func(f *standin.EngineFaults) { *f = faults })
 		time.Sleep(3 * time.Second)
-		before := len(leaving.Served("run-large-1"))
+		before := len(draining.Served("run-large-1"))
 		for n := range 60 {
-			reply := s.askQuietly(n%3, Chat{Prompt: "after " + itoa(n)})
-			require.Equal(t, OutcomeWhole, reply.Outcome, "%+v", reply)
+			reply := s.askUncounted(n%3, Chat{Prompt: "after " + itoa(n)})
+			require.Equal(t, OutcomeComplete, reply.Outcome, "%+v", reply)
 		}
-		underWay.Wait()
-		require.Equal(t, before, len(leaving.Served("run-large-1")))
+		callers.Wait()
+		require.Equal(t, before, len(draining.Served("run-large-1")))
 	})
 }
 
 // TestPlannedStopCutsNothing: two of four boxes stop at once, under load, with streams of a minute, while the log is down.
 func TestPlannedStopCutsNothing(t *testing.T) {
-	inSceneWith(t, 4, serve.Settings{DrainWait: time.Second, Stall: 10 * time.Second}, func(s *scene) {
+	withTestFleetSettings(t, 4, serve.Settings{DrainWait: time.Second, Stall: 10 * time.Second}, func(s *testFleet) {
 		for _, runner := range s.Runners {
 			runner.BetweenChunks = 3 * time.Second
 		}
 		var mu sync.Mutex
 		var callers sync.WaitGroup
-		whole := 0
+		answered := 0
 		for n := range 24 {
 			callers.Go(func() {
-				reply := s.askQuietly(n%4, Chat{Prompt: "minute " + itoa(n), Stream: true})
-				require.Equal(t, OutcomeWhole, reply.Outcome, "%+v", reply)
+				reply := s.askUncounted(n%4, Chat{Prompt: "minute " + itoa(n), Stream: true})
+				require.Equal(t, OutcomeComplete, reply.Outcome, "%+v", reply)
 				mu.Lock()
 				defer mu.Unlock()
-				whole++
+				answered++
 			})
 		}
 		time.Sleep(2 * time.Second)
@@ -454,25 +454,25 @@
 		}
 		// New arrivals at a stopping box are served or honestly refused.
 		for n := range 20 {
-			reply := s.askQuietly(2+n%2, Chat{Prompt: "late " + itoa(n), Deadline: 90 * time.Second})
-			require.Contains(t, []Outcome{OutcomeWhole, OutcomeRefused, OutcomeNotTaken}, reply.Outcome, "%+v", reply)
-			if reply.Outcome == OutcomeWhole {
+			reply := s.askUncounted(2+n%2, Chat{Prompt: "late " + itoa(n), Deadline: 90 * time.Second})
+			require.Contains(t, []Outcome{OutcomeComplete, OutcomeRefused, OutcomeNotAccepted}, reply.Outcome, "%+v", reply)
+			if reply.Outcome == OutcomeComplete {
 				mu.Lock()
-				whole++
+				answered++
 				mu.Unlock()
 			}
 		}
 		callers.Wait()
 		stops.Wait()
 		s.logDown(false)
-		s.billed = whole
+		s.billed = answered
 		s.requireBills()
 	})
 }
 
 // TestNotRunIsTrueAfterFailedCalls: once a runner may have begun, a refusal no longer says that nothing ran.
 func TestNotRunIsTrueAfterFailedCalls(t *testing.T) {
-	inScene(t, 2, func(s *scene) {
+	withTestFleet(t, 2, func(s *testFleet) {
 		for _, runner := range s.Runners {
 			runner.SetFaults(func(f *standin.EngineFaults) { f.FailAll = true })
 		}
@@ -489,7 +489,7 @@
 // TestNotRunIsTrueAfterATriedStage: a cheap model that was asked in vain and a strong one that nobody serves do not
 // add up to "not run".
 func TestNotRunIsTrueAfterATriedStage(t *testing.T) {
-	inScene(t, 2, func(s *scene) {
+	withTestFleet(t, 2, func(s *testFleet) {
 		listing := s.Platform.Endpoints()
 		for _, runner := range s.Runners {
 			runner.SetFaults(func(f *standin.EngineFaults) { f.CutTimes, f.CutAfter = 100, 1 })
--- a/lab/rollout_test.go
+++ b/lab/rollout_test.go
@@ -13,16 +13,16 @@
 	"github.com/willowwick/willowwick/standin"
 )
 
-// load sends chats for the model to all running boxes, at so many a second, while the condition holds.
-func (s *scene) load(perSecond int, within time.Duration, stop func() bool) {
+// sendLoad sends chats for the model to all running boxes, at so many a second, while the condition holds.
+func (s *testFleet) sendLoad(perSecond int, within time.Duration, stop func() bool) {
 	s.t.Helper()
 	var callers sync.WaitGroup
-	limit := time.Now().Add(within)
-	for n := 0; time.Now().Before(limit) && !stop(); n++ {
+	deadline := time.Now().Add(within)
+	for n := 0; time.Now().Before(deadline) && !stop(); n++ {
 		box := n % len(s.Boxes)
 		if s.Boxes[box].Running() {
 			callers.Go(func() {
-				s.askQuietly(box, Chat{Model: "run-small", Prompt: fmt.Sprintf("load %d at %d", n, time.Now().UnixNano())})
+				s.askUncounted(box, Chat{Model: "run-small", Prompt: fmt.Sprintf("load %d at %d", n, time.Now().UnixNano())})
 			})
 		}
 		time.Sleep(time.Second / time.Duration(perSecond))
@@ -30,20 +30,20 @@
 	callers.Wait()
 }
 
-func (s *scene) rollOut(steps ...float64) {
+func (s *testFleet) startRollout(steps ...float64) {
 	s.t.Helper()
 	rollout := &config.Rollout{Model: "run-small", From: "run-small-1", To: "run-small-2", Steps: steps, MinRequests: 30}
-	s.change("roll", object(s.t, config.KindRollout, "run", rollout))
+	s.change("roll", newObject(s.t, config.KindRollout, "run", rollout))
 }
 
-func (s *scene) progress() config.Progress {
+func (s *testFleet) rolloutProgress() config.Progress {
 	s.t.Helper()
 	state, err := s.State()
 	require.NoError(s.t, err)
 	return state.Progress["run"]
 }
 
-func (s *scene) isWithdrawn(version willowwick.VersionID) bool {
+func (s *testFleet) isWithdrawn(version willowwick.VersionID) bool {
 	s.t.Helper()
 	state, err := s.State()
 	require.NoError(s.t, err)
@@ -53,23 +53,23 @@
 
 // TestGoodRolloutEnds, though the holder of the lease is killed halfway.
 func TestGoodRolloutEnds(t *testing.T) {
-	inScene(t, 4, func(s *scene) {
-		s.rollOut(20, 50, 100)
-		s.load(40, 2*time.Minute, func() bool { return s.progress().Step >= 1 })
+	withTestFleet(t, 4, func(s *testFleet) {
+		s.startRollout(20, 50, 100)
+		s.sendLoad(40, 2*time.Minute, func() bool { return s.rolloutProgress().Step >= 1 })
 		for _, box := range s.Boxes {
 			if box.Daemon.Status().HoldsLease {
 				box.Kill()
 				break
 			}
 		}
-		s.load(40, 4*time.Minute, func() bool { return s.progress().Done })
-		require.True(t, s.progress().Done)
+		s.sendLoad(40, 4*time.Minute, func() bool { return s.rolloutProgress().Done })
+		require.True(t, s.rolloutProgress().Done)
 		require.False(t, s.isWithdrawn("run-small-2"))
-		require.Equal(t, willowwick.VersionID("run-small-2"), s.whole(s.running(), Chat{Model: "run-small"}).Version)
+		require.Equal(t, willowwick.VersionID("run-small-2"), s.requireAnswer(s.runningBox(), Chat{Model: "run-small"}).Version)
 	})
 }
 
-func (s *scene) running() int {
+func (s *testFleet) runningBox() int {
 	for i, box := range s.Boxes {
 		if box.Running() {
 			return i
@@ -89,16 +89,16 @@
 		{"slow", standin.VersionBehaviour{Quality: 1, Slow: 100}},
 	} {
 		t.Run(bad.name, func(t *testing.T) {
-			inScene(t, 3, func(s *scene) {
-				s.rollOut(20, 100)
-				s.load(40, 10*time.Second, func() bool { return false })
+			withTestFleet(t, 3, func(s *testFleet) {
+				s.startRollout(20, 100)
+				s.sendLoad(40, 10*time.Second, func() bool { return false })
 				for _, runner := range s.Runners {
 					runner.SetBehaviour("run-small-2", bad.behaviour)
 				}
-				turned := time.Now()
-				s.load(40, time.Minute, func() bool { return s.isWithdrawn("run-small-2") })
+				turnedBad := time.Now()
+				s.sendLoad(40, time.Minute, func() bool { return s.isWithdrawn("run-small-2") })
 				require.True(t, s.isWithdrawn("run-small-2"))
-				t.Logf("withdrawn after %s and %d requests on it", time.Since(turned), s.ServedSince("run-small-2", turned))
+				t.Logf("withdrawn after %s and %d requests on it", time.Since(turnedBad), s.ServedSince("run-small-2", turnedBad))
 				s.eventually(16*time.Second, "ordered", func() bool {
 					for _, runner := range s.Runners {
 						if len(runner.Orders()) == 0 {
@@ -113,7 +113,7 @@
 						return !box.Daemon.Node().Follower.Revision().IsWithdrawn("run-small-2")
 					})
 				})
-				require.Equal(t, willowwick.VersionID("run-small-1"), s.whole(0, Chat{Model: "run-small"}).Version)
+				require.Equal(t, willowwick.VersionID("run-small-1"), s.requireAnswer(0, Chat{Model: "run-small"}).Version)
 			})
 		})
 	}
@@ -121,13 +121,13 @@
 
 // TestRolloutWaitsWhileTheLogIsDown and goes on afterwards.
 func TestRolloutWaitsWhileTheLogIsDown(t *testing.T) {
-	inScene(t, 3, func(s *scene) {
-		s.rollOut(30, 100)
+	withTestFleet(t, 3, func(s *testFleet) {
+		s.startRollout(30, 100)
 		s.logDown(true)
-		s.load(40, 30*time.Second, func() bool { return false })
-		require.Zero(t, s.progress().Step)
+		s.sendLoad(40, 30*time.Second, func() bool { return false })
+		require.Zero(t, s.rolloutProgress().Step)
 		s.logDown(false)
-		s.load(40, 2*time.Minute, func() bool { return s.progress().Done })
-		require.True(t, s.progress().Done)
+		s.sendLoad(40, 2*time.Minute, func() bool { return s.rolloutProgress().Done })
+		require.True(t, s.rolloutProgress().Done)
 	})
 }
--- a/lab/traffic.go
+++ b/lab/traffic.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	balancerPoll  = 200 * time.Millisecond
-	checkTimeout  = time.Second
-	highestMs     = 600_000
-	precision     = 3
-	retriesOfCall = 2
-	maxRetryWait  = 2 * time.Second
+	balancerPollInterval = 200 * time.Millisecond
+	readyCheckTimeout    = time.Second
+	maxRecordedMs        = 600_000
+	histogramDigits      = 3
+	maxRetries           = 2
+	maxRetryDelay        = 2 * time.Second
 )
 
 type (
@@ -34,16 +34,16 @@
 
 	// Tally is what callers saw.
 	Tally struct {
-		mu       sync.Mutex
-		Requests int
-		Answered int
-		Refused  map[willowwick.RefusalKind]int
-		Lost     int
-		Crossed  int
-		Exposure int // answers of the watched version after it turned bad
-		Versions map[willowwick.VersionID]int
-		Details  map[string]int
-		first    *hdrhistogram.Histogram
+		mu           sync.Mutex
+		Requests     int
+		Answered     int
+		Refused      map[willowwick.RefusalKind]int
+		Lost         int
+		Mismatched   int
+		Exposure     int // answers of the watched version after it turned bad
+		Versions     map[willowwick.VersionID]int
+		Details      map[string]int
+		firstTokenMs *hdrhistogram.Histogram
 	}
 
 	// Traffic is a mix of callers at a rate.
@@ -63,7 +63,7 @@
 	b.poll(ctx)
 	go func() {
 		for ctx.Err() == nil {
-			time.Sleep(balancerPoll)
+			time.Sleep(balancerPollInterval)
 			b.poll(ctx)
 		}
 	}()
@@ -73,15 +73,15 @@
 func (b *Balancer) poll(ctx context.Context) {
 	var ready []string
 	for _, box := range b.fleet.Boxes {
-		if b.isReady(ctx, box.Admin) {
-			ready = append(ready, box.Callers)
+		if b.isReady(ctx, box.AdminAddress) {
+			ready = append(ready, box.CallerAddress)
 		}
 	}
 	b.ready.Store(&ready)
 }
 
 func (b *Balancer) isReady(ctx context.Context, admin string) bool {
-	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
+	ctx, cancel := context.WithTimeout(ctx, readyCheckTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+admin+serve.PathReady, nil)
 	if err != nil {
@@ -108,7 +108,7 @@
 func NewTally() *Tally {
 	return &Tally{
 		Refused: map[willowwick.RefusalKind]int{}, Versions: map[willowwick.VersionID]int{}, Details: map[string]int{},
-		first: hdrhistogram.New(1, highestMs, precision),
+		firstTokenMs: hdrhistogram.New(1, maxRecordedMs, histogramDigits),
 	}
 }
 
@@ -116,7 +116,7 @@
 func (t *Tally) FirstToken(quantile float64) int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.first.ValueAtQuantile(quantile)
+	return t.firstTokenMs.ValueAtQuantile(quantile)
 }
 
 func (t *Tally) add(reply Reply) {
@@ -124,21 +124,21 @@
 	defer t.mu.Unlock()
 	t.Requests++
 	switch reply.Outcome {
-	case OutcomeWhole:
+	case OutcomeComplete:
 		t.Answered++
 		if reply.Version != "" {
 			t.Versions[reply.Version]++
 		}
-		_ = t.first.RecordValue(max(1, reply.FirstToken.Milliseconds()))
-	case OutcomeRefused, OutcomeNotTaken:
+		_ = t.firstTokenMs.RecordValue(max(1, reply.FirstToken.Milliseconds()))
+	case OutcomeRefused, OutcomeNotAccepted:
 		kind := willowwick.RefusalKind(reply.Text)
-		if reply.Outcome == OutcomeNotTaken {
+		if reply.Outcome == OutcomeNotAccepted {
 			kind = willowwick.KindNotRun
 		}
 		t.Refused[kind]++
 		t.Details[reply.Detail]++
-	case OutcomeCrossed:
-		t.Crossed++
+	case OutcomeMismatched:
+		t.Mismatched++
 		t.Details["crossed: "+reply.Detail]++
 	default:
 		t.Lost++
@@ -151,50 +151,50 @@
 	random := rand.New(rand.NewPCG(tr.Seed, tr.Seed))
 	var callers sync.WaitGroup
 	for n := 0; ctx.Err() == nil; n++ {
-		gap := time.Duration(random.ExpFloat64() / tr.Rate * float64(time.Second))
-		time.Sleep(gap)
-		lot := random.IntN(100)
+		pause := time.Duration(random.ExpFloat64() / tr.Rate * float64(time.Second))
+		time.Sleep(pause)
+		draw := random.IntN(100)
 		seed := random.Uint64()
-		callers.Go(func() { tr.one(n, lot, seed) })
+		callers.Go(func() { tr.sendWithRetries(n, draw, seed) })
 	}
 	callers.Wait()
 }
 
-// one plays one caller; a call that was not run is tried again after the time that was named.
-func (tr *Traffic) one(n, lot int, seed uint64) {
+// sendWithRetries plays one caller; a call that was not run is tried again after the time that was named.
+func (tr *Traffic) sendWithRetries(n, draw int, seed uint64) {
 	var reply Reply
-	for range retriesOfCall + 1 {
+	for range maxRetries + 1 {
 		address, ok := tr.Balancer.Pick()
 		if !ok {
-			reply = Reply{Outcome: OutcomeNotTaken, Detail: "no box is ready"}
+			reply = Reply{Outcome: OutcomeNotAccepted, Detail: "no box is ready"}
 		} else {
-			reply = tr.call(address, n, lot, seed)
+			reply = tr.call(address, n, draw, seed)
 		}
-		notRun := reply.Outcome == OutcomeNotTaken || (reply.Outcome == OutcomeRefused && reply.Text == string(willowwick.KindNotRun))
-		if !notRun {
+		shouldRetry := reply.Outcome == OutcomeNotAccepted || (reply.Outcome == OutcomeRefused && reply.Text == string(willowwick.KindNotRun))
+		if !shouldRetry {
 			break
 		}
-		time.Sleep(min(maxRetryWait, time.Duration(max(1, reply.RetryAfter))*time.Second))
+		time.Sleep(min(maxRetryDelay, time.Duration(max(1, reply.RetryAfter))*time.Second))
 	}
 	tr.Tally.add(reply)
 }
 
 // call makes the kind of call that the lot picks.
-func (tr *Traffic) call(address string, n, lot int, seed uint64) Reply {
+func (tr *Traffic) call(address string, n, draw int, seed uint64) Reply {
 	ctx := context.Background()
 	keys := []string{"demo-lab-coimbra", "demo-lab-braga", "demo-harbour-builds", "demo-ridge-builds"}
 	key := keys[seed%uint64(len(keys))]
-	prairie := seed%uint64(len(keys)) >= 2
+	isBuildAccount := seed%uint64(len(keys)) >= 2
 	switch {
-	case lot < 70:
-		return tr.chat(ctx, address, n, lot, seed, key, prairie)
-	case lot < 85 && prairie:
+	case draw < 70:
+		return tr.chat(ctx, address, n, draw, seed, key, isBuildAccount)
+	case draw < 85 && isBuildAccount:
 		entry := fmt.Sprintf("tag-%d", n)
 		return CallService(ctx, tr.Client, address, key, http.MethodGet, "/services/registry/tags/"+entry, entry, entry)
-	case lot < 85:
+	case draw < 85:
 		entry := fmt.Sprintf("run-%d", n)
 		return CallService(ctx, tr.Client, address, key, http.MethodGet, "/services/bookkeeping/runs/"+entry, "", entry+"-read")
-	case prairie:
+	case isBuildAccount:
 		entry := fmt.Sprintf("manifest-%d", n)
 		return CallService(ctx, tr.Client, address, key, http.MethodGet, "/services/registry/manifests/"+entry, entry, entry)
 	default:
@@ -203,26 +203,26 @@
 	}
 }
 
-func (tr *Traffic) chat(ctx context.Context, address string, n, lot int, seed uint64, key string, prairie bool) Reply {
+func (tr *Traffic) chat(ctx context.Context, address string, n, draw int, seed uint64, key string, isBuildAccount bool) Reply {
 	chat := Chat{
 		Key: key, Model: willowwick.TargetAuto, Prompt: fmt.Sprintf("request %d: %x", n, seed),
-		MaxTokens: 400, Stream: lot%3 != 0, Class: "summary",
+		MaxTokens: 400, Stream: draw%3 != 0, Class: "summary",
 	}
-	if prairie {
+	if isBuildAccount {
 		chat.Class = "explain"
 	}
-	if lot%2 == 0 {
+	if draw%2 == 0 {
 		chat.Session = fmt.Sprintf("session-%s-%d", key, seed%200)
 	}
 	return Ask(ctx, tr.Client, address, chat)
 }
 
 // ServedSince counts the calls of a version that runners began after a moment.
-func (f *Fleet) ServedSince(version willowwick.VersionID, moment time.Time) int {
+func (f *Fleet) ServedSince(version willowwick.VersionID, since time.Time) int {
 	served := 0
 	for _, runner := range f.Runners {
 		for _, at := range runner.Served(version) {
-			if at.After(moment) {
+			if at.After(since) {
 				served++
 			}
 		}
@@ -230,8 +230,8 @@
 	return served
 }
 
-// Doubled counts the effects on plain services that happened more than once.
-func (f *Fleet) Doubled() int {
+// DuplicateEffects counts the effects on plain services that happened more than once.
+func (f *Fleet) DuplicateEffects() int {
 	effects := map[string]int{}
 	for _, instances := range f.Services {
 		for _, instance := range instances {
@@ -240,11 +240,11 @@
 			}
 		}
 	}
-	doubled := 0
+	duplicates := 0
 	for _, count := range effects {
 		if count > 1 {
-			doubled++
+			duplicates++
 		}
 	}
-	return doubled
+	return duplicates
 }
--- a/serve/caller_test.go
+++ b/serve/caller_test.go
@@ -30,9 +30,9 @@
 )
 
 // withBox runs a test in virtual time on one box with a runner; its connections buffer nothing.
-func withBox(t *testing.T, test func(t *testing.T, box *lab.Box, network *lab.Memory)) {
+func withBox(t *testing.T, test func(t *testing.T, box *lab.Box, network *lab.MemoryNetwork)) {
 	synctest.Test(t, func(t *testing.T) {
-		network := lab.NewMemory()
+		network := lab.NewMemoryNetwork()
 		versions := map[willowwick.VersionID]standin.VersionBehaviour{"run-large-1": {Quality: 1}}
 		fleet, closeFleet, err := lab.NewFleet(lab.Options{
 			Network: network, Boxes: 1, Halls: 1, Runners: 1, Slots: 4, Versions: versions,
@@ -59,8 +59,8 @@
 	return `{"model": "run-large", "stream": true, "max_tokens": 200, "messages": [{"role": "user", "content": "hello"}]}`
 }
 
-func dialBox(t *testing.T, box *lab.Box, network *lab.Memory) net.Conn {
-	conn, err := network.Dial("caller")(t.Context(), "tcp", box.Callers)
+func dialBox(t *testing.T, box *lab.Box, network *lab.MemoryNetwork) net.Conn {
+	conn, err := network.Dial("caller")(t.Context(), "tcp", box.CallerAddress)
 	require.NoError(t, err)
 	return conn
 }
@@ -68,7 +68,7 @@
 // Seen in a review: a caller whose connection went silent in the middle of its answer kept its place on the box, and at
 // the runner, for ever: writes to callers had no limit, and the request's deadline was not looked at behind one.
 func TestCallerThatTakesNothingGivesItsPlaceBack(t *testing.T) {
-	withBox(t, func(t *testing.T, box *lab.Box, network *lab.Memory) {
+	withBox(t, func(t *testing.T, box *lab.Box, network *lab.MemoryNetwork) {
 		conn := dialBox(t, box, network)
 		defer func() { _ = conn.Close() }()
 		_, err := io.WriteString(conn, head(len(chat()))+chat())
@@ -84,7 +84,7 @@
 func TestCallerThatSendsHalfARequestGivesItsPlaceBack(t *testing.T) {
 	for name, path := range map[string]string{"chat": "/v1/chat/completions", "unknown": "/services/none/path"} {
 		t.Run(name, func(t *testing.T) {
-			withBox(t, func(t *testing.T, box *lab.Box, network *lab.Memory) {
+			withBox(t, func(t *testing.T, box *lab.Box, network *lab.MemoryNetwork) {
 				conn := dialBox(t, box, network)
 				defer func() { _ = conn.Close() }()
 				go func() { _, _ = io.Copy(io.Discard, conn) }()
@@ -102,7 +102,7 @@
 
 // A caller that is slow all the way, but takes and brings something, is answered.
 func TestSlowCallerIsAnswered(t *testing.T) {
-	withBox(t, func(t *testing.T, box *lab.Box, network *lab.Memory) {
+	withBox(t, func(t *testing.T, box *lab.Box, network *lab.MemoryNetwork) {
 		conn := dialBox(t, box, network)
 		defer func() { _ = conn.Close() }()
 		_, err := io.WriteString(conn, head(len(chat())))
@@ -135,7 +135,7 @@
 
 // A request without a body has no time limit but its own deadline.
 func TestWaitForAnAnswerIsNoSilenceOfTheCaller(t *testing.T) {
-	withBox(t, func(t *testing.T, box *lab.Box, network *lab.Memory) {
+	withBox(t, func(t *testing.T, box *lab.Box, network *lab.MemoryNetwork) {
 		conn := dialBox(t, box, network)
 		defer func() { _ = conn.Close() }()
 		reader := bufio.NewReader(conn)
--- a/serve/stop_test.go
+++ b/serve/stop_test.go
@@ -45,7 +45,7 @@
 func inStopSceneWith(t *testing.T, callerWait time.Duration, test func(*stopScene)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		network := lab.NewMemory()
+		network := lab.NewMemoryNetwork()
 		fleet, closeFleet, err := lab.NewFleet(lab.Options{
 			Network: network, Boxes: 2, Halls: 1, Services: map[willowwick.ServiceID]int{"bookkeeping": 1},
 			Settings: serve.Settings{DrainWait: drainWait, DrainLimit: drainLimit, CallerWait: callerWait},
@@ -54,7 +54,7 @@
 		defer closeFleet()
 		require.NoError(t, fleet.Apply(examples.Declarations))
 		require.NoError(t, fleet.WaitReady(time.Minute))
-		caller, err := network.Dial("caller")(t.Context(), "tcp", fleet.Boxes[0].Callers)
+		caller, err := network.Dial("caller")(t.Context(), "tcp", fleet.Boxes[0].CallerAddress)
 		require.NoError(t, err)
 		defer func() { _ = caller.Close() }()
 		test(&stopScene{fleet, t, caller, bufio.NewReader(caller)})
