--- a/lab/drain_backoff_test.go
+++ b/lab/drain_backoff_test.go
@@ -11,9 +11,9 @@
 // noticePropagationTime is how long boxes have until all know what one of them was told: gossip takes some rounds.
 const noticePropagationTime = 6 * time.Second
 
-// TestARunnerThatSaysInAnswersThatItLeavesGetsNothing: neither the list nor its load report tells so. The box that it told leaves it at
+// TestRunnerAnnouncingDrainGetsNoNewWork: neither the list nor its load report tells so. The box that it told leaves it at
 // once, and all others once that box has told them.
-func TestARunnerThatSaysInAnswersThatItLeavesGetsNothing(t *testing.T) {
+func TestRunnerAnnouncingDrainGetsNoNewWork(t *testing.T) {
 	withTestFleet(t, 3, func(s *testFleet) {
 		draining := s.Runners[0]
 		draining.SetFaults(func(f *standin.EngineFaults) { f.AnnouncesDraining = true })
@@ -35,8 +35,8 @@
 	})
 }
 
-// TestAServiceThatSaysInAnswersThatItLeavesGetsNothing: the same for an instance of a plain service.
-func TestAServiceThatSaysInAnswersThatItLeavesGetsNothing(t *testing.T) {
+// TestServiceAnnouncingDrainGetsNoNewWork: the same for an instance of a plain service.
+func TestServiceAnnouncingDrainGetsNoNewWork(t *testing.T) {
 	withTestFleet(t, 3, func(s *testFleet) {
 		draining := s.Services["bookkeeping"][0]
 		draining.SetFaults(func(f *standin.ServiceFaults) { f.AnnouncesDraining = true })
@@ -53,8 +53,8 @@
 	})
 }
 
-// TestARunnerThatAsksForRestGetsIt: each box sends it what is under way as it hears of the rest, and then nothing until its end.
-func TestARunnerThatAsksForRestGetsIt(t *testing.T) {
+// TestBoxesRespectRunnerBackoff: each box sends it what is under way as it hears of the rest, and then nothing until its end.
+func TestBoxesRespectRunnerBackoff(t *testing.T) {
 	const backoff = 8 * time.Second
 	withTestFleet(t, 3, func(s *testFleet) {
 		runner := s.Runners[0]
@@ -70,8 +70,8 @@
 	})
 }
 
-// TestWhereAllRunnersRestChatsAreRefusedAtOnce, with a time to come back.
-func TestWhereAllRunnersRestChatsAreRefusedAtOnce(t *testing.T) {
+// TestChatIsRefusedImmediatelyWhenAllRunnersBackOff, with a time to come back.
+func TestChatIsRefusedImmediatelyWhenAllRunnersBackOff(t *testing.T) {
 	withTestFleet(t, 1, func(s *testFleet) {
 		for _, runner := range s.Runners {
 			runner.SetFaults(func(f *standin.EngineFaults) { f.BackoffSeconds = "600" })
--- a/lab/fleet_promises_test.go
+++ b/lab/fleet_promises_test.go
@@ -107,8 +107,8 @@
 	})
 }
 
-// TestBothKeepersGone: when nobody can know whether a key was used, its call is not run; new keys are.
-func TestBothKeepersGone(t *testing.T) {
+// TestOutcomeIsUnknownWhenBothReplicasAreLost: when nobody can know whether a key was used, its call is not run; new keys are.
+func TestOutcomeIsUnknownWhenBothReplicasAreLost(t *testing.T) {
 	withTestFleet(t, 5, func(s *testFleet) {
 		// A box that has just come into the roster refuses claims until it has those of the others: callers return.
 		s.eventually(2*time.Second, "entered", func() bool { return s.postEntry(0, "key-2", "entry-2").Outcome == OutcomeComplete })
@@ -129,8 +129,8 @@
 	})
 }
 
-// TestRacingResubmissions: the same key through all boxes at once runs once.
-func TestRacingResubmissions(t *testing.T) {
+// TestConcurrentResubmissionsRunOnce: the same key through all boxes at once runs once.
+func TestConcurrentResubmissionsRunOnce(t *testing.T) {
 	withTestFleet(t, 4, func(s *testFleet) {
 		var callers sync.WaitGroup
 		for n := range 10 {
@@ -148,8 +148,8 @@
 	})
 }
 
-// TestNotSentCallMayRunLater: a call refused before anything was sent gives its key back.
-func TestNotSentCallMayRunLater(t *testing.T) {
+// TestUnsentCallReleasesItsKey: a call refused before anything was sent gives its key back.
+func TestUnsentCallReleasesItsKey(t *testing.T) {
 	withTestFleet(t, 3, func(s *testFleet) {
 		for _, instance := range s.Services["bookkeeping"] {
 			s.net.Cut(string(instance.ID), string(s.Boxes[0].ID))
@@ -161,9 +161,9 @@
 	})
 }
 
-// TestConfigurationIsInForceEverywhereAndStays: with boxes cut off from the log, lost append answers, an outage, a
+// TestConfigurationReachesAllBoxesAndNeverRegresses: with boxes cut off from the log, lost append answers, an outage, a
 // fresh box that can only ask its peers, and racing operators.
-func TestConfigurationIsInForceEverywhereAndStays(t *testing.T) {
+func TestConfigurationReachesAllBoxesAndNeverRegresses(t *testing.T) {
 	withTestFleet(t, 5, func(s *testFleet) {
 		highest := make([]willowwick.Offset, len(s.Boxes))
 		checkOffsets := func() {
@@ -241,8 +241,8 @@
 	return hash
 }
 
-// TestJoinAfterTheHeadIsGone: a box that starts after the log dropped its oldest records takes the snapshot.
-func TestJoinAfterTheHeadIsGone(t *testing.T) {
+// TestBoxJoinsFromSnapshotAfterLogTruncation: a box that starts after the log dropped its oldest records takes the snapshot.
+func TestBoxJoinsFromSnapshotAfterLogTruncation(t *testing.T) {
 	withTestFleet(t, 3, func(s *testFleet) {
 		s.change("kept", newObject(t, config.KindCascade, "kept", &config.Cascade{Stages: []willowwick.ModelID{"run-small"}, Judge: config.JudgeRater}))
 		s.Platform.SetFaults(func(f *standin.PlatformFaults) { f.Retain = 40 })
@@ -260,8 +260,8 @@
 	})
 }
 
-// TestLeaseHolderThatIsCutOff: its successor gets a higher fence; what the old one writes afterwards is void.
-func TestLeaseHolderThatIsCutOff(t *testing.T) {
+// TestIsolatedLeaseHolderIsFenced: its successor gets a higher fence; what the old one writes afterwards is void.
+func TestIsolatedLeaseHolderIsFenced(t *testing.T) {
 	withTestFleet(t, 3, func(s *testFleet) {
 		holder := -1
 		for i, box := range s.Boxes {
@@ -299,8 +299,8 @@
 	})
 }
 
-// TestLimitHoldsOverTheFleet also while a box is cut off from the others.
-func TestLimitHoldsOverTheFleet(t *testing.T) {
+// TestAccountLimitHoldsAcrossFleet also while a box is cut off from the others.
+func TestAccountLimitHoldsAcrossFleet(t *testing.T) {
 	withTestFleet(t, 3, func(s *testFleet) {
 		const limit = 1500.0
 		s.change("limit", newObject(t, config.KindLimit, "braga", &config.Limit{Account: "lab-braga", TokensPerSecond: limit, BurstSeconds: 1}))
@@ -365,9 +365,9 @@
 	})
 }
 
-// TestStoppingBoxHandsOverWhatItHolds: a box that holds a dead box's bills and is stopped itself loses none, with the
+// TestStoppingBoxHandsOverHeldUsageRecords: a box that holds a dead box's bills and is stopped itself loses none, with the
 // log up or down.
-func TestStoppingBoxHandsOverWhatItHolds(t *testing.T) {
+func TestStoppingBoxHandsOverHeldUsageRecords(t *testing.T) {
 	for _, down := range []bool{false, true} {
 		t.Run(fmt.Sprint("log down ", down), func(t *testing.T) {
 			withTestFleet(t, 4, func(s *testFleet) {
--- a/lab/handover_test.go
+++ b/lab/handover_test.go
@@ -17,7 +17,7 @@
 //
 // What caused it: a box kept its own records as held for another; what is held so is due after heldFor and goes only with
 // a record of another boot, so that it was appended without end and without a pause.
-func TestBillsThatComeBackToTheirOwnerAreAppendedOnce(t *testing.T) {
+func TestReturnedUsageRecordsAreAppendedOnce(t *testing.T) {
 	withTestFleet(t, 2, func(s *testFleet) {
 		s.logDown(true)
 		for range 5 {
--- a/lab/isolated_config_test.go
+++ b/lab/isolated_config_test.go
@@ -10,10 +10,10 @@
 	"github.com/willowwick/willowwick/fleet"
 )
 
-// TestIsolatedBoxRefusesNothingForGood: what a box's configuration does not hold may have been declared since the box was cut
+// TestIsolatedBoxRefusesUnknownNamesTemporarily: what a box's configuration does not hold may have been declared since the box was cut
 // off, and is in force elsewhere at the latest after the time that operators are promised. The exchange once went by the
 // wrong age there; this interface went by none.
-func TestIsolatedBoxRefusesNothingForGood(t *testing.T) {
+func TestIsolatedBoxRefusesUnknownNamesTemporarily(t *testing.T) {
 	withTestFleet(t, 3, func(s *testFleet) {
 		s.requireAnswer(2, Chat{})
 		s.isolate(2)
--- a/lab/poison_test.go
+++ b/lab/poison_test.go
@@ -15,7 +15,7 @@
 
 // A prompt that ends the runner that runs it comes again, at all boxes. The fourth runner is spared, also by other boxes than those
 // that saw the ends, and answers everything else; the versions that ran it are not taken for bad ones.
-func TestAPromptThatEndsRunnersIsNotSentOn(t *testing.T) {
+func TestPromptThatCrashesRunnersIsRefusedByAllBoxes(t *testing.T) {
 	withTestFleet(t, 3, func(s *testFleet) {
 		s.addRunner(t)
 		s.addRunner(t)
--- a/lab/promises_test.go
+++ b/lab/promises_test.go
@@ -121,8 +121,8 @@
 	})
 }
 
-// TestQueuedRequestIsCheckedAgain: a request that waits while its version is withdrawn is not sent to it.
-func TestQueuedRequestIsCheckedAgain(t *testing.T) {
+// TestQueuedRequestIsRecheckedAtDispatch: a request that waits while its version is withdrawn is not sent to it.
+func TestQueuedRequestIsRecheckedAtDispatch(t *testing.T) {
 	withTestFleet(t, 2, func(s *testFleet) {
 		for _, runner := range s.Runners {
 			runner.FirstToken = 20 * time.Second
@@ -187,8 +187,8 @@
 	})
 }
 
-// TestIsolatedBoxTakesNoWork: a box that cannot know of a withdrawal stops taking work, and says that it did not run.
-func TestIsolatedBoxTakesNoWork(t *testing.T) {
+// TestIsolatedBoxRefusesRequests: a box that cannot know of a withdrawal stops taking work, and says that it did not run.
+func TestIsolatedBoxRefusesRequests(t *testing.T) {
 	withTestFleet(t, 3, func(s *testFleet) {
 		s.requireAnswer(2, Chat{})
 		s.isolate(2)
@@ -302,18 +302,18 @@
 	})
 }
 
-// TestAnswersAreWhole through cut, silent, crossed, gapped and repeated streams.
-func TestAnswersAreWhole(t *testing.T) {
+// TestAnswersAreCompleteDespiteStreamFaults through cut, silent, crossed, gapped and repeated streams.
+func TestAnswersAreCompleteDespiteStreamFaults(t *testing.T) {
 	for _, fault := range []struct {
 		name string
 		set  func(*standin.EngineFaults)
 	}{
 		{"cut", func(f *standin.EngineFaults) { f.CutTimes, f.CutAfter = 1, 2 }},
 		{"cut at the start", func(f *standin.EngineFaults) { f.CutTimes, f.CutAfter = 1, 0 }},
-		{"silent", func(f *standin.EngineFaults) { f.Stall = 1 }},
-		{"crossed", func(f *standin.EngineFaults) { f.MixUp = 1 }},
-		{"gapped", func(f *standin.EngineFaults) { f.Skip = 1 }},
-		{"repeated", func(f *standin.EngineFaults) { f.Repeat = 1 }},
+		{"stalled", func(f *standin.EngineFaults) { f.Stall = 1 }},
+		{"mixed up", func(f *standin.EngineFaults) { f.MixUp = 1 }},
+		{"missing chunk", func(f *standin.EngineFaults) { f.Skip = 1 }},
+		{"repeated chunk", func(f *standin.EngineFaults) { f.Repeat = 1 }},
 	} {
 		t.Run(fault.name, func(t *testing.T) {
 			withTestFleet(t, 3, func(s *testFleet) {
@@ -331,8 +331,8 @@
 	}
 }
 
-// TestBrokenAnswerNeverLooksWhole: when no runner can finish an answer, the caller gets an error.
-func TestBrokenAnswerNeverLooksWhole(t *testing.T) {
+// TestTruncatedAnswerIsReportedAsError: when no runner can finish an answer, the caller gets an error.
+func TestTruncatedAnswerIsReportedAsError(t *testing.T) {
 	withTestFleet(t, 2, func(s *testFleet) {
 		for _, stream := range []bool{true, false} {
 			for _, runner := range s.Runners {
@@ -353,9 +353,9 @@
 	})
 }
 
-// TestNotRunIsTrueAndAtOnce: under overload and with a box short of time, what is refused as not run reached no
+// TestOverloadRefusalIsImmediateAndNothingRan: under overload and with a box short of time, what is refused as not run reached no
 // runner, and the refusal does not wait for the deadline.
-func TestNotRunIsTrueAndAtOnce(t *testing.T) {
+func TestOverloadRefusalIsImmediateAndNothingRan(t *testing.T) {
 	withTestFleet(t, 2, func(s *testFleet) {
 		for _, runner := range s.Runners {
 			runner.FirstToken = 2 * time.Second
@@ -393,8 +393,8 @@
 	})
 }
 
-// TestLeavingEndpointGetsNoNewWork within 3 s, though the list lags by a minute; what is under way is finished.
-func TestLeavingEndpointGetsNoNewWork(t *testing.T) {
+// TestDrainingEndpointGetsNoNewWork within 3 s, though the list lags by a minute; what is under way is finished.
+func TestDrainingEndpointGetsNoNewWork(t *testing.T) {
 	t.Run("refuses", func(t *testing.T) { checkDraining(t, standin.EngineFaults{Draining: true}) })
 	t.Run("takes what comes", func(t *testing.T) { checkDraining(t, standin.EngineFaults{Draining: true, DrainsSilently: true}) })
 }
@@ -428,8 +428,8 @@
 	})
 }
 
-// TestPlannedStopCutsNothing: two of four boxes stop at once, under load, with streams of a minute, while the log is down.
-func TestPlannedStopCutsNothing(t *testing.T) {
+// TestPlannedStopInterruptsNoRequest: two of four boxes stop at once, under load, with streams of a minute, while the log is down.
+func TestPlannedStopInterruptsNoRequest(t *testing.T) {
 	withTestFleetSettings(t, 4, serve.Settings{DrainWait: time.Second, Stall: 10 * time.Second}, func(s *testFleet) {
 		for _, runner := range s.Runners {
 			runner.BetweenChunks = 3 * time.Second
@@ -470,8 +470,8 @@
 	})
 }
 
-// TestNotRunIsTrueAfterFailedCalls: once a runner may have begun, a refusal no longer says that nothing ran.
-func TestNotRunIsTrueAfterFailedCalls(t *testing.T) {
+// TestNotRunIsNotReportedAfterCallBegan: once a runner may have begun, a refusal no longer says that nothing ran.
+func TestNotRunIsNotReportedAfterCallBegan(t *testing.T) {
 	withTestFleet(t, 2, func(s *testFleet) {
 		for _, runner := range s.Runners {
 			runner.SetFaults(func(f *standin.EngineFaults) { f.FailAll = true })
@@ -486,9 +486,9 @@
 	})
 }
 
-// TestNotRunIsTrueAfterATriedStage: a cheap model that was asked in vain and a strong one that nobody serves do not
+// TestNotRunIsNotReportedAfterCascadeStageRan: a cheap model that was asked in vain and a strong one that nobody serves do not
 // add up to "not run".
-func TestNotRunIsTrueAfterATriedStage(t *testing.T) {
+func TestNotRunIsNotReportedAfterCascadeStageRan(t *testing.T) {
 	withTestFleet(t, 2, func(s *testFleet) {
 		listing := s.Platform.Endpoints()
 		for _, runner := range s.Runners {
--- a/lab/ratelimit_test.go
+++ b/lab/ratelimit_test.go
@@ -72,8 +72,8 @@
 	return statuses
 }
 
-// TestALimitHoldsForAllBoxes: one runner names a limit, with the log there and away, through restarts of boxes; then all do.
-func TestALimitHoldsForAllBoxes(t *testing.T) {
+// TestRunnerRateLimitHoldsAcrossBoxes: one runner names a limit, with the log there and away, through restarts of boxes; then all do.
+func TestRunnerRateLimitHoldsAcrossBoxes(t *testing.T) {
 	const rate = 1.5
 	withTestFleet(t, 4, func(s *testFleet) {
 		requireLimited := func(runner *standin.Engine, from, to time.Time, minUsedShare float64, what string) {
@@ -129,8 +129,8 @@
 	return Ask(context.Background(), s.client, s.Boxes[box].CallerAddress, Chat{Prompt: prompt, Key: coimbra, Model: "run-large", MaxTokens: tokens})
 }
 
-// TestALimitHoldsForBoxesThatAreCut: each box in turn reaches neither the log nor the others, the holder of the lease among them.
-func TestALimitHoldsForBoxesThatAreCut(t *testing.T) {
+// TestRunnerRateLimitHoldsForIsolatedBoxes: each box in turn reaches neither the log nor the others, the holder of the lease among them.
+func TestRunnerRateLimitHoldsForIsolatedBoxes(t *testing.T) {
 	const rate = 8
 	withTestFleet(t, 4, func(s *testFleet) {
 		limited := s.Runners[0]
@@ -151,8 +151,8 @@
 	})
 }
 
-// TestALimitHoldsForPlainServices: an instance that names a limit, and one that does not, behind calls that may not be repeated.
-func TestALimitHoldsForPlainServices(t *testing.T) {
+// TestServiceRateLimitHoldsAcrossBoxes: an instance that names a limit, and one that does not, behind calls that may not be repeated.
+func TestServiceRateLimitHoldsAcrossBoxes(t *testing.T) {
 	const rate, duration = 1, 20 * time.Second
 	withTestFleet(t, 3, func(s *testFleet) {
 		instances := s.Services["bookkeeping"]
--- a/lab/rollout_test.go
+++ b/lab/rollout_test.go
@@ -51,8 +51,8 @@
 	return gone
 }
 
-// TestGoodRolloutEnds, though the holder of the lease is killed halfway.
-func TestGoodRolloutEnds(t *testing.T) {
+// TestRolloutCompletesAfterLeaseHolderIsKilled, though the holder of the lease is killed halfway.
+func TestRolloutCompletesAfterLeaseHolderIsKilled(t *testing.T) {
 	withTestFleet(t, 4, func(s *testFleet) {
 		s.startRollout(20, 50, 100)
 		s.sendLoad(40, 2*time.Minute, func() bool { return s.rolloutProgress().Step >= 1 })
