--- a/lab/bench_test.go
+++ b/lab/bench_test.go
@@ -16,8 +16,8 @@
 	"github.com/willowwick/willowwick/serve"
 )
 
-// BenchmarkStream streams an answer from a runner directly, and through a daemon, over loopback. The runner takes no
-// time of its own, so that what is left is the way.
+// BenchmarkStream streams an answer directly from a runner and through a daemon, over loopback. The runner adds no
+// delay, so the difference is the daemon's overhead.
 func BenchmarkStream(b *testing.B) {
 	f, closeFleet, err := NewFleet(Options{
 		Network: Loopback{}, Boxes: 2, Halls: 2, Runners: 2, Slots: 64, Versions: goodVersions(), Settings: serve.Settings{},
--- a/lab/caller.go
+++ b/lab/caller.go
@@ -19,10 +19,10 @@
 )
 
 type (
-	// Outcome is what a caller got.
+	// Outcome classifies what a caller received.
 	Outcome string
 
-	// Chat is a chat request of a caller.
+	// Chat is a caller's chat request.
 	Chat struct {
 		Key         string
 		Model       string
@@ -33,10 +33,10 @@
 		Token       string
 		Class       string
 		Idempotency string
-		Deadline    time.Duration // from now, as the header has it
+		Deadline    time.Duration // relative to the time of the call
 	}
 
-	// Reply is what came of a call.
+	// Reply is the result of a call.
 	Reply struct {
 		Outcome    Outcome
 		Status     int
@@ -71,7 +71,7 @@
 const (
 	OutcomeComplete    Outcome = "whole"
 	OutcomeRefused     Outcome = "refused"
-	OutcomeMismatched  Outcome = "crossed" // looked whole, and was not the whole answer to this prompt
+	OutcomeMismatched  Outcome = "crossed" // looked complete, but was not the complete answer to this prompt
 	OutcomeLost        Outcome = "lost"    // neither an answer nor a refusal
 	OutcomeNotAccepted Outcome = "not taken"
 )
@@ -96,8 +96,8 @@
 	})
 }
 
-// send makes a call and sorts what came of it; read takes the body of an answer, isOwn tells whether its text is the
-// requireAnswer answer to this call.
+// send makes a call and classifies its result. read consumes the body of an answer; isComplete reports whether its text
+// is the complete answer to this call.
 func send(
 	client *http.Client, request *http.Request, started time.Time,
 	read func(reply *Reply, body io.Reader) error, isComplete func(text string) bool,
@@ -156,7 +156,7 @@
 	}
 }
 
-// CallService calls a plain service through a box; the entry names the effect.
+// CallService calls a plain service through a box; entry identifies the effect of the call.
 func CallService(ctx context.Context, client *http.Client, address, key, method, path, idempotency, entry string) Reply {
 	started := time.Now()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, strings.NewReader(entry))
--- a/lab/drain_backoff_test.go
+++ b/lab/drain_backoff_test.go
@@ -8,11 +8,11 @@
 	"github.com/willowwick/willowwick/standin"
 )
 
-// noticePropagationTime is how long boxes have until all know what one of them was told: gossip takes some rounds.
+// noticePropagationTime is how long a notice to one box takes to reach all boxes, which is several rounds of gossip.
 const noticePropagationTime = 6 * time.Second
 
-// TestRunnerAnnouncingDrainGetsNoNewWork: neither the list nor its load report tells so. The box that it told leaves it at
-// once, and all others once that box has told them.
+// TestRunnerAnnouncingDrainGetsNoNewWork covers a runner that announces draining in its answers only, neither in the
+// list nor in its load report. The box that got such an answer stops at once, the others once gossip reaches them.
 func TestRunnerAnnouncingDrainGetsNoNewWork(t *testing.T) {
 	withTestFleet(t, 3, func(s *testFleet) {
 		draining := s.Runners[0]
@@ -35,7 +35,8 @@
 	})
 }
 
-// TestServiceAnnouncingDrainGetsNoNewWork: the same for an instance of a plain service.
+// TestServiceAnnouncingDrainGetsNoNewWork covers an instance of a plain service that announces draining in its answers
+// only.
 func TestServiceAnnouncingDrainGetsNoNewWork(t *testing.T) {
 	withTestFleet(t, 3, func(s *testFleet) {
 		draining := s.Services["bookkeeping"][0]
@@ -53,7 +54,8 @@
 	})
 }
 
-// TestBoxesRespectRunnerBackoff: each box sends it what is under way as it hears of the rest, and then nothing until its end.
+// TestBoxesRespectRunnerBackoff: from the moment it learns of a backoff, each box sends only what is already under way
+// until the backoff ends.
 func TestBoxesRespectRunnerBackoff(t *testing.T) {
 	const backoff = 8 * time.Second
 	withTestFleet(t, 3, func(s *testFleet) {
@@ -70,13 +72,14 @@
 	})
 }
 
-// TestChatIsRefusedImmediatelyWhenAllRunnersBackOff, with a time to come back.
+// TestChatIsRefusedImmediatelyWhenAllRunnersBackOff: no runner is tried, and the refusal does not wait for a backoff to
+// end.
 func TestChatIsRefusedImmediatelyWhenAllRunnersBackOff(t *testing.T) {
 	withTestFleet(t, 1, func(s *testFleet) {
 		for _, runner := range s.Runners {
 			runner.SetFaults(func(f *standin.EngineFaults) { f.BackoffSeconds = "600" })
 		}
-		for n := range 12 { // each runner tells the box
+		for n := range 12 { // the box learns of each runner's backoff
 			s.askOnce(0, "tell "+itoa(n))
 		}
 		before := 0
--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -25,19 +25,19 @@
 )
 
 type (
-	// Options say what a fleet is made of.
+	// Options configures a Fleet.
 	Options struct {
 		Network  Network
 		Boxes    int
 		Halls    int
 		Runners  int
-		Slots    int // of each runner
+		Slots    int // per runner
 		Versions map[willowwick.VersionID]standin.VersionBehaviour
-		Services map[willowwick.ServiceID]int // instances of each
-		Settings serve.Settings               // names and addresses are filled in
+		Services map[willowwick.ServiceID]int // number of instances per service
+		Settings serve.Settings               // applied to every daemon, with names and addresses filled in
 	}
 
-	// Fleet is daemons with stand-ins around them, in one process.
+	// Fleet is a set of daemons and the stand-ins they talk to, in one process.
 	Fleet struct {
 		Platform *standin.Platform
 		Runners  []*standin.Engine
@@ -46,11 +46,11 @@
 
 		options         Options
 		platformURL     string
-		runnerAddresses []string // of the runners
+		runnerAddresses []string
 		closers         []func()
 	}
 
-	// Box is one box and the daemon that runs on it, if one does.
+	// Box is a box and the daemon that runs on it, if any.
 	Box struct {
 		ID            willowwick.BoxID
 		Hall          willowwick.HallID
@@ -64,7 +64,7 @@
 	}
 )
 
-// NewFleet starts the stand-ins and the daemons; the function it returns stops them all.
+// NewFleet starts the stand-ins and the daemons, and returns a function that stops them all.
 func NewFleet(options Options) (*Fleet, func(), error) {
 	f := &Fleet{options: options, Platform: standin.NewPlatform(), Services: map[willowwick.ServiceID][]*standin.Service{}}
 	address, err := f.serve(platformHost, f.Platform)
@@ -95,13 +95,13 @@
 	return willowwick.HallID(fmt.Sprintf("hall-%c", 'a'+rune(i%max(f.options.Halls, 1))))
 }
 
-// serve runs an HTTP server for a host until the fleet is closed.
+// serve runs an HTTP server for a host until the fleet is closed, and returns its address.
 func (f *Fleet) serve(host string, handler http.Handler) (string, error) {
 	address, _, err := f.serveStoppable(host, handler)
 	return address, err
 }
 
-// serveStoppable runs an HTTP server for a host until the fleet is closed, or the function it returns ends it with all its connections.
+// serveStoppable is serve with a function that closes the server and its connections earlier.
 func (f *Fleet) serveStoppable(host string, handler http.Handler) (address string, stop func(), err error) {
 	listener, err := f.options.Network.Listen(host)
 	if err != nil {
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// startRunner starts and lists a runner; the first is number 0.
+// startRunner starts runner i, counted from 0, and adds it to the platform's list.
 func (f *Fleet) startRunner(i int) error {
 	id := willowwick.EndpointID("runner" + itoa(i+1))
 	behaviours := map[willowwick.VersionID]standin.VersionBehaviour{}
@@ -174,7 +174,7 @@
 	}
 }
 
-// Start starts a daemon on the box, with a memory of its own, and lists it.
+// Start starts a daemon on the box, without state from earlier starts, and adds the box to the platform's list.
 func (b *Box) Start() error {
 	network := b.fleet.options.Network
 	var listeners [3]net.Listener
@@ -208,7 +208,7 @@
 	}
 	b.Daemon = daemon
 	b.stop = func() {
-		// Peers go first: calls under way end, and so do the loops that wait for them.
+		// Peer connections close first, which ends calls under way and the loops that wait for them.
 		closeDaemon()
 		stop()
 		closeClient()
@@ -219,7 +219,7 @@
 	return nil
 }
 
-// Kill stops the daemon at once; all that it kept is gone.
+// Kill stops the daemon at once; its state is lost.
 func (b *Box) Kill() {
 	if b.stop != nil {
 		b.stop()
@@ -227,7 +227,7 @@
 	}
 }
 
-// Stop is the planned stop.
+// Stop drains and stops the daemon, and removes the box from the platform's list.
 func (b *Box) Stop(ctx context.Context) error {
 	if err := b.Daemon.Drain(ctx); err != nil {
 		return err
@@ -242,7 +242,8 @@
 	return b.stop != nil
 }
 
-// Publish puts a record on the log and waits until every running box has folded it.
+// Publish appends a record to the configuration stream and returns its offset; it does not wait for the boxes to apply
+// it.
 func (f *Fleet) Publish(record config.Record) (willowwick.Offset, error) {
 	data, err := record.Encode()
 	if err != nil {
@@ -252,7 +253,7 @@
 	return offset, nil
 }
 
-// Apply publishes the declarations of a folder as one change.
+// Apply publishes a folder's declarations as one change.
 func (f *Fleet) Apply(files fs.FS) error {
 	folder, err := config.ReadFolder(files)
 	if err != nil {
@@ -271,12 +272,12 @@
 	return err
 }
 
-// State folds the log.
+// State returns the configuration state folded from the log.
 func (f *Fleet) State() (*config.State, error) {
 	return config.FoldAll(config.NewState(), f.Platform.Entries(willowwick.StreamConfig))
 }
 
-// WaitReady waits until every running box is ready and on the roster.
+// WaitReady waits until every running box is ready and on the roster, or returns the reason why one is not.
 func (f *Fleet) WaitReady(within time.Duration) error {
 	deadline := time.Now().Add(within)
 	for {
@@ -316,19 +317,19 @@
 	return ""
 }
 
-// Client returns an HTTP client that calls from the named host.
+// Client returns an HTTP client that dials from the named host.
 func (f *Fleet) Client(host string) *http.Client {
 	transport := &http.Transport{DialContext: f.options.Network.Dial(host), MaxIdleConnsPerHost: 64, DisableCompression: true}
 	f.closers = append(f.closers, transport.CloseIdleConnections)
 	return &http.Client{Transport: transport}
 }
 
-// PlatformURL is the base URL of the platform stand-in.
+// PlatformURL returns the base URL of the platform stand-in.
 func (f *Fleet) PlatformURL() string {
 	return f.platformURL
 }
 
-// RunnerAddress is the address of a runner.
+// RunnerAddress returns the address of runner i, counted from 0.
 func (f *Fleet) RunnerAddress(i int) string {
 	return f.runnerAddresses[i]
 }
--- a/lab/fleet_cost.go
+++ b/lab/fleet_cost.go
@@ -18,7 +18,7 @@
 	"github.com/willowwick/willowwick/rollout"
 )
 
-// The content of the digests at the size to design for.
+// Content of the digests at the fleet size that the design targets, and timing of the measurement.
 const (
 	digestAccounts          = 10
 	digestVersions          = 23
@@ -32,27 +32,27 @@
 )
 
 type (
-	// FleetSize is one size at which the fleet's own traffic is measured.
+	// FleetSize is a fleet size to measure.
 	FleetSize struct {
 		Boxes int
 		Halls int
 	}
 
-	// FleetCost is what the fleet costs each daemon at a size.
+	// FleetCost is the cost per daemon of running a fleet of a size, without request traffic.
 	FleetCost struct {
 		Boxes            int     `json:"boxes"`
 		Halls            int     `json:"halls"`
-		KBPerSecond      float64 `json:"kb_per_second"`       // sent and received, by a daemon on average
-		MaxKBPerSecond   float64 `json:"worst_kb_per_second"` // by the daemon with the most
-		CorePercent      float64 `json:"core_percent"`        // of one core, by a daemon on average
-		HeapMB           float64 `json:"heap_mb"`             // by a daemon on average
+		KBPerSecond      float64 `json:"kb_per_second"`       // sent and received, mean over the daemons
+		MaxKBPerSecond   float64 `json:"worst_kb_per_second"` // sent and received, maximum over the daemons
+		CorePercent      float64 `json:"core_percent"`        // of one core, mean over the daemons
+		HeapMB           float64 `json:"heap_mb"`             // mean over the daemons
 		ReadsPerSecond   float64 `json:"log_reads_per_second"`
 		AppendsPerSecond float64 `json:"log_appends_per_second"`
-		InForceSeconds   float64 `json:"in_force_seconds"` // the slowest of some changes, everywhere
+		InForceSeconds   float64 `json:"in_force_seconds"` // slowest of several changes until in force on all boxes
 		RosterSeconds    float64 `json:"roster_seconds"`   // from the start until all boxes are on the roster
 	}
 
-	// countingLog is the platform's log without a network, counting calls.
+	// countingLog is an in-process log that counts calls.
 	countingLog struct {
 		mu      sync.Mutex
 		entries []willowwick.Entry
@@ -60,7 +60,7 @@
 		appends atomic.Int64
 	}
 
-	// staticList is a list that does not change.
+	// staticList is a list that never changes.
 	staticList struct {
 		listing willowwick.Listing
 	}
@@ -106,7 +106,7 @@
 	closers    []func()
 }
 
-// MeasureFleet runs a fleet of a size in this process and measures it for a while.
+// MeasureFleet runs a fleet of a size in this process and measures its cost over a duration.
 func MeasureFleet(size FleetSize, duration time.Duration) (FleetCost, error) {
 	heapBefore := heapBytes()
 	started := time.Now()
@@ -119,7 +119,7 @@
 		return FleetCost{}, err
 	}
 	cost := FleetCost{Boxes: size.Boxes, Halls: size.Halls, RosterSeconds: time.Since(started).Seconds()}
-	// What the start cost is over when the tables are full and the roster rests.
+	// Measure only after the tables have filled and the roster has settled.
 	time.Sleep(warmUpTime)
 	f.measureTraffic(&cost, duration)
 	cost.HeapMB = float64(heapBytes()-heapBefore) / float64(size.Boxes) / 1e6
@@ -190,7 +190,7 @@
 	return nil
 }
 
-// fillDigest makes a digest as full as it is at the size to design for.
+// fillDigest fills a digest with as much content as at the fleet size that the design targets.
 func fillDigest(d *fleet.Digest, seq uint64, loads int) {
 	for i := range digestAccounts {
 		d.Demand.Add(fleet.HashName(fmt.Sprintf("account-%02d", i)), float64(seq*10))
@@ -255,7 +255,7 @@
 	cost.AppendsPerSecond = float64(f.log.appends.Load()-appends) / seconds
 }
 
-// timeChange publishes a change and waits until every node has it in force.
+// timeChange publishes a change and returns how long it takes to be in force on every node.
 func (f *measuredFleet) timeChange(n int) (time.Duration, error) {
 	withdraw := &config.Withdraw{ID: willowwick.ChangeID("slope" + itoa(n)), Version: willowwick.VersionID("version" + itoa(n))}
 	data, err := config.Record{Kind: config.RecordWithdraw, Withdraw: withdraw}.Encode()
--- a/lab/fleet_promises_test.go
+++ b/lab/fleet_promises_test.go
@@ -35,7 +35,7 @@
 	return count
 }
 
-// replicasOf returns the indexes of the boxes that keep a calibration's key.
+// replicasOf returns the indexes of the boxes that replicate the claim on a calibration's key.
 func (s *testFleet) replicasOf(key string) []int {
 	s.t.Helper()
 	state, err := s.State()
@@ -65,8 +65,8 @@
 	return 0
 }
 
-// TestCallRunsAtMostOnce: a lost answer is not tried again, and no resubmission through any box runs, while a keeper
-// of its key is killed and restarted.
+// TestCallRunsAtMostOnce: a call whose answer is lost is not retried, and no resubmission through any box runs, while a
+// replica of its claim is killed and restarted.
 func TestCallRunsAtMostOnce(t *testing.T) {
 	withTestFleet(t, 5, func(s *testFleet) {
 		for _, instance := range s.Services["bookkeeping"] {
@@ -96,7 +96,7 @@
 		}
 		require.Equal(t, 1, s.effects("entry-1"))
 
-		// One keeper after the other goes; whoever takes over was told.
+		// Kill one replica after the other; each successor has received the claim.
 		for range 2 {
 			s.Boxes[s.replicasOf("key-1")[0]].Kill()
 			time.Sleep(30 * time.Second)
@@ -107,10 +107,11 @@
 	})
 }
 
-// TestOutcomeIsUnknownWhenBothReplicasAreLost: when nobody can know whether a key was used, its call is not run; new keys are.
+// TestOutcomeIsUnknownWhenBothReplicasAreLost: a key that only the lost replicas could vouch for is refused, and new
+// keys run.
 func TestOutcomeIsUnknownWhenBothReplicasAreLost(t *testing.T) {
 	withTestFleet(t, 5, func(s *testFleet) {
-		// A box that has just come into the roster refuses claims until it has those of the others: callers return.
+		// A box that has just joined the roster refuses claims until it has received those of the others, so retry.
 		s.eventually(2*time.Second, "entered", func() bool { return s.postEntry(0, "key-2", "entry-2").Outcome == OutcomeComplete })
 		replicas := s.replicasOf("key-2")
 		for _, replica := range replicas {
@@ -129,7 +130,7 @@
 	})
 }
 
-// TestConcurrentResubmissionsRunOnce: the same key through all boxes at once runs once.
+// TestConcurrentResubmissionsRunOnce submits the same key through all boxes at once.
 func TestConcurrentResubmissionsRunOnce(t *testing.T) {
 	withTestFleet(t, 4, func(s *testFleet) {
 		var callers sync.WaitGroup
@@ -148,7 +149,7 @@
 	})
 }
 
-// TestUnsentCallReleasesItsKey: a call refused before anything was sent gives its key back.
+// TestUnsentCallReleasesItsKey: a call refused before anything was sent may run under the same key later.
 func TestUnsentCallReleasesItsKey(t *testing.T) {
 	withTestFleet(t, 3, func(s *testFleet) {
 		for _, instance := range s.Services["bookkeeping"] {
@@ -161,8 +162,8 @@
 	})
 }
 
-// TestConfigurationReachesAllBoxesAndNeverRegresses: with boxes cut off from the log, lost append answers, an outage, a
-// fresh box that can only ask its peers, and racing operators.
+// TestConfigurationReachesAllBoxesAndNeverRegresses covers boxes cut off from the log, lost append answers, an outage,
+// a fresh box that can only ask its peers, and concurrent operators.
 func TestConfigurationReachesAllBoxesAndNeverRegresses(t *testing.T) {
 	withTestFleet(t, 5, func(s *testFleet) {
 		highest := make([]willowwick.Offset, len(s.Boxes))
@@ -184,7 +185,7 @@
 		require.Less(t, time.Since(started), 16*time.Second)
 		checkOffsets()
 
-		// Two operators who read the same state: one winner, the same on every box.
+		// Two operators change the same state concurrently: the same one wins on every box.
 		state, err := s.State()
 		require.NoError(t, err)
 		for _, quality := range []willowwick.Score{0.5, 0.6} {
@@ -213,7 +214,7 @@
 		// A fresh box joins from its peers while the log is down.
 		s.logDown(true)
 		s.Boxes[4].Kill()
-		checkOffsets() // what its former life alone had read of the log is gone
+		checkOffsets() // forgets what only the killed incarnation had read of the log
 		newest := slices.Max(highest)
 		require.NoError(t, s.Boxes[4].Start())
 		s.eventually(20*time.Second, "joined from peers", func() bool { return s.Boxes[4].Daemon.Status().Offset >= newest })
@@ -228,7 +229,7 @@
 	})
 }
 
-// hashOf sums the declared objects and the verdict of a change; offsets differ while boxes catch up.
+// hashOf hashes the declared objects and the verdict on a change, without offsets, which differ while boxes catch up.
 func hashOf(t *testing.T, r *config.Revision, id willowwick.ChangeID) uint64 {
 	t.Helper()
 	entry, ok := r.Find(id)
@@ -241,7 +242,7 @@
 	return hash
 }
 
-// TestBoxJoinsFromSnapshotAfterLogTruncation: a box that starts after the log dropped its oldest records takes the snapshot.
+// TestBoxJoinsFromSnapshotAfterLogTruncation starts a box after the log dropped its oldest records.
 func TestBoxJoinsFromSnapshotAfterLogTruncation(t *testing.T) {
 	withTestFleet(t, 3, func(s *testFleet) {
 		s.change("kept", newObject(t, config.KindCascade, "kept", &config.Cascade{Stages: []willowwick.ModelID{"run-small"}, Judge: config.JudgeRater}))
@@ -249,7 +250,7 @@
 		time.Sleep(10 * time.Minute)
 		page := s.Platform.Read(willowwick.StreamConfig, 1, 1)
 		require.Greater(t, page.First, willowwick.Offset(100))
-		// Alone, so that no peer can help.
+		// Without running peers that could help.
 		for _, box := range s.Boxes {
 			box.Kill()
 		}
@@ -260,7 +261,8 @@
 	})
 }
 
-// TestIsolatedLeaseHolderIsFenced: its successor gets a higher fence; what the old one writes afterwards is void.
+// TestIsolatedLeaseHolderIsFenced: the successor gets a higher fence, and later records of the previous holder are
+// void.
 func TestIsolatedLeaseHolderIsFenced(t *testing.T) {
 	withTestFleet(t, 3, func(s *testFleet) {
 		holder := -1
@@ -289,7 +291,7 @@
 		}
 		require.LessOrEqual(t, holders, 1)
 
-		// The old holder's late records and orders come to nothing.
+		// Late records and orders of the previous holder have no effect.
 		_, err = s.Publish(config.Record{Kind: config.RecordRoster, Roster: &config.RosterProposal{Fence: previous.Fence}})
 		require.NoError(t, err)
 		after, err := s.State()
@@ -299,7 +301,7 @@
 	})
 }
 
-// TestAccountLimitHoldsAcrossFleet also while a box is cut off from the others.
+// TestAccountLimitHoldsAcrossFleet covers spread and concentrated demand, and a box cut off from the others.
 func TestAccountLimitHoldsAcrossFleet(t *testing.T) {
 	withTestFleet(t, 3, func(s *testFleet) {
 		const limit = 1500.0
@@ -327,7 +329,7 @@
 		all := load(15, 0, 1, 2)
 		require.Less(t, all, limit*1.15)
 		require.Greater(t, all, limit*0.6)
-		// All demand at one box: the share follows it.
+		// With all demand at one box, most of the limit moves there.
 		load(10, 0)
 		one := load(10, 0)
 		require.Greater(t, one, limit*0.4)
@@ -339,13 +341,13 @@
 	})
 }
 
-// TestHeavyAccountDoesNotDelayLightOne: one account's flood leaves another's small requests their turns.
+// TestHeavyAccountDoesNotDelayLightOne: a flood from one account does not starve another account's small requests.
 func TestHeavyAccountDoesNotDelayLightOne(t *testing.T) {
 	withTestFleet(t, 2, func(s *testFleet) {
 		for _, runner := range s.Runners {
 			runner.FirstToken = time.Second
 		}
-		// A box takes in only a few requests before it knows how fast they are worked off.
+		// A box admits only a few requests until it has measured how fast runners answer.
 		s.requireAnswer(0, Chat{})
 		s.requireAnswer(1, Chat{})
 		var callers sync.WaitGroup
@@ -365,8 +367,8 @@
 	})
 }
 
-// TestStoppingBoxHandsOverHeldUsageRecords: a box that holds a dead box's bills and is stopped itself loses none, with the
-// log up or down.
+// TestStoppingBoxHandsOverHeldUsageRecords: a box that replicates a dead box's usage records and is stopped itself
+// loses none, with the log up or down.
 func TestStoppingBoxHandsOverHeldUsageRecords(t *testing.T) {
 	for _, down := range []bool{false, true} {
 		t.Run(fmt.Sprint("log down ", down), func(t *testing.T) {
--- a/lab/fuzz_test.go
+++ b/lab/fuzz_test.go
@@ -26,7 +26,7 @@
 	usageLossWindow = 20 * time.Second
 )
 
-// fuzzStep is one thing that happens; what it is depends on the kind.
+// fuzzStep is one event; the meaning of Which depends on Kind.
 type fuzzStep struct {
 	Kind  string
 	Box   int
@@ -39,13 +39,13 @@
 	"engine", "leave", "stay", "withdraw", "change", "rollout", "advance",
 }
 
-// fuzzRun plays steps on a fleet and keeps what must be true of it: the oracle.
+// fuzzRun applies steps to a fleet and tracks the state that the invariants are checked against.
 type fuzzRun struct {
 	*testFleet
 	isolated  map[int]bool
 	logCut    map[int]bool
 	logDown   bool
-	lastKill  time.Time // the last kill while bills may have been in two memories only
+	lastKill  time.Time // last kill while usage records may have existed in the memory of two boxes only
 	versions  map[string]willowwick.VersionID
 	tokens    map[string]string
 	withdrawn map[willowwick.VersionID]time.Time
@@ -53,7 +53,7 @@
 	changes   int
 }
 
-// TestFleetAgainstOracle plays random faults and requests on whole fleets. A long run:
+// TestFleetAgainstOracle applies random faults and requests to whole fleets. A long run:
 // go test ./lab -run TestFleetAgainstOracle -rapid.checks=100 -steps=100
 func TestFleetAgainstOracle(t *testing.T) {
 	gen := rapid.Custom(func(rt *rapid.T) fuzzStep {
@@ -140,7 +140,7 @@
 	return nil
 }
 
-// playOutside makes things happen at the platform and the runners.
+// playOutside plays the steps that concern the platform and the runners.
 func (f *fuzzRun) playOutside(step fuzzStep) error {
 	runner := f.Runners[step.Which%len(f.Runners)]
 	switch step.Kind {
@@ -189,8 +189,8 @@
 	return stopped
 }
 
-// playKill kills a box, unless a bill could then be in no memory: with one box
-// stoppedCount already, or soon after another kill while the log was not reached.
+// playKill kills a box, unless a usage record could then be lost: with a box down already, or soon after another kill
+// while the log was unreachable.
 func (f *fuzzRun) playKill(step fuzzStep) {
 	box := f.Boxes[step.Box]
 	unsafe := f.stoppedCount() > 0 || len(f.isolated) > 0 || time.Since(f.lastKill) < usageLossWindow || f.logDown || len(f.logCut) > 0
@@ -208,7 +208,7 @@
 	return total
 }
 
-// checkReply checks a reply against what the endpoints saw.
+// checkReply checks a reply against the number of calls that began at endpoints.
 func (f *fuzzRun) checkReply(reply Reply, began int) error {
 	switch {
 	case reply.Outcome == OutcomeMismatched:
@@ -231,7 +231,7 @@
 	return f.checkReply(reply, f.servedCount()-before)
 }
 
-// playSession asks in a session, whose token the caller carries.
+// playSession sends a chat in a session whose token the caller carries.
 func (f *fuzzRun) playSession(step fuzzStep) error {
 	if !f.Boxes[step.Box].Running() {
 		return nil
@@ -253,7 +253,7 @@
 	return nil
 }
 
-// playEntry submits one of a few entries, most of them again and again.
+// playEntry submits one of a few entries, so that most submissions are repeats.
 func (f *fuzzRun) playEntry(step fuzzStep) error {
 	if !f.Boxes[step.Box].Running() {
 		return nil
@@ -345,7 +345,7 @@
 	return nil
 }
 
-// finish mends everything and checks what must hold in the end.
+// finish heals all faults and checks what must hold at the end.
 func (f *fuzzRun) finish() error {
 	f.logDown = false
 	f.Platform.SetFaults(func(faults *standin.PlatformFaults) { *faults = standin.PlatformFaults{} })
@@ -376,7 +376,7 @@
 	return f.checkInvariants()
 }
 
-// checkStates compares every box with the fold of the log.
+// checkStates compares every box's state with the state folded from the log.
 func (f *fuzzRun) checkStates() error {
 	oracle, err := f.State()
 	if err != nil {
--- a/lab/handover_test.go
+++ b/lab/handover_test.go
@@ -9,14 +9,11 @@
 	"github.com/willowwick/willowwick"
 )
 
-// What was seen: TestFleetAgainstOracle hangs until the binary's time limit, in 1 of 22 runs with the usual seed and with 4 of 7
-// others; one box appends the same usage to the log again and again, and virtual time stands.
-//
-// How it came about: while the log is down, a box holds another's bills; it is stopped as planned and gives all that it
-// holds to the box whose bills they are.
-//
-// What caused it: a box kept its own records as held for another; what is held so is due after heldFor and goes only with
-// a record of another boot, so that it was appended without end and without a pause.
+// TestReturnedUsageRecordsAreAppendedOnce guards against an endless append loop: while the log was down, a box that
+// held another's usage records was stopped as planned and handed them to their owner. The owner kept them as held for
+// another box, which are due after heldFor and are cleared only by a record of another boot, so it appended them again
+// and again without a pause. TestFleetAgainstOracle hung, with virtual time standing still, in 1 of 22 runs with the
+// usual seed and with 4 of 7 others.
 func TestReturnedUsageRecordsAreAppendedOnce(t *testing.T) {
 	withTestFleet(t, 2, func(s *testFleet) {
 		s.logDown(true)
@@ -24,7 +21,7 @@
 			s.requireAnswer(0, Chat{})
 		}
 		require.NoError(t, s.Boxes[1].Stop(context.Background()))
-		// Longer than a holder leaves bills to their owner.
+		// Longer than a replica waits for the owner to append its usage records.
 		time.Sleep(15 * time.Second)
 		s.logDown(false)
 		ledger := s.requireBills()
--- a/lab/isolated_config_test.go
+++ b/lab/isolated_config_test.go
@@ -10,9 +10,9 @@
 	"github.com/willowwick/willowwick/fleet"
 )
 
-// TestIsolatedBoxRefusesUnknownNamesTemporarily: what a box's configuration does not hold may have been declared since the box was cut
-// off, and is in force elsewhere at the latest after the time that operators are promised. The exchange once went by the
-// wrong age there; this interface went by none.
+// TestIsolatedBoxRefusesUnknownNamesTemporarily: a name that an isolated box does not know may have been declared
+// since, and is in force elsewhere within the promised time. The box refused such names for good, because the exchange
+// compared the wrong age and this interface none at all.
 func TestIsolatedBoxRefusesUnknownNamesTemporarily(t *testing.T) {
 	withTestFleet(t, 3, func(s *testFleet) {
 		s.requireAnswer(2, Chat{})
@@ -44,7 +44,7 @@
 		s.eventually(20*time.Second, "served", func() bool {
 			return s.ask(2, Chat{Key: "demo-quay-new"}).Outcome == OutcomeComplete && s.ask(2, Chat{Model: "extra"}).Outcome == OutcomeComplete
 		})
-		// It may have what it missed from another box a moment before it knows that nothing came after that.
+		// The box may get the missed change from a peer slightly before it confirms that nothing newer exists.
 		s.eventually(fleet.ConfirmFor, "refused for good", func() bool {
 			return s.ask(2, Chat{Model: "never"}).Text == string(willowwick.KindInvalid)
 		})
--- a/lab/lab_test.go
+++ b/lab/lab_test.go
@@ -42,13 +42,13 @@
 	return versions
 }
 
-// withTestFleet runs a test in virtual time on a fleet of three boxes in three halls.
+// withTestFleet runs a test in virtual time on a fleet of so many boxes in three halls.
 func withTestFleet(t *testing.T, boxes int, test func(*testFleet)) {
 	t.Helper()
 	withTestFleetSettings(t, boxes, serve.Settings{DrainWait: time.Second, Stall: time.Second}, test)
 }
 
-// withTestFleetSettings is inScene with settings of the daemons.
+// withTestFleetSettings is withTestFleet with settings for the daemons.
 func withTestFleetSettings(t *testing.T, boxes int, settings serve.Settings, test func(*testFleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -73,7 +73,7 @@
 	return "prompt " + itoa(s.prompts)
 }
 
-// ask sends a chat to a box.
+// ask sends a chat to a box and counts a complete answer as billed.
 func (s *testFleet) ask(box int, chat Chat) Reply {
 	if chat.Prompt == "" {
 		chat.Prompt = s.prompt()
@@ -99,7 +99,7 @@
 	return reply
 }
 
-// requireBills waits until the ledger has every answer, once.
+// requireBills waits until the ledger has every counted answer, and requires each to be there once.
 func (s *testFleet) requireBills() *fleet.Ledger {
 	s.t.Helper()
 	var ledger *fleet.Ledger
@@ -129,7 +129,7 @@
 	})
 }
 
-// disallowedModelRule is a rule that asks for more than some accounts may use.
+// disallowedModelRule returns a policy rule that routes to a model that some accounts may not use.
 func disallowedModelRule() policy.Rule {
 	return policy.Rule{Name: "wide", When: "true", Then: policy.Action{Model: "scan-large"}}
 }
--- a/lab/network.go
+++ b/lab/network.go
@@ -21,10 +21,10 @@
 		Dial(host string) remote.DialFunc
 	}
 
-	// Loopback is the machine's own loopback network.
+	// Loopback is the machine's loopback network.
 	Loopback struct{}
 
-	// MemoryNetwork is a network within the process, whose links can be cut.
+	// MemoryNetwork is an in-process network whose links can be cut.
 	MemoryNetwork struct {
 		mu        sync.Mutex
 		listeners map[string]*memoryListener
@@ -33,7 +33,7 @@
 		conns     map[*memoryConn]bool
 	}
 
-	// link is a pair of hosts, in one order.
+	// link is an unordered pair of hosts, stored in sorted order.
 	link struct {
 		low, high string
 	}
@@ -67,7 +67,7 @@
 	return (&net.Dialer{Timeout: 2 * time.Second}).DialContext
 }
 
-// NewMemoryNetwork returns a network on which everybody reaches everybody.
+// NewMemoryNetwork returns a network without cut links.
 func NewMemoryNetwork() *MemoryNetwork {
 	return &MemoryNetwork{listeners: map[string]*memoryListener{}, cuts: map[link]bool{}, conns: map[*memoryConn]bool{}}
 }
@@ -79,7 +79,7 @@
 	return link{low: a, high: b}
 }
 
-// Cut breaks the link between two hosts and all connections on it.
+// Cut cuts the link between two hosts and closes all connections on it.
 func (m *MemoryNetwork) Cut(a, b string) {
 	m.mu.Lock()
 	m.cuts[newLink(a, b)] = true
@@ -95,7 +95,7 @@
 	}
 }
 
-// Heal mends the link between two hosts.
+// Heal restores the link between two hosts.
 func (m *MemoryNetwork) Heal(a, b string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/lab/poison_test.go
+++ b/lab/poison_test.go
@@ -13,8 +13,9 @@
 
 const poisonPrompt = "ends the runner that runs it"
 
-// A prompt that ends the runner that runs it comes again, at all boxes. The fourth runner is spared, also by other boxes than those
-// that saw the ends, and answers everything else; the versions that ran it are not taken for bad ones.
+// TestPromptThatCrashesRunnersIsRefusedByAllBoxes sends a prompt that crashes the runner that runs it, again and again
+// through all boxes. At least one of five runners survives and answers other prompts, boxes that saw none of the
+// crashes refuse the prompt too, and the version that ran it is not withdrawn.
 func TestPromptThatCrashesRunnersIsRefusedByAllBoxes(t *testing.T) {
 	withTestFleet(t, 3, func(s *testFleet) {
 		s.addRunner(t)
@@ -47,7 +48,7 @@
 	})
 }
 
-// addRunner adds a runner to those that the fleet was started with.
+// addRunner adds a runner to the fleet and waits until boxes know it.
 func (s *testFleet) addRunner(t *testing.T) {
 	require.NoError(t, s.startRunner(len(s.Runners)))
 	time.Sleep(5 * time.Second)
--- a/lab/promises_test.go
+++ b/lab/promises_test.go
@@ -14,7 +14,7 @@
 	"github.com/willowwick/willowwick/standin"
 )
 
-// withdraw publishes a withdrawal and waits until every running box has it.
+// withdraw publishes a withdrawal and waits until every running box has applied it.
 func (s *testFleet) withdraw(version willowwick.VersionID) {
 	s.t.Helper()
 	s.publish(config.Record{Kind: config.RecordWithdraw, Withdraw: &config.Withdraw{
@@ -22,7 +22,7 @@
 	}})
 }
 
-// publish puts a record on the log and waits until every running box has folded it.
+// publish appends a record to the log and waits until every running box has applied it.
 func (s *testFleet) publish(record config.Record) willowwick.Offset {
 	s.t.Helper()
 	offset, err := s.Publish(record)
@@ -43,7 +43,7 @@
 	})
 }
 
-// eventually waits in virtual time.
+// eventually polls a condition in virtual time.
 func (s *testFleet) eventually(within time.Duration, what string, condition func() bool) {
 	s.t.Helper()
 	for deadline := time.Now().Add(within); ; time.Sleep(100 * time.Millisecond) {
@@ -71,7 +71,7 @@
 	return object
 }
 
-// cutLog takes the log away from a box.
+// cutLog cuts a box off from the platform, and so from the log.
 func (s *testFleet) cutLog(box int) {
 	s.net.Cut(string(s.Boxes[box].ID), platformHost)
 }
@@ -101,7 +101,7 @@
 	s.Platform.SetFaults(func(f *standin.PlatformFaults) { f.LogDown = down })
 }
 
-// TestAccountGetsAllowedVersionsOnly: neither a policy nor a race widens what an account may use.
+// TestAccountGetsAllowedVersionsOnly: a policy cannot widen what an account may use, nor can a race of changes.
 func TestAccountGetsAllowedVersionsOnly(t *testing.T) {
 	withTestFleet(t, 3, func(s *testFleet) {
 		refusal := s.ask(0, Chat{Key: "demo-quay-notes", Model: "scan-large"})
@@ -121,7 +121,7 @@
 	})
 }
 
-// TestQueuedRequestIsRecheckedAtDispatch: a request that waits while its version is withdrawn is not sent to it.
+// TestQueuedRequestIsRecheckedAtDispatch: a queued request is not sent to a version withdrawn in the meantime.
 func TestQueuedRequestIsRecheckedAtDispatch(t *testing.T) {
 	withTestFleet(t, 2, func(s *testFleet) {
 		for _, runner := range s.Runners {
@@ -148,7 +148,7 @@
 	})
 }
 
-// askUncounted sends a chat without counting it; callers may run at once.
+// askUncounted is ask without counting the answer as billed; it is safe for concurrent use.
 func (s *testFleet) askUncounted(box int, chat Chat) Reply {
 	if chat.Key == "" {
 		chat.Key = coimbra
@@ -160,7 +160,7 @@
 	return Ask(context.Background(), s.client, s.Boxes[box].CallerAddress, chat)
 }
 
-// TestWithdrawnVersionGetsNoNewWork: also while a change races, a box is cut off from the log, or from all.
+// TestWithdrawnVersionGetsNoNewWork covers a concurrent change and a box cut off from the log.
 func TestWithdrawnVersionGetsNoNewWork(t *testing.T) {
 	withTestFleet(t, 3, func(s *testFleet) {
 		s.change("fallback", newObject(t, config.KindModel, "run-large", &config.Model{Settled: "run-large-1", Fallback: []willowwick.VersionID{"run-large-0"}}),
@@ -169,7 +169,7 @@
 			runner.SetBehaviour("run-large-0", standin.VersionBehaviour{Quality: 1})
 		}
 		s.cutLog(1)
-		// A change that was made before the withdrawal and arrives after it does not bring the version back.
+		// A change made before the withdrawal that arrives after it does not restore the version.
 		state, err := s.State()
 		require.NoError(t, err)
 		s.withdraw("run-large-1")
@@ -187,7 +187,7 @@
 	})
 }
 
-// TestIsolatedBoxRefusesRequests: a box that cannot know of a withdrawal stops taking work, and says that it did not run.
+// TestIsolatedBoxRefusesRequests: a box that cannot learn of a withdrawal refuses requests as not run.
 func TestIsolatedBoxRefusesRequests(t *testing.T) {
 	withTestFleet(t, 3, func(s *testFleet) {
 		s.requireAnswer(2, Chat{})
@@ -202,7 +202,7 @@
 	})
 }
 
-// TestSessionKeepsItsVersion through roll-out steps, a killed box, a restarted one and an outage of the log.
+// TestSessionKeepsItsVersion covers roll-out steps, a killed box, a restarted one and an outage of the log.
 func TestSessionKeepsItsVersion(t *testing.T) {
 	withTestFleet(t, 4, func(s *testFleet) {
 		rollout := &config.Rollout{Model: "run-small", From: "run-small-1", To: "run-small-2", Steps: []float64{50, 80, 100}, MinRequests: 1000}
@@ -242,7 +242,7 @@
 		time.Sleep(10 * time.Second)
 		check("an outage of the log")
 		s.logDown(false)
-		// CallerAddress that carry tokens do not even need the boxes' memory.
+		// Callers that carry tokens do not depend on the boxes' memory.
 		for id, token := range tokensOf {
 			require.Equal(t, before[id], s.requireAnswer(0, Chat{Model: "run-small", Token: token}).Version)
 		}
@@ -257,7 +257,7 @@
 	})
 }
 
-// advanceRollout writes the next step of a roll-out, as the holder of the lease would.
+// advanceRollout appends the next step of a roll-out, as the lease holder does.
 func (s *testFleet) advanceRollout(id willowwick.RolloutID) {
 	s.t.Helper()
 	state, err := s.State()
@@ -271,7 +271,7 @@
 	require.Equal(s.t, step, state.Progress[id].Step)
 }
 
-// TestEachRequestIsBilledOnce through lost append answers, an outage of the log, and boxes killed with their memory.
+// TestEachRequestIsBilledOnce covers lost append answers, an outage of the log, and boxes killed with their memory.
 func TestEachRequestIsBilledOnce(t *testing.T) {
 	withTestFleet(t, 3, func(s *testFleet) {
 		s.Platform.SetFaults(func(f *standin.PlatformFaults) { f.DroppedAnswers = 3 })
@@ -292,7 +292,7 @@
 		s.logDown(false)
 		s.requireBills()
 
-		// The owner dies between the answer and the append.
+		// The owner of the usage records dies between the answers and the append.
 		for range 5 {
 			s.requireAnswer(2, Chat{})
 		}
@@ -302,7 +302,7 @@
 	})
 }
 
-// TestAnswersAreCompleteDespiteStreamFaults through cut, silent, crossed, gapped and repeated streams.
+// TestAnswersAreCompleteDespiteStreamFaults injects one fault per runner into streams.
 func TestAnswersAreCompleteDespiteStreamFaults(t *testing.T) {
 	for _, fault := range []struct {
 		name string
@@ -353,8 +353,8 @@
 	})
 }
 
-// TestOverloadRefusalIsImmediateAndNothingRan: under overload and with a box short of time, what is refused as not run reached no
-// runner, and the refusal does not wait for the deadline.
+// TestOverloadRefusalIsImmediateAndNothingRan: under overload, a request refused as not run reached no runner, and is
+// refused before its deadline.
 func TestOverloadRefusalIsImmediateAndNothingRan(t *testing.T) {
 	withTestFleet(t, 2, func(s *testFleet) {
 		for _, runner := range s.Runners {
@@ -393,7 +393,7 @@
 	})
 }
 
-// TestDrainingEndpointGetsNoNewWork within 3 s, though the list lags by a minute; what is under way is finished.
+// TestDrainingEndpointGetsNoNewWork within 3 s, although the list lags by a minute; requests under way finish.
 func TestDrainingEndpointGetsNoNewWork(t *testing.T) {
 	t.Run("refuses", func(t *testing.T) { checkDraining(t, standin.EngineFaults{Draining: true}) })
 	t.Run("takes what comes", func(t *testing.T) { checkDraining(t, standin.EngineFaults{Draining: true, DrainsSilently: true}) })
@@ -428,7 +428,8 @@
 	})
 }
 
-// TestPlannedStopInterruptsNoRequest: two of four boxes stop at once, under load, with streams of a minute, while the log is down.
+// TestPlannedStopInterruptsNoRequest stops two of four boxes at once, under load, with minute-long streams, while the
+// log is down.
 func TestPlannedStopInterruptsNoRequest(t *testing.T) {
 	withTestFleetSettings(t, 4, serve.Settings{DrainWait: time.Second, Stall: 10 * time.Second}, func(s *testFleet) {
 		for _, runner := range s.Runners {
@@ -452,7 +453,7 @@
 		for _, box := range s.Boxes[2:] {
 			stops.Go(func() { require.NoError(t, box.Stop(context.Background())) })
 		}
-		// New arrivals at a stopping box are served or honestly refused.
+		// New requests at a stopping box are answered or refused, never lost.
 		for n := range 20 {
 			reply := s.askUncounted(2+n%2, Chat{Prompt: "late " + itoa(n), Deadline: 90 * time.Second})
 			require.Contains(t, []Outcome{OutcomeComplete, OutcomeRefused, OutcomeNotAccepted}, reply.Outcome, "%+v", reply)
@@ -470,7 +471,8 @@
 	})
 }
 
-// TestNotRunIsNotReportedAfterCallBegan: once a runner may have begun, a refusal no longer says that nothing ran.
+// TestNotRunIsNotReportedAfterCallBegan: once a call may have begun at a runner, a refusal does not claim that nothing
+// ran.
 func TestNotRunIsNotReportedAfterCallBegan(t *testing.T) {
 	withTestFleet(t, 2, func(s *testFleet) {
 		for _, runner := range s.Runners {
@@ -486,8 +488,8 @@
 	})
 }
 
-// TestNotRunIsNotReportedAfterCascadeStageRan: a cheap model that was asked in vain and a strong one that nobody serves do not
-// add up to "not run".
+// TestNotRunIsNotReportedAfterCascadeStageRan: a failed first stage followed by a second that nobody serves is not
+// refused as not run.
 func TestNotRunIsNotReportedAfterCascadeStageRan(t *testing.T) {
 	withTestFleet(t, 2, func(s *testFleet) {
 		listing := s.Platform.Endpoints()
--- a/lab/ratelimit_test.go
+++ b/lab/ratelimit_test.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// rateWindow is the length of time over which what a runner gets is counted against its limit.
+	// rateWindow is the sliding window over which a runner's calls are counted against its limit.
 	rateWindow = 4 * time.Second
-	// limitPropagationTime is how long boxes have until they hold a limit that is new: gossip takes some rounds.
+	// limitPropagationTime is how long a new limit takes to reach all boxes, which is several rounds of gossip.
 	limitPropagationTime = 6 * time.Second
 )
 
-// servedCount are the times at which a runner got calls.
+// servedTimes returns the times at which a runner received calls.
 func servedTimes(runner *standin.Engine) []time.Time {
 	var all []time.Time
 	for version := range goodVersions() {
@@ -27,7 +27,7 @@
 	return all
 }
 
-// countBetween counts the times in a span.
+// countBetween counts the times in [from, to).
 func countBetween(times []time.Time, from, to time.Time) int {
 	count := 0
 	for _, at := range times {
@@ -38,7 +38,7 @@
 	return count
 }
 
-// maxPerWindow is the most of the times that are in any window within a span.
+// maxPerWindow returns the most times in any rateWindow that lies within from and to.
 func maxPerWindow(times []time.Time, from, to time.Time) int {
 	most := 0
 	for _, begin := range times {
@@ -49,7 +49,7 @@
 	return most
 }
 
-// sendSteadyLoad lets every box get chats all the time for a length of time, and returns the replies by status.
+// sendSteadyLoad sends chats to every running box for a duration and counts the replies by status.
 func (s *testFleet) sendSteadyLoad(duration time.Duration) map[int]int {
 	var mu sync.Mutex
 	var callers sync.WaitGroup
@@ -72,7 +72,8 @@
 	return statuses
 }
 
-// TestRunnerRateLimitHoldsAcrossBoxes: one runner names a limit, with the log there and away, through restarts of boxes; then all do.
+// TestRunnerRateLimitHoldsAcrossBoxes covers one runner with a limit, with the log up and down and while boxes restart,
+// then limits on all runners.
 func TestRunnerRateLimitHoldsAcrossBoxes(t *testing.T) {
 	const rate = 1.5
 	withTestFleet(t, 4, func(s *testFleet) {
@@ -101,7 +102,7 @@
 			require.NoError(t, s.Boxes[box].Start())
 			s.sendSteadyLoad(5 * time.Second)
 		}
-		// The holder of the lease is among them, and its lease lapses only after a while.
+		// The lease holder is among the restarted boxes, and its lease expires only after a while.
 		requireLimited(limited, from, time.Now(), 0.25, "boxes start anew")
 
 		for _, runner := range s.Runners {
@@ -129,7 +130,8 @@
 	return Ask(context.Background(), s.client, s.Boxes[box].CallerAddress, Chat{Prompt: prompt, Key: coimbra, Model: "run-large", MaxTokens: tokens})
 }
 
-// TestRunnerRateLimitHoldsForIsolatedBoxes: each box in turn reaches neither the log nor the others, the holder of the lease among them.
+// TestRunnerRateLimitHoldsForIsolatedBoxes cuts each box in turn, the lease holder among them, off from the log and the
+// other boxes.
 func TestRunnerRateLimitHoldsForIsolatedBoxes(t *testing.T) {
 	const rate = 8
 	withTestFleet(t, 4, func(s *testFleet) {
@@ -151,7 +153,8 @@
 	})
 }
 
-// TestServiceRateLimitHoldsAcrossBoxes: an instance that names a limit, and one that does not, behind calls that may not be repeated.
+// TestServiceRateLimitHoldsAcrossBoxes covers one instance with a limit and one without, with calls that must not be
+// retried.
 func TestServiceRateLimitHoldsAcrossBoxes(t *testing.T) {
 	const rate, duration = 1, 20 * time.Second
 	withTestFleet(t, 3, func(s *testFleet) {
--- a/lab/rollout_test.go
+++ b/lab/rollout_test.go
@@ -13,7 +13,7 @@
 	"github.com/willowwick/willowwick/standin"
 )
 
-// sendLoad sends chats for the model to all running boxes, at so many a second, while the condition holds.
+// sendLoad sends perSecond chats a second to the running boxes in turn, until stop returns true or the time is over.
 func (s *testFleet) sendLoad(perSecond int, within time.Duration, stop func() bool) {
 	s.t.Helper()
 	var callers sync.WaitGroup
@@ -51,7 +51,7 @@
 	return gone
 }
 
-// TestRolloutCompletesAfterLeaseHolderIsKilled, though the holder of the lease is killed halfway.
+// TestRolloutCompletesAfterLeaseHolderIsKilled kills the lease holder halfway through a good roll-out.
 func TestRolloutCompletesAfterLeaseHolderIsKilled(t *testing.T) {
 	withTestFleet(t, 4, func(s *testFleet) {
 		s.startRollout(20, 50, 100)
@@ -78,7 +78,7 @@
 	return 0
 }
 
-// TestBadVersionIsWithdrawn by the fleet itself, whichever way it turns bad.
+// TestBadVersionIsWithdrawn by the fleet itself, whether it fails, rates low or is slow.
 func TestBadVersionIsWithdrawn(t *testing.T) {
 	for _, bad := range []struct {
 		name      string
@@ -107,7 +107,8 @@
 					}
 					return true
 				})
-				// The holder of the lease orders as soon as it knows; the others may hear of the withdrawal after the runners.
+				// The lease holder sends orders as soon as it knows of the withdrawal; other boxes may apply it after
+				// the runners.
 				s.eventually(16*time.Second, "in force", func() bool {
 					return !slices.ContainsFunc(s.Boxes, func(box *Box) bool {
 						return !box.Daemon.Node().Follower.Revision().IsWithdrawn("run-small-2")
@@ -119,7 +120,7 @@
 	}
 }
 
-// TestRolloutWaitsWhileTheLogIsDown and goes on afterwards.
+// TestRolloutWaitsWhileTheLogIsDown and completes afterwards.
 func TestRolloutWaitsWhileTheLogIsDown(t *testing.T) {
 	withTestFleet(t, 3, func(s *testFleet) {
 		s.startRollout(30, 100)
--- a/lab/tls_test.go
+++ b/lab/tls_test.go
@@ -39,7 +39,7 @@
 	return &authority{key: key, cert: cert}
 }
 
-// peerConfig returns TLS settings with a certificate of this authority that trust another.
+// peerConfig returns a TLS configuration with a certificate from this authority that trusts the other authority.
 func (a *authority) peerConfig(t *testing.T, trusted *authority) *tls.Config {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -57,7 +57,8 @@
 	return config
 }
 
-// TestPeersOverTLS: daemons whose certificates one authority signed form a fleet; one with a stranger's does not get in.
+// TestPeersOverTLS: daemons with certificates from one authority form a fleet; one with another authority's cannot
+// join.
 func TestPeersOverTLS(t *testing.T) {
 	ours, stranger := newAuthority(t), newAuthority(t)
 	f, closeFleet, err := NewFleet(Options{
--- a/lab/traffic.go
+++ b/lab/traffic.go
@@ -24,7 +24,7 @@
 )
 
 type (
-	// Balancer sends callers to ready boxes in turn, as the platform's does.
+	// Balancer distributes callers over the ready boxes in turn, as the platform's balancer does.
 	Balancer struct {
 		fleet  *Fleet
 		client *http.Client
@@ -32,7 +32,7 @@
 		next   atomic.Uint64
 	}
 
-	// Tally is what callers saw.
+	// Tally counts what callers received.
 	Tally struct {
 		mu           sync.Mutex
 		Requests     int
@@ -52,12 +52,12 @@
 		Balancer *Balancer
 		Client   *http.Client
 		Tally    *Tally
-		Rate     float64 // requests a second
+		Rate     float64 // requests per second
 		Seed     uint64
 	}
 )
 
-// NewBalancer returns a balancer that polls until the context ends.
+// NewBalancer returns a balancer that polls readiness until the context ends.
 func NewBalancer(ctx context.Context, f *Fleet) *Balancer {
 	b := &Balancer{fleet: f, client: f.Client("balancer")}
 	b.poll(ctx)
@@ -95,7 +95,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// Pick returns the address of a ready box.
+// Pick returns the address of the next ready box, or false if none is ready.
 func (b *Balancer) Pick() (string, bool) {
 	ready := *b.ready.Load()
 	if len(ready) == 0 {
@@ -146,7 +146,7 @@
 	}
 }
 
-// Run sends requests until the context ends, and returns when all have ended.
+// Run sends requests until the context ends, and returns when all have finished.
 func (tr *Traffic) Run(ctx context.Context) {
 	random := rand.New(rand.NewPCG(tr.Seed, tr.Seed))
 	var callers sync.WaitGroup
@@ -160,7 +160,7 @@
 	callers.Wait()
 }
 
-// sendWithRetries plays one caller; a call that was not run is tried again after the time that was named.
+// sendWithRetries makes one call, and retries it after the given Retry-After while it was not run.
 func (tr *Traffic) sendWithRetries(n, draw int, seed uint64) {
 	var reply Reply
 	for range maxRetries + 1 {
@@ -179,7 +179,7 @@
 	tr.Tally.add(reply)
 }
 
-// call makes the kind of call that the lot picks.
+// call makes the kind of call that draw, in [0, 100), selects.
 func (tr *Traffic) call(address string, n, draw int, seed uint64) Reply {
 	ctx := context.Background()
 	keys := []string{"demo-lab-coimbra", "demo-lab-braga", "demo-harbour-builds", "demo-ridge-builds"}
@@ -217,7 +217,7 @@
 	return Ask(ctx, tr.Client, address, chat)
 }
 
-// ServedSince counts the calls of a version that runners began after a moment.
+// ServedSince counts the calls for a version that runners began after a point in time.
 func (f *Fleet) ServedSince(version willowwick.VersionID, since time.Time) int {
 	served := 0
 	for _, runner := range f.Runners {
@@ -230,7 +230,7 @@
 	return served
 }
 
-// DuplicateEffects counts the effects on plain services that happened more than once.
+// DuplicateEffects counts the entries that took effect on plain services more than once.
 func (f *Fleet) DuplicateEffects() int {
 	effects := map[string]int{}
 	for _, instances := range f.Services {
--- a/standin/backup.go
+++ b/standin/backup.go
@@ -7,34 +7,35 @@
 	"strconv"
 )
 
-// eraHeader names the era of the store in its answers.
+// eraHeader is the response header that names the store's current era.
 const eraHeader = "Store-Era"
 
-// routerTopic holds what routers write; nobody writes it again for them.
+// routerTopic holds the routers' own records, which RestoreBackup does not report as lost.
 const routerTopic = "keyed.status"
 
-// LostRecord is a record of the operator or of an endpoint that a store lost; one without a value dropped its key.
+// LostRecord is a record of the operator or of an endpoint that the store lost; an empty Value means the key was
+// deleted.
 type LostRecord struct {
 	Topic, Key string
 	Value      []byte
 }
 
-// SetEra says in which era the store is; in era 0 its answers name none.
+// SetEra sets the store's era; responses carry no era header while it is 0.
 func (s *Store) SetEra(era uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.era = era
 }
 
-// SaveBackup keeps what the store holds now, for RestoreBackup.
+// SaveBackup saves the store's current content for RestoreBackup.
 func (s *Store) SaveBackup() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.backup = copyTopics(s.topics)
 }
 
-// RestoreBackup begins a new era with what the store held as the copy was taken, and returns the newest records of the operator and of
-// endpoints that it lost. Reads that wait are cut.
+// RestoreBackup restores the saved content under a new era and returns the latest lost record of each key that the
+// operator or an endpoint wrote. Pending long-poll reads are aborted.
 func (s *Store) RestoreBackup() []LostRecord {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,7 +50,8 @@
 	return lost
 }
 
-// RewriteRecords writes records again, as the operator and endpoints do that find them gone; what has been written anew since stays.
+// RewriteRecords writes lost records again, as the operator and endpoints do when they find them missing. Keys written
+// since the restore keep their newer value.
 func (s *Store) RewriteRecords(records ...LostRecord) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,7 +64,7 @@
 	}
 }
 
-// lostSince lists the newest record of each key that a copy of the topic lacks, in the order in which they were written.
+// lostSince returns the latest record of each key that the backup lacks, in write order.
 func (t *storeTopic) lostSince(name string, backup *storeTopic) []LostRecord {
 	var lost []LostRecord
 	for key, at := range t.lastWrites {
@@ -74,13 +76,13 @@
 	return lost
 }
 
-// wasWrittenSince reports whether a key was written or dropped since an offset.
+// wasWrittenSince reports whether a key was written or deleted at or after an offset.
 func (t *storeTopic) wasWrittenSince(key string, from uint64) bool {
 	at, found := t.lastWrites[key]
 	return found && at >= from
 }
 
-// endOrZero is the end of a topic that there need not be.
+// endOrZero returns the topic's end offset, or 0 for a nil topic.
 func (t *storeTopic) endOrZero() uint64 {
 	if t == nil {
 		return 0
@@ -97,7 +99,7 @@
 	return copied
 }
 
-// eraValue is what answers name as the era; the caller holds the lock.
+// eraValue returns the value of the era header, empty for era 0; the caller holds the lock.
 func (s *Store) eraValue() string {
 	if s.era == 0 {
 		return ""
--- a/standin/batch.go
+++ b/standin/batch.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// heartbeatInterval is how often a runner renews its entry.
+// heartbeatInterval is how often a runner rewrites its entry in the store.
 const heartbeatInterval = 200 * time.Millisecond
 
 type (
-	// BatchSettings describe a runner of the users' platform.
+	// BatchSettings configures a BatchRunner.
 	BatchSettings struct {
 		ID            string
 		Service       string
@@ -23,21 +23,21 @@
 		Address       string // host:port
 		Release       string
 		Slots         int
-		Events        int           // of each stream
-		EventInterval time.Duration // setting
-		// CrashOn is the body that ends the runner when it begins to run it; OnCrash then ends its process, as far as it goes.
+		Events        int           // per stream
+		EventInterval time.Duration // between the events of a stream, and before any other answer
+		// CrashOn is the request body on which the runner crashes; OnCrash simulates the end of its process.
 		CrashOn string
 		OnCrash func()
 	}
 
-	// BatchFaults are the troubles of a runner.
+	// BatchFaults are the faults a BatchRunner injects.
 	BatchFaults struct {
-		FailEvery  int // one in so many answers is a 500
-		BreakAfter int // streams break off after so many events
+		FailEvery  int // every nth answer is a 500; 0 for none
+		BreakAfter int // streams break off after this many events; 0 for never
 		Full       bool
 	}
 
-	// BatchRunner stands in for a runner of the users' platform; it keeps its entry in a store.
+	// BatchRunner stands in for a runner of the users' platform; it maintains its entry in a Store.
 	BatchRunner struct {
 		settings          BatchSettings
 		startedMs         int64 // Unix milliseconds
@@ -48,28 +48,28 @@
 		heartbeats        int
 		running           int
 		runs              []BatchRun
-		rateLimit         string // that answers name; empty for none
-		announcesDraining bool   // answers say that it leaves, whatever its entry says
-		backoffSeconds    string // seconds that it asks for as it turns all requests away; empty for none
+		rateLimit         string // sent in every answer; empty for none
+		announcesDraining bool   // answers announce draining whatever the entry says
+		backoffSeconds    string // Retry-After of the rejection of every request; empty to accept requests
 		arrivals          []BatchArrival
 		stop              chan struct{}
 	}
 
 	// BatchRun is one run of a request at a runner.
 	BatchRun struct {
-		Request string // the id that the router gave the send
-		Account string // that the router named
+		Request string // the attempt ID the router sent
+		Account string // the account the router named
 		Body    string
-		Hold    string // a lease that a caller may not name
+		Hold    string // the Hold header, which the router must not pass on from a caller
 		At      time.Time
 	}
 
-	// BatchArrival is a request that came, whether it ran or not, with what its answer says.
+	// BatchArrival is a request that reached the runner, whether it ran or not, and what its answer announced.
 	BatchArrival struct {
 		Request  string
 		At       time.Time
 		Draining bool
-		Backoff  string // empty if it asks for none
+		Backoff  string // in seconds; empty if none was asked for
 	}
 
 	batchEntry struct {
@@ -85,7 +85,7 @@
 	}
 )
 
-// NewBatchRunner returns a runner that keeps its entry, and a function that ends it without taking the entry out.
+// NewBatchRunner returns a runner that maintains its entry, and a function that stops it without removing the entry.
 func NewBatchRunner(settings BatchSettings, store *Store) (*BatchRunner, func()) {
 	b := &BatchRunner{settings: settings, store: store, stop: make(chan struct{}), startedMs: time.Now().UnixMilli()}
 	go b.sendHeartbeats()
@@ -114,11 +114,11 @@
 	}
 	entry := batchEntry{b.settings.Service, b.settings.Address, b.settings.Hall, b.settings.Release, b.settings.Slots, state, 0, b.heartbeats, b.startedMs}
 	b.mu.Unlock()
-	// An entry that cannot be encoded would be a fault of this file; the store itself takes all.
+	// Only a batchEntry that JSON cannot encode would fail here; the store accepts every value.
 	_ = b.store.Put("keyed.servers", b.settings.ID, entry)
 }
 
-// Drain says that the runner is leaving.
+// Drain marks the runner's entry as draining at once.
 func (b *BatchRunner) Drain() {
 	b.mu.Lock()
 	b.draining = true
@@ -126,42 +126,42 @@
 	b.writeEntry()
 }
 
-// SetFaults changes the runner's troubles.
+// SetFaults replaces the runner's faults.
 func (b *BatchRunner) SetFaults(faults BatchFaults) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.faults = faults
 }
 
-// SetRateLimit makes the runner name a limit in its answers from now on; empty for none.
+// SetRateLimit sets the rate limit that the runner's answers carry; empty for none.
 func (b *BatchRunner) SetRateLimit(rateLimit string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.rateLimit = rateLimit
 }
 
-// AnnounceDraining makes the runner say in all its answers from now on that it leaves; its entry goes on telling that it is ready.
+// AnnounceDraining makes all later answers announce draining while the entry still says ready.
 func (b *BatchRunner) AnnounceDraining() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.announcesDraining = true
 }
 
-// SetBackoff makes the runner turn all requests away from now on and ask for so many seconds of rest; empty for neither.
+// SetBackoff makes the runner reject all requests and ask for a backoff of so many seconds; empty ends it.
 func (b *BatchRunner) SetBackoff(seconds string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.backoffSeconds = seconds
 }
 
-// Arrivals lists the requests that came so far, the oldest first.
+// Arrivals returns the requests that arrived so far, oldest first.
 func (b *BatchRunner) Arrivals() []BatchArrival {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Clone(b.arrivals)
 }
 
-// recordArrival notes a request, and writes what its answer says of the runner.
+// recordArrival records a request and sets the answer's headers about the runner.
 func (b *BatchRunner) recordArrival(id string, header http.Header) BatchArrival {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -176,14 +176,14 @@
 	return arrival
 }
 
-// Runs lists the runs so far, the oldest first.
+// Runs returns the runs so far, oldest first.
 func (b *BatchRunner) Runs() []BatchRun {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Clone(b.runs)
 }
 
-// RunCounts tells how often each request has run here.
+// RunCounts returns how often each request has run here.
 func (b *BatchRunner) RunCounts() map[string]int {
 	counts := map[string]int{}
 	for _, run := range b.Runs() {
@@ -238,7 +238,7 @@
 	_, _ = io.WriteString(w, "answer of "+id)
 }
 
-// newBatchRun is the run that a request asks for.
+// newBatchRun returns the run that a request asks for.
 func newBatchRun(r *http.Request, body []byte) BatchRun {
 	return BatchRun{
 		Request: r.Header.Get("Attempt-Id"),
@@ -249,7 +249,7 @@
 	}
 }
 
-// admit takes a slot and notes the run; number is the run's among all here.
+// startRun takes a slot and records the run; number counts this runner's runs from 1.
 func (b *BatchRunner) startRun(run BatchRun) (number, running int, faults BatchFaults, accepted bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -267,7 +267,7 @@
 	b.running--
 }
 
-// BatchEvent is the text of one event of a stream.
+// BatchEvent returns the text of one event of a stream.
 func BatchEvent(id string, number int) string {
 	return fmt.Sprintf("id: %d\ndata: %s.%d\n\n", number, id, number)
 }
@@ -290,7 +290,7 @@
 	}
 }
 
-// confidenceOf lets small models doubt their answers.
+// confidenceOf returns the confidence header of a model's answers, which is low for small models.
 func confidenceOf(model string) string {
 	if strings.HasPrefix(model, "small") {
 		return "10"
--- a/standin/doc.go
+++ b/standin/doc.go
@@ -1,4 +1,3 @@
-// Package standin holds small fakes of the platform, of runners and of plain
-// services, with switches for the faults that the system must bear. Tests, the
-// demo and 'willowctl lab' use them.
+// Package standin holds small fakes of the platform, of runners and of plain services, with switches for the faults
+// that the system must tolerate. Tests, the demo and 'willowctl lab' use them.
 package standin
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// lowScoreMarker stands in answers that the rater gives a low score.
+	// lowScoreMarker marks answers that the rater scores low.
 	lowScoreMarker = "[poor]"
 
 	hashBuckets        = 10_000
@@ -29,28 +29,28 @@
 type (
 	// VersionBehaviour is how a version answers at a runner.
 	VersionBehaviour struct {
-		Quality float64 `json:"quality"` // share of answers that are good
+		Quality float64 `json:"quality"` // share of answers that the rater scores high
 		Errors  float64 `json:"errors"`  // share of calls that fail
-		Slow    float64 `json:"slow"`    // factor on all times; 0 counts as 1
+		Slow    float64 `json:"slow"`    // factor on all durations; 0 counts as 1
 	}
 
-	// EngineFaults are the troubles of one runner.
+	// EngineFaults are the faults that one runner injects.
 	EngineFaults struct {
-		Draining          bool `json:"leaving"`   // say so, and refuse new work
-		DrainsSilently    bool `json:"quietly"`   // when leaving, say so in load reports only, and take what comes
-		AnnouncesDraining bool `json:"announced"` // say in answers alone that it leaves, and take what comes
-		CutAfter          int  `json:"cutAfter"`  // cut the next stream after so many chunks
-		CutTimes          int  `json:"cutTimes"`  // how many streams to cut
-		Stall             int  `json:"stall"`     // streams to stall after their first chunk
-		MixUp             int  `json:"cross"`     // streams that switch to a wrong request id
-		Skip              int  `json:"skip"`      // streams that leave out a chunk
-		Repeat            int  `json:"repeat"`    // streams that send a chunk twice
-		FailAll           bool `json:"denyAfter"` // answer 500 to all
-		// CrashOn ends the runner when it begins to run a prompt that holds this.
+		Draining          bool `json:"leaving"`   // announce it, and reject new work
+		DrainsSilently    bool `json:"quietly"`   // with Draining: announce it in load reports only, and accept new work
+		AnnouncesDraining bool `json:"announced"` // announce it in answers only, and accept new work
+		CutAfter          int  `json:"cutAfter"`  // cut the next stream after this many chunks
+		CutTimes          int  `json:"cutTimes"`  // number of streams to cut
+		Stall             int  `json:"stall"`     // number of streams to stall after their first chunk
+		MixUp             int  `json:"cross"`     // number of streams that switch to a wrong request ID
+		Skip              int  `json:"skip"`      // number of streams that leave out a chunk
+		Repeat            int  `json:"repeat"`    // number of streams that send a chunk twice
+		FailAll           bool `json:"denyAfter"` // answer 500 to every call
+		// CrashOn crashes the runner when it begins to run a prompt that contains this text.
 		CrashOn string `json:"endOn"`
-		// RateLimit is the limit that answers name; empty for none.
+		// RateLimit is the rate limit that answers carry; empty for none.
 		RateLimit string `json:"rateLimit"`
-		// BackoffSeconds is how many seconds of rest the runner asks for as it turns all calls away; empty for none.
+		// BackoffSeconds is the backoff asked for in the rejection of every call; empty to accept calls.
 		BackoffSeconds string `json:"rest"`
 	}
 
@@ -62,7 +62,7 @@
 		BetweenChunks time.Duration
 		ChecksFencing bool
 		IgnoresOrders bool
-		// Crash ends the runner as the end of its process would; nil if it cannot.
+		// Crash drops the runner's listener and connections, as the end of its process does; nil if it cannot crash.
 		Crash func()
 
 		mu         sync.Mutex
@@ -107,7 +107,7 @@
 	change(&e.faults)
 }
 
-// HasCrashed reports whether a prompt ended the runner.
+// HasCrashed reports whether a prompt crashed the runner.
 func (e *Engine) HasCrashed() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -121,28 +121,28 @@
 	e.versions[version] = behaviour
 }
 
-// Served returns when calls for a version began.
+// Served returns the times at which calls for a version began.
 func (e *Engine) Served(version willowwick.VersionID) []time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]time.Time(nil), e.served[version]...)
 }
 
-// Rejected counts the calls that the runner turned away to have rest.
+// Rejected returns the number of calls rejected because of BackoffSeconds.
 func (e *Engine) Rejected() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.rejected
 }
 
-// Orders returns the orders that were obeyed.
+// Orders returns the orders that the runner accepted.
 func (e *Engine) Orders() []willowwick.Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]willowwick.Order(nil), e.orders...)
 }
 
-// AnswerTo returns the whole answer of a version to a prompt, in chunks; it is always the same.
+// AnswerTo returns the complete answer of a version to a prompt, in chunks; it is deterministic.
 func AnswerTo(prompt string, version willowwick.VersionID, quality float64, maxTokens willowwick.Tokens) []string {
 	hash := xxhash.Sum64String(prompt)
 	count := minChunks + int(hash%chunkCountSpread)
@@ -160,12 +160,12 @@
 	return chunks
 }
 
-// AnswerPrefix is the start of every chunk of the answers to a prompt.
+// AnswerPrefix returns the start of every chunk of the answers to a prompt.
 func AnswerPrefix(prompt string) string {
 	return fmt.Sprintf("%08x-", uint32(xxhash.Sum64String(prompt)))
 }
 
-// IsCompleteAnswer reports whether a text is a whole answer to the prompt.
+// IsCompleteAnswer reports whether a text is a complete answer to the prompt.
 func IsCompleteAnswer(prompt, text string, maxTokens willowwick.Tokens) bool {
 	text = strings.TrimPrefix(text, lowScoreMarker+" ")
 	return text == strings.Join(AnswerTo(prompt, "", 1, maxTokens), "")
@@ -212,7 +212,7 @@
 	e.stream(w, r, run)
 }
 
-// admit checks the call and fixes how it will go.
+// admit rejects the call or prepares its answer and faults.
 func (e *Engine) admit(w http.ResponseWriter, run *chatRun) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -251,7 +251,7 @@
 	return true
 }
 
-// consumeFaults uses up the faults that strike one stream.
+// consumeFaults takes the faults of one stream off the runner's counters; the caller holds the lock.
 func (e *Engine) consumeFaults() EngineFaults {
 	active := EngineFaults{CrashOn: e.faults.CrashOn}
 	consume := func(remaining *int, active *int) {
@@ -323,7 +323,7 @@
 	_, _ = done.WriteTo(w)
 }
 
-// injectFault lets a fault happen at a chunk and reports whether the chunk is sent.
+// injectFault applies the stream's faults at a chunk and reports whether the chunk is sent.
 func (e *Engine) injectFault(r *http.Request, run chatRun, i int) bool {
 	if run.faults.CutTimes > 0 && i-run.resumeAt >= run.faults.CutAfter {
 		panic(http.ErrAbortHandler)
@@ -375,7 +375,7 @@
 	}
 }
 
-// writeLoad sets the load headers; the numbers are those of the last report.
+// writeLoad sets the load headers from the last report; the caller holds the lock.
 func (e *Engine) writeLoad(header http.Header) {
 	load := e.loadReport()
 	header.Set(remote.HeaderRunning, strconv.Itoa(load.Running))
@@ -386,7 +386,7 @@
 	}
 }
 
-// loadReport renews the load report when it has lagged enough.
+// loadReport returns the last load report, renewed once it is loadReportInterval old; the caller holds the lock.
 func (e *Engine) loadReport() willowwick.EndpointLoad {
 	now := time.Now()
 	if now.Sub(e.lastReport.At) >= loadReportInterval {
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -24,16 +24,16 @@
 )
 
 type (
-	// PlatformFaults are the troubles of the platform.
+	// PlatformFaults are the faults that the platform injects.
 	PlatformFaults struct {
 		LogDown        bool `json:"logDown"`
-		DroppedAnswers int  `json:"loseAnswer"` // appends that take effect and are not answered
+		DroppedAnswers int  `json:"loseAnswer"` // appends that take effect without an answer
 		SlowMs         int  `json:"slowMs"`
 		ListDown       bool `json:"listDown"`
 		ListLagMs      int  `json:"listLagMs"`
 		RaterDown      bool `json:"raterDown"`
 		RaterMs        int  `json:"raterMs"`
-		Retain         int  `json:"retain"` // records kept on a stream; 0 keeps all
+		Retain         int  `json:"retain"` // records kept on the configuration stream; 0 keeps all
 	}
 
 	// Platform stands in for the log, the list of boxes and endpoints, and the rater.
@@ -83,14 +83,14 @@
 	p.mux.ServeHTTP(w, r)
 }
 
-// SetFaults replaces the faults.
+// SetFaults changes the faults.
 func (p *Platform) SetFaults(change func(*PlatformFaults)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	change(&p.faults)
 }
 
-// SetBox puts a box on the list.
+// SetBox adds or replaces a box on the list.
 func (p *Platform) SetBox(box willowwick.Box) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,7 +98,7 @@
 	p.publishListing()
 }
 
-// RemoveBox takes a box off the list.
+// RemoveBox removes a box from the list.
 func (p *Platform) RemoveBox(id willowwick.BoxID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,7 +106,7 @@
 	p.publishListing()
 }
 
-// SetEndpoint puts an endpoint on the list.
+// SetEndpoint adds or replaces an endpoint on the list.
 func (p *Platform) SetEndpoint(endpoint willowwick.Endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -114,21 +114,21 @@
 	p.publishListing()
 }
 
-// Endpoints returns the endpoints on the list, by id.
+// Endpoints returns the endpoints on the list, by ID.
 func (p *Platform) Endpoints() map[willowwick.EndpointID]willowwick.Endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return maps.Clone(p.endpoints)
 }
 
-// Entries returns what a stream holds.
+// Entries returns the entries that a stream holds.
 func (p *Platform) Entries(id willowwick.StreamID) []willowwick.Entry {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]willowwick.Entry(nil), p.stream(id).entries...)
 }
 
-// Appends returns how many records were taken so far.
+// Appends returns the number of records appended so far.
 func (p *Platform) Appends() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -155,7 +155,7 @@
 	return s
 }
 
-// Append takes a record as the log would, faults left aside.
+// Append appends a record directly, bypassing faults.
 func (p *Platform) Append(id willowwick.StreamID, data []byte) willowwick.Offset {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -197,7 +197,7 @@
 	writeJSON(w, map[string]willowwick.Offset{"offset": offset})
 }
 
-// forward waits as long as the platform is slow, and answers an error if the part is down.
+// checkAvailable waits for the SlowMs fault, then reports whether the part is up; it answers an error if not.
 func (p *Platform) checkAvailable(w http.ResponseWriter, isDown func(PlatformFaults) bool) bool {
 	p.mu.Lock()
 	faults := p.faults
@@ -229,7 +229,7 @@
 	writeJSON(w, p.Read(willowwick.StreamID(r.PathValue("stream")), willowwick.Offset(from), limit))
 }
 
-// Read returns a page as the log would, faults left aside.
+// Read returns a page directly, bypassing faults.
 func (p *Platform) Read(id willowwick.StreamID, from willowwick.Offset, limit int) willowwick.Page {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -296,7 +296,7 @@
 	writeJSON(w, faults)
 }
 
-// handlePut decodes a JSON body and passes it on.
+// handlePut returns a handler that decodes a JSON body and passes it to set.
 func handlePut[T any](set func(T)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var value T
--- a/standin/service.go
+++ b/standin/service.go
@@ -17,13 +17,13 @@
 )
 
 type (
-	// ServiceFaults are the troubles of one instance of a plain service.
+	// ServiceFaults are the faults that one instance of a plain service injects.
 	ServiceFaults struct {
-		Draining          bool `json:"leaving"`   // say so, and refuse calls
-		AnnouncesDraining bool `json:"announced"` // say in answers alone that it leaves, and take what comes
-		DroppedAnswers    int  `json:"dropAfter"` // calls that take effect and are not answered
+		Draining          bool `json:"leaving"`   // announce it, and reject calls
+		AnnouncesDraining bool `json:"announced"` // announce it in answers only, and accept calls
+		DroppedAnswers    int  `json:"dropAfter"` // calls that take effect without an answer
 		SlowMs            int  `json:"slowMs"`
-		// RateLimit is the limit that answers name; empty for none.
+		// RateLimit is the rate limit that answers carry; empty for none.
 		RateLimit string `json:"rateLimit"`
 	}
 
@@ -32,7 +32,7 @@
 		ID      willowwick.EndpointID
 		mu      sync.Mutex
 		faults  ServiceFaults
-		effects map[string]int // by the entry header
+		effects map[string]int // by the value of the X-Entry header
 		mux     *http.ServeMux
 	}
 )
--- a/standin/stalling_proxy.go
+++ b/standin/stalling_proxy.go
@@ -9,10 +9,10 @@
 	"github.com/pkg/errors"
 )
 
-// proxyBufferBytes is how many bytes a StallingProxy forwards on at once.
+// proxyBufferBytes is the most a StallingProxy forwards in one write.
 const proxyBufferBytes = 4 << 10
 
-// StallingProxy is a loopback proxy whose open connections can fall silent for good, without a reset, while new ones work.
+// StallingProxy is a loopback proxy whose open connections can stall for good, without a reset, while new ones work.
 type StallingProxy struct {
 	listener net.Listener
 	target   string
@@ -21,13 +21,13 @@
 	conns []*proxiedConn
 }
 
-// proxiedConn is a connection through a StallingProxy, both sides of it.
+// proxiedConn is both sides of a connection through a StallingProxy.
 type proxiedConn struct {
 	client, server net.Conn
 	stalled        atomic.Bool
 }
 
-// NewStallingProxy returns a proxy in front of the target, host:port, and a function that ends it and its connections.
+// NewStallingProxy returns a proxy for the target, host:port, and a function that closes it and its connections.
 func NewStallingProxy(target string) (*StallingProxy, func(), error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -38,12 +38,12 @@
 	return s, s.close, nil
 }
 
-// Address is where the proxy is reached, host:port.
+// Address returns the proxy's address, host:port.
 func (s *StallingProxy) Address() string {
 	return s.listener.Addr().String()
 }
 
-// Stall makes all open connections take bytes and pass none on, and returns how many they are.
+// Stall makes all open connections discard the bytes they read, and returns their number.
 func (s *StallingProxy) Stall() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,7 +53,7 @@
 	return len(s.conns)
 }
 
-// ConnsOpened is how many connections were ever opened through the proxy.
+// ConnsOpened returns the number of connections ever opened through the proxy.
 func (s *StallingProxy) ConnsOpened() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,7 +81,7 @@
 	}
 }
 
-// forward carries bytes one way until a side ends.
+// forward copies bytes one way until a side closes, or discards them while the connection is stalled.
 func (p *proxiedConn) forward(to, from net.Conn) {
 	buffer := make([]byte, proxyBufferBytes)
 	for {
--- a/standin/store.go
+++ b/standin/store.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// maxAppendBytes bounds what one call may append.
+	// maxAppendBytes limits the body of one append.
 	maxAppendBytes = 2 << 20
-	// readPollInterval is how often a read that waits looks again.
+	// readPollInterval is how often a waiting read checks for records.
 	readPollInterval = 5 * time.Millisecond
-	// lengthPrefixBytes is the length in front of each record on the wire.
+	// lengthPrefixBytes is the size of the length prefix of each record on the wire.
 	lengthPrefixBytes = 4
 )
 
 type (
-	// StoreFaults are the troubles of the users' platform's store.
+	// StoreFaults are the faults that a Store injects.
 	StoreFaults struct {
 		Down           bool
-		DroppedAnswers int // writes that take effect and are not answered
+		DroppedAnswers int // writes that take effect without an answer
 	}
 
 	// Store stands in for the users' platform's store: topics of records and groups of members.
@@ -36,8 +36,8 @@
 		topics      map[string]*storeTopic
 		groups      map[string]*storeGroup
 		calls       map[string]int
-		era         uint64                 // 0 if answers name none
-		backup      map[string]*storeTopic // what the store held as a copy was taken
+		era         uint64                 // 0 if answers name no era
+		backup      map[string]*storeTopic // what SaveBackup saved
 		mux         *http.ServeMux
 	}
 
@@ -45,7 +45,7 @@
 		first      uint64
 		records    [][]byte
 		newest     map[string]storeRecord
-		lastWrites map[string]uint64 // where each key was last written or dropped
+		lastWrites map[string]uint64 // offset of each key's last write or deletion
 	}
 
 	storeRecord struct {
@@ -55,7 +55,7 @@
 
 	storeGroup struct {
 		generation uint64
-		members    map[string]time.Time // until when each is a member
+		members    map[string]time.Time // expiry of each member
 		topic      string
 	}
 
@@ -104,33 +104,33 @@
 	s.mux.ServeHTTP(w, r)
 }
 
-// SetFaults changes the store's troubles.
+// SetFaults replaces the store's faults.
 func (s *Store) SetFaults(faults StoreFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = faults
 }
 
-// SetUnavailable takes one topic away, or brings it back; the others are served.
+// SetUnavailable takes one topic out of service or puts it back; the others stay in service.
 func (s *Store) SetUnavailable(topic string, unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.unavailable[topic] = unavailable
 }
 
-// isDown reports whether calls for a topic, or for none, are not served; the caller holds the lock.
+// isDown reports whether calls for a topic, or for none if empty, are not served; the caller holds the lock.
 func (s *Store) isDown(topic string) bool {
 	return s.faults.Down || s.unavailable[topic]
 }
 
-// Calls is how often a call was made.
+// Calls returns how often a path was called.
 func (s *Store) Calls(path string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[path]
 }
 
-// Put writes the value of a key as the operator or an endpoint does; no value drops the key.
+// Put writes the value of a key as the operator or an endpoint does; a nil value deletes the key.
 func (s *Store) Put(topic, key string, value any) error {
 	var data []byte
 	if value != nil {
@@ -146,7 +146,7 @@
 	return nil
 }
 
-// PutRaw appends bytes that need not be a record of a key and a value, as a writer that does not know the topic may.
+// PutRaw appends bytes that need not be a record of a key and a value, as a writer of another format might.
 func (s *Store) PutRaw(topic string, record []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -166,7 +166,7 @@
 	return record.value, found
 }
 
-// TrimHistory drops the history of a topic; the newest record of each key stays.
+// TrimHistory drops the history of a topic; the newest record of each key stays readable.
 func (s *Store) TrimHistory(topic string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -235,7 +235,7 @@
 func writeStatus(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The caller sees a broken answer; a stand-in has nobody else to tell.
+	// Errors are ignored: the caller sees a truncated answer.
 	_ = json.NewEncoder(w).Encode(body)
 }
 
@@ -273,8 +273,8 @@
 	}
 }
 
-// firstRecordsWithin returns the first of the records that have so many KB together, and one at the least; all of them if the text is
-// empty.
+// firstRecordsWithin returns the leading records that fit into limitKB kilobytes together, but at least one; all of
+// them if limitKB is empty.
 func firstRecordsWithin(records [][]byte, limitKB string) [][]byte {
 	limit, err := strconv.Atoi(limitKB)
 	if err != nil {
@@ -351,7 +351,7 @@
 	}
 }
 
-// leader is the member that holds the only part.
+// leader returns the member that owns the topic's only part.
 func (g *storeGroup) leader() string {
 	leader := ""
 	for member := range g.members {
