--- a/lab/bench_test.go
+++ b/lab/bench_test.go
@@ -28,7 +28,7 @@
 		runner.FirstToken, runner.BetweenChunks = 0, 0
 	}
 	require.NoError(b, f.Apply(examples.Declarations))
-	require.NoError(b, f.WaitReady(readyTime))
+	require.NoError(b, f.WaitReady(readyTimeout))
 	client := f.Client("caller")
 	body, err := json.Marshal(remote.ChatRequest{
 		Model: "run-large-1", Messages: []willowwick.Message{{Role: "user", Content: "bench"}}, MaxTokens: 400, Stream: true,
@@ -42,7 +42,7 @@
 	body = bytes.Replace(body, []byte("run-large-1"), []byte("run-large"), 1)
 	b.Run("through a daemon", func(b *testing.B) {
 		for b.Loop() {
-			streamAnswer(b, client, "http://"+f.Boxes[0].CallerAddress+remote.PathCompletions, body, coimbra)
+			streamAnswer(b, client, "http://"+f.Boxes[0].CallerAddress+remote.PathCompletions, body, coimbraKey)
 		}
 	})
 }
--- a/lab/caller.go
+++ b/lab/caller.go
@@ -164,7 +164,7 @@
 		return Reply{Outcome: OutcomeNotAccepted, Detail: err.Error()}
 	}
 	setHeaders(request, key, map[string]string{serve.HeaderIdempotency: idempotency, "X-Entry": entry})
-	return send(client, request, started, (*Reply).readText, func(text string) bool {
+	return send(client, request, started, (*Reply).readBody, func(text string) bool {
 		return method == http.MethodGet || strings.Contains(text, entry)
 	})
 }
@@ -191,7 +191,7 @@
 func replyFromRefusal(reply Reply, response *http.Response) Reply {
 	var answer errorResponse
 	if err := json.NewDecoder(response.Body).Decode(&answer); err != nil || answer.Error.Kind == "" {
-		reply.Outcome, reply.Detail = OutcomeLost, "status "+response.Status+" without a kind of refusal"
+		reply.Outcome, reply.Detail = OutcomeLost, "status "+response.Status+" without an error type"
 		return reply
 	}
 	reply.Outcome, reply.Text = OutcomeRefused, string(answer.Error.Kind)
@@ -209,7 +209,7 @@
 		if event.Data == "[DONE]" {
 			r.Text = text.String()
 			if !finished {
-				return errors.New("the end mark came before the last chunk")
+				return errors.New("[DONE] arrived before a chunk with a finish reason")
 			}
 			return nil
 		}
@@ -223,7 +223,7 @@
 		text.WriteString(chunk.Choices[0].Delta.Content)
 		finished = finished || chunk.Choices[0].FinishReason != nil
 	}
-	return errors.New("the stream ended without its end mark")
+	return errors.New("stream ended without [DONE]")
 }
 
 func (r *Reply) readCompletion(body io.Reader) error {
@@ -232,13 +232,13 @@
 		return err
 	}
 	if len(answer.Choices) != 1 {
-		return errors.New("the answer has no choice")
+		return errors.New("answer does not have exactly one choice")
 	}
 	r.Text = answer.Choices[0].Message.Content
 	return nil
 }
 
-func (r *Reply) readText(body io.Reader) error {
+func (r *Reply) readBody(body io.Reader) error {
 	text, err := io.ReadAll(body)
 	r.Text = string(text)
 	return err
--- a/lab/drain_backoff_test.go
+++ b/lab/drain_backoff_test.go
@@ -26,12 +26,12 @@
 		for n := range 40 {
 			require.Equal(t, OutcomeComplete, s.askUncounted(0, Chat{Prompt: "at once " + itoa(n)}).Outcome)
 		}
-		require.Equal(t, served, len(servedTimes(draining)), "the box that was told")
+		require.Equal(t, served, len(servedTimes(draining)), "the box that got the answer")
 		time.Sleep(noticePropagationTime)
 		for n := range 60 {
 			require.Equal(t, OutcomeComplete, s.askUncounted(n%3, Chat{Prompt: "after " + itoa(n)}).Outcome)
 		}
-		require.Equal(t, served, len(servedTimes(draining)), "the others")
+		require.Equal(t, served, len(servedTimes(draining)), "the other boxes")
 	})
 }
 
@@ -64,11 +64,11 @@
 		statuses := s.sendSteadyLoad(backoff - time.Second)
 		require.Positive(t, runner.Rejected())
 		require.LessOrEqual(t, runner.Rejected(), 3*len(s.Boxes), "%v", statuses)
-		require.Len(t, statuses, 1, "the other runners take all: %v", statuses)
+		require.Len(t, statuses, 1, "the other runners answer everything: %v", statuses)
 		runner.SetFaults(func(f *standin.EngineFaults) { f.BackoffSeconds = "" })
 		before := len(servedTimes(runner))
 		s.sendSteadyLoad(backoff)
-		require.Greater(t, len(servedTimes(runner)), before, "it is used again after its rest")
+		require.Greater(t, len(servedTimes(runner)), before, "it is used again after its backoff")
 	})
 }
 
--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -312,7 +312,7 @@
 		}
 	}
 	if len(state.Roster.Members) != running {
-		return "the roster has members that do not run"
+		return "the roster has members that are not running"
 	}
 	return ""
 }
--- a/lab/fleet_cost.go
+++ b/lab/fleet_cost.go
@@ -86,8 +86,8 @@
 	defer l.mu.Unlock()
 	page := willowwick.Page{First: 1, Next: willowwick.Offset(len(l.entries) + 1)}
 	if from < page.Next {
-		rest := l.entries[from-1:]
-		page.Entries = append(page.Entries, rest[:min(limit, len(rest))]...)
+		available := l.entries[from-1:]
+		page.Entries = append(page.Entries, available[:min(limit, len(available))]...)
 	}
 	return page, nil
 }
@@ -150,7 +150,7 @@
 	}
 	list := &staticList{listing: listing}
 	for i, box := range listing.Boxes {
-		if err := f.start(network, list, listeners[i], box); err != nil {
+		if err := f.startNode(network, list, listeners[i], box); err != nil {
 			f.close()
 			return nil, err
 		}
@@ -158,7 +158,7 @@
 	return f, nil
 }
 
-func (f *measuredFleet) start(network *MemoryNetwork, list *staticList, listener net.Listener, box willowwick.Box) error {
+func (f *measuredFleet) startNode(network *MemoryNetwork, list *staticList, listener net.Listener, box willowwick.Box) error {
 	dial := network.Dial(string(box.ID))
 	transport, closeTransport := fleet.NewTransport([]byte(fleetKey), func(ctx context.Context, address string) (net.Conn, error) {
 		return dial(ctx, "tcp", address)
@@ -227,7 +227,7 @@
 		}
 		time.Sleep(convergencePollInterval)
 	}
-	return errors.Errorf("%d boxes were not all on the roster within %s", f.size.Boxes, convergenceTimeout)
+	return errors.Errorf("roster did not reach %d boxes within %s", f.size.Boxes, convergenceTimeout)
 }
 
 func (f *measuredFleet) measureTraffic(cost *FleetCost, duration time.Duration) {
@@ -278,7 +278,7 @@
 		}
 		time.Sleep(convergencePollInterval)
 	}
-	return 0, errors.Errorf("a change was not in force everywhere within %s", convergenceTimeout)
+	return 0, errors.Errorf("change was not in force on every node within %s", convergenceTimeout)
 }
 
 func heapBytes() uint64 {
--- a/lab/fleet_promises_test.go
+++ b/lab/fleet_promises_test.go
@@ -19,7 +19,7 @@
 
 // postEntry posts a calibration entry through a box under an idempotency key.
 func (s *testFleet) postEntry(box int, key, entry string) Reply {
-	reply := CallService(context.Background(), s.client, s.Boxes[box].CallerAddress, coimbra,
+	reply := CallService(context.Background(), s.client, s.Boxes[box].CallerAddress, coimbraKey,
 		http.MethodPost, "/services/bookkeeping/calibrations/"+entry, key, entry)
 	if reply.Outcome == OutcomeComplete {
 		s.billed++
@@ -27,7 +27,7 @@
 	return reply
 }
 
-func (s *testFleet) effects(entry string) int {
+func (s *testFleet) effectCount(entry string) int {
 	count := 0
 	for _, instance := range s.Services["bookkeeping"] {
 		count += instance.Effects()[entry]
@@ -61,7 +61,7 @@
 			return i
 		}
 	}
-	s.t.Fatal("every box is taken")
+	s.t.Fatal("no other box exists")
 	return 0
 }
 
@@ -79,7 +79,7 @@
 			again := s.postEntry(box, "key-1", "entry-1")
 			require.Equal(t, string(willowwick.KindOutcomeUnknown), again.Text, "%+v", again)
 		}
-		require.Equal(t, 1, s.effects("entry-1"))
+		require.Equal(t, 1, s.effectCount("entry-1"))
 
 		replicas := s.replicasOf("key-1")
 		s.Boxes[replicas[0]].Kill()
@@ -89,12 +89,12 @@
 			time.Sleep(time.Second)
 		}
 		require.NoError(t, s.Boxes[replicas[0]].Start())
-		require.NoError(t, s.WaitReady(readyTime))
+		require.NoError(t, s.WaitReady(readyTimeout))
 		for box := range s.Boxes {
 			again := s.postEntry(box, "key-1", "entry-1")
 			require.Equal(t, OutcomeRefused, again.Outcome, "%+v", again)
 		}
-		require.Equal(t, 1, s.effects("entry-1"))
+		require.Equal(t, 1, s.effectCount("entry-1"))
 
 		// Kill one replica after the other; each successor has received the claim.
 		for range 2 {
@@ -103,7 +103,7 @@
 			again := s.postEntry(s.runningBox(), "key-1", "entry-1")
 			require.Equal(t, OutcomeRefused, again.Outcome, "%+v", again)
 		}
-		require.Equal(t, 1, s.effects("entry-1"))
+		require.Equal(t, 1, s.effectCount("entry-1"))
 	})
 }
 
@@ -112,7 +112,7 @@
 func TestOutcomeIsUnknownWhenBothReplicasAreLost(t *testing.T) {
 	withTestFleet(t, 5, func(s *testFleet) {
 		// A box that has just joined the roster refuses claims until it has received those of the others, so retry.
-		s.eventually(2*time.Second, "entered", func() bool { return s.postEntry(0, "key-2", "entry-2").Outcome == OutcomeComplete })
+		s.eventually(2*time.Second, "posted", func() bool { return s.postEntry(0, "key-2", "entry-2").Outcome == OutcomeComplete })
 		replicas := s.replicasOf("key-2")
 		for _, replica := range replicas {
 			s.Boxes[replica].Kill()
@@ -121,7 +121,7 @@
 		time.Sleep(40 * time.Second)
 		again := s.postEntry(survivor, "key-2", "entry-2")
 		require.Equal(t, string(willowwick.KindOutcomeUnknown), again.Text, "%+v", again)
-		require.Equal(t, 1, s.effects("entry-2"))
+		require.Equal(t, 1, s.effectCount("entry-2"))
 		for n := range 20 {
 			fresh := uuid.Must(uuid.NewV7()).String()
 			reply := s.postEntry(survivor, fresh, fmt.Sprintf("fresh-%d", n))
@@ -137,14 +137,14 @@
 		for n := range 10 {
 			for box := range s.Boxes {
 				callers.Go(func() {
-					CallService(context.Background(), s.client, s.Boxes[box].CallerAddress, coimbra, http.MethodPost,
+					CallService(context.Background(), s.client, s.Boxes[box].CallerAddress, coimbraKey, http.MethodPost,
 						"/services/bookkeeping/calibrations/x", "race-"+itoa(n), "race-"+itoa(n))
 				})
 			}
 		}
 		callers.Wait()
 		for n := range 10 {
-			require.LessOrEqual(t, s.effects("race-"+itoa(n)), 1)
+			require.LessOrEqual(t, s.effectCount("race-"+itoa(n)), 1)
 		}
 	})
 }
@@ -158,7 +158,7 @@
 		refused := s.postEntry(0, "key-3", "entry-3")
 		require.Equal(t, string(willowwick.KindNotRun), refused.Text, "%+v", refused)
 		require.Equal(t, OutcomeComplete, s.postEntry(1, "key-3", "entry-3").Outcome)
-		require.Equal(t, 1, s.effects("entry-3"))
+		require.Equal(t, 1, s.effectCount("entry-3"))
 	})
 }
 
@@ -174,14 +174,14 @@
 					continue
 				}
 				offset := box.Daemon.Status().Offset
-				require.GreaterOrEqual(t, offset, highest[i], "box %d went back", i)
+				require.GreaterOrEqual(t, offset, highest[i], "box %d regressed", i)
 				highest[i] = offset
 			}
 		}
 		s.cutLog(1)
 		s.cutLog(2)
 		started := time.Now()
-		s.change("cascade-1", newObject(t, config.KindCascade, "extra", &config.Cascade{Stages: []willowwick.ModelID{"run-small"}, Judge: config.JudgeRater}))
+		s.publishChange("cascade-1", newObject(t, config.KindCascade, "extra", &config.Cascade{Stages: []willowwick.ModelID{"run-small"}, Judge: config.JudgeRater}))
 		require.Less(t, time.Since(started), 16*time.Second)
 		checkOffsets()
 
@@ -212,7 +212,7 @@
 		require.Len(t, hashes, 1)
 
 		// A fresh box joins from its peers while the log is down.
-		s.logDown(true)
+		s.setLogDown(true)
 		s.Boxes[4].Kill()
 		checkOffsets() // forgets what only the killed incarnation had read of the log
 		newest := slices.Max(highest)
@@ -221,7 +221,7 @@
 		_, ok := s.Boxes[4].Daemon.Node().Follower.Revision().Cascade("extra")
 		require.True(t, ok)
 		checkOffsets()
-		s.logDown(false)
+		s.setLogDown(false)
 		s.healLog(1)
 		s.healLog(2)
 		time.Sleep(20 * time.Second)
@@ -245,7 +245,7 @@
 // TestBoxJoinsFromSnapshotAfterLogTruncation starts a box after the log dropped its oldest records.
 func TestBoxJoinsFromSnapshotAfterLogTruncation(t *testing.T) {
 	withTestFleet(t, 3, func(s *testFleet) {
-		s.change("kept", newObject(t, config.KindCascade, "kept", &config.Cascade{Stages: []willowwick.ModelID{"run-small"}, Judge: config.JudgeRater}))
+		s.publishChange("kept", newObject(t, config.KindCascade, "kept", &config.Cascade{Stages: []willowwick.ModelID{"run-small"}, Judge: config.JudgeRater}))
 		s.Platform.SetFaults(func(f *standin.PlatformFaults) { f.Retain = 40 })
 		time.Sleep(10 * time.Minute)
 		page := s.Platform.Read(willowwick.StreamConfig, 1, 1)
@@ -305,18 +305,18 @@
 func TestAccountLimitHoldsAcrossFleet(t *testing.T) {
 	withTestFleet(t, 3, func(s *testFleet) {
 		const limit = 1500.0
-		s.change("limit", newObject(t, config.KindLimit, "braga", &config.Limit{Account: "lab-braga", TokensPerSecond: limit, BurstSeconds: 1}))
-		load := func(seconds int, boxes ...int) float64 {
+		s.publishChange("limit", newObject(t, config.KindLimit, "braga", &config.Limit{Account: "lab-braga", TokensPerSecond: limit, BurstSeconds: 1}))
+		measureRate := func(seconds int, boxes ...int) float64 {
 			var mu sync.Mutex
 			var callers sync.WaitGroup
-			taken := 0.0
+			total := 0.0
 			for n := range seconds * 20 {
 				for _, box := range boxes {
 					callers.Go(func() {
-						if reply := s.askUncounted(box, Chat{Key: braga, Model: "run-small", Prompt: fmt.Sprint("limit ", n, box, seconds, len(boxes))}); reply.Outcome == OutcomeComplete {
-							ledger := 4.0 + float64(4*len(standin.AnswerTo(fmt.Sprint("limit ", n, box, seconds, len(boxes))+"\n", "", 1, tokens)))
+						if reply := s.askUncounted(box, Chat{Key: bragaKey, Model: "run-small", Prompt: fmt.Sprint("limit ", n, box, seconds, len(boxes))}); reply.Outcome == OutcomeComplete {
+							billedTokens := 4.0 + float64(4*len(standin.AnswerTo(fmt.Sprint("limit ", n, box, seconds, len(boxes))+"\n", "", 1, maxAnswerTokens)))
 							mu.Lock()
-							taken += ledger
+							total += billedTokens
 							mu.Unlock()
 						}
 					})
@@ -324,20 +324,20 @@
 				time.Sleep(50 * time.Millisecond)
 			}
 			callers.Wait()
-			return taken / float64(seconds)
+			return total / float64(seconds)
 		}
-		all := load(15, 0, 1, 2)
-		require.Less(t, all, limit*1.15)
-		require.Greater(t, all, limit*0.6)
+		spreadRate := measureRate(15, 0, 1, 2)
+		require.Less(t, spreadRate, limit*1.15)
+		require.Greater(t, spreadRate, limit*0.6)
 		// With all demand at one box, most of the limit moves there.
-		load(10, 0)
-		one := load(10, 0)
-		require.Greater(t, one, limit*0.4)
+		measureRate(10, 0)
+		concentratedRate := measureRate(10, 0)
+		require.Greater(t, concentratedRate, limit*0.4)
 		s.net.Cut("box1", "box2")
 		s.net.Cut("box1", "box3")
 		time.Sleep(10 * time.Second)
-		cut := load(15, 0, 1, 2)
-		require.Less(t, cut, limit*1.15)
+		partitionedRate := measureRate(15, 0, 1, 2)
+		require.Less(t, partitionedRate, limit*1.15)
 	})
 }
 
@@ -353,7 +353,7 @@
 		var callers sync.WaitGroup
 		for n := range 1500 {
 			callers.Go(func() {
-				s.askUncounted(n%2, Chat{Key: braga, Prompt: "flood " + itoa(n), Deadline: 100 * time.Second})
+				s.askUncounted(n%2, Chat{Key: bragaKey, Prompt: "flood " + itoa(n), Deadline: 100 * time.Second})
 			})
 		}
 		time.Sleep(2 * time.Second)
@@ -373,16 +373,16 @@
 	for _, down := range []bool{false, true} {
 		t.Run(fmt.Sprint("log down ", down), func(t *testing.T) {
 			withTestFleet(t, 4, func(s *testFleet) {
-				s.logDown(true)
+				s.setLogDown(true)
 				s.requireAnswer(0, Chat{})
 				s.Boxes[0].Kill()
-				s.logDown(down)
+				s.setLogDown(down)
 				var stops sync.WaitGroup
 				for _, box := range s.Boxes[1:3] {
 					stops.Go(func() { require.NoError(t, box.Stop(context.Background())) })
 				}
 				stops.Wait()
-				s.logDown(false)
+				s.setLogDown(false)
 				s.requireBills()
 			})
 		})
--- a/lab/fuzz_test.go
+++ b/lab/fuzz_test.go
@@ -34,9 +34,9 @@
 }
 
 var fuzzKinds = []string{
-	"chat", "chat", "chat", "stream", "session", "session", "enter", "enter", "enter", "sleep", "sleep",
+	"chat", "chat", "chat", "stream", "session", "session", "entry", "entry", "entry", "sleep", "sleep",
 	"kill", "start", "stop", "cut log", "heal log", "isolate", "rejoin", "log down", "log up", "lose answer",
-	"engine", "leave", "stay", "withdraw", "change", "rollout", "advance",
+	"engine fault", "drain", "no-op", "withdraw", "change", "rollout", "advance",
 }
 
 // fuzzRun applies steps to a fleet and tracks the state that the invariants are checked against.
@@ -44,7 +44,7 @@
 	*testFleet
 	isolated  map[int]bool
 	logCut    map[int]bool
-	logDown   bool
+	isLogDown bool
 	lastKill  time.Time // last kill while usage records may have existed in the memory of two boxes only
 	versions  map[string]willowwick.VersionID
 	tokens    map[string]string
@@ -100,7 +100,7 @@
 		return f.playChat(step, Chat{Stream: step.Kind == "stream", Model: []string{"run-large", "run-small", "auto"}[step.Which%3]})
 	case "session":
 		return f.playSession(step)
-	case "enter":
+	case "entry":
 		return f.playEntry(step)
 	case "sleep":
 		time.Sleep(time.Duration(step.Which+1) * time.Second)
@@ -135,21 +135,21 @@
 			time.Sleep(settleTime)
 		}
 	default:
-		return f.playOutside(step)
+		return f.playExternal(step)
 	}
 	return nil
 }
 
-// playOutside plays the steps that concern the platform and the runners.
-func (f *fuzzRun) playOutside(step fuzzStep) error {
+// playExternal plays the steps that concern the platform and the runners.
+func (f *fuzzRun) playExternal(step fuzzStep) error {
 	runner := f.Runners[step.Which%len(f.Runners)]
 	switch step.Kind {
 	case "log down", "log up":
-		f.logDown = step.Kind == "log down"
-		f.Platform.SetFaults(func(faults *standin.PlatformFaults) { faults.LogDown = f.logDown })
+		f.isLogDown = step.Kind == "log down"
+		f.Platform.SetFaults(func(faults *standin.PlatformFaults) { faults.LogDown = f.isLogDown })
 	case "lose answer":
 		f.Platform.SetFaults(func(faults *standin.PlatformFaults) { faults.DroppedAnswers = 1 })
-	case "engine":
+	case "engine fault":
 		runner.SetFaults(func(faults *standin.EngineFaults) {
 			switch step.Box {
 			case 0:
@@ -162,7 +162,7 @@
 				faults.Repeat = 1
 			}
 		})
-	case "leave":
+	case "drain":
 		if step.Which%len(f.Runners) == 0 {
 			runner.SetFaults(func(faults *standin.EngineFaults) { faults.Draining = true })
 		}
@@ -193,7 +193,7 @@
 // while the log was unreachable.
 func (f *fuzzRun) playKill(step fuzzStep) {
 	box := f.Boxes[step.Box]
-	unsafe := f.stoppedCount() > 0 || len(f.isolated) > 0 || time.Since(f.lastKill) < usageLossWindow || f.logDown || len(f.logCut) > 0
+	unsafe := f.stoppedCount() > 0 || len(f.isolated) > 0 || time.Since(f.lastKill) < usageLossWindow || f.isLogDown || len(f.logCut) > 0
 	if box.Running() && !unsafe {
 		box.Kill()
 		f.lastKill = time.Now()
@@ -212,7 +212,7 @@
 func (f *fuzzRun) checkReply(reply Reply, began int) error {
 	switch {
 	case reply.Outcome == OutcomeMismatched:
-		return errors.Errorf("not the whole answer: %+v", reply)
+		return errors.Errorf("incomplete or mixed-up answer: %+v", reply)
 	case reply.Outcome == OutcomeRefused && reply.Text == string(willowwick.KindNotRun) && began > 0:
 		return errors.Errorf("refused as not run, but %d calls began: %+v", began, reply)
 	case reply.Outcome == OutcomeRefused && reply.Text == string(willowwick.KindInvalid):
@@ -264,9 +264,9 @@
 			instance.SetFaults(func(faults *standin.ServiceFaults) { faults.DroppedAnswers = 1 })
 		}
 	}
-	before := f.effects(entry)
+	before := f.effectCount(entry)
 	reply := f.postEntry(step.Box, entry, entry)
-	after := f.effects(entry)
+	after := f.effectCount(entry)
 	for _, instance := range f.Services["bookkeeping"] {
 		instance.SetFaults(func(faults *standin.ServiceFaults) { faults.DroppedAnswers = 0 })
 	}
@@ -274,7 +274,7 @@
 	case after > 1:
 		return errors.Errorf("%s took effect %d times", entry, after)
 	case reply.Outcome == OutcomeComplete && after-before != 1:
-		return errors.Errorf("%s was answered and took effect %d times", entry, after-before)
+		return errors.Errorf("%s was answered but took effect %d times", entry, after-before)
 	}
 	return f.checkReply(reply, after-before)
 }
@@ -327,7 +327,7 @@
 		}
 		status := box.Daemon.Status()
 		if status.Offset < f.offsets[status.Boot] {
-			return errors.Errorf("%s went back from offset %d to %d", box.ID, f.offsets[status.Boot], status.Offset)
+			return errors.Errorf("%s regressed from offset %d to %d", box.ID, f.offsets[status.Boot], status.Offset)
 		}
 		f.offsets[status.Boot] = status.Offset
 		if status.HoldsLease {
@@ -337,9 +337,9 @@
 	if holders > 1 {
 		return errors.Errorf("%d boxes hold the lease", holders)
 	}
-	for version, since := range f.withdrawn {
-		if late := f.ServedSince(version, since.Add(inForceTime)); late > 0 {
-			return errors.Errorf("%s began %d calls long after it was withdrawn", version, late)
+	for version, withdrawnAt := range f.withdrawn {
+		if lateCalls := f.ServedSince(version, withdrawnAt.Add(inForceTime)); lateCalls > 0 {
+			return errors.Errorf("%s received %d calls long after its withdrawal", version, lateCalls)
 		}
 	}
 	return nil
@@ -347,7 +347,7 @@
 
 // finish heals all faults and checks what must hold at the end.
 func (f *fuzzRun) finish() error {
-	f.logDown = false
+	f.isLogDown = false
 	f.Platform.SetFaults(func(faults *standin.PlatformFaults) { *faults = standin.PlatformFaults{} })
 	for i, box := range f.Boxes {
 		f.rejoin(i)
@@ -357,7 +357,7 @@
 			}
 		}
 	}
-	if err := f.WaitReady(readyTime); err != nil {
+	if err := f.WaitReady(readyTimeout); err != nil {
 		return err
 	}
 	time.Sleep(2 * settleTime)
@@ -371,7 +371,7 @@
 		}
 	}
 	if ledger.TotalCount != f.billed || ledger.BilledTwice() > 0 {
-		return errors.Errorf("%d answers, %d bills, %d of them twice", f.billed, ledger.TotalCount, ledger.BilledTwice())
+		return errors.Errorf("%d answers, %d billed, %d billed twice", f.billed, ledger.TotalCount, ledger.BilledTwice())
 	}
 	return f.checkInvariants()
 }
@@ -397,7 +397,7 @@
 			return err
 		}
 		if actualHash != expectedHash || oracle.Offset-r.Offset > 5 {
-			return errors.Errorf("%s is at offset %d of %d, its state differs: %t", box.ID, r.Offset, oracle.Offset, actualHash != expectedHash)
+			return errors.Errorf("%s is at offset %d of %d, state differs: %t", box.ID, r.Offset, oracle.Offset, actualHash != expectedHash)
 		}
 	}
 	return nil
--- a/lab/handover_test.go
+++ b/lab/handover_test.go
@@ -16,14 +16,14 @@
 // usual seed and with 4 of 7 others.
 func TestReturnedUsageRecordsAreAppendedOnce(t *testing.T) {
 	withTestFleet(t, 2, func(s *testFleet) {
-		s.logDown(true)
+		s.setLogDown(true)
 		for range 5 {
 			s.requireAnswer(0, Chat{})
 		}
 		require.NoError(t, s.Boxes[1].Stop(context.Background()))
 		// Longer than a replica waits for the owner to append its usage records.
 		time.Sleep(15 * time.Second)
-		s.logDown(false)
+		s.setLogDown(false)
 		ledger := s.requireBills()
 		appended := len(s.Platform.Entries(willowwick.StreamUsage))
 		time.Sleep(time.Minute)
--- a/lab/lab_test.go
+++ b/lab/lab_test.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	coimbra   = "demo-lab-coimbra"
-	braga     = "demo-lab-braga"
-	harbour   = "demo-harbour-builds"
-	readyTime = 60 * time.Second
-	tokens    = 400
+	coimbraKey      = "demo-lab-coimbra"
+	bragaKey        = "demo-lab-braga"
+	harbourKey      = "demo-harbour-builds"
+	readyTimeout    = 60 * time.Second
+	maxAnswerTokens = 400
 )
 
 // testFleet is a fleet in virtual time with a caller.
@@ -63,12 +63,12 @@
 		s.Fleet = fleet
 		s.client = fleet.Client("caller")
 		require.NoError(t, fleet.Apply(examples.Declarations))
-		require.NoError(t, fleet.WaitReady(readyTime))
+		require.NoError(t, fleet.WaitReady(readyTimeout))
 		test(s)
 	})
 }
 
-func (s *testFleet) prompt() string {
+func (s *testFleet) nextPrompt() string {
 	s.prompts++
 	return "prompt " + itoa(s.prompts)
 }
@@ -76,15 +76,15 @@
 // ask sends a chat to a box and counts a complete answer as billed.
 func (s *testFleet) ask(box int, chat Chat) Reply {
 	if chat.Prompt == "" {
-		chat.Prompt = s.prompt()
+		chat.Prompt = s.nextPrompt()
 	}
 	if chat.Key == "" {
-		chat.Key = coimbra
+		chat.Key = coimbraKey
 	}
 	if chat.Model == "" {
 		chat.Model = "run-large"
 	}
-	chat.MaxTokens = tokens
+	chat.MaxTokens = maxAnswerTokens
 	reply := Ask(context.Background(), s.client, s.Boxes[box].CallerAddress, chat)
 	if reply.Outcome == OutcomeComplete {
 		s.billed++
--- a/lab/poison_test.go
+++ b/lab/poison_test.go
@@ -33,8 +33,8 @@
 			reply := s.ask(box, Chat{Prompt: poisonPrompt})
 			assert.Equal(t, http.StatusBadGateway, reply.Status)
 			assert.Contains(t, reply.Detail, string(willowwick.CodeHarmful))
-			assert.Zero(t, reply.RetryAfter, "it is not to come again")
-			assert.Less(t, time.Since(started), 50*time.Millisecond, "it is told so at once")
+			assert.Zero(t, reply.RetryAfter, "no retry is suggested")
+			assert.Less(t, time.Since(started), 50*time.Millisecond, "the refusal is immediate")
 			s.requireAnswer(box, Chat{})
 		}
 		running := 0
--- a/lab/promises_test.go
+++ b/lab/promises_test.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// change publishes objects as one change.
-func (s *testFleet) change(id string, objects ...config.Object) willowwick.Offset {
+// publishChange publishes objects as one change.
+func (s *testFleet) publishChange(id string, objects ...config.Object) willowwick.Offset {
 	s.t.Helper()
 	state, err := s.State()
 	require.NoError(s.t, err)
@@ -97,7 +97,7 @@
 	}
 }
 
-func (s *testFleet) logDown(down bool) {
+func (s *testFleet) setLogDown(down bool) {
 	s.Platform.SetFaults(func(f *standin.PlatformFaults) { f.LogDown = down })
 }
 
@@ -109,8 +109,8 @@
 
 		policy := &config.Policy{}
 		policy.Rules = append(policy.Rules, disallowedModelRule())
-		s.change("wide", newObject(t, config.KindPolicy, "scans", policy))
-		s.change("point", newObject(t, config.KindClientAccount, "quay-notes", &config.ClientAccount{
+		s.publishChange("wide", newObject(t, config.KindPolicy, "scans", policy))
+		s.publishChange("point", newObject(t, config.KindClientAccount, "quay-notes", &config.ClientAccount{
 			Keys: []string{config.HashKey("demo-quay-notes")}, Allow: []string{"scan-small"}, Default: "notes", Policy: "scans",
 		}))
 		for box := range s.Boxes {
@@ -133,7 +133,7 @@
 		outcomes := map[Outcome]int{}
 		for n := range 60 {
 			callers.Go(func() {
-				reply := s.askUncounted(n%2, Chat{Model: "scan-small", Key: harbour, Prompt: "queued " + itoa(n)})
+				reply := s.askUncounted(n%2, Chat{Model: "scan-small", Key: harbourKey, Prompt: "queued " + itoa(n)})
 				mu.Lock()
 				defer mu.Unlock()
 				outcomes[reply.Outcome]++
@@ -151,19 +151,19 @@
 // askUncounted is ask without counting the answer as billed; it is safe for concurrent use.
 func (s *testFleet) askUncounted(box int, chat Chat) Reply {
 	if chat.Key == "" {
-		chat.Key = coimbra
+		chat.Key = coimbraKey
 	}
 	if chat.Model == "" {
 		chat.Model = "run-large"
 	}
-	chat.MaxTokens = tokens
+	chat.MaxTokens = maxAnswerTokens
 	return Ask(context.Background(), s.client, s.Boxes[box].CallerAddress, chat)
 }
 
 // TestWithdrawnVersionGetsNoNewWork covers a concurrent change and a box cut off from the log.
 func TestWithdrawnVersionGetsNoNewWork(t *testing.T) {
 	withTestFleet(t, 3, func(s *testFleet) {
-		s.change("fallback", newObject(t, config.KindModel, "run-large", &config.Model{Settled: "run-large-1", Fallback: []willowwick.VersionID{"run-large-0"}}),
+		s.publishChange("fallback", newObject(t, config.KindModel, "run-large", &config.Model{Settled: "run-large-1", Fallback: []willowwick.VersionID{"run-large-0"}}),
 			newObject(t, config.KindVersion, "run-large-0", &config.Version{Model: "run-large"}))
 		for _, runner := range s.Runners {
 			runner.SetBehaviour("run-large-0", standin.VersionBehaviour{Quality: 1})
@@ -180,7 +180,7 @@
 		}})
 		for box := range s.Boxes {
 			for range 5 {
-				s.askUncounted(box, Chat{Model: "run-large", Prompt: s.prompt()})
+				s.askUncounted(box, Chat{Model: "run-large", Prompt: s.nextPrompt()})
 			}
 		}
 		require.Zero(t, s.ServedSince("run-large-1", inForce))
@@ -206,7 +206,7 @@
 func TestSessionKeepsItsVersion(t *testing.T) {
 	withTestFleet(t, 4, func(s *testFleet) {
 		rollout := &config.Rollout{Model: "run-small", From: "run-small-1", To: "run-small-2", Steps: []float64{50, 80, 100}, MinRequests: 1000}
-		s.change("roll", newObject(t, config.KindRollout, "run", rollout))
+		s.publishChange("roll", newObject(t, config.KindRollout, "run", rollout))
 		const sessions = 24
 		before := map[string]willowwick.VersionID{}
 		tokensOf := map[string]string{}
@@ -228,20 +228,20 @@
 				}
 			}
 		}
-		check("no event")
+		check("before any event")
 		s.advanceRollout("run")
 		check("a step")
 		s.Boxes[1].Kill()
 		time.Sleep(30 * time.Second)
 		check("a killed box")
 		require.NoError(t, s.Boxes[1].Start())
-		require.NoError(t, s.WaitReady(readyTime))
+		require.NoError(t, s.WaitReady(readyTimeout))
 		s.advanceRollout("run")
 		check("a restarted box and another step")
-		s.logDown(true)
+		s.setLogDown(true)
 		time.Sleep(10 * time.Second)
 		check("an outage of the log")
-		s.logDown(false)
+		s.setLogDown(false)
 		// Callers that carry tokens do not depend on the boxes' memory.
 		for id, token := range tokensOf {
 			require.Equal(t, before[id], s.requireAnswer(0, Chat{Model: "run-small", Token: token}).Version)
@@ -280,7 +280,7 @@
 		}
 		s.requireBills()
 
-		s.logDown(true)
+		s.setLogDown(true)
 		for range 10 {
 			s.requireAnswer(1, Chat{Stream: true})
 		}
@@ -289,7 +289,7 @@
 		for range 5 {
 			s.requireAnswer(0, Chat{})
 		}
-		s.logDown(false)
+		s.setLogDown(false)
 		s.requireBills()
 
 		// The owner of the usage records dies between the answers and the append.
@@ -448,7 +448,7 @@
 			})
 		}
 		time.Sleep(2 * time.Second)
-		s.logDown(true)
+		s.setLogDown(true)
 		var stops sync.WaitGroup
 		for _, box := range s.Boxes[2:] {
 			stops.Go(func() { require.NoError(t, box.Stop(context.Background())) })
@@ -465,7 +465,7 @@
 		}
 		callers.Wait()
 		stops.Wait()
-		s.logDown(false)
+		s.setLogDown(false)
 		s.billed = answered
 		s.requireBills()
 	})
--- a/lab/ratelimit_test.go
+++ b/lab/ratelimit_test.go
@@ -40,13 +40,13 @@
 
 // maxPerWindow returns the most times in any rateWindow that lies within from and to.
 func maxPerWindow(times []time.Time, from, to time.Time) int {
-	most := 0
-	for _, begin := range times {
-		if !begin.Before(from) && !begin.Add(rateWindow).After(to) {
-			most = max(most, countBetween(times, begin, begin.Add(rateWindow)))
+	highest := 0
+	for _, start := range times {
+		if !start.Before(from) && !start.Add(rateWindow).After(to) {
+			highest = max(highest, countBetween(times, start, start.Add(rateWindow)))
 		}
 	}
-	return most
+	return highest
 }
 
 // sendSteadyLoad sends chats to every running box for a duration and counts the replies by status.
@@ -59,7 +59,7 @@
 			if !s.Boxes[box].Running() {
 				continue
 			}
-			prompt := s.prompt()
+			prompt := s.nextPrompt()
 			callers.Go(func() {
 				reply := s.askOnce(box, prompt)
 				mu.Lock()
@@ -78,22 +78,22 @@
 	const rate = 1.5
 	withTestFleet(t, 4, func(s *testFleet) {
 		requireLimited := func(runner *standin.Engine, from, to time.Time, minUsedShare float64, what string) {
-			most, all := maxPerWindow(servedTimes(runner), from, to), countBetween(servedTimes(runner), from, to)
-			t.Logf("%s: most %d in %s, %d in %s", what, most, rateWindow, all, to.Sub(from))
-			require.LessOrEqual(t, float64(most), 1.5*rate*rateWindow.Seconds()+5, what)
-			require.GreaterOrEqual(t, float64(all), minUsedShare*rate*to.Sub(from).Seconds(), "the limit is used, %s", what)
+			peak, total := maxPerWindow(servedTimes(runner), from, to), countBetween(servedTimes(runner), from, to)
+			t.Logf("%s: peak %d in %s, total %d in %s", what, peak, rateWindow, total, to.Sub(from))
+			require.LessOrEqual(t, float64(peak), 1.5*rate*rateWindow.Seconds()+5, what)
+			require.GreaterOrEqual(t, float64(total), minUsedShare*rate*to.Sub(from).Seconds(), "the limit is used up, %s", what)
 		}
 		limited := s.Runners[0]
 		limited.SetFaults(func(f *standin.EngineFaults) { f.RateLimit = "1.5" })
 		s.sendSteadyLoad(limitPropagationTime)
 		for _, isDown := range []bool{false, true} {
-			s.logDown(isDown)
+			s.setLogDown(isDown)
 			from := time.Now()
 			statuses := s.sendSteadyLoad(40 * time.Second)
-			require.Equal(t, map[int]int{http.StatusOK: statuses[http.StatusOK]}, statuses, "the other runners take the rest")
-			requireLimited(limited, from, time.Now(), 0.5, map[bool]string{false: "log there", true: "log away"}[isDown])
+			require.Equal(t, map[int]int{http.StatusOK: statuses[http.StatusOK]}, statuses, "the other runners answer everything else")
+			requireLimited(limited, from, time.Now(), 0.5, map[bool]string{false: "log up", true: "log down"}[isDown])
 		}
-		s.logDown(false)
+		s.setLogDown(false)
 		s.sendSteadyLoad(20 * time.Second)
 		from := time.Now()
 		for box := range s.Boxes {
@@ -103,7 +103,7 @@
 			s.sendSteadyLoad(5 * time.Second)
 		}
 		// The lease holder is among the restarted boxes, and its lease expires only after a while.
-		requireLimited(limited, from, time.Now(), 0.25, "boxes start anew")
+		requireLimited(limited, from, time.Now(), 0.25, "boxes restart")
 
 		for _, runner := range s.Runners {
 			runner.SetFaults(func(f *standin.EngineFaults) { f.RateLimit = "1.5" })
@@ -127,7 +127,7 @@
 
 // askOnce sends one chat to a box.
 func (s *testFleet) askOnce(box int, prompt string) Reply {
-	return Ask(context.Background(), s.client, s.Boxes[box].CallerAddress, Chat{Prompt: prompt, Key: coimbra, Model: "run-large", MaxTokens: tokens})
+	return Ask(context.Background(), s.client, s.Boxes[box].CallerAddress, Chat{Prompt: prompt, Key: coimbraKey, Model: "run-large", MaxTokens: maxAnswerTokens})
 }
 
 // TestRunnerRateLimitHoldsForIsolatedBoxes cuts each box in turn, the lease holder among them, off from the log and the
@@ -145,11 +145,11 @@
 			s.rejoin(box)
 			s.sendSteadyLoad(4 * time.Second)
 		}
-		most := maxPerWindow(servedTimes(limited), from, time.Now())
-		all := countBetween(servedTimes(limited), from, time.Now())
-		t.Logf("most %d in %s, %d in %s", most, rateWindow, all, time.Since(from))
-		require.LessOrEqual(t, float64(most), 1.5*rate*rateWindow.Seconds()+5)
-		require.GreaterOrEqual(t, float64(all), 0.25*rate*time.Since(from).Seconds())
+		peak := maxPerWindow(servedTimes(limited), from, time.Now())
+		total := countBetween(servedTimes(limited), from, time.Now())
+		t.Logf("peak %d in %s, total %d in %s", peak, rateWindow, total, time.Since(from))
+		require.LessOrEqual(t, float64(peak), 1.5*rate*rateWindow.Seconds()+5)
+		require.GreaterOrEqual(t, float64(total), 0.25*rate*time.Since(from).Seconds())
 	})
 }
 
@@ -160,16 +160,16 @@
 	withTestFleet(t, 3, func(s *testFleet) {
 		instances := s.Services["bookkeeping"]
 		instances[0].SetFaults(func(f *standin.ServiceFaults) { f.RateLimit = "1" })
-		call := func(duration time.Duration, name string) {
+		postFor := func(duration time.Duration, name string) {
 			for deadline, n := time.Now().Add(duration), 0; time.Now().Before(deadline); n++ {
 				reply := s.postEntry(n%len(s.Boxes), name+itoa(n), name+itoa(n))
 				require.Equal(t, OutcomeComplete, reply.Outcome, "%+v", reply)
 				time.Sleep(50 * time.Millisecond)
 			}
 		}
-		call(limitPropagationTime, "before-")
+		postFor(limitPropagationTime, "before-")
 		before := len(instances[0].Effects())
-		call(duration, "after-")
+		postFor(duration, "after-")
 		received := len(instances[0].Effects()) - before
 		t.Logf("%d calls in %s", received, duration)
 		require.LessOrEqual(t, float64(received), 1.5*rate*duration.Seconds()+5)
--- a/lab/rollout_test.go
+++ b/lab/rollout_test.go
@@ -33,7 +33,7 @@
 func (s *testFleet) startRollout(steps ...float64) {
 	s.t.Helper()
 	rollout := &config.Rollout{Model: "run-small", From: "run-small-1", To: "run-small-2", Steps: steps, MinRequests: 30}
-	s.change("roll", newObject(s.t, config.KindRollout, "run", rollout))
+	s.publishChange("roll", newObject(s.t, config.KindRollout, "run", rollout))
 }
 
 func (s *testFleet) rolloutProgress() config.Progress {
@@ -47,8 +47,8 @@
 	s.t.Helper()
 	state, err := s.State()
 	require.NoError(s.t, err)
-	_, gone := state.Withdrawn[version]
-	return gone
+	_, withdrawn := state.Withdrawn[version]
+	return withdrawn
 }
 
 // TestRolloutCompletesAfterLeaseHolderIsKilled kills the lease holder halfway through a good roll-out.
@@ -124,10 +124,10 @@
 func TestRolloutWaitsWhileTheLogIsDown(t *testing.T) {
 	withTestFleet(t, 3, func(s *testFleet) {
 		s.startRollout(30, 100)
-		s.logDown(true)
+		s.setLogDown(true)
 		s.sendLoad(40, 30*time.Second, func() bool { return false })
 		require.Zero(t, s.rolloutProgress().Step)
-		s.logDown(false)
+		s.setLogDown(false)
 		s.sendLoad(40, 2*time.Minute, func() bool { return s.rolloutProgress().Done })
 		require.True(t, s.rolloutProgress().Done)
 	})
--- a/lab/tls_test.go
+++ b/lab/tls_test.go
@@ -69,7 +69,7 @@
 	require.NoError(t, err)
 	defer closeFleet()
 	require.NoError(t, f.Apply(examples.Declarations))
-	require.NoError(t, f.WaitReady(readyTime))
+	require.NoError(t, f.WaitReady(readyTimeout))
 
 	f.options.Settings.PeerTLS = stranger.peerConfig(t, stranger)
 	outside := &Box{ID: "outside", Hall: "hall-a", fleet: f}
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -240,7 +240,7 @@
 	e.served[run.call.Model] = append(e.served[run.call.Model], time.Now())
 	draw := float64(xxhash.Sum64String(string(run.request)+run.prompt)%hashBuckets) / hashBuckets
 	if e.faults.FailAll || draw < behaviour.Errors {
-		http.Error(w, "engine failure", http.StatusInternalServerError)
+		http.Error(w, "injected failure", http.StatusInternalServerError)
 		return false
 	}
 	if behaviour.Slow > 1 {
@@ -310,9 +310,9 @@
 		if !e.injectFault(r, run, i) {
 			continue
 		}
-		e.send(w, run, i)
+		e.sendChunk(w, run, i)
 		if run.faults.Repeat > 0 && i == run.resumeAt+1 {
-			e.send(w, run, i)
+			e.sendChunk(w, run, i)
 		}
 		if err := controller.Flush(); err != nil {
 			return
@@ -335,7 +335,7 @@
 	return run.faults.Skip == 0 || i != run.resumeAt+1
 }
 
-func (e *Engine) send(w http.ResponseWriter, run chatRun, i int) {
+func (e *Engine) sendChunk(w http.ResponseWriter, run chatRun, i int) {
 	position := i
 	chunk := remote.ChatChunk{
 		ID: run.request, Object: "chat.completion.chunk", Created: time.Now().Unix(),
@@ -413,11 +413,11 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.ChecksFencing && order.Fence < e.fence {
-		http.Error(w, "fenced off", http.StatusConflict)
+		http.Error(w, "stale fence", http.StatusConflict)
 		return
 	}
 	if time.Now().After(order.Deadline) {
-		http.Error(w, "too late", http.StatusGone)
+		http.Error(w, "deadline of the order has passed", http.StatusGone)
 		return
 	}
 	e.fence = max(e.fence, order.Fence)
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -168,9 +168,9 @@
 	offset := s.first + willowwick.Offset(len(s.entries))
 	s.entries = append(s.entries, willowwick.Entry{Offset: offset, Data: data})
 	if p.faults.Retain > 0 && id == willowwick.StreamConfig && len(s.entries) > p.faults.Retain {
-		cut := len(s.entries) - p.faults.Retain
-		s.entries = append([]willowwick.Entry(nil), s.entries[cut:]...)
-		s.first += willowwick.Offset(cut)
+		excess := len(s.entries) - p.faults.Retain
+		s.entries = append([]willowwick.Entry(nil), s.entries[excess:]...)
+		s.first += willowwick.Offset(excess)
 	}
 	return offset
 }
@@ -236,8 +236,8 @@
 	s := p.stream(id)
 	page := willowwick.Page{First: s.first, Next: s.first + willowwick.Offset(len(s.entries))}
 	if from >= s.first && from < page.Next {
-		rest := s.entries[from-s.first:]
-		page.Entries = append(page.Entries, rest[:min(limit, len(rest))]...)
+		available := s.entries[from-s.first:]
+		page.Entries = append(page.Entries, available[:min(limit, len(available))]...)
 	}
 	return page
 }
--- a/standin/stalling_proxy.go
+++ b/standin/stalling_proxy.go
@@ -68,7 +68,7 @@
 		}
 		server, err := net.Dial("tcp", s.target)
 		if err != nil {
-			slog.Debug("silencer does not reach its target", "target", s.target, "error", err)
+			slog.Debug("stalling proxy cannot reach its target", "target", s.target, "error", err)
 			_ = client.Close()
 			continue
 		}
--- a/standin/store.go
+++ b/standin/store.go
@@ -79,12 +79,12 @@
 		unavailable: map[string]bool{}, topics: map[string]*storeTopic{}, groups: map[string]*storeGroup{}, calls: map[string]int{},
 		mux: http.NewServeMux(),
 	}
-	s.mux.HandleFunc("POST /log-append", s.appendRecords)
-	s.mux.HandleFunc("GET /log-read", s.read)
-	s.mux.HandleFunc("GET /log-newest", s.readNewest)
-	s.mux.HandleFunc("POST /log-join", s.join)
-	s.mux.HandleFunc("POST /log-leave", s.leave)
-	s.mux.HandleFunc("GET /log-owners", s.owners)
+	s.mux.HandleFunc("POST /log-append", s.handleAppend)
+	s.mux.HandleFunc("GET /log-read", s.handleRead)
+	s.mux.HandleFunc("GET /log-newest", s.handleReadNewest)
+	s.mux.HandleFunc("POST /log-join", s.handleJoin)
+	s.mux.HandleFunc("POST /log-leave", s.handleLeave)
+	s.mux.HandleFunc("GET /log-owners", s.handleOwners)
 	return s
 }
 
@@ -200,7 +200,7 @@
 	t.records = append(t.records, record)
 }
 
-func (s *Store) appendRecords(w http.ResponseWriter, r *http.Request) {
+func (s *Store) handleAppend(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxAppendBytes))
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -211,7 +211,7 @@
 	if expectedEnd := r.URL.Query().Get("store-revision"); expectedEnd != "" && expectedEnd != strconv.FormatUint(t.end(), 10) {
 		end := t.end()
 		s.mu.Unlock()
-		writeStatus(w, http.StatusPreconditionFailed, map[string]uint64{"end": end})
+		writeJSONStatus(w, http.StatusPreconditionFailed, map[string]uint64{"end": end})
 		return
 	}
 	offset := t.end()
@@ -229,17 +229,17 @@
 	if dropAnswer {
 		panic(http.ErrAbortHandler)
 	}
-	writeStatus(w, http.StatusOK, map[string]uint64{"offset": offset, "end": end})
+	writeJSONStatus(w, http.StatusOK, map[string]uint64{"offset": offset, "end": end})
 }
 
-func writeStatus(w http.ResponseWriter, status int, body any) {
+func writeJSONStatus(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	// Errors are ignored: the caller sees a truncated answer.
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-func (s *Store) read(w http.ResponseWriter, r *http.Request) {
+func (s *Store) handleRead(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	from, err := strconv.ParseUint(query.Get("from"), 10, 64)
 	if err != nil {
@@ -263,7 +263,7 @@
 		case down, eraChanged:
 			panic(http.ErrAbortHandler)
 		case from < first, from > end:
-			writeStatus(w, http.StatusGone, map[string]uint64{"first": first})
+			writeJSONStatus(w, http.StatusGone, map[string]uint64{"first": first})
 			return
 		case len(records) > 0 || time.Now().After(deadline) || r.Context().Err() != nil:
 			writeRecords(w, end, first, records)
@@ -299,7 +299,7 @@
 	_, _ = w.Write(data)
 }
 
-func (s *Store) readNewest(w http.ResponseWriter, r *http.Request) {
+func (s *Store) handleReadNewest(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	t := s.topic(r.URL.Query().Get("topic"))
 	items := []storeItem{}
@@ -309,14 +309,14 @@
 	end := t.end()
 	s.mu.Unlock()
 	sort.Slice(items, func(i, j int) bool { return items[i].Key < items[j].Key })
-	writeStatus(w, http.StatusOK, struct {
+	writeJSONStatus(w, http.StatusOK, struct {
 		Items []storeItem `json:"items"`
 		More  bool        `json:"has-more"`
 		End   uint64      `json:"end"`
 	}{items, false, end})
 }
 
-func (s *Store) join(w http.ResponseWriter, r *http.Request) {
+func (s *Store) handleJoin(w http.ResponseWriter, r *http.Request) {
 	var call joinRequest
 	if err := json.NewDecoder(r.Body).Decode(&call); err != nil || len(call.Topics) == 0 {
 		w.WriteHeader(http.StatusBadRequest)
@@ -334,12 +334,12 @@
 	g.members[call.Member] = time.Now().Add(time.Duration(call.TTLMs) * time.Millisecond)
 	g.expire()
 	var parts [][]any
-	if g.leader() == call.Member {
+	if g.partOwner() == call.Member {
 		parts = append(parts, []any{g.topic, 0, 0})
 	}
 	generation := g.generation
 	s.mu.Unlock()
-	writeStatus(w, http.StatusOK, map[string]any{"generation": generation, "ttl-ms": call.TTLMs, "parts": parts})
+	writeJSONStatus(w, http.StatusOK, map[string]any{"generation": generation, "ttl-ms": call.TTLMs, "parts": parts})
 }
 
 func (g *storeGroup) expire() {
@@ -351,18 +351,18 @@
 	}
 }
 
-// leader returns the member that owns the topic's only part.
-func (g *storeGroup) leader() string {
-	leader := ""
+// partOwner returns the member that owns the topic's only part.
+func (g *storeGroup) partOwner() string {
+	owner := ""
 	for member := range g.members {
-		if leader == "" || member < leader {
-			leader = member
+		if owner == "" || member < owner {
+			owner = member
 		}
 	}
-	return leader
+	return owner
 }
 
-func (s *Store) leave(w http.ResponseWriter, r *http.Request) {
+func (s *Store) handleLeave(w http.ResponseWriter, r *http.Request) {
 	var call joinRequest
 	if err := json.NewDecoder(r.Body).Decode(&call); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -374,10 +374,10 @@
 		g.generation++
 	}
 	s.mu.Unlock()
-	writeStatus(w, http.StatusOK, struct{}{})
+	writeJSONStatus(w, http.StatusOK, struct{}{})
 }
 
-func (s *Store) owners(w http.ResponseWriter, r *http.Request) {
+func (s *Store) handleOwners(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	var rows [][]any
 	if g := s.groups[r.URL.Query().Get("group")]; g != nil {
@@ -386,5 +386,5 @@
 		}
 	}
 	s.mu.Unlock()
-	writeStatus(w, http.StatusOK, map[string]any{"parts": rows})
+	writeJSONStatus(w, http.StatusOK, map[string]any{"parts": rows})
 }
