--- a/lab/caller.go
+++ b/lab/caller.go
@@ -45,7 +45,7 @@
 		RequestID  string
 		Text       string
 		Detail     string
-		RetryAfter int
+		RetryAfter int // seconds
 		FirstToken time.Duration
 		Duration   time.Duration
 	}
--- a/lab/isolated_config_test.go
+++ b/lab/isolated_config_test.go
@@ -27,7 +27,7 @@
 			},
 		}})
 		require.NoError(t, err)
-		s.eventually(16*time.Second, "in force at the others", func() bool {
+		s.eventually(16*time.Second, "in force on the other boxes", func() bool {
 			_, found := s.Boxes[0].Daemon.Node().Follower.Revision().Cascade("extra")
 			return found
 		})
--- a/lab/poison_test.go
+++ b/lab/poison_test.go
@@ -14,8 +14,8 @@
 const poisonPrompt = "ends the runner that runs it"
 
 // TestPromptThatCrashesRunnersIsRefusedByAllBoxes sends a prompt that crashes the runner that runs it, again and again
-// through all boxes. At least one of five runners survives and answers other prompts, boxes that saw none of the
-// crashes refuse the prompt too, and the version that ran it is not withdrawn.
+// through all boxes. The fourth runner is spared, also by boxes that saw none of the crashes, and answers other
+// prompts; the version that ran the prompt is not withdrawn.
 func TestPromptThatCrashesRunnersIsRefusedByAllBoxes(t *testing.T) {
 	withTestFleet(t, 3, func(s *testFleet) {
 		s.addRunner(t)
--- a/lab/promises_test.go
+++ b/lab/promises_test.go
@@ -395,8 +395,8 @@
 
 // TestDrainingEndpointGetsNoNewWork within 3 s, although the list lags by a minute; requests under way finish.
 func TestDrainingEndpointGetsNoNewWork(t *testing.T) {
-	t.Run("refuses", func(t *testing.T) { checkDraining(t, standin.EngineFaults{Draining: true}) })
-	t.Run("takes what comes", func(t *testing.T) { checkDraining(t, standin.EngineFaults{Draining: true, DrainsSilently: true}) })
+	t.Run("rejects new work", func(t *testing.T) { checkDraining(t, standin.EngineFaults{Draining: true}) })
+	t.Run("accepts new work", func(t *testing.T) { checkDraining(t, standin.EngineFaults{Draining: true, DrainsSilently: true}) })
 }
 
 func checkDraining(t *testing.T, faults standin.EngineFaults) {
--- a/lab/ratelimit_test.go
+++ b/lab/ratelimit_test.go
@@ -81,7 +81,7 @@
 			peak, total := maxPerWindow(servedTimes(runner), from, to), countBetween(servedTimes(runner), from, to)
 			t.Logf("%s: peak %d in %s, total %d in %s", what, peak, rateWindow, total, to.Sub(from))
 			require.LessOrEqual(t, float64(peak), 1.5*rate*rateWindow.Seconds()+5, what)
-			require.GreaterOrEqual(t, float64(total), minUsedShare*rate*to.Sub(from).Seconds(), "the limit is used up, %s", what)
+			require.GreaterOrEqual(t, float64(total), minUsedShare*rate*to.Sub(from).Seconds(), "the limit is used, %s", what)
 		}
 		limited := s.Runners[0]
 		limited.SetFaults(func(f *standin.EngineFaults) { f.RateLimit = "1.5" })
--- a/standin/backup.go
+++ b/standin/backup.go
@@ -10,7 +10,7 @@
 // eraHeader is the response header that names the store's current era.
 const eraHeader = "Store-Era"
 
-// routerTopic holds the routers' own records, which RestoreBackup does not report as lost.
+// routerTopic holds the routers' own records; RestoreBackup leaves them out, since only the routers write them again.
 const routerTopic = "keyed.status"
 
 // LostRecord is a record of the operator or of an endpoint that the store lost; an empty Value means the key was
--- a/standin/batch.go
+++ b/standin/batch.go
@@ -60,7 +60,7 @@
 		Request string // the attempt ID the router sent
 		Account string // the account the router named
 		Body    string
-		Hold    string // the Hold header, which the router must not pass on from a caller
+		Hold    string // the Hold header, a lease that callers must not be able to set
 		At      time.Time
 	}
 
