--- a/lab/fleet_promises_test.go
+++ b/lab/fleet_promises_test.go
@@ -329,7 +329,7 @@
 		spreadRate := measureRate(15, 0, 1, 2)
 		require.Less(t, spreadRate, limit*1.15)
 		require.Greater(t, spreadRate, limit*0.6)
-		// With all demand at one box, most of the limit moves there.
+		// With all demand at one box, its share of the limit grows.
 		measureRate(10, 0)
 		concentratedRate := measureRate(10, 0)
 		require.Greater(t, concentratedRate, limit*0.4)
