--- a/lab/bench_test.go
+++ b/lab/bench_test.go
@@ -16,8 +16,8 @@
 	"github.com/willowwick/willowwick/serve"
 )
 
-// BenchmarkStream streams an answer from a runner directly, and through a daemon, over loopback. The runner takes no
-// time of its own, so that what is left is the way.
+// BenchmarkStream streams an answer directly from a runner and through a daemon, over loopback. The runner adds no
+// delay, so the difference is the daemon's overhead.
 func BenchmarkStream(b *testing.B) {
 	f, closeFleet, err := NewFleet(Options{
 		Network: Loopback{}, Boxes: 2, Halls: 2, Runners: 2, Slots: 64, Versions: goodVersions(), Settings: serve.Settings{},
@@ -28,7 +28,7 @@
 		runner.FirstToken, runner.BetweenChunks = 0, 0
 	}
 	require.NoError(b, f.Apply(examples.Declarations))
-	require.NoError(b, f.WaitReady(readyTime))
+	require.NoError(b, f.WaitReady(readyTimeout))
 	client := f.Client("caller")
 	body, err := json.Marshal(remote.ChatRequest{
 		Model: "run-large-1", Messages: []willowwick.Message{{Role: "user", Content: "bench"}}, MaxTokens: 400, Stream: true,
@@ -36,18 +36,18 @@
 	require.NoError(b, err)
 	b.Run("direct", func(b *testing.B) {
 		for b.Loop() {
-			drain(b, client, "http://"+f.RunnerAddress(0)+remote.PathCompletions, body, "")
+			streamAnswer(b, client, "http://"+f.RunnerAddress(0)+remote.PathCompletions, body, "")
 		}
 	})
 	body = bytes.Replace(body, []byte("run-large-1"), []byte("run-large"), 1)
 	b.Run("through a daemon", func(b *testing.B) {
 		for b.Loop() {
-			drain(b, client, "http://"+f.Boxes[0].Callers+remote.PathCompletions, body, coimbra)
+			streamAnswer(b, client, "http://"+f.Boxes[0].CallerAddress+remote.PathCompletions, body, coimbraKey)
 		}
 	})
 }
 
-func drain(b *testing.B, client *http.Client, url string, body []byte, key string) {
+func streamAnswer(b *testing.B, client *http.Client, url string, body []byte, key string) {
 	b.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -18,56 +18,56 @@
 )
 
 const (
-	hostPlatform = "platform"
-	fleetKey     = "the key of the lab's fleet"
-	readyPoll    = 50 * time.Millisecond
-	headerWait   = 5 * time.Second
+	platformHost      = "platform"
+	fleetKey          = "the key of the lab's fleet"
+	readyPollInterval = 50 * time.Millisecond
+	readHeaderTimeout = 5 * time.Second
 )
 
 type (
-	// Options say what a fleet is made of.
+	// Options configures a Fleet.
 	Options struct {
 		Network  Network
 		Boxes    int
 		Halls    int
 		Runners  int
-		Slots    int // of each runner
+		Slots    int // per runner
 		Versions map[willowwick.VersionID]standin.VersionBehaviour
-		Services map[willowwick.ServiceID]int // instances of each
-		Settings serve.Settings               // names and addresses are filled in
+		Services map[willowwick.ServiceID]int // number of instances per service
+		Settings serve.Settings               // applied to every daemon, with names and addresses filled in
 	}
 
-	// Fleet is daemons with stand-ins around them, in one process.
+	// Fleet is a set of daemons and the stand-ins they talk to, in one process.
 	Fleet struct {
 		Platform *standin.Platform
 		Runners  []*standin.Engine
 		Services map[willowwick.ServiceID][]*standin.Service
 		Boxes    []*Box
 
-		options     Options
-		platformURL string
-		addresses   []string // of the runners
-		closers     []func()
+		options         Options
+		platformURL     string
+		runnerAddresses []string
+		closers         []func()
 	}
 
-	// Box is one box and the daemon that runs on it, if one does.
+	// Box is a box and the daemon that runs on it, if any.
 	Box struct {
-		ID      willowwick.BoxID
-		Hall    willowwick.HallID
-		Callers string
-		Admin   string
-		Daemon  *serve.Daemon
+		ID            willowwick.BoxID
+		Hall          willowwick.HallID
+		CallerAddress string
+		AdminAddress  string
+		Daemon        *serve.Daemon
 
-		fleet  *Fleet
-		starts int
-		stop   func()
+		fleet      *Fleet
+		startCount int
+		stop       func()
 	}
 )
 
-// NewFleet starts the stand-ins and the daemons; the function it returns stops them all.
+// NewFleet starts the stand-ins and the daemons, and returns a function that stops them all.
 func NewFleet(options Options) (*Fleet, func(), error) {
 	f := &Fleet{options: options, Platform: standin.NewPlatform(), Services: map[willowwick.ServiceID][]*standin.Service{}}
-	address, err := f.serve(hostPlatform, f.Platform)
+	address, err := f.serve(platformHost, f.Platform)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -77,7 +77,7 @@
 		return nil, nil, err
 	}
 	for i := range options.Boxes {
-		box := &Box{ID: willowwick.BoxID("box" + itoa(i+1)), Hall: f.hall(i), fleet: f}
+		box := &Box{ID: willowwick.BoxID("box" + itoa(i+1)), Hall: f.hallOf(i), fleet: f}
 		f.Boxes = append(f.Boxes, box)
 		if err := box.Start(); err != nil {
 			f.close()
@@ -91,34 +91,34 @@
 	return strconv.Itoa(n)
 }
 
-func (f *Fleet) hall(i int) willowwick.HallID {
+func (f *Fleet) hallOf(i int) willowwick.HallID {
 	return willowwick.HallID(fmt.Sprintf("hall-%c", 'a'+rune(i%max(f.options.Halls, 1))))
 }
 
-// serve runs an HTTP server for a host until the fleet is closed.
+// serve runs an HTTP server for a host until the fleet is closed, and returns its address.
 func (f *Fleet) serve(host string, handler http.Handler) (string, error) {
-	address, _, err := f.serveUntil(host, handler)
+	address, _, err := f.serveStoppable(host, handler)
 	return address, err
 }
 
-// serveUntil runs an HTTP server for a host until the fleet is closed, or the function it returns ends it with all its connections.
-func (f *Fleet) serveUntil(host string, handler http.Handler) (address string, end func(), err error) {
+// serveStoppable is serve with a function that closes the server and its connections earlier.
+func (f *Fleet) serveStoppable(host string, handler http.Handler) (address string, stop func(), err error) {
 	listener, err := f.options.Network.Listen(host)
 	if err != nil {
 		return "", nil, errors.Wrap(err, "lab")
 	}
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerWait}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		_ = server.Serve(listener)
 	}()
-	end = func() { _ = server.Close() }
+	stop = func() { _ = server.Close() }
 	f.closers = append(f.closers, func() {
-		end()
+		stop()
 		<-done
 	})
-	return listener.Addr().String(), end, nil
+	return listener.Addr().String(), stop, nil
 }
 
 func (f *Fleet) startEndpoints() error {
@@ -136,30 +136,30 @@
 				return err
 			}
 			f.Services[name] = append(f.Services[name], service)
-			f.Platform.SetEndpoint(willowwick.Endpoint{ID: id, Kind: willowwick.KindService, Hall: f.hall(i), Address: address, Service: name})
+			f.Platform.SetEndpoint(willowwick.Endpoint{ID: id, Kind: willowwick.KindService, Hall: f.hallOf(i), Address: address, Service: name})
 		}
 	}
 	return nil
 }
 
-// startRunner starts and lists a runner; the first is number 0.
+// startRunner starts runner i, counted from 0, and adds it to the platform's list.
 func (f *Fleet) startRunner(i int) error {
 	id := willowwick.EndpointID("runner" + itoa(i+1))
 	behaviours := map[willowwick.VersionID]standin.VersionBehaviour{}
-	endpoint := willowwick.Endpoint{ID: id, Kind: willowwick.KindRunner, Hall: f.hall(i), ChecksFencing: true}
+	endpoint := willowwick.Endpoint{ID: id, Kind: willowwick.KindRunner, Hall: f.hallOf(i), ChecksFencing: true}
 	for version, behaviour := range f.options.Versions {
 		behaviours[version] = behaviour
 		endpoint.Versions = append(endpoint.Versions, version)
 	}
 	engine := standin.NewEngine(id, max(f.options.Slots, 1), behaviours)
 	engine.ChecksFencing = true
-	address, end, err := f.serveUntil(string(id), engine)
-	engine.End = end
+	address, stop, err := f.serveStoppable(string(id), engine)
+	engine.Crash = stop
 	if err != nil {
 		return err
 	}
 	endpoint.Address = address
-	f.addresses = append(f.addresses, address)
+	f.runnerAddresses = append(f.runnerAddresses, address)
 	f.Runners = append(f.Runners, engine)
 	f.Platform.SetEndpoint(endpoint)
 	return nil
@@ -174,7 +174,7 @@
 	}
 }
 
-// Start starts a daemon on the box, with a memory of its own, and lists it.
+// Start starts a daemon on the box, without state from earlier starts, and adds the box to the platform's list.
 func (b *Box) Start() error {
 	network := b.fleet.options.Network
 	var listeners [3]net.Listener
@@ -185,11 +185,11 @@
 		}
 		listeners[i] = listener
 	}
-	b.starts++
-	b.Callers, b.Admin = listeners[0].Addr().String(), listeners[2].Addr().String()
+	b.startCount++
+	b.CallerAddress, b.AdminAddress = listeners[0].Addr().String(), listeners[2].Addr().String()
 	settings := b.fleet.options.Settings
 	settings.Box, settings.Hall = b.ID, b.Hall
-	settings.Boot = willowwick.BootID(fmt.Sprintf("%s.%d", b.ID, b.starts))
+	settings.Boot = willowwick.BootID(fmt.Sprintf("%s.%d", b.ID, b.startCount))
 	settings.PeerAddress, settings.Key = listeners[1].Addr().String(), []byte(fleetKey)
 	dial := network.Dial(string(b.ID))
 	client, closeClient := remote.NewClient(b.fleet.platformURL, dial)
@@ -208,18 +208,18 @@
 	}
 	b.Daemon = daemon
 	b.stop = func() {
-		// Peers go first: calls under way end, and so do the loops that wait for them.
+		// Peer connections close first, which ends calls under way and the loops that wait for them.
 		closeDaemon()
 		stop()
 		closeClient()
 		closeEngines()
 		closeServices()
 	}
-	b.fleet.Platform.SetBox(willowwick.Box{ID: b.ID, Hall: b.Hall, Peer: settings.PeerAddress, Admin: b.Admin})
+	b.fleet.Platform.SetBox(willowwick.Box{ID: b.ID, Hall: b.Hall, Peer: settings.PeerAddress, Admin: b.AdminAddress})
 	return nil
 }
 
-// Kill stops the daemon at once; all that it kept is gone.
+// Kill stops the daemon at once; its state is lost.
 func (b *Box) Kill() {
 	if b.stop != nil {
 		b.stop()
@@ -227,7 +227,7 @@
 	}
 }
 
-// Stop is the planned stop.
+// Stop drains and stops the daemon, and removes the box from the platform's list.
 func (b *Box) Stop(ctx context.Context) error {
 	if err := b.Daemon.Drain(ctx); err != nil {
 		return err
@@ -242,7 +242,8 @@
 	return b.stop != nil
 }
 
-// Publish puts a record on the log and waits until every running box has folded it.
+// Publish appends a record to the configuration stream and returns its offset; it does not wait for the boxes to apply
+// it.
 func (f *Fleet) Publish(record config.Record) (willowwick.Offset, error) {
 	data, err := record.Encode()
 	if err != nil {
@@ -252,7 +253,7 @@
 	return offset, nil
 }
 
-// Apply publishes the declarations of a folder as one change.
+// Apply publishes a folder's declarations as one change.
 func (f *Fleet) Apply(files fs.FS) error {
 	folder, err := config.ReadFolder(files)
 	if err != nil {
@@ -271,27 +272,27 @@
 	return err
 }
 
-// State folds the log.
+// State returns the configuration state folded from the log.
 func (f *Fleet) State() (*config.State, error) {
 	return config.FoldAll(config.NewState(), f.Platform.Entries(willowwick.StreamConfig))
 }
 
-// WaitReady waits until every running box is ready and on the roster.
+// WaitReady waits until every running box is ready and on the roster, or returns the reason why one is not.
 func (f *Fleet) WaitReady(within time.Duration) error {
-	limit := time.Now().Add(within)
+	deadline := time.Now().Add(within)
 	for {
-		waiting := f.notReady()
-		if waiting == "" {
+		reason := f.unreadyReason()
+		if reason == "" {
 			return nil
 		}
-		if time.Now().After(limit) {
-			return errors.Errorf("not ready: %s", waiting)
+		if time.Now().After(deadline) {
+			return errors.Errorf("not ready: %s", reason)
 		}
-		time.Sleep(readyPoll)
+		time.Sleep(readyPollInterval)
 	}
 }
 
-func (f *Fleet) notReady() string {
+func (f *Fleet) unreadyReason() string {
 	state, err := f.State()
 	if err != nil {
 		return err.Error()
@@ -311,24 +312,24 @@
 		}
 	}
 	if len(state.Roster.Members) != running {
-		return "the roster has members that do not run"
+		return "the roster has members that are not running"
 	}
 	return ""
 }
 
-// Client returns an HTTP client that calls from the named host.
+// Client returns an HTTP client that dials from the named host.
 func (f *Fleet) Client(host string) *http.Client {
 	transport := &http.Transport{DialContext: f.options.Network.Dial(host), MaxIdleConnsPerHost: 64, DisableCompression: true}
 	f.closers = append(f.closers, transport.CloseIdleConnections)
 	return &http.Client{Transport: transport}
 }
 
-// PlatformURL is the base URL of the platform stand-in.
+// PlatformURL returns the base URL of the platform stand-in.
 func (f *Fleet) PlatformURL() string {
 	return f.platformURL
 }
 
-// RunnerAddress is the address of a runner.
+// RunnerAddress returns the address of runner i, counted from 0.
 func (f *Fleet) RunnerAddress(i int) string {
-	return f.addresses[i]
+	return f.runnerAddresses[i]
 }
--- a/lab/fleet_promises_test.go
+++ b/lab/fleet_promises_test.go
@@ -17,17 +17,17 @@
 	"github.com/willowwick/willowwick/standin"
 )
 
-// enter posts a calibration entry through a box under an idempotency key.
-func (s *scene) enter(box int, key, entry string) Reply {
-	reply := CallService(context.Background(), s.client, s.Boxes[box].Callers, coimbra,
+// postEntry posts a calibration entry through a box under an idempotency key.
+func (s *testFleet) postEntry(box int, key, entry string) Reply {
+	reply := CallService(context.Background(), s.client, s.Boxes[box].CallerAddress, coimbraKey,
 		http.MethodPost, "/services/bookkeeping/calibrations/"+entry, key, entry)
-	if reply.Outcome == OutcomeWhole {
+	if reply.Outcome == OutcomeComplete {
 		s.billed++
 	}
 	return reply
 }
 
-func (s *scene) effects(entry string) int {
+func (s *testFleet) effectCount(entry string) int {
 	count := 0
 	for _, instance := range s.Services["bookkeeping"] {
 		count += instance.Effects()[entry]
@@ -35,8 +35,8 @@
 	return count
 }
 
-// keepers returns the indexes of the boxes that keep a calibration's key.
-func (s *scene) keepers(key string) []int {
+// replicasOf returns the indexes of the boxes that replicate the claim on a calibration's key.
+func (s *testFleet) replicasOf(key string) []int {
 	s.t.Helper()
 	state, err := s.State()
 	require.NoError(s.t, err)
@@ -51,7 +51,7 @@
 	return boxes
 }
 
-func (s *scene) otherThan(boxes ...int) int {
+func (s *testFleet) boxExcept(boxes ...int) int {
 	for i := range s.Boxes {
 		taken := false
 		for _, box := range boxes {
@@ -61,141 +61,142 @@
 			return i
 		}
 	}
-	s.t.Fatal("every box is taken")
+	s.t.Fatal("no other box exists")
 	return 0
 }
 
-// TestCallRunsAtMostOnce: a lost answer is not tried again, and no resubmission through any box runs, while a keeper
-// of its key is killed and restarted.
+// TestCallRunsAtMostOnce: a call whose answer is lost is not retried, and no resubmission through any box runs, while a
+// replica of its claim is killed and restarted.
 func TestCallRunsAtMostOnce(t *testing.T) {
-	inScene(t, 5, func(s *scene) {
+	withTestFleet(t, 5, func(s *testFleet) {
 		for _, instance := range s.Services["bookkeeping"] {
-			instance.SetFaults(func(f *standin.ServiceFaults) { f.DropAfter = 1 })
+			instance.SetFaults(func(f *standin.ServiceFaults) { f.DroppedAnswers = 1 })
 		}
-		lost := s.enter(0, "key-1", "entry-1")
+		lost := s.postEntry(0, "key-1", "entry-1")
 		require.Equal(t, OutcomeRefused, lost.Outcome, "%+v", lost)
 		require.Equal(t, string(willowwick.KindOutcomeUnknown), lost.Text)
 		for box := range s.Boxes {
-			again := s.enter(box, "key-1", "entry-1")
+			again := s.postEntry(box, "key-1", "entry-1")
 			require.Equal(t, string(willowwick.KindOutcomeUnknown), again.Text, "%+v", again)
 		}
-		require.Equal(t, 1, s.effects("entry-1"))
+		require.Equal(t, 1, s.effectCount("entry-1"))
 
-		keepers := s.keepers("key-1")
-		s.Boxes[keepers[0]].Kill()
+		replicas := s.replicasOf("key-1")
+		s.Boxes[replicas[0]].Kill()
 		for range 40 {
-			again := s.enter(s.otherThan(keepers[0]), "key-1", "entry-1")
+			again := s.postEntry(s.boxExcept(replicas[0]), "key-1", "entry-1")
 			require.Equal(t, OutcomeRefused, again.Outcome, "%+v", again)
 			time.Sleep(time.Second)
 		}
-		require.NoError(t, s.Boxes[keepers[0]].Start())
-		require.NoError(t, s.WaitReady(readyTime))
+		require.NoError(t, s.Boxes[replicas[0]].Start())
+		require.NoError(t, s.WaitReady(readyTimeout))
 		for box := range s.Boxes {
-			again := s.enter(box, "key-1", "entry-1")
+			again := s.postEntry(box, "key-1", "entry-1")
 			require.Equal(t, OutcomeRefused, again.Outcome, "%+v", again)
 		}
-		require.Equal(t, 1, s.effects("entry-1"))
+		require.Equal(t, 1, s.effectCount("entry-1"))
 
-		// One keeper after the other goes; whoever takes over was told.
+		// Kill one replica after the other; each successor has received the claim.
 		for range 2 {
-			s.Boxes[s.keepers("key-1")[0]].Kill()
+			s.Boxes[s.replicasOf("key-1")[0]].Kill()
 			time.Sleep(30 * time.Second)
-			again := s.enter(s.running(), "key-1", "entry-1")
+			again := s.postEntry(s.runningBox(), "key-1", "entry-1")
 			require.Equal(t, OutcomeRefused, again.Outcome, "%+v", again)
 		}
-		require.Equal(t, 1, s.effects("entry-1"))
+		require.Equal(t, 1, s.effectCount("entry-1"))
 	})
 }
 
-// TestBothKeepersGone: when nobody can know whether a key was used, its call is not run; new keys are.
-func TestBothKeepersGone(t *testing.T) {
-	inScene(t, 5, func(s *scene) {
-		// A box that has just come into the roster refuses claims until it has those of the others: callers return.
-		s.eventually(2*time.Second, "entered", func() bool { return s.enter(0, "key-2", "entry-2").Outcome == OutcomeWhole })
-		keepers := s.keepers("key-2")
-		for _, keeper := range keepers {
-			s.Boxes[keeper].Kill()
+// TestOutcomeIsUnknownWhenBothReplicasAreLost: a key that only the lost replicas could vouch for is refused, and new
+// keys run.
+func TestOutcomeIsUnknownWhenBothReplicasAreLost(t *testing.T) {
+	withTestFleet(t, 5, func(s *testFleet) {
+		// A box that has just joined the roster refuses claims until it has received those of the others, so retry.
+		s.eventually(2*time.Second, "posted", func() bool { return s.postEntry(0, "key-2", "entry-2").Outcome == OutcomeComplete })
+		replicas := s.replicasOf("key-2")
+		for _, replica := range replicas {
+			s.Boxes[replica].Kill()
 		}
-		left := s.otherThan(keepers...)
+		survivor := s.boxExcept(replicas...)
 		time.Sleep(40 * time.Second)
-		again := s.enter(left, "key-2", "entry-2")
+		again := s.postEntry(survivor, "key-2", "entry-2")
 		require.Equal(t, string(willowwick.KindOutcomeUnknown), again.Text, "%+v", again)
-		require.Equal(t, 1, s.effects("entry-2"))
+		require.Equal(t, 1, s.effectCount("entry-2"))
 		for n := range 20 {
 			fresh := uuid.Must(uuid.NewV7()).String()
-			reply := s.enter(left, fresh, fmt.Sprintf("fresh-%d", n))
-			require.Equal(t, OutcomeWhole, reply.Outcome, "%+v", reply)
+			reply := s.postEntry(survivor, fresh, fmt.Sprintf("fresh-%d", n))
+			require.Equal(t, OutcomeComplete, reply.Outcome, "%+v", reply)
 		}
 	})
 }
 
-// TestRacingResubmissions: the same key through all boxes at once runs once.
-func TestRacingResubmissions(t *testing.T) {
-	inScene(t, 4, func(s *scene) {
+// TestConcurrentResubmissionsRunOnce submits the same key through all boxes at once.
+func TestConcurrentResubmissionsRunOnce(t *testing.T) {
+	withTestFleet(t, 4, func(s *testFleet) {
 		var callers sync.WaitGroup
 		for n := range 10 {
 			for box := range s.Boxes {
 				callers.Go(func() {
-					CallService(context.Background(), s.client, s.Boxes[box].Callers, coimbra, http.MethodPost,
+					CallService(context.Background(), s.client, s.Boxes[box].CallerAddress, coimbraKey, http.MethodPost,
 						"/services/bookkeeping/calibrations/x", "race-"+itoa(n), "race-"+itoa(n))
 				})
 			}
 		}
 		callers.Wait()
 		for n := range 10 {
-			require.LessOrEqual(t, s.effects("race-"+itoa(n)), 1)
+			require.LessOrEqual(t, s.effectCount("race-"+itoa(n)), 1)
 		}
 	})
 }
 
-// TestNotSentCallMayRunLater: a call refused before anything was sent gives its key back.
-func TestNotSentCallMayRunLater(t *testing.T) {
-	inScene(t, 3, func(s *scene) {
+// TestUnsentCallReleasesItsKey: a call refused before anything was sent may run under the same key later.
+func TestUnsentCallReleasesItsKey(t *testing.T) {
+	withTestFleet(t, 3, func(s *testFleet) {
 		for _, instance := range s.Services["bookkeeping"] {
 			s.net.Cut(string(instance.ID), string(s.Boxes[0].ID))
 		}
-		refused := s.enter(0, "key-3", "entry-3")
+		refused := s.postEntry(0, "key-3", "entry-3")
 		require.Equal(t, string(willowwick.KindNotRun), refused.Text, "%+v", refused)
-		require.Equal(t, OutcomeWhole, s.enter(1, "key-3", "entry-3").Outcome)
-		require.Equal(t, 1, s.effects("entry-3"))
+		require.Equal(t, OutcomeComplete, s.postEntry(1, "key-3", "entry-3").Outcome)
+		require.Equal(t, 1, s.effectCount("entry-3"))
 	})
 }
 
-// TestConfigurationIsInForceEverywhereAndStays: with boxes cut off from the log, lost append answers, an outage, a
-// fresh box that can only ask its peers, and racing operators.
-func TestConfigurationIsInForceEverywhereAndStays(t *testing.T) {
-	inScene(t, 5, func(s *scene) {
+// TestConfigurationReachesAllBoxesAndNeverRegresses covers boxes cut off from the log, lost append answers, an outage,
+// a fresh box that can only ask its peers, and concurrent operators.
+func TestConfigurationReachesAllBoxesAndNeverRegresses(t *testing.T) {
+	withTestFleet(t, 5, func(s *testFleet) {
 		highest := make([]willowwick.Offset, len(s.Boxes))
-		watch := func() {
+		checkOffsets := func() {
 			for i, box := range s.Boxes {
 				if !box.Running() {
 					highest[i] = 0
 					continue
 				}
 				offset := box.Daemon.Status().Offset
-				require.GreaterOrEqual(t, offset, highest[i], "box %d went back", i)
+				require.GreaterOrEqual(t, offset, highest[i], "box %d regressed", i)
 				highest[i] = offset
 			}
 		}
 		s.cutLog(1)
 		s.cutLog(2)
-		begun := time.Now()
-		s.change("cascade-1", object(t, config.KindCascade, "extra", &config.Cascade{Stages: []willowwick.ModelID{"run-small"}, Judge: config.JudgeRater}))
-		require.Less(t, time.Since(begun), 16*time.Second)
-		watch()
+		started := time.Now()
+		s.publishChange("cascade-1", newObject(t, config.KindCascade, "extra", &config.Cascade{Stages: []willowwick.ModelID{"run-small"}, Judge: config.JudgeRater}))
+		require.Less(t, time.Since(started), 16*time.Second)
+		checkOffsets()
 
-		// Two operators who read the same state: one winner, the same on every box.
+		// Two operators change the same state concurrently: the same one wins on every box.
 		state, err := s.State()
 		require.NoError(t, err)
 		for _, quality := range []willowwick.Score{0.5, 0.6} {
 			_, err := s.Publish(config.Record{Kind: config.RecordChange, Change: &config.Change{
 				ID: willowwick.ChangeID(fmt.Sprint("race-", quality)), Author: "operator", Reason: "race", Basis: state.Offset,
-				Objects: []config.Object{object(t, config.KindCascade, "extra", &config.Cascade{Stages: []willowwick.ModelID{"run-small"}, Quality: quality, Judge: config.JudgeRater})},
+				Objects: []config.Object{newObject(t, config.KindCascade, "extra", &config.Cascade{Stages: []willowwick.ModelID{"run-small"}, Quality: quality, Judge: config.JudgeRater})},
 			}})
 			require.NoError(t, err)
 		}
 		time.Sleep(16 * time.Second)
-		watch()
+		checkOffsets()
 		hashes := map[uint64]bool{}
 		for _, box := range s.Boxes {
 			r := box.Daemon.Node().Follower.Revision()
@@ -211,45 +212,45 @@
 		require.Len(t, hashes, 1)
 
 		// A fresh box joins from its peers while the log is down.
-		s.logDown(true)
+		s.setLogDown(true)
 		s.Boxes[4].Kill()
-		watch() // what its former life alone had read of the log is gone
+		checkOffsets() // forgets what only the killed incarnation had read of the log
 		newest := slices.Max(highest)
 		require.NoError(t, s.Boxes[4].Start())
 		s.eventually(20*time.Second, "joined from peers", func() bool { return s.Boxes[4].Daemon.Status().Offset >= newest })
 		_, ok := s.Boxes[4].Daemon.Node().Follower.Revision().Cascade("extra")
 		require.True(t, ok)
-		watch()
-		s.logDown(false)
+		checkOffsets()
+		s.setLogDown(false)
 		s.healLog(1)
 		s.healLog(2)
 		time.Sleep(20 * time.Second)
-		watch()
+		checkOffsets()
 	})
 }
 
-// hashOf sums the declared objects and the verdict of a change; offsets differ while boxes catch up.
+// hashOf hashes the declared objects and the verdict on a change, without offsets, which differ while boxes catch up.
 func hashOf(t *testing.T, r *config.Revision, id willowwick.ChangeID) uint64 {
 	t.Helper()
 	entry, ok := r.Find(id)
 	require.True(t, ok)
-	part := config.NewState()
-	part.Objects = r.Objects
-	part.Audit = []config.AuditEntry{entry}
-	hash, err := part.Hash()
+	state := config.NewState()
+	state.Objects = r.Objects
+	state.Audit = []config.AuditEntry{entry}
+	hash, err := state.Hash()
 	require.NoError(t, err)
 	return hash
 }
 
-// TestJoinAfterTheHeadIsGone: a box that starts after the log dropped its oldest records takes the snapshot.
-func TestJoinAfterTheHeadIsGone(t *testing.T) {
-	inScene(t, 3, func(s *scene) {
-		s.change("kept", object(t, config.KindCascade, "kept", &config.Cascade{Stages: []willowwick.ModelID{"run-small"}, Judge: config.JudgeRater}))
+// TestBoxJoinsFromSnapshotAfterLogTruncation starts a box after the log dropped its oldest records.
+func TestBoxJoinsFromSnapshotAfterLogTruncation(t *testing.T) {
+	withTestFleet(t, 3, func(s *testFleet) {
+		s.publishChange("kept", newObject(t, config.KindCascade, "kept", &config.Cascade{Stages: []willowwick.ModelID{"run-small"}, Judge: config.JudgeRater}))
 		s.Platform.SetFaults(func(f *standin.PlatformFaults) { f.Retain = 40 })
 		time.Sleep(10 * time.Minute)
 		page := s.Platform.Read(willowwick.StreamConfig, 1, 1)
 		require.Greater(t, page.First, willowwick.Offset(100))
-		// Alone, so that no peer can help.
+		// Without running peers that could help.
 		for _, box := range s.Boxes {
 			box.Kill()
 		}
@@ -260,9 +261,10 @@
 	})
 }
 
-// TestLeaseHolderThatIsCutOff: its successor gets a higher fence; what the old one writes afterwards is void.
-func TestLeaseHolderThatIsCutOff(t *testing.T) {
-	inScene(t, 3, func(s *scene) {
+// TestIsolatedLeaseHolderIsFenced: the successor gets a higher fence, and later records of the previous holder are
+// void.
+func TestIsolatedLeaseHolderIsFenced(t *testing.T) {
+	withTestFleet(t, 3, func(s *testFleet) {
 		holder := -1
 		for i, box := range s.Boxes {
 			if box.Daemon.Status().HoldsLease {
@@ -272,14 +274,14 @@
 		require.GreaterOrEqual(t, holder, 0)
 		state, err := s.State()
 		require.NoError(t, err)
-		old := state.Lease
+		previous := state.Lease
 		s.isolate(holder)
 		s.eventually(40*time.Second, "a successor", func() bool {
 			state, err = s.State()
 			require.NoError(t, err)
-			return state.Lease.Boot != old.Boot
+			return state.Lease.Boot != previous.Boot
 		})
-		require.Greater(t, state.Lease.Fence, old.Fence)
+		require.Greater(t, state.Lease.Fence, previous.Fence)
 		require.False(t, s.Boxes[holder].Daemon.Status().HoldsLease)
 		holders := 0
 		for _, box := range s.Boxes {
@@ -289,8 +291,8 @@
 		}
 		require.LessOrEqual(t, holders, 1)
 
-		// The old holder's late records and orders come to nothing.
-		_, err = s.Publish(config.Record{Kind: config.RecordRoster, Roster: &config.RosterProposal{Fence: old.Fence}})
+		// Late records and orders of the previous holder have no effect.
+		_, err = s.Publish(config.Record{Kind: config.RecordRoster, Roster: &config.RosterProposal{Fence: previous.Fence}})
 		require.NoError(t, err)
 		after, err := s.State()
 		require.NoError(t, err)
@@ -299,22 +301,22 @@
 	})
 }
 
-// TestLimitHoldsOverTheFleet also while a box is cut off from the others.
-func TestLimitHoldsOverTheFleet(t *testing.T) {
-	inScene(t, 3, func(s *scene) {
+// TestAccountLimitHoldsAcrossFleet covers spread and concentrated demand, and a box cut off from the others.
+func TestAccountLimitHoldsAcrossFleet(t *testing.T) {
+	withTestFleet(t, 3, func(s *testFleet) {
 		const limit = 1500.0
-		s.change("limit", object(t, config.KindLimit, "braga", &config.Limit{Account: "lab-braga", TokensPerSecond: limit, BurstSeconds: 1}))
-		load := func(seconds int, boxes ...int) float64 {
+		s.publishChange("limit", newObject(t, config.KindLimit, "braga", &config.Limit{Account: "lab-braga", TokensPerSecond: limit, BurstSeconds: 1}))
+		measureRate := func(seconds int, boxes ...int) float64 {
 			var mu sync.Mutex
 			var callers sync.WaitGroup
-			taken := 0.0
+			total := 0.0
 			for n := range seconds * 20 {
 				for _, box := range boxes {
 					callers.Go(func() {
-						if reply := s.askQuietly(box, Chat{Key: braga, Model: "run-small", Prompt: fmt.Sprint("limit ", n, box, seconds, len(boxes))}); reply.Outcome == OutcomeWhole {
-							ledger := 4.0 + float64(4*len(standin.AnswerTo(fmt.Sprint("limit ", n, box, seconds, len(boxes))+"\n", "", 1, tokens)))
+						if reply := s.askUncounted(box, Chat{Key: bragaKey, Model: "run-small", Prompt: fmt.Sprint("limit ", n, box, seconds, len(boxes))}); reply.Outcome == OutcomeComplete {
+							billedTokens := 4.0 + float64(4*len(standin.AnswerTo(fmt.Sprint("limit ", n, box, seconds, len(boxes))+"\n", "", 1, maxAnswerTokens)))
 							mu.Lock()
-							taken += ledger
+							total += billedTokens
 							mu.Unlock()
 						}
 					})
@@ -322,65 +324,65 @@
 				time.Sleep(50 * time.Millisecond)
 			}
 			callers.Wait()
-			return taken / float64(seconds)
+			return total / float64(seconds)
 		}
-		all := load(15, 0, 1, 2)
-		require.Less(t, all, limit*1.15)
-		require.Greater(t, all, limit*0.6)
-		// All demand at one box: the share follows it.
-		load(10, 0)
-		one := load(10, 0)
-		require.Greater(t, one, limit*0.4)
+		spreadRate := measureRate(15, 0, 1, 2)
+		require.Less(t, spreadRate, limit*1.15)
+		require.Greater(t, spreadRate, limit*0.6)
+		// With all demand at one box, its share of the limit grows.
+		measureRate(10, 0)
+		concentratedRate := measureRate(10, 0)
+		require.Greater(t, concentratedRate, limit*0.4)
 		s.net.Cut("box1", "box2")
 		s.net.Cut("box1", "box3")
 		time.Sleep(10 * time.Second)
-		cut := load(15, 0, 1, 2)
-		require.Less(t, cut, limit*1.15)
+		partitionedRate := measureRate(15, 0, 1, 2)
+		require.Less(t, partitionedRate, limit*1.15)
 	})
 }
 
-// TestHeavyAccountDoesNotDelayLightOne: one account's flood leaves another's small requests their turns.
+// TestHeavyAccountDoesNotDelayLightOne: a flood from one account does not starve another account's small requests.
 func TestHeavyAccountDoesNotDelayLightOne(t *testing.T) {
-	inScene(t, 2, func(s *scene) {
+	withTestFleet(t, 2, func(s *testFleet) {
 		for _, runner := range s.Runners {
 			runner.FirstToken = time.Second
 		}
-		// A box takes in only a few requests before it knows how fast they are worked off.
-		s.whole(0, Chat{})
-		s.whole(1, Chat{})
+		// A box admits only a few requests until it has measured how fast runners answer.
+		s.requireAnswer(0, Chat{})
+		s.requireAnswer(1, Chat{})
 		var callers sync.WaitGroup
 		for n := range 1500 {
 			callers.Go(func() {
-				s.askQuietly(n%2, Chat{Key: braga, Prompt: "flood " + itoa(n), Deadline: 100 * time.Second})
+				s.askUncounted(n%2, Chat{Key: bragaKey, Prompt: "flood " + itoa(n), Deadline: 100 * time.Second})
 			})
 		}
 		time.Sleep(2 * time.Second)
 		for n := range 10 {
-			begun := time.Now()
-			reply := s.askQuietly(n%2, Chat{Prompt: "light " + itoa(n)})
-			require.Equal(t, OutcomeWhole, reply.Outcome, "%+v", reply)
-			require.Less(t, time.Since(begun), 15*time.Second)
+			started := time.Now()
+			reply := s.askUncounted(n%2, Chat{Prompt: "light " + itoa(n)})
+			require.Equal(t, OutcomeComplete, reply.Outcome, "%+v", reply)
+			require.Less(t, time.Since(started), 15*time.Second)
 		}
 		callers.Wait()
 	})
 }
 
-// TestStoppingBoxHandsOverWhatItHolds: a box that holds a dead box's bills and is stopped itself loses none, with the
-// log up or down.
-func TestStoppingBoxHandsOverWhatItHolds(t *testing.T) {
+// TestStoppingBoxHandsOverHeldUsageRecords: a box that replicates a dead box's usage records and is stopped itself
+// loses none, with the log up or down.
+func TestStoppingBoxHandsOverHeldUsageRecords(t *testing.T) {
 	for _, down := range []bool{false, true} {
 		t.Run(fmt.Sprint("log down ", down), func(t *testing.T) {
-			inScene(t, 4, func(s *scene) {
-				s.logDown(true)
-				s.whole(0, Chat{})
+			withTestFleet(t, 4, func(s *testFleet) {
+				s.setLogDown(true)
+				s.requireAnswer(0, Chat{})
 				s.Boxes[0].Kill()
-				s.logDown(down)
+				s.setLogDown(down)
 				var stops sync.WaitGroup
 				for _, box := range s.Boxes[1:3] {
 					stops.Go(func() { require.NoError(t, box.Stop(context.Background())) })
 				}
 				stops.Wait()
-				s.logDown(false)
+				s.setLogDown(false)
 				s.requireBills()
 			})
 		})
--- a/lab/fuzz_test.go
+++ b/lab/fuzz_test.go
@@ -18,15 +18,15 @@
 var fuzzSteps = flag.Int("steps", 40, "steps of each run of the stateful fuzzing of a fleet")
 
 const (
-	fuzzBoxes    = 4
-	fuzzKeys     = 5
-	fuzzSessions = 4
-	settleTime   = 15 * time.Second
-	forceTime    = 16 * time.Second
-	loseWindow   = 20 * time.Second
+	fuzzBoxes       = 4
+	fuzzKeys        = 5
+	fuzzSessions    = 4
+	settleTime      = 15 * time.Second
+	inForceTime     = 16 * time.Second
+	usageLossWindow = 20 * time.Second
 )
 
-// fuzzStep is one thing that happens; what it is depends on the kind.
+// fuzzStep is one event; the meaning of Which depends on Kind.
 type fuzzStep struct {
 	Kind  string
 	Box   int
@@ -34,18 +34,18 @@
 }
 
 var fuzzKinds = []string{
-	"chat", "chat", "chat", "stream", "session", "session", "enter", "enter", "enter", "sleep", "sleep",
+	"chat", "chat", "chat", "stream", "session", "session", "entry", "entry", "entry", "sleep", "sleep",
 	"kill", "start", "stop", "cut log", "heal log", "isolate", "rejoin", "log down", "log up", "lose answer",
-	"engine", "leave", "stay", "withdraw", "change", "rollout", "advance",
+	"engine fault", "drain", "no-op", "withdraw", "change", "rollout", "advance",
 }
 
-// fuzzRun plays steps on a fleet and keeps what must be true of it: the oracle.
+// fuzzRun applies steps to a fleet and tracks the state that the invariants are checked against.
 type fuzzRun struct {
-	*scene
+	*testFleet
 	isolated  map[int]bool
 	logCut    map[int]bool
-	logDown   bool
-	lostKill  time.Time // the last kill while bills may have been in two memories only
+	isLogDown bool
+	lastKill  time.Time // last kill while usage records may have existed in the memory of two boxes only
 	versions  map[string]willowwick.VersionID
 	tokens    map[string]string
 	withdrawn map[willowwick.VersionID]time.Time
@@ -53,7 +53,7 @@
 	changes   int
 }
 
-// TestFleetAgainstOracle plays random faults and requests on whole fleets. A long run:
+// TestFleetAgainstOracle applies random faults and requests to whole fleets. A long run:
 // go test ./lab -run TestFleetAgainstOracle -rapid.checks=100 -steps=100
 func TestFleetAgainstOracle(t *testing.T) {
 	gen := rapid.Custom(func(rt *rapid.T) fuzzStep {
@@ -66,7 +66,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(gen, *fuzzSteps, *fuzzSteps).Draw(rt, "steps")
 		var failure error
-		inScene(t, fuzzBoxes, func(s *scene) {
+		withTestFleet(t, fuzzBoxes, func(s *testFleet) {
 			failure = playSteps(s, steps)
 		})
 		if failure != nil {
@@ -75,16 +75,16 @@
 	})
 }
 
-func playSteps(s *scene, steps []fuzzStep) error {
+func playSteps(s *testFleet, steps []fuzzStep) error {
 	run := &fuzzRun{
-		scene: s, isolated: map[int]bool{}, logCut: map[int]bool{},
+		testFleet: s, isolated: map[int]bool{}, logCut: map[int]bool{},
 		versions: map[string]willowwick.VersionID{}, tokens: map[string]string{},
 		withdrawn: map[willowwick.VersionID]time.Time{}, offsets: map[willowwick.BootID]willowwick.Offset{},
 	}
 	for i, step := range steps {
 		err := run.play(step)
 		if err == nil {
-			err = run.invariants()
+			err = run.checkInvariants()
 		}
 		if err != nil {
 			return errors.Wrapf(err, "step %d, %s at box %d", i, step.Kind, step.Box)
@@ -100,7 +100,7 @@
 		return f.playChat(step, Chat{Stream: step.Kind == "stream", Model: []string{"run-large", "run-small", "auto"}[step.Which%3]})
 	case "session":
 		return f.playSession(step)
-	case "enter":
+	case "entry":
 		return f.playEntry(step)
 	case "sleep":
 		time.Sleep(time.Duration(step.Which+1) * time.Second)
@@ -111,7 +111,7 @@
 			return box.Start()
 		}
 	case "stop":
-		if box.Running() && f.down() == 0 && len(f.isolated) == 0 {
+		if box.Running() && f.stoppedCount() == 0 && len(f.isolated) == 0 {
 			return box.Stop(context.Background())
 		}
 	case "cut log":
@@ -123,7 +123,7 @@
 			delete(f.logCut, step.Box)
 		}
 	case "isolate":
-		if len(f.isolated) == 0 && f.down() == 0 {
+		if len(f.isolated) == 0 && f.stoppedCount() == 0 {
 			f.isolate(step.Box)
 			f.isolated[step.Box] = true
 		}
@@ -135,36 +135,36 @@
 			time.Sleep(settleTime)
 		}
 	default:
-		return f.playOutside(step)
+		return f.playExternal(step)
 	}
 	return nil
 }
 
-// playOutside makes things happen at the platform and the runners.
-func (f *fuzzRun) playOutside(step fuzzStep) error {
+// playExternal plays the steps that concern the platform and the runners.
+func (f *fuzzRun) playExternal(step fuzzStep) error {
 	runner := f.Runners[step.Which%len(f.Runners)]
 	switch step.Kind {
 	case "log down", "log up":
-		f.logDown = step.Kind == "log down"
-		f.Platform.SetFaults(func(faults *standin.PlatformFaults) { faults.LogDown = f.logDown })
+		f.isLogDown = step.Kind == "log down"
+		f.Platform.SetFaults(func(faults *standin.PlatformFaults) { faults.LogDown = f.isLogDown })
 	case "lose answer":
-		f.Platform.SetFaults(func(faults *standin.PlatformFaults) { faults.LoseAnswer = 1 })
-	case "engine":
+		f.Platform.SetFaults(func(faults *standin.PlatformFaults) { faults.DroppedAnswers = 1 })
+	case "engine fault":
 		runner.SetFaults(func(faults *standin.EngineFaults) {
 			switch step.Box {
 			case 0:
 				faults.CutTimes, faults.CutAfter = 1, step.Which%3
 			case 1:
-				faults.Cross = 1
+				faults.MixUp = 1
 			case 2:
 				faults.Skip = 1
 			default:
 				faults.Repeat = 1
 			}
 		})
-	case "leave":
+	case "drain":
 		if step.Which%len(f.Runners) == 0 {
-			runner.SetFaults(func(faults *standin.EngineFaults) { faults.Leaving = true })
+			runner.SetFaults(func(faults *standin.EngineFaults) { faults.Draining = true })
 		}
 	case "withdraw":
 		return f.playWithdraw()
@@ -179,28 +179,28 @@
 	return nil
 }
 
-func (f *fuzzRun) down() int {
-	down := 0
+func (f *fuzzRun) stoppedCount() int {
+	stopped := 0
 	for _, box := range f.Boxes {
 		if !box.Running() {
-			down++
+			stopped++
 		}
 	}
-	return down
+	return stopped
 }
 
-// playKill kills a box, unless a bill could then be in no memory: with one box
-// down already, or soon after another kill while the log was not reached.
+// playKill kills a box, unless a usage record could then be lost: with a box down already, or soon after another kill
+// while the log was unreachable.
 func (f *fuzzRun) playKill(step fuzzStep) {
 	box := f.Boxes[step.Box]
-	unsafe := f.down() > 0 || len(f.isolated) > 0 || time.Since(f.lostKill) < loseWindow || f.logDown || len(f.logCut) > 0
+	unsafe := f.stoppedCount() > 0 || len(f.isolated) > 0 || time.Since(f.lastKill) < usageLossWindow || f.isLogDown || len(f.logCut) > 0
 	if box.Running() && !unsafe {
 		box.Kill()
-		f.lostKill = time.Now()
+		f.lastKill = time.Now()
 	}
 }
 
-func (f *fuzzRun) served() int {
+func (f *fuzzRun) servedCount() int {
 	total := 0
 	for version := range goodVersions() {
 		total += f.ServedSince(version, time.Time{})
@@ -208,11 +208,11 @@
 	return total
 }
 
-// judge checks a reply against what the endpoints saw.
-func (f *fuzzRun) judge(reply Reply, began int) error {
+// checkReply checks a reply against the number of calls that began at endpoints.
+func (f *fuzzRun) checkReply(reply Reply, began int) error {
 	switch {
-	case reply.Outcome == OutcomeCrossed:
-		return errors.Errorf("not the whole answer: %+v", reply)
+	case reply.Outcome == OutcomeMismatched:
+		return errors.Errorf("incomplete or mixed-up answer: %+v", reply)
 	case reply.Outcome == OutcomeRefused && reply.Text == string(willowwick.KindNotRun) && began > 0:
 		return errors.Errorf("refused as not run, but %d calls began: %+v", began, reply)
 	case reply.Outcome == OutcomeRefused && reply.Text == string(willowwick.KindInvalid):
@@ -225,35 +225,35 @@
 	if !f.Boxes[step.Box].Running() {
 		return nil
 	}
-	before := f.served()
+	before := f.servedCount()
 	chat.Deadline = 20 * time.Second
 	reply := f.ask(step.Box, chat)
-	return f.judge(reply, f.served()-before)
+	return f.checkReply(reply, f.servedCount()-before)
 }
 
-// playSession asks in a session, whose token the caller carries.
+// playSession sends a chat in a session whose token the caller carries.
 func (f *fuzzRun) playSession(step fuzzStep) error {
 	if !f.Boxes[step.Box].Running() {
 		return nil
 	}
 	id := "session-" + itoa(step.Which%fuzzSessions)
-	before := f.served()
+	before := f.servedCount()
 	reply := f.ask(step.Box, Chat{Model: "run-small", Session: id, Token: f.tokens[id], Deadline: 20 * time.Second})
-	if err := f.judge(reply, f.served()-before); err != nil {
+	if err := f.checkReply(reply, f.servedCount()-before); err != nil {
 		return err
 	}
-	if reply.Outcome != OutcomeWhole {
+	if reply.Outcome != OutcomeComplete {
 		return nil
 	}
-	was := f.versions[id]
-	if _, gone := f.withdrawn[was]; was != "" && !gone && reply.Version != was {
-		return errors.Errorf("%s moved from %s to %s", id, was, reply.Version)
+	previous := f.versions[id]
+	if _, withdrawn := f.withdrawn[previous]; previous != "" && !withdrawn && reply.Version != previous {
+		return errors.Errorf("%s moved from %s to %s", id, previous, reply.Version)
 	}
 	f.versions[id], f.tokens[id] = reply.Version, reply.Token
 	return nil
 }
 
-// playEntry submits one of a few entries, most of them again and again.
+// playEntry submits one of a few entries, so that most submissions are repeats.
 func (f *fuzzRun) playEntry(step fuzzStep) error {
 	if !f.Boxes[step.Box].Running() {
 		return nil
@@ -261,22 +261,22 @@
 	entry := "entry-" + itoa(step.Which%fuzzKeys)
 	if step.Which >= fuzzKeys {
 		for _, instance := range f.Services["bookkeeping"] {
-			instance.SetFaults(func(faults *standin.ServiceFaults) { faults.DropAfter = 1 })
+			instance.SetFaults(func(faults *standin.ServiceFaults) { faults.DroppedAnswers = 1 })
 		}
 	}
-	before := f.effects(entry)
-	reply := f.enter(step.Box, entry, entry)
-	after := f.effects(entry)
+	before := f.effectCount(entry)
+	reply := f.postEntry(step.Box, entry, entry)
+	after := f.effectCount(entry)
 	for _, instance := range f.Services["bookkeeping"] {
-		instance.SetFaults(func(faults *standin.ServiceFaults) { faults.DropAfter = 0 })
+		instance.SetFaults(func(faults *standin.ServiceFaults) { faults.DroppedAnswers = 0 })
 	}
 	switch {
 	case after > 1:
 		return errors.Errorf("%s took effect %d times", entry, after)
-	case reply.Outcome == OutcomeWhole && after-before != 1:
-		return errors.Errorf("%s was answered and took effect %d times", entry, after-before)
+	case reply.Outcome == OutcomeComplete && after-before != 1:
+		return errors.Errorf("%s was answered but took effect %d times", entry, after-before)
 	}
-	return f.judge(reply, after-before)
+	return f.checkReply(reply, after-before)
 }
 
 func (f *fuzzRun) playWithdraw() error {
@@ -292,7 +292,7 @@
 }
 
 func (f *fuzzRun) tryChange(kind config.Kind, name string, spec any) error {
-	made, err := config.NewObject(kind, name, spec)
+	object, err := config.NewObject(kind, name, spec)
 	if err != nil {
 		return err
 	}
@@ -302,7 +302,7 @@
 	}
 	f.changes++
 	_, err = f.Publish(config.Record{Kind: config.RecordChange, Change: &config.Change{
-		ID: willowwick.ChangeID(fmt.Sprint("fuzz-", f.changes)), Author: "fuzz", Reason: "fuzz", Basis: state.Offset, Objects: []config.Object{made},
+		ID: willowwick.ChangeID(fmt.Sprint("fuzz-", f.changes)), Author: "fuzz", Reason: "fuzz", Basis: state.Offset, Objects: []config.Object{object},
 	}})
 	return err
 }
@@ -318,8 +318,8 @@
 	return err
 }
 
-// invariants checks what must hold after every step.
-func (f *fuzzRun) invariants() error {
+// checkInvariants checks what must hold after every step.
+func (f *fuzzRun) checkInvariants() error {
 	holders := 0
 	for _, box := range f.Boxes {
 		if !box.Running() {
@@ -327,7 +327,7 @@
 		}
 		status := box.Daemon.Status()
 		if status.Offset < f.offsets[status.Boot] {
-			return errors.Errorf("%s went back from offset %d to %d", box.ID, f.offsets[status.Boot], status.Offset)
+			return errors.Errorf("%s regressed from offset %d to %d", box.ID, f.offsets[status.Boot], status.Offset)
 		}
 		f.offsets[status.Boot] = status.Offset
 		if status.HoldsLease {
@@ -337,17 +337,17 @@
 	if holders > 1 {
 		return errors.Errorf("%d boxes hold the lease", holders)
 	}
-	for version, since := range f.withdrawn {
-		if late := f.ServedSince(version, since.Add(forceTime)); late > 0 {
-			return errors.Errorf("%s began %d calls long after it was withdrawn", version, late)
+	for version, withdrawnAt := range f.withdrawn {
+		if lateCalls := f.ServedSince(version, withdrawnAt.Add(inForceTime)); lateCalls > 0 {
+			return errors.Errorf("%s received %d calls long after its withdrawal", version, lateCalls)
 		}
 	}
 	return nil
 }
 
-// finish mends everything and checks what must hold in the end.
+// finish heals all faults and checks what must hold at the end.
 func (f *fuzzRun) finish() error {
-	f.logDown = false
+	f.isLogDown = false
 	f.Platform.SetFaults(func(faults *standin.PlatformFaults) { *faults = standin.PlatformFaults{} })
 	for i, box := range f.Boxes {
 		f.rejoin(i)
@@ -357,7 +357,7 @@
 			}
 		}
 	}
-	if err := f.WaitReady(readyTime); err != nil {
+	if err := f.WaitReady(readyTimeout); err != nil {
 		return err
 	}
 	time.Sleep(2 * settleTime)
@@ -371,12 +371,12 @@
 		}
 	}
 	if ledger.TotalCount != f.billed || ledger.BilledTwice() > 0 {
-		return errors.Errorf("%d answers, %d bills, %d of them twice", f.billed, ledger.TotalCount, ledger.BilledTwice())
+		return errors.Errorf("%d answers, %d billed, %d billed twice", f.billed, ledger.TotalCount, ledger.BilledTwice())
 	}
-	return f.invariants()
+	return f.checkInvariants()
 }
 
-// checkStates compares every box with the fold of the log.
+// checkStates compares every box's state with the state folded from the log.
 func (f *fuzzRun) checkStates() error {
 	oracle, err := f.State()
 	if err != nil {
@@ -384,20 +384,20 @@
 	}
 	for _, box := range f.Boxes {
 		r := box.Daemon.Node().Follower.Revision()
-		part, err := config.FoldAll(config.NewState(), f.Platform.Entries(willowwick.StreamConfig)[:r.Offset])
+		expected, err := config.FoldAll(config.NewState(), f.Platform.Entries(willowwick.StreamConfig)[:r.Offset])
 		if err != nil {
 			return err
 		}
-		own, err := r.Hash()
+		actualHash, err := r.Hash()
 		if err != nil {
 			return err
 		}
-		wanted, err := part.Hash()
+		expectedHash, err := expected.Hash()
 		if err != nil {
 			return err
 		}
-		if own != wanted || oracle.Offset-r.Offset > 5 {
-			return errors.Errorf("%s is at offset %d of %d, its state differs: %t", box.ID, r.Offset, oracle.Offset, own != wanted)
+		if actualHash != expectedHash || oracle.Offset-r.Offset > 5 {
+			return errors.Errorf("%s is at offset %d of %d, state differs: %t", box.ID, r.Offset, oracle.Offset, actualHash != expectedHash)
 		}
 	}
 	return nil
--- a/lab/lab_test.go
+++ b/lab/lab_test.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	coimbra   = "demo-lab-coimbra"
-	braga     = "demo-lab-braga"
-	harbour   = "demo-harbour-builds"
-	readyTime = 60 * time.Second
-	tokens    = 400
+	coimbraKey      = "demo-lab-coimbra"
+	bragaKey        = "demo-lab-braga"
+	harbourKey      = "demo-harbour-builds"
+	readyTimeout    = 60 * time.Second
+	maxAnswerTokens = 400
 )
 
-// scene is a fleet in virtual time with a caller.
-type scene struct {
+// testFleet is a fleet in virtual time with a caller.
+type testFleet struct {
 	*Fleet
 	t       *testing.T
-	net     *Memory
+	net     *MemoryNetwork
 	client  *http.Client
 	billed  int // answers that must be on the ledger
 	prompts int
@@ -42,17 +42,17 @@
 	return versions
 }
 
-// inScene runs a test in virtual time on a fleet of three boxes in three halls.
-func inScene(t *testing.T, boxes int, test func(*scene)) {
+// withTestFleet runs a test in virtual time on a fleet of so many boxes in three halls.
+func withTestFleet(t *testing.T, boxes int, test func(*testFleet)) {
 	t.Helper()
-	inSceneWith(t, boxes, serve.Settings{DrainDelay: time.Second, StallTimeout: time.Second}, test)
+	withTestFleetSettings(t, boxes, serve.Settings{DrainDelay: time.Second, StallTimeout: time.Second}, test)
 }
 
-// inSceneWith is inScene with settings of the daemons.
-func inSceneWith(t *testing.T, boxes int, settings serve.Settings, test func(*scene)) {
+// withTestFleetSettings is withTestFleet with settings for the daemons.
+func withTestFleetSettings(t *testing.T, boxes int, settings serve.Settings, test func(*testFleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		s := &scene{t: t, net: NewMemory()}
+		s := &testFleet{t: t, net: NewMemoryNetwork()}
 		fleet, closeFleet, err := NewFleet(Options{
 			Network: s.net, Boxes: boxes, Halls: 3, Runners: 3, Slots: 8, Versions: goodVersions(),
 			Services: map[willowwick.ServiceID]int{"registry": 2, "bookkeeping": 2},
@@ -63,44 +63,44 @@
 		s.Fleet = fleet
 		s.client = fleet.Client("caller")
 		require.NoError(t, fleet.Apply(examples.Declarations))
-		require.NoError(t, fleet.WaitReady(readyTime))
+		require.NoError(t, fleet.WaitReady(readyTimeout))
 		test(s)
 	})
 }
 
-func (s *scene) prompt() string {
+func (s *testFleet) nextPrompt() string {
 	s.prompts++
 	return "prompt " + itoa(s.prompts)
 }
 
-// ask sends a chat to a box.
-func (s *scene) ask(box int, chat Chat) Reply {
+// ask sends a chat to a box and counts a complete answer as billed.
+func (s *testFleet) ask(box int, chat Chat) Reply {
 	if chat.Prompt == "" {
-		chat.Prompt = s.prompt()
+		chat.Prompt = s.nextPrompt()
 	}
 	if chat.Key == "" {
-		chat.Key = coimbra
+		chat.Key = coimbraKey
 	}
 	if chat.Model == "" {
 		chat.Model = "run-large"
 	}
-	chat.MaxTokens = tokens
-	reply := Ask(context.Background(), s.client, s.Boxes[box].Callers, chat)
-	if reply.Outcome == OutcomeWhole {
+	chat.MaxTokens = maxAnswerTokens
+	reply := Ask(context.Background(), s.client, s.Boxes[box].CallerAddress, chat)
+	if reply.Outcome == OutcomeComplete {
 		s.billed++
 	}
 	return reply
 }
 
-func (s *scene) whole(box int, chat Chat) Reply {
+func (s *testFleet) requireAnswer(box int, chat Chat) Reply {
 	s.t.Helper()
 	reply := s.ask(box, chat)
-	require.Equal(s.t, OutcomeWhole, reply.Outcome, "%+v", reply)
+	require.Equal(s.t, OutcomeComplete, reply.Outcome, "%+v", reply)
 	return reply
 }
 
-// requireBills waits until the ledger has every answer, once.
-func (s *scene) requireBills() *fleet.Ledger {
+// requireBills waits until the ledger has every counted answer, and requires each to be there once.
+func (s *testFleet) requireBills() *fleet.Ledger {
 	s.t.Helper()
 	var ledger *fleet.Ledger
 	for range 60 {
@@ -119,17 +119,17 @@
 }
 
 func TestFleetAnswersAndBills(t *testing.T) {
-	inScene(t, 3, func(s *scene) {
+	withTestFleet(t, 3, func(s *testFleet) {
 		for box := range s.Boxes {
-			s.whole(box, Chat{Stream: true})
-			s.whole(box, Chat{})
-			s.whole(box, Chat{Model: "auto"})
+			s.requireAnswer(box, Chat{Stream: true})
+			s.requireAnswer(box, Chat{})
+			s.requireAnswer(box, Chat{Model: "auto"})
 		}
 		s.requireBills()
 	})
 }
 
-// wideRule is a rule that asks for more than some accounts may use.
-func wideRule() policy.Rule {
+// disallowedModelRule returns a policy rule that routes to a model that some accounts may not use.
+func disallowedModelRule() policy.Rule {
 	return policy.Rule{Name: "wide", When: "true", Then: policy.Action{Model: "scan-large"}}
 }
--- /dev/null
+++ b/lab/poison_test.go
@@ -0,0 +1,55 @@
+package lab
+
+import (
+	"net/http"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"github.com/willowwick/willowwick"
+	"github.com/willowwick/willowwick/standin"
+)
+
+const poisonPrompt = "ends the runner that runs it"
+
+// TestPromptThatCrashesRunnersIsRefusedByAllBoxes sends a prompt that crashes the runner that runs it, again and again
+// through all boxes. The fourth runner is spared, also by boxes that saw none of the crashes, and answers other
+// prompts; the version that ran the prompt is not withdrawn.
+func TestPromptThatCrashesRunnersIsRefusedByAllBoxes(t *testing.T) {
+	withTestFleet(t, 3, func(s *testFleet) {
+		s.addRunner(t)
+		s.addRunner(t)
+		for _, runner := range s.Runners {
+			runner.SetFaults(func(faults *standin.EngineFaults) { faults.CrashOn = poisonPrompt })
+		}
+		for i := range 12 {
+			reply := s.ask(i%3, Chat{Prompt: poisonPrompt})
+			assert.NotEqual(t, OutcomeComplete, reply.Outcome)
+			time.Sleep(500 * time.Millisecond)
+		}
+		for box := range s.Boxes {
+			started := time.Now()
+			reply := s.ask(box, Chat{Prompt: poisonPrompt})
+			assert.Equal(t, http.StatusBadGateway, reply.Status)
+			assert.Contains(t, reply.Detail, string(willowwick.CodePoison))
+			assert.Zero(t, reply.RetryAfter, "no retry is suggested")
+			assert.Less(t, time.Since(started), 50*time.Millisecond, "the refusal is immediate")
+			s.requireAnswer(box, Chat{})
+		}
+		running := 0
+		for _, runner := range s.Runners {
+			if !runner.HasCrashed() {
+				running++
+			}
+		}
+		assert.GreaterOrEqual(t, running, 1)
+		assert.False(t, s.isWithdrawn("run-large-1"))
+	})
+}
+
+// addRunner adds a runner to the fleet and waits until boxes know it.
+func (s *testFleet) addRunner(t *testing.T) {
+	require.NoError(t, s.startRunner(len(s.Runners)))
+	time.Sleep(5 * time.Second)
+}
--- a/serve/caller_test.go
+++ b/serve/caller_test.go
@@ -30,9 +30,9 @@
 )
 
 // withBox runs a test in virtual time on one box with a runner; its connections are unbuffered.
-func withBox(t *testing.T, test func(t *testing.T, box *lab.Box, network *lab.Memory)) {
+func withBox(t *testing.T, test func(t *testing.T, box *lab.Box, network *lab.MemoryNetwork)) {
 	synctest.Test(t, func(t *testing.T) {
-		network := lab.NewMemory()
+		network := lab.NewMemoryNetwork()
 		versions := map[willowwick.VersionID]standin.VersionBehaviour{"run-large-1": {Quality: 1}}
 		fleet, closeFleet, err := lab.NewFleet(lab.Options{
 			Network: network, Boxes: 1, Halls: 1, Runners: 1, Slots: 4, Versions: versions,
@@ -59,8 +59,8 @@
 	return `{"model": "run-large", "stream": true, "max_tokens": 200, "messages": [{"role": "user", "content": "hello"}]}`
 }
 
-func dialBox(t *testing.T, box *lab.Box, network *lab.Memory) net.Conn {
-	conn, err := network.Dial("caller")(t.Context(), "tcp", box.Callers)
+func dialBox(t *testing.T, box *lab.Box, network *lab.MemoryNetwork) net.Conn {
+	conn, err := network.Dial("caller")(t.Context(), "tcp", box.CallerAddress)
 	require.NoError(t, err)
 	return conn
 }
@@ -68,7 +68,7 @@
 // Guards against a caller that stalls in the middle of its answer and keeps its slot on the box and at the runner for ever:
 // writes to callers had no timeout, and the request's deadline doesn't interrupt a blocked write.
 func TestCallerThatStopsReadingReleasesItsSlot(t *testing.T) {
-	withBox(t, func(t *testing.T, box *lab.Box, network *lab.Memory) {
+	withBox(t, func(t *testing.T, box *lab.Box, network *lab.MemoryNetwork) {
 		conn := dialBox(t, box, network)
 		defer func() { _ = conn.Close() }()
 		_, err := io.WriteString(conn, chatHead(len(chatBody()))+chatBody())
@@ -84,7 +84,7 @@
 func TestCallerThatStopsSendingReleasesItsSlot(t *testing.T) {
 	for name, path := range map[string]string{"chat": "/v1/chat/completions", "unknown": "/services/none/path"} {
 		t.Run(name, func(t *testing.T) {
-			withBox(t, func(t *testing.T, box *lab.Box, network *lab.Memory) {
+			withBox(t, func(t *testing.T, box *lab.Box, network *lab.MemoryNetwork) {
 				conn := dialBox(t, box, network)
 				defer func() { _ = conn.Close() }()
 				go func() { _, _ = io.Copy(io.Discard, conn) }()
@@ -102,7 +102,7 @@
 
 // A caller that sends and reads slowly, but makes progress, gets its answer.
 func TestSlowCallerIsAnswered(t *testing.T) {
-	withBox(t, func(t *testing.T, box *lab.Box, network *lab.Memory) {
+	withBox(t, func(t *testing.T, box *lab.Box, network *lab.MemoryNetwork) {
 		conn := dialBox(t, box, network)
 		defer func() { _ = conn.Close() }()
 		_, err := io.WriteString(conn, chatHead(len(chatBody())))
@@ -136,7 +136,7 @@
 // Guards against the caller timeout applying to requests without a body, which have only their own deadline, or to the
 // pause between two requests on one connection.
 func TestPauseBetweenRequestsDoesNotTimeOutTheCaller(t *testing.T) {
-	withBox(t, func(t *testing.T, box *lab.Box, network *lab.Memory) {
+	withBox(t, func(t *testing.T, box *lab.Box, network *lab.MemoryNetwork) {
 		conn := dialBox(t, box, network)
 		defer func() { _ = conn.Close() }()
 		reader := bufio.NewReader(conn)
--- a/serve/drain_test.go
+++ b/serve/drain_test.go
@@ -45,7 +45,7 @@
 func runDrainScenarioWith(t *testing.T, callerTimeout time.Duration, test func(*drainScenario)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		network := lab.NewMemory()
+		network := lab.NewMemoryNetwork()
 		fleet, closeFleet, err := lab.NewFleet(lab.Options{
 			Network: network, Boxes: 2, Halls: 1, Services: map[willowwick.ServiceID]int{"bookkeeping": 1},
 			Settings: serve.Settings{DrainDelay: drainDelay, DrainTimeout: drainTimeout, CallerTimeout: callerTimeout},
@@ -54,7 +54,7 @@
 		defer closeFleet()
 		require.NoError(t, fleet.Apply(examples.Declarations))
 		require.NoError(t, fleet.WaitReady(time.Minute))
-		caller, err := network.Dial("caller")(t.Context(), "tcp", fleet.Boxes[0].Callers)
+		caller, err := network.Dial("caller")(t.Context(), "tcp", fleet.Boxes[0].CallerAddress)
 		require.NoError(t, err)
 		defer func() { _ = caller.Close() }()
 		test(&drainScenario{fleet, t, caller, bufio.NewReader(caller)})
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -15,25 +15,25 @@
 )
 
 const (
-	goodScore  = willowwick.Score(0.95)
-	poorScore  = willowwick.Score(0.2)
-	maxRecord  = 16 << 20
-	pathFaults = "/faults"
-	pathBoxes  = "/live/boxes"
-	pathPoints = "/live/endpoints"
+	highScore      = willowwick.Score(0.95)
+	lowScore       = willowwick.Score(0.2)
+	maxRecordBytes = 16 << 20
+	pathFaults     = "/faults"
+	pathBoxes      = "/live/boxes"
+	pathEndpoints  = "/live/endpoints"
 )
 
 type (
-	// PlatformFaults are the troubles of the platform.
+	// PlatformFaults are the faults that the platform injects.
 	PlatformFaults struct {
-		LogDown    bool `json:"logDown"`
-		LoseAnswer int  `json:"loseAnswer"` // appends that take effect and are not answered
-		SlowMs     int  `json:"slowMs"`
-		ListDown   bool `json:"listDown"`
-		ListLagMs  int  `json:"listLagMs"`
-		RaterDown  bool `json:"raterDown"`
-		RaterMs    int  `json:"raterMs"`
-		Retain     int  `json:"retain"` // records kept on a stream; 0 keeps all
+		LogDown        bool `json:"logDown"`
+		DroppedAnswers int  `json:"loseAnswer"` // appends that take effect without an answer
+		SlowMs         int  `json:"slowMs"`
+		ListDown       bool `json:"listDown"`
+		ListLagMs      int  `json:"listLagMs"`
+		RaterDown      bool `json:"raterDown"`
+		RaterMs        int  `json:"raterMs"`
+		Retain         int  `json:"retain"` // records kept on the configuration stream; 0 keeps all
 	}
 
 	// Platform stands in for the log, the list of boxes and endpoints, and the rater.
@@ -54,8 +54,8 @@
 	}
 
 	timedListing struct {
-		at      time.Time
-		listing willowwick.Listing
+		publishedAt time.Time
+		listing     willowwick.Listing
 	}
 )
 
@@ -73,8 +73,8 @@
 	p.mux.HandleFunc("POST "+remote.PathRate, p.handleRate)
 	p.mux.HandleFunc("PUT "+pathFaults, p.handleFaults)
 	p.mux.HandleFunc("PUT "+pathBoxes, handlePut(p.SetBox))
-	p.mux.HandleFunc("PUT "+pathPoints, handlePut(p.SetEndpoint))
-	p.relist()
+	p.mux.HandleFunc("PUT "+pathEndpoints, handlePut(p.SetEndpoint))
+	p.publishListing()
 	return p
 }
 
@@ -83,59 +83,59 @@
 	p.mux.ServeHTTP(w, r)
 }
 
-// SetFaults replaces the faults.
+// SetFaults changes the faults.
 func (p *Platform) SetFaults(change func(*PlatformFaults)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	change(&p.faults)
 }
 
-// SetBox puts a box on the list.
+// SetBox adds or replaces a box on the list.
 func (p *Platform) SetBox(box willowwick.Box) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.boxes[box.ID] = box
-	p.relist()
+	p.publishListing()
 }
 
-// RemoveBox takes a box off the list.
+// RemoveBox removes a box from the list.
 func (p *Platform) RemoveBox(id willowwick.BoxID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.boxes, id)
-	p.relist()
+	p.publishListing()
 }
 
-// SetEndpoint puts an endpoint on the list.
+// SetEndpoint adds or replaces an endpoint on the list.
 func (p *Platform) SetEndpoint(endpoint willowwick.Endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.endpoints[endpoint.ID] = endpoint
-	p.relist()
+	p.publishListing()
 }
 
-// Endpoints returns the endpoints on the list, by id.
+// Endpoints returns the endpoints on the list, by ID.
 func (p *Platform) Endpoints() map[willowwick.EndpointID]willowwick.Endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return maps.Clone(p.endpoints)
 }
 
-// Entries returns what a stream holds.
+// Entries returns the entries that a stream holds.
 func (p *Platform) Entries(id willowwick.StreamID) []willowwick.Entry {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]willowwick.Entry(nil), p.stream(id).entries...)
 }
 
-// Appends returns how many records were taken so far.
+// Appends returns the number of records appended so far.
 func (p *Platform) Appends() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.appends
 }
 
-func (p *Platform) relist() {
+func (p *Platform) publishListing() {
 	listing := willowwick.Listing{Revision: strconv.Itoa(len(p.listings) + 1)}
 	for _, box := range p.boxes {
 		listing.Boxes = append(listing.Boxes, box)
@@ -143,7 +143,7 @@
 	for _, endpoint := range p.endpoints {
 		listing.Endpoints = append(listing.Endpoints, endpoint)
 	}
-	p.listings = append(p.listings, timedListing{at: time.Now(), listing: listing})
+	p.listings = append(p.listings, timedListing{publishedAt: time.Now(), listing: listing})
 }
 
 func (p *Platform) stream(id willowwick.StreamID) *stream {
@@ -155,7 +155,7 @@
 	return s
 }
 
-// Append takes a record as the log would, faults left aside.
+// Append appends a record directly, bypassing faults.
 func (p *Platform) Append(id willowwick.StreamID, data []byte) willowwick.Offset {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -168,37 +168,37 @@
 	offset := s.first + willowwick.Offset(len(s.entries))
 	s.entries = append(s.entries, willowwick.Entry{Offset: offset, Data: data})
 	if p.faults.Retain > 0 && id == willowwick.StreamConfig && len(s.entries) > p.faults.Retain {
-		cut := len(s.entries) - p.faults.Retain
-		s.entries = append([]willowwick.Entry(nil), s.entries[cut:]...)
-		s.first += willowwick.Offset(cut)
+		excess := len(s.entries) - p.faults.Retain
+		s.entries = append([]willowwick.Entry(nil), s.entries[excess:]...)
+		s.first += willowwick.Offset(excess)
 	}
 	return offset
 }
 
 func (p *Platform) handleAppend(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(io.LimitReader(r.Body, maxRecord))
+	data, err := io.ReadAll(io.LimitReader(r.Body, maxRecordBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !p.pass(w, func(f PlatformFaults) bool { return f.LogDown }) {
+	if !p.checkAvailable(w, func(f PlatformFaults) bool { return f.LogDown }) {
 		return
 	}
 	p.mu.Lock()
 	offset := p.append(willowwick.StreamID(r.PathValue("stream")), data)
-	lose := p.faults.LoseAnswer > 0
-	if lose {
-		p.faults.LoseAnswer--
+	dropAnswer := p.faults.DroppedAnswers > 0
+	if dropAnswer {
+		p.faults.DroppedAnswers--
 	}
 	p.mu.Unlock()
-	if lose {
+	if dropAnswer {
 		panic(http.ErrAbortHandler)
 	}
 	writeJSON(w, map[string]willowwick.Offset{"offset": offset})
 }
 
-// pass waits as long as the platform is slow, and answers an error if the part is down.
-func (p *Platform) pass(w http.ResponseWriter, isDown func(PlatformFaults) bool) bool {
+// checkAvailable waits for the SlowMs fault, then reports whether the part is up; it answers an error if not.
+func (p *Platform) checkAvailable(w http.ResponseWriter, isDown func(PlatformFaults) bool) bool {
 	p.mu.Lock()
 	faults := p.faults
 	p.mu.Unlock()
@@ -213,7 +213,7 @@
 }
 
 func (p *Platform) handleRead(w http.ResponseWriter, r *http.Request) {
-	if !p.pass(w, func(f PlatformFaults) bool { return f.LogDown }) {
+	if !p.checkAvailable(w, func(f PlatformFaults) bool { return f.LogDown }) {
 		return
 	}
 	from, err := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
@@ -229,25 +229,25 @@
 	writeJSON(w, p.Read(willowwick.StreamID(r.PathValue("stream")), willowwick.Offset(from), limit))
 }
 
-// Read returns a page as the log would, faults left aside.
+// Read returns a page directly, bypassing faults.
 func (p *Platform) Read(id willowwick.StreamID, from willowwick.Offset, limit int) willowwick.Page {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.stream(id)
 	page := willowwick.Page{First: s.first, Next: s.first + willowwick.Offset(len(s.entries))}
 	if from >= s.first && from < page.Next {
-		rest := s.entries[from-s.first:]
-		page.Entries = append(page.Entries, rest[:min(limit, len(rest))]...)
+		available := s.entries[from-s.first:]
+		page.Entries = append(page.Entries, available[:min(limit, len(available))]...)
 	}
 	return page
 }
 
 func (p *Platform) handleList(w http.ResponseWriter, r *http.Request) {
-	if !p.pass(w, func(f PlatformFaults) bool { return f.ListDown }) {
+	if !p.checkAvailable(w, func(f PlatformFaults) bool { return f.ListDown }) {
 		return
 	}
 	p.mu.Lock()
-	listing := p.laggingListing()
+	listing := p.visibleListing()
 	p.mu.Unlock()
 	if listing.Revision == r.URL.Query().Get("known") {
 		w.WriteHeader(http.StatusNotModified)
@@ -256,10 +256,10 @@
 	writeJSON(w, listing)
 }
 
-func (p *Platform) laggingListing() willowwick.Listing {
+func (p *Platform) visibleListing() willowwick.Listing {
 	visible := time.Now().Add(-time.Duration(p.faults.ListLagMs) * time.Millisecond)
 	for i := len(p.listings) - 1; i > 0; i-- {
-		if !p.listings[i].at.After(visible) {
+		if !p.listings[i].publishedAt.After(visible) {
 			return p.listings[i].listing
 		}
 	}
@@ -272,16 +272,16 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !p.pass(w, func(f PlatformFaults) bool { return f.RaterDown }) {
+	if !p.checkAvailable(w, func(f PlatformFaults) bool { return f.RaterDown }) {
 		return
 	}
 	p.mu.Lock()
-	lag := p.faults.RaterMs
+	delayMs := p.faults.RaterMs
 	p.mu.Unlock()
-	time.Sleep(time.Duration(lag) * time.Millisecond)
-	score := goodScore
-	if strings.Contains(rating.Answer, poorMark) {
-		score = poorScore
+	time.Sleep(time.Duration(delayMs) * time.Millisecond)
+	score := highScore
+	if strings.Contains(rating.Answer, lowScoreMarker) {
+		score = lowScore
 	}
 	writeJSON(w, map[string]willowwick.Score{"score": score})
 }
@@ -296,7 +296,7 @@
 	writeJSON(w, faults)
 }
 
-// handlePut decodes a JSON body and passes it on.
+// handlePut returns a handler that decodes a JSON body and passes it to set.
 func handlePut[T any](set func(T)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var value T
--- a/standin/store.go
+++ b/standin/store.go
@@ -13,39 +13,39 @@
 )
 
 const (
-	// maxStoreCall bounds what one call may append.
-	maxStoreCall = 2 << 20
-	// storePoll is how often a read that waits looks again.
-	storePoll = 5 * time.Millisecond
-	// lengthBytes is the length in front of each record on the wire.
-	lengthBytes = 4
+	// maxAppendBytes limits the body of one append.
+	maxAppendBytes = 2 << 20
+	// readPollInterval is how often a waiting read checks for records.
+	readPollInterval = 5 * time.Millisecond
+	// lengthPrefixBytes is the size of the length prefix of each record on the wire.
+	lengthPrefixBytes = 4
 )
 
 type (
-	// StoreFaults are the troubles of the users' platform's store.
+	// StoreFaults are the faults that a Store injects.
 	StoreFaults struct {
-		Down       bool
-		LoseAnswer int // writes that take effect and are not answered
+		Down           bool
+		DroppedAnswers int // writes that take effect without an answer
 	}
 
 	// Store stands in for the users' platform's store: topics of records and groups of members.
 	Store struct {
-		mu     sync.Mutex
-		faults StoreFaults
-		away   map[string]bool // topics that are not served
-		topics map[string]*storeTopic
-		groups map[string]*storeGroup
-		calls  map[string]int
-		era    uint64                 // 0 if answers name none
-		copied map[string]*storeTopic // what the store held as a copy was taken
-		mux    *http.ServeMux
+		mu          sync.Mutex
+		faults      StoreFaults
+		unavailable map[string]bool // topics that are not served
+		topics      map[string]*storeTopic
+		groups      map[string]*storeGroup
+		calls       map[string]int
+		era         uint64                 // 0 if answers name no era
+		backup      map[string]*storeTopic // what SaveBackup saved
+		mux         *http.ServeMux
 	}
 
 	storeTopic struct {
-		first   uint64
-		records [][]byte
-		newest  map[string]storeRecord
-		changed map[string]uint64 // where each key was last written or dropped
+		first      uint64
+		records    [][]byte
+		newest     map[string]storeRecord
+		lastWrites map[string]uint64 // offset of each key's last write or deletion
 	}
 
 	storeRecord struct {
@@ -55,11 +55,11 @@
 
 	storeGroup struct {
 		generation uint64
-		members    map[string]time.Time // until when each is a member
+		members    map[string]time.Time // expiry of each member
 		topic      string
 	}
 
-	storeJoin struct {
+	joinRequest struct {
 		Group  string   `json:"group"`
 		Member string   `json:"member"`
 		Topics []string `json:"topics"`
@@ -76,15 +76,15 @@
 // NewStore returns an empty store.
 func NewStore() *Store {
 	s := &Store{
-		away: map[string]bool{}, topics: map[string]*storeTopic{}, groups: map[string]*storeGroup{}, calls: map[string]int{},
+		unavailable: map[string]bool{}, topics: map[string]*storeTopic{}, groups: map[string]*storeGroup{}, calls: map[string]int{},
 		mux: http.NewServeMux(),
 	}
-	s.mux.HandleFunc("POST /log-append", s.appendRecords)
-	s.mux.HandleFunc("GET /log-read", s.read)
-	s.mux.HandleFunc("GET /log-newest", s.readNewest)
-	s.mux.HandleFunc("POST /log-join", s.join)
-	s.mux.HandleFunc("POST /log-leave", s.leave)
-	s.mux.HandleFunc("GET /log-owners", s.owners)
+	s.mux.HandleFunc("POST /log-append", s.handleAppend)
+	s.mux.HandleFunc("GET /log-read", s.handleRead)
+	s.mux.HandleFunc("GET /log-newest", s.handleReadNewest)
+	s.mux.HandleFunc("POST /log-join", s.handleJoin)
+	s.mux.HandleFunc("POST /log-leave", s.handleLeave)
+	s.mux.HandleFunc("GET /log-owners", s.handleOwners)
 	return s
 }
 
@@ -93,8 +93,8 @@
 	s.mu.Lock()
 	s.calls[r.URL.Path]++
 	down := s.isDown(r.URL.Query().Get("topic"))
-	if era := s.eraText(); era != "" {
-		w.Header().Set(headerEra, era)
+	if era := s.eraValue(); era != "" {
+		w.Header().Set(eraHeader, era)
 	}
 	s.mu.Unlock()
 	if down {
@@ -104,33 +104,33 @@
 	s.mux.ServeHTTP(w, r)
 }
 
-// SetFaults changes the store's troubles.
+// SetFaults replaces the store's faults.
 func (s *Store) SetFaults(faults StoreFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = faults
 }
 
-// SetAway takes one topic away, or brings it back; the others are served.
-func (s *Store) SetAway(topic string, away bool) {
+// SetUnavailable takes one topic out of service or puts it back; the others stay in service.
+func (s *Store) SetUnavailable(topic string, unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away[topic] = away
+	s.unavailable[topic] = unavailable
 }
 
-// isDown reports whether calls for a topic, or for none, are not served; the caller holds the lock.
+// isDown reports whether calls for a topic, or for none if empty, are not served; the caller holds the lock.
 func (s *Store) isDown(topic string) bool {
-	return s.faults.Down || s.away[topic]
+	return s.faults.Down || s.unavailable[topic]
 }
 
-// Calls is how often a call was made.
+// Calls returns how often a path was called.
 func (s *Store) Calls(path string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[path]
 }
 
-// Put writes the value of a key as the operator or an endpoint does; no value drops the key.
+// Put writes the value of a key as the operator or an endpoint does; a nil value deletes the key.
 func (s *Store) Put(topic, key string, value any) error {
 	var data []byte
 	if value != nil {
@@ -146,7 +146,7 @@
 	return nil
 }
 
-// PutRaw appends bytes that need not be a record of a key and a value, as a writer that does not know the topic may.
+// PutRaw appends bytes that need not be a record of a key and a value, as a writer of another format might.
 func (s *Store) PutRaw(topic string, record []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -166,8 +166,8 @@
 	return record.value, found
 }
 
-// Forget drops the history of a topic; the newest record of each key stays.
-func (s *Store) Forget(topic string) {
+// TrimHistory drops the history of a topic; the newest record of each key stays readable.
+func (s *Store) TrimHistory(topic string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.topic(topic)
@@ -178,7 +178,7 @@
 func (s *Store) topic(name string) *storeTopic {
 	t := s.topics[name]
 	if t == nil {
-		t = &storeTopic{newest: map[string]storeRecord{}, changed: map[string]uint64{}}
+		t = &storeTopic{newest: map[string]storeRecord{}, lastWrites: map[string]uint64{}}
 		s.topics[name] = t
 	}
 	return t
@@ -191,7 +191,7 @@
 func (t *storeTopic) append(record []byte) {
 	keyEnd := 1 + int(record[0])
 	key, value := string(record[1:keyEnd]), record[keyEnd:]
-	t.changed[key] = t.end()
+	t.lastWrites[key] = t.end()
 	if len(value) == 0 {
 		delete(t.newest, key)
 	} else {
@@ -200,46 +200,46 @@
 	t.records = append(t.records, record)
 }
 
-func (s *Store) appendRecords(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxStoreCall))
+func (s *Store) handleAppend(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxAppendBytes))
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
 	t := s.topic(r.URL.Query().Get("topic"))
-	if wanted := r.URL.Query().Get("store-revision"); wanted != "" && wanted != strconv.FormatUint(t.end(), 10) {
+	if expectedEnd := r.URL.Query().Get("store-revision"); expectedEnd != "" && expectedEnd != strconv.FormatUint(t.end(), 10) {
 		end := t.end()
 		s.mu.Unlock()
-		writeStatus(w, http.StatusPreconditionFailed, map[string]uint64{"end": end})
+		writeJSONStatus(w, http.StatusPreconditionFailed, map[string]uint64{"end": end})
 		return
 	}
 	offset := t.end()
-	for len(body) > lengthBytes {
+	for len(body) > lengthPrefixBytes {
 		size := int(binary.BigEndian.Uint32(body))
-		t.append(body[lengthBytes : lengthBytes+size])
-		body = body[lengthBytes+size:]
+		t.append(body[lengthPrefixBytes : lengthPrefixBytes+size])
+		body = body[lengthPrefixBytes+size:]
 	}
 	end := t.end()
-	lose := s.faults.LoseAnswer > 0
-	if lose {
-		s.faults.LoseAnswer--
+	dropAnswer := s.faults.DroppedAnswers > 0
+	if dropAnswer {
+		s.faults.DroppedAnswers--
 	}
 	s.mu.Unlock()
-	if lose {
+	if dropAnswer {
 		panic(http.ErrAbortHandler)
 	}
-	writeStatus(w, http.StatusOK, map[string]uint64{"offset": offset, "end": end})
+	writeJSONStatus(w, http.StatusOK, map[string]uint64{"offset": offset, "end": end})
 }
 
-func writeStatus(w http.ResponseWriter, status int, body any) {
+func writeJSONStatus(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The caller sees a broken answer; a stand-in has nobody else to tell.
+	// Errors are ignored: the caller sees a truncated answer.
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-func (s *Store) read(w http.ResponseWriter, r *http.Request) {
+func (s *Store) handleRead(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	from, err := strconv.ParseUint(query.Get("from"), 10, 64)
 	if err != nil {
@@ -247,42 +247,42 @@
 		return
 	}
 	wait, _ := strconv.Atoi(query.Get("wait-ms"))
-	until := time.Now().Add(time.Duration(wait) * time.Millisecond)
-	era := w.Header().Get(headerEra)
+	deadline := time.Now().Add(time.Duration(wait) * time.Millisecond)
+	era := w.Header().Get(eraHeader)
 	for {
 		s.mu.Lock()
 		t := s.topic(query.Get("topic"))
 		first, end, down := t.first, t.end(), s.isDown(query.Get("topic"))
-		isCut := era != s.eraText()
+		eraChanged := era != s.eraValue()
 		var records [][]byte
 		if from >= first && from <= end {
-			records = upTo(t.records[from-first:], query.Get("max-kb"))
+			records = firstRecordsWithin(t.records[from-first:], query.Get("max-kb"))
 		}
 		s.mu.Unlock()
 		switch {
-		case down, isCut:
+		case down, eraChanged:
 			panic(http.ErrAbortHandler)
 		case from < first, from > end:
-			writeStatus(w, http.StatusGone, map[string]uint64{"first": first})
+			writeJSONStatus(w, http.StatusGone, map[string]uint64{"first": first})
 			return
-		case len(records) > 0 || time.Now().After(until) || r.Context().Err() != nil:
+		case len(records) > 0 || time.Now().After(deadline) || r.Context().Err() != nil:
 			writeRecords(w, end, first, records)
 			return
 		}
-		time.Sleep(storePoll)
+		time.Sleep(readPollInterval)
 	}
 }
 
-// upTo returns the first of the records that have so many KB together, and one at the least; all of them if the text is
-// empty.
-func upTo(records [][]byte, kb string) [][]byte {
-	limit, err := strconv.Atoi(kb)
+// firstRecordsWithin returns the leading records that fit into limitKB kilobytes together, but at least one; all of
+// them if limitKB is empty.
+func firstRecordsWithin(records [][]byte, limitKB string) [][]byte {
+	limit, err := strconv.Atoi(limitKB)
 	if err != nil {
 		return records
 	}
 	size := 0
 	for i, record := range records {
-		if size += lengthBytes + len(record); size > limit<<10 && i > 0 {
+		if size += lengthPrefixBytes + len(record); size > limit<<10 && i > 0 {
 			return records[:i]
 		}
 	}
@@ -299,7 +299,7 @@
 	_, _ = w.Write(data)
 }
 
-func (s *Store) readNewest(w http.ResponseWriter, r *http.Request) {
+func (s *Store) handleReadNewest(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	t := s.topic(r.URL.Query().Get("topic"))
 	items := []storeItem{}
@@ -309,15 +309,15 @@
 	end := t.end()
 	s.mu.Unlock()
 	sort.Slice(items, func(i, j int) bool { return items[i].Key < items[j].Key })
-	writeStatus(w, http.StatusOK, struct {
+	writeJSONStatus(w, http.StatusOK, struct {
 		Items []storeItem `json:"items"`
 		More  bool        `json:"has-more"`
 		End   uint64      `json:"end"`
 	}{items, false, end})
 }
 
-func (s *Store) join(w http.ResponseWriter, r *http.Request) {
-	var call storeJoin
+func (s *Store) handleJoin(w http.ResponseWriter, r *http.Request) {
+	var call joinRequest
 	if err := json.NewDecoder(r.Body).Decode(&call); err != nil || len(call.Topics) == 0 {
 		w.WriteHeader(http.StatusBadRequest)
 		return
@@ -334,36 +334,36 @@
 	g.members[call.Member] = time.Now().Add(time.Duration(call.TTLMs) * time.Millisecond)
 	g.expire()
 	var parts [][]any
-	if g.leader() == call.Member {
+	if g.partOwner() == call.Member {
 		parts = append(parts, []any{g.topic, 0, 0})
 	}
 	generation := g.generation
 	s.mu.Unlock()
-	writeStatus(w, http.StatusOK, map[string]any{"generation": generation, "ttl-ms": call.TTLMs, "parts": parts})
+	writeJSONStatus(w, http.StatusOK, map[string]any{"generation": generation, "ttl-ms": call.TTLMs, "parts": parts})
 }
 
 func (g *storeGroup) expire() {
-	for member, until := range g.members {
-		if time.Now().After(until) {
+	for member, expiry := range g.members {
+		if time.Now().After(expiry) {
 			delete(g.members, member)
 			g.generation++
 		}
 	}
 }
 
-// leader is the member that holds the only part.
-func (g *storeGroup) leader() string {
-	leader := ""
+// partOwner returns the member that owns the topic's only part.
+func (g *storeGroup) partOwner() string {
+	owner := ""
 	for member := range g.members {
-		if leader == "" || member < leader {
-			leader = member
+		if owner == "" || member < owner {
+			owner = member
 		}
 	}
-	return leader
+	return owner
 }
 
-func (s *Store) leave(w http.ResponseWriter, r *http.Request) {
-	var call storeJoin
+func (s *Store) handleLeave(w http.ResponseWriter, r *http.Request) {
+	var call joinRequest
 	if err := json.NewDecoder(r.Body).Decode(&call); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
@@ -374,10 +374,10 @@
 		g.generation++
 	}
 	s.mu.Unlock()
-	writeStatus(w, http.StatusOK, struct{}{})
+	writeJSONStatus(w, http.StatusOK, struct{}{})
 }
 
-func (s *Store) owners(w http.ResponseWriter, r *http.Request) {
+func (s *Store) handleOwners(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	var rows [][]any
 	if g := s.groups[r.URL.Query().Get("group")]; g != nil {
@@ -386,5 +386,5 @@
 		}
 	}
 	s.mu.Unlock()
-	writeStatus(w, http.StatusOK, map[string]any{"parts": rows})
+	writeJSONStatus(w, http.StatusOK, map[string]any{"parts": rows})
 }
