--- a/fleet/lease.go
+++ b/fleet/lease.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// leaseFor is how long a holder may act after it began its last renewal that was granted.
-	leaseFor = 12 * time.Second
+	// leaseDuration is how long a holder may act after it began its last renewal that was granted.
+	leaseDuration = 12 * time.Second
 	// leaseLapse is how long others wait for a sign of the holder; the gap to leaseFor covers unlike clock rates.
 	leaseLapse  = 16 * time.Second
 	leaseRenew  = 4 * time.Second
@@ -48,7 +48,7 @@
 	}
 	l.seen, l.seenAt = folded, now
 	if begun, ours := l.begun[folded.Ask]; ours && folded.Boot == l.self.Boot {
-		l.validUntil = begun.Add(leaseFor)
+		l.validUntil = begun.Add(leaseDuration)
 	}
 	l.asked = time.Time{}
 	clear(l.begun)
@@ -74,7 +74,7 @@
 	}
 	switch {
 	case l.seen.Boot == l.self.Boot:
-		if now.Before(l.validUntil.Add(leaseRenew - leaseFor)) {
+		if now.Before(l.validUntil.Add(leaseRenew - leaseDuration)) {
 			return config.Record{}, false
 		}
 	case l.seen.Boot == "":
--- a/fleet/lease_test.go
+++ b/fleet/lease_test.go
@@ -34,9 +34,9 @@
 	require.True(t, due)
 	state = foldLease(t, state, second)
 	l.Observe(later, state.Lease)
-	_, held := l.Fence(begun.Add(leaseFor - time.Millisecond))
+	_, held := l.Fence(begun.Add(leaseDuration - time.Millisecond))
 	require.True(t, held)
-	_, held = l.Fence(begun.Add(leaseFor))
+	_, held = l.Fence(begun.Add(leaseDuration))
 	require.False(t, held, "others may take the lease %s after they saw the first claim", leaseLapse)
 }
 
