--- a/fleet/lease.go
+++ b/fleet/lease.go
@@ -12,10 +12,10 @@
 const (
 	// leaseDuration is how long a holder may act after it began its last renewal that was granted.
 	leaseDuration = 12 * time.Second
-	// leaseLapse is how long others wait for a sign of the holder; the gap to leaseFor covers unlike clock rates.
-	leaseLapse  = 16 * time.Second
-	leaseRenew  = 4 * time.Second
-	claimSpread = 400 * time.Millisecond
+	// leaseTakeoverDelay is how long others wait for a sign of the holder; the gap to leaseFor covers unlike clock rates.
+	leaseTakeoverDelay = 16 * time.Second
+	leaseRenewInterval = 4 * time.Second
+	claimStagger       = 400 * time.Millisecond
 )
 
 // Lease says whether this daemon may order and advance.
@@ -24,44 +24,44 @@
 // takes the first claim that does. A holder trusts its lease only for a time
 // counted from before it asked, so one that was paused finds out by its own clock.
 type Lease struct {
-	mu         sync.Mutex
-	self       Identity
-	seen       config.Lease         // as last folded
-	seenAt     time.Time            // when it last changed here
-	ask        uint64               // number of the newest claim
-	asked      time.Time            // when it was begun, while its outcome is not known
-	begun      map[uint64]time.Time // when claims whose outcome is not known were begun
-	validUntil time.Time
+	mu           sync.Mutex
+	self         Identity
+	observed     config.Lease         // as last folded
+	observedAt   time.Time            // when it last changed here
+	claimNumber  uint64               // number of the newest claim
+	pendingSince time.Time            // when it was begun, while its outcome is not known
+	begunAt      map[uint64]time.Time // when claims whose outcome is not known were begun
+	validUntil   time.Time
 }
 
 // NewLease returns a lease that this daemon does not hold.
 func NewLease(self Identity) *Lease {
-	return &Lease{self: self, begun: map[uint64]time.Time{}}
+	return &Lease{self: self, begunAt: map[uint64]time.Time{}}
 }
 
 // Observe takes the lease as the fold has it.
 func (l *Lease) Observe(now time.Time, folded config.Lease) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if folded == l.seen {
+	if folded == l.observed {
 		return
 	}
-	l.seen, l.seenAt = folded, now
-	if begun, ours := l.begun[folded.Ask]; ours && folded.Boot == l.self.Boot {
+	l.observed, l.observedAt = folded, now
+	if begun, ours := l.begunAt[folded.Ask]; ours && folded.Boot == l.self.Boot {
 		l.validUntil = begun.Add(leaseDuration)
 	}
-	l.asked = time.Time{}
-	clear(l.begun)
+	l.pendingSince = time.Time{}
+	clear(l.begunAt)
 }
 
 // Fence returns the fencing number if this daemon holds the lease now.
 func (l *Lease) Fence(now time.Time) (willowwick.Fence, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.seen.Boot != l.self.Boot || !now.Before(l.validUntil) {
+	if l.observed.Boot != l.self.Boot || !now.Before(l.validUntil) {
 		return 0, false
 	}
-	return l.seen.Fence, true
+	return l.observed.Fence, true
 }
 
 // Claim returns the record that takes or renews the lease, if it is time to;
@@ -69,30 +69,30 @@
 func (l *Lease) Claim(now time.Time, rank int) (config.Record, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.asked.IsZero() && now.Before(l.asked.Add(leaseRenew)) {
+	if !l.pendingSince.IsZero() && now.Before(l.pendingSince.Add(leaseRenewInterval)) {
 		return config.Record{}, false
 	}
 	switch {
-	case l.seen.Boot == l.self.Boot:
-		if now.Before(l.validUntil.Add(leaseRenew - leaseDuration)) {
+	case l.observed.Boot == l.self.Boot:
+		if now.Before(l.validUntil.Add(leaseRenewInterval - leaseDuration)) {
 			return config.Record{}, false
 		}
-	case l.seen.Boot == "":
-		free := l.seenAt
+	case l.observed.Boot == "":
+		free := l.observedAt
 		if free.Before(l.self.Started) {
 			free = l.self.Started
 		}
-		if now.Before(free.Add(time.Duration(rank) * claimSpread)) {
+		if now.Before(free.Add(time.Duration(rank) * claimStagger)) {
 			return config.Record{}, false
 		}
 	default:
-		if now.Before(l.seenAt.Add(leaseLapse + time.Duration(rank)*claimSpread)) {
+		if now.Before(l.observedAt.Add(leaseTakeoverDelay + time.Duration(rank)*claimStagger)) {
 			return config.Record{}, false
 		}
 	}
-	l.ask++
-	l.asked, l.begun[l.ask] = now, now
-	claim := &config.LeaseClaim{Boot: l.self.Boot, Box: l.self.Box, After: l.seen.Renewed, Ask: l.ask}
+	l.claimNumber++
+	l.pendingSince, l.begunAt[l.claimNumber] = now, now
+	claim := &config.LeaseClaim{Boot: l.self.Boot, Box: l.self.Box, After: l.observed.Renewed, Ask: l.claimNumber}
 	return config.Record{Kind: config.RecordLease, Lease: claim}, true
 }
 
--- a/fleet/lease_test.go
+++ b/fleet/lease_test.go
@@ -37,7 +37,7 @@
 	_, held := l.Fence(begun.Add(leaseDuration - time.Millisecond))
 	require.True(t, held)
 	_, held = l.Fence(begun.Add(leaseDuration))
-	require.False(t, held, "others may take the lease %s after they saw the first claim", leaseLapse)
+	require.False(t, held, "others may take the lease %s after they saw the first claim", leaseTakeoverDelay)
 }
 
 // TestPausedHolderFindsOut by its own clock, before it asks anybody.
