--- a/fleet/follower.go
+++ b/fleet/follower.go
@@ -245,7 +245,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	offset := f.Revision().Offset
-	if offset-f.lastSnapshot > snapshotEvery {
+	if offset-f.lastSnapshot > maxEntriesSinceSnapshot {
 		return true
 	}
 	middle := f.first + (offset-f.first)/2
--- a/fleet/gossip.go
+++ b/fleet/gossip.go
@@ -17,14 +17,14 @@
 // the hall and one of another hall.
 func (n *Node) gossip(ctx context.Context) {
 	n.renewDigest(clock.Now())
-	same, other := n.partners()
+	same, other := n.pickGossipPeers()
 	if same != nil {
-		n.exchange(ctx, *same)
+		n.exchangeDigests(ctx, *same)
 	}
 	if other != nil {
-		n.exchange(ctx, *other)
+		n.exchangeDigests(ctx, *other)
 	}
-	n.checkBuddy()
+	n.checkUsageReplica()
 }
 
 func (n *Node) renewDigest(now time.Time) {
@@ -35,24 +35,24 @@
 		}
 	}
 	n.mu.Lock()
-	if now.Before(n.nextOwn) {
+	if now.Before(n.nextDigestAt) {
 		n.mu.Unlock()
 		return
 	}
-	n.nextOwn = now.Add(DigestInterval(hallSize) - tick/2)
-	n.digests++
-	number, draining := n.digests, n.draining
+	n.nextDigestAt = now.Add(DigestInterval(hallSize) - loopInterval/2)
+	n.digestCount++
+	number, draining := n.digestCount, n.draining
 	n.mu.Unlock()
 	d := Digest{
 		Box: n.Self.Box, Boot: n.Self.Boot, Version: newDigestVersion(n.Self.Started, number),
 		Hall: n.Self.Hall, Peer: n.Self.Peer, Offset: n.Follower.Revision().Offset,
-		ConfirmMs: n.confirmAge(now), Draining: draining,
+		ConfirmMs: n.msSinceConfirmed(now), Draining: draining,
 	}
-	n.Fill(&d)
+	n.FillDigest(&d)
 	n.Table.Merge(now, []Digest{d}, nil)
 }
 
-func (n *Node) confirmAge(now time.Time) int64 {
+func (n *Node) msSinceConfirmed(now time.Time) int64 {
 	confirmed := n.Follower.Confirmed()
 	if confirmed.IsZero() {
 		return -1
@@ -60,8 +60,8 @@
 	return now.Sub(confirmed).Milliseconds()
 }
 
-// partners picks one other box of the hall and one of another hall at random.
-func (n *Node) partners() (same, other *willowwick.Box) {
+// pickGossipPeers picks one other box of the hall and one of another hall at random.
+func (n *Node) pickGossipPeers() (same, other *willowwick.Box) {
 	listing, _ := n.Listing()
 	var sameHall, otherHalls []willowwick.Box
 	for _, box := range listing.Boxes {
@@ -84,7 +84,7 @@
 	return same, other
 }
 
-func (n *Node) exchange(ctx context.Context, with willowwick.Box) {
+func (n *Node) exchangeDigests(ctx context.Context, with willowwick.Box) {
 	now := clock.Now()
 	args := ExchangeArgs{Peer: n.Self.Peer, Hall: n.Self.Hall, Offset: n.Follower.Revision().Offset}
 	marks, hallMarks := n.Table.Marks()
@@ -95,8 +95,8 @@
 		args.Halls = []HallDigest{n.Table.HallDigest(now)}
 		args.HallMarks = append(args.HallMarks, HallMark{Hall: n.Self.Hall, Stamp: hallStamp(now)})
 	}
-	args.Harm = n.harm.CallTo(with.Peer, now)
-	args.Limits = n.limits.CallTo(with.Peer, now)
+	args.Harm = n.quarantinePeers.CallTo(with.Peer, now)
+	args.Limits = n.limitPeers.CallTo(with.Peer, now)
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var reply ExchangeReply
@@ -104,33 +104,33 @@
 		return
 	}
 	n.noteTouch(clock.Now())
-	n.merge(clock.Now(), reply.Digests, reply.Halls)
-	n.limits.Took(reply.Limits, with.Peer, now)
-	n.harm.Took(args.Harm, reply.Harm, with.Peer, reply.Boot, clock.Now())
-	n.heardOffset(callCtx, with.Peer, reply.Offset, reply.ConfirmMs)
+	n.mergeDigests(clock.Now(), reply.Digests, reply.Halls)
+	n.limitPeers.Took(reply.Limits, with.Peer, now)
+	n.quarantinePeers.Took(args.Harm, reply.Harm, with.Peer, reply.Boot, clock.Now())
+	n.syncOffset(callCtx, with.Peer, reply.Offset, reply.ConfirmMs)
 	if len(reply.Want) > 0 {
 		_ = n.Transport.Call(callCtx, with.Peer, rpcName+".Push", PushArgs{Digests: n.Table.Select(reply.Want)}, &Nothing{})
 	}
 }
 
-func (n *Node) merge(now time.Time, digests []Digest, halls []HallDigest) {
+func (n *Node) mergeDigests(now time.Time, digests []Digest, halls []HallDigest) {
 	taken := n.Table.Merge(now, digests, halls)
 	if len(taken) > 0 || len(halls) > 0 {
 		n.OnDigests(taken, halls)
 	}
 }
 
-// heardOffset pulls what a peer has beyond the own offset, or confirms the own.
-func (n *Node) heardOffset(ctx context.Context, peer string, offset willowwick.Offset, confirmMs int64) {
+// syncOffset pulls what a peer has beyond the own offset, or confirms the own.
+func (n *Node) syncOffset(ctx context.Context, peer string, offset willowwick.Offset, confirmMs int64) {
 	if offset > n.Follower.Revision().Offset {
-		n.pull(ctx, peer)
+		n.pullEntries(ctx, peer)
 	}
 	if confirmMs >= 0 {
 		n.Follower.Confirm(offset, clock.Now().Add(-time.Duration(confirmMs)*time.Millisecond))
 	}
 }
 
-func (n *Node) pull(ctx context.Context, peer string) {
+func (n *Node) pullEntries(ctx context.Context, peer string) {
 	var reply PullReply
 	args := PullArgs{After: n.Follower.Revision().Offset, Limit: pullLimit}
 	if err := n.Transport.Call(ctx, peer, rpcName+".Pull", args, &reply); err != nil {
--- a/fleet/join_test.go
+++ b/fleet/join_test.go
@@ -50,7 +50,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		joined := make(chan struct{})
 		go func() {
-			starting.joinFromPeers(ctx)
+			starting.loadStateFromPeers(ctx)
 			close(joined)
 		}()
 		time.Sleep(10 * time.Second)
--- a/fleet/leader.go
+++ b/fleet/leader.go
@@ -11,13 +11,13 @@
 	"github.com/willowwick/willowwick/config"
 )
 
-// lead claims or renews the lease, and does the holder's duties.
-func (n *Node) lead(ctx context.Context) {
+// runLease claims or renews the lease, and does the holder's duties.
+func (n *Node) runLease(ctx context.Context) {
 	now := clock.Now()
 	callCtx, cancel := context.WithTimeout(ctx, logTimeout)
 	defer cancel()
 	n.Lease.Observe(now, n.Follower.Revision().Lease)
-	if record, due := n.Lease.Claim(now, n.rank(now)); due && !n.isDraining() && n.Follower.Revision().Offset+1 > 0 {
+	if record, due := n.Lease.Claim(now, n.claimRank(now)); due && !n.isDraining() && n.Follower.Revision().Offset+1 > 0 {
 		if err := appendRecord(callCtx, n.Log, record); err == nil {
 			_ = n.Follower.ReadLog(callCtx)
 		}
@@ -26,9 +26,9 @@
 	if !held || n.Follower.IsBlocked() {
 		return
 	}
-	n.keepRoster(callCtx, fence)
-	n.keepSnapshot(callCtx, fence)
-	n.Lead(callCtx, fence)
+	n.updateRoster(callCtx, fence)
+	n.writeSnapshotIfDue(callCtx, fence)
+	n.RunLeader(callCtx, fence)
 }
 
 func (n *Node) isDraining() bool {
@@ -37,8 +37,8 @@
 	return n.draining
 }
 
-// rank is this box's place in the row of claimants; it differs from lease to lease.
-func (n *Node) rank(now time.Time) int {
+// claimRank is this box's place in the row of claimants; it differs from lease to lease.
+func (n *Node) claimRank(now time.Time) int {
 	salt := "lease" + string(n.Follower.Revision().Lease.Boot)
 	own := pairScore(n.Self.Boot, salt)
 	rank := 0
@@ -50,12 +50,12 @@
 	return rank
 }
 
-// keepRoster writes a new roster when the boxes that are alive differ from the one in force.
-func (n *Node) keepRoster(ctx context.Context, fence willowwick.Fence) {
+// updateRoster writes a new roster when the boxes that are alive differ from the one in force.
+func (n *Node) updateRoster(ctx context.Context, fence willowwick.Fence) {
 	now := clock.Now()
 	roster := n.Follower.Revision().Roster
-	members := n.wantedMembers(now, roster)
-	if sameMembers(members, roster.Members) || !n.mayChangeRoster(now, roster) {
+	members := n.desiredMembers(now, roster)
+	if sameMembers(members, roster.Members) || !n.isRosterChangeDue(now, roster) {
 		return
 	}
 	record := config.Record{Kind: config.RecordRoster, Roster: &config.RosterProposal{Fence: fence, Members: members}}
@@ -66,9 +66,9 @@
 	slog.Info("roster written", "members", len(members))
 }
 
-// mayChangeRoster holds changes back for a while, so that many boxes that come
+// isRosterChangeDue holds changes back for a while, so that many boxes that come
 // and go together make one; a box in a planned stop does not wait.
-func (n *Node) mayChangeRoster(now time.Time, roster config.Roster) bool {
+func (n *Node) isRosterChangeDue(now time.Time, roster config.Roster) bool {
 	for _, box := range n.Table.Live(now) {
 		if box.Draining && roster.IsMember(box.Boot) {
 			return true
@@ -76,7 +76,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.draining || !now.Before(later(n.Self.Started.Add(rosterPatience), n.rosterAt.Add(rosterGap)))
+	return n.draining || !now.Before(later(n.Self.Started.Add(rosterStartupDelay), n.rosterChangedAt.Add(minRosterInterval)))
 }
 
 func later(a, b time.Time) time.Time {
@@ -86,12 +86,12 @@
 	return b
 }
 
-// wantedMembers lists the boxes that are alive and stay, and those silent ones that may not be dropped yet.
+// desiredMembers lists the boxes that are alive and stay, and those silent ones that may not be dropped yet.
 //
 // A silent box is dropped if the platform's list no longer has it or another
 // start of it is alive, or if more than half of the roster is in touch: then
 // the dropped one cannot be, and grants nothing.
-func (n *Node) wantedMembers(now time.Time, roster config.Roster) []config.Member {
+func (n *Node) desiredMembers(now time.Time, roster config.Roster) []config.Member {
 	alive := map[willowwick.BoxID]LiveBox{}
 	var members []config.Member
 	for _, box := range n.LiveBoxes(now) {
@@ -101,7 +101,7 @@
 		}
 		members = append(members, config.Member{Boot: box.Boot, Box: box.Box, Hall: box.Hall, Peer: box.Peer})
 	}
-	majority := n.reachesFleet(now, true)
+	majority := n.hasQuorum(now, true)
 	listed := n.listedBoxes()
 	for _, m := range roster.Members {
 		if _, isAlive := alive[m.Box]; isAlive {
@@ -136,8 +136,8 @@
 	return true
 }
 
-// keepSnapshot writes the fold to the log before the log forgets its head.
-func (n *Node) keepSnapshot(ctx context.Context, fence willowwick.Fence) {
+// writeSnapshotIfDue writes the fold to the log before the log forgets its head.
+func (n *Node) writeSnapshotIfDue(ctx context.Context, fence willowwick.Fence) {
 	if !n.Follower.snapshotDue() {
 		return
 	}
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -20,24 +20,24 @@
 )
 
 const (
-	rpcName        = "Peer"
-	tick           = time.Second
-	callTimeout    = 2 * time.Second
-	readersPerHall = 2
-	digestSpacing  = 12 // boxes of a hall that renew their digest in one second
-	listTimeout    = 2 * time.Second
-	logTimeout     = 3 * time.Second
-	snapshotEvery  = 1000
-	rosterPatience = 3 * time.Second
-	rosterGap      = 8 * time.Second
-	retryAdopt     = 200 * time.Millisecond
-	drainPause     = 100 * time.Millisecond
-	importSpread   = 5 * time.Millisecond // for each box of the fleet
-	// joinAtOnce is how many boxes are asked for their state at once: at half a megabyte of configuration each, what they
+	rpcName                 = "Peer"
+	loopInterval            = time.Second
+	callTimeout             = 2 * time.Second
+	readersPerHall          = 2
+	digestsPerSecond        = 12 // boxes of a hall that renew their digest in one second
+	listingTimeout          = 2 * time.Second
+	logTimeout              = 3 * time.Second
+	maxEntriesSinceSnapshot = 1000
+	rosterStartupDelay      = 3 * time.Second
+	minRosterInterval       = 8 * time.Second
+	importRetryInterval     = 200 * time.Millisecond
+	drainPollInterval       = 100 * time.Millisecond
+	importDelayPerBox       = 5 * time.Millisecond // for each box of the fleet
+	// maxConcurrentJoins is how many boxes are asked for their state at once: at half a megabyte of configuration each, what they
 	// bring takes 8 MB of memory.
-	joinAtOnce = 16
-	// maxIncomplete is how often a survivor that still waits for others is asked again.
-	maxIncomplete = 50
+	maxConcurrentJoins = 16
+	// maxIncompleteExports is how often a survivor that still waits for others is asked again.
+	maxIncompleteExports = 50
 )
 
 type (
@@ -51,67 +51,67 @@
 		OnRevision func(*config.Revision)
 		// OnListing is called when the platform's list has changed.
 		OnListing func(willowwick.Listing)
-		// Fill adds the daemon's own demand, evidence and load reports to its digest.
-		Fill func(*Digest)
+		// FillDigest adds the daemon's own demand, evidence and load reports to its digest.
+		FillDigest func(*Digest)
 		// OnDigests is called with digests of other boxes as they come in.
 		OnDigests func([]Digest, []HallDigest)
-		// Lead is called every second on the holder of the lease.
-		Lead func(ctx context.Context, fence willowwick.Fence)
+		// RunLeader is called every second on the holder of the lease.
+		RunLeader func(ctx context.Context, fence willowwick.Fence)
 	}
 
 	// Node is one daemon's part in the fleet.
 	Node struct {
 		Settings
-		Transport *Transport
-		Follower  *Follower
-		Table     *Table
-		Registry  *Registry
-		Usage     *Usage
-		Lease     *Lease
-		Harm      *quarantine.Ledger // of requests that end endpoints
-		Limits    *ratelimit.Ledger  // of endpoints
-
-		harm     *quarantine.Peers
-		limits   *ratelimit.Peers
-		granter  *ratelimit.Granter // for all boxes, while this one holds the lease
-		share    *ratelimit.Granter // for this box, while nobody does
-		mu       sync.Mutex
-		listing  willowwick.Listing
-		listed   bool
-		digests  uint64 // made so far
-		nextOwn  time.Time
-		buddy    LiveBox
-		draining bool
-		rosterAt time.Time // when the roster last changed here
+		Transport  *Transport
+		Follower   *Follower
+		Table      *Table
+		Registry   *Registry
+		Usage      *Usage
+		Lease      *Lease
+		Quarantine *quarantine.Ledger // of requests that end endpoints
+		Limits     *ratelimit.Ledger  // of endpoints
+
+		quarantinePeers *quarantine.Peers
+		limitPeers      *ratelimit.Peers
+		granter         *ratelimit.Granter // for all boxes, while this one holds the lease
+		localGranter    *ratelimit.Granter // for this box, while nobody does
+		mu              sync.Mutex
+		listing         willowwick.Listing
+		hasListing      bool
+		digestCount     uint64 // made so far
+		nextDigestAt    time.Time
+		usageReplica    LiveBox
+		draining        bool
+		rosterChangedAt time.Time // when the roster last changed here
 		// ungrantedSince is when this box first asked for a permit and nobody granted any since; zero if somebody did.
-		ungrantedSince time.Time
-		holderAskAt    time.Time // when the holder of the lease is asked again meanwhile
-		touchedAt      time.Time // when another box last called or answered
-		random         *rand.Rand
-		cancel         context.CancelFunc
-		ctx            context.Context // ends when the node stops
-		workers        Workers
+		ungrantedSince  time.Time
+		nextHolderAskAt time.Time // when the holder of the lease is asked again meanwhile
+		lastContactAt   time.Time // when another box last called or answered
+		random          *rand.Rand
+		cancel          context.CancelFunc
+		ctx             context.Context // ends when the node stops
+		workers         Workers
 	}
 )
 
 // NewNode returns a node that is not running yet.
 func NewNode(settings Settings, transport *Transport) *Node {
 	n := &Node{
-		Settings:  settings,
-		Transport: transport,
-		Table:     NewTable(settings.Self),
-		Registry:  NewRegistry(settings.Self.Boot),
-		Lease:     NewLease(settings.Self),
-		Harm:      quarantine.New(),
-		Limits:    ratelimit.NewLedger(),
+		Settings:   settings,
+		Transport:  transport,
+		Table:      NewTable(settings.Self),
+		Registry:   NewRegistry(settings.Self.Boot),
+		Lease:      NewLease(settings.Self),
+		Quarantine: quarantine.New(),
+		Limits:     ratelimit.NewLedger(),
 	}
-	n.limits = ratelimit.NewPeers(n.Limits)
-	n.granter, n.share = ratelimit.NewGranter(n.Limits), ratelimit.NewGranter(n.Limits)
-	n.harm = quarantine.NewPeers(n.Harm, settings.Self.Boot)
+	n.limitPeers = ratelimit.NewPeers(n.Limits)
+	n.granter, n.localGranter = ratelimit.NewGranter(n.Limits), ratelimit.NewGranter(n.Limits)
+	n.quarantinePeers = quarantine.NewPeers(n.Quarantine, settings.Self.Boot)
 	seed := xxhash.Sum64String(string(settings.Self.Boot))
 	n.random = rand.New(rand.NewPCG(seed, seed))
 	n.ctx, n.cancel = context.WithCancel(context.Background())
-	n.Follower = NewFollower(settings.Log, n.revised)
+	n.Follower = NewFollower(settings.Log, n.applyRevision)
 	n.Usage = NewUsage(settings.Log, n, settings.Self.Boot, n.fleetSize)
 	return n
 }
@@ -124,11 +124,11 @@
 	}
 	ctx := n.ctx
 	n.workers.Go(func() { n.Transport.Serve(n.Listener, server) })
-	n.workers.Go(func() { n.every(ctx, n.followLog) })
-	n.workers.Go(func() { n.every(ctx, n.followList) })
-	n.workers.Go(func() { n.every(ctx, n.gossip) })
-	n.workers.Go(func() { n.every(ctx, n.lead) })
-	n.workers.Go(func() { n.every(ctx, n.sweep) })
+	n.workers.Go(func() { n.runPeriodically(ctx, n.followLog) })
+	n.workers.Go(func() { n.runPeriodically(ctx, n.followList) })
+	n.workers.Go(func() { n.runPeriodically(ctx, n.gossip) })
+	n.workers.Go(func() { n.runPeriodically(ctx, n.runLease) })
+	n.workers.Go(func() { n.runPeriodically(ctx, n.sweep) })
 	n.workers.Go(func() { n.Usage.Run(ctx) })
 	return n.stop, nil
 }
@@ -144,14 +144,14 @@
 func (n *Node) Drain(ctx context.Context) {
 	n.mu.Lock()
 	n.draining = true
-	n.nextOwn = time.Time{}
+	n.nextDigestAt = time.Time{}
 	n.mu.Unlock()
 	for ctx.Err() == nil && (n.isMember() || n.releaseLease(ctx)) {
 		n.renewDigest(clock.Now())
 		if holder, ok := n.leaseHolder(); ok {
-			n.exchange(ctx, holder)
+			n.exchangeDigests(ctx, holder)
 		}
-		sleep(ctx, drainPause)
+		sleep(ctx, drainPollInterval)
 	}
 }
 
@@ -184,12 +184,12 @@
 	return n.Follower.Revision().Lease.Boot == n.Self.Boot
 }
 
-// every runs a step about each tick until the context ends; the first runs at
+// runPeriodically runs a step about each tick until the context ends; the first runs at
 // once. Boxes that tick together would bring each other the same digests.
-func (n *Node) every(ctx context.Context, step func(context.Context)) {
+func (n *Node) runPeriodically(ctx context.Context, step func(context.Context)) {
 	for ctx.Err() == nil {
 		step(ctx)
-		sleep(ctx, n.jitter(tick))
+		sleep(ctx, n.jitter(loopInterval))
 	}
 }
 
@@ -200,18 +200,18 @@
 	return length*3/4 + time.Duration(n.random.Int64N(int64(length/2)))
 }
 
-// Confirmed reports whether the configuration is known to be current.
-func (n *Node) Confirmed(now time.Time) bool {
-	return now.Sub(n.Follower.Confirmed()) <= ConfirmFor || n.reachesFleet(now, false)
+// IsConfigCurrent reports whether the configuration is known to be current.
+func (n *Node) IsConfigCurrent(now time.Time) bool {
+	return now.Sub(n.Follower.Confirmed()) <= ConfirmFor || n.hasQuorum(now, false)
 }
 
-// reachesFleet reports whether this box is in touch with half of the roster
+// hasQuorum reports whether this box is in touch with half of the roster
 // (or more than half, if strict) while the log is down, so that nothing can
 // have been accepted that it does not know.
-func (n *Node) reachesFleet(now time.Time, strict bool) bool {
+func (n *Node) hasQuorum(now time.Time, strict bool) bool {
 	roster := n.Follower.Revision().Roster
 	if len(roster.Members) == 0 {
-		return !strict && n.reachesListed(now)
+		return !strict && n.hasListingQuorum(now)
 	}
 	reached := 0
 	for _, box := range n.Table.Live(now) {
@@ -226,8 +226,8 @@
 	return 2*reached >= len(roster.Members)
 }
 
-// reachesListed is for the time before the first roster: half of the listed boxes will do.
-func (n *Node) reachesListed(now time.Time) bool {
+// hasListingQuorum is for the time before the first roster: half of the listed boxes will do.
+func (n *Node) hasListingQuorum(now time.Time) bool {
 	listed := n.listedBoxes()
 	reached := 0
 	for _, box := range n.Table.Live(now) {
@@ -238,16 +238,16 @@
 	return len(listed) > 0 && 2*reached >= len(listed)
 }
 
-// mayGrant reports whether this box may keep claims: its roster must be current.
-func (n *Node) mayGrant(now time.Time) bool {
-	return now.Sub(n.Follower.Confirmed()) <= ConfirmFor || n.reachesFleet(now, true)
+// canGrantClaims reports whether this box may keep claims: its roster must be current.
+func (n *Node) canGrantClaims(now time.Time) bool {
+	return now.Sub(n.Follower.Confirmed()) <= ConfirmFor || n.hasQuorum(now, true)
 }
 
 // Listing returns the platform's list as last read; ok is false before the first.
 func (n *Node) Listing() (listing willowwick.Listing, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.listing, n.listed
+	return n.listing, n.hasListing
 }
 
 // LiveBoxes lists the boxes that are alive, with the addresses that the platform lists.
@@ -284,12 +284,12 @@
 	return peers, size == 1 || fresh > 0
 }
 
-// revised runs after each step of the fold.
-func (n *Node) revised(r *config.Revision) {
+// applyRevision runs after each step of the fold.
+func (n *Node) applyRevision(r *config.Revision) {
 	now := clock.Now()
 	n.Lease.Observe(now, r.Lease)
 	if r.Roster.Epoch > n.Registry.Epoch() {
-		n.noteRoster(now)
+		n.recordRosterChange(now)
 		sources := n.Registry.Adopt(now, r.Roster, r.Former)
 		for _, member := range sources {
 			n.workers.Go(func() { n.importFrom(r.Roster.Epoch, member) })
@@ -298,18 +298,18 @@
 	n.OnRevision(r)
 }
 
-func (n *Node) noteRoster(now time.Time) {
+func (n *Node) recordRosterChange(now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.rosterAt = now
+	n.rosterChangedAt = now
 }
 
 // importFrom takes the claims that a survivor of the former roster has for this box.
 func (n *Node) importFrom(epoch willowwick.Epoch, member config.Member) {
 	// Not everybody asks at once.
-	sleep(n.ctx, n.jitter(importSpread*time.Duration(n.fleetSize())))
+	sleep(n.ctx, n.jitter(importDelayPerBox*time.Duration(n.fleetSize())))
 	incomplete := 0
-	for n.ctx.Err() == nil && n.Registry.Epoch() == epoch && incomplete < maxIncomplete {
+	for n.ctx.Err() == nil && n.Registry.Epoch() == epoch && incomplete < maxIncompleteExports {
 		ctx, cancel := context.WithTimeout(n.ctx, callTimeout)
 		var reply ExportReply
 		err := n.Transport.Call(ctx, member.Peer, rpcName+".Export", ExportArgs{Epoch: epoch, For: n.Self.Boot}, &reply)
@@ -322,25 +322,25 @@
 			// The survivor is itself still waiting for somebody.
 			incomplete++
 		}
-		sleep(n.ctx, retryAdopt)
+		sleep(n.ctx, importRetryInterval)
 	}
 }
 
 // followLog reads the log if this box is one of the readers of its hall, or has
 // not heard of a current offset for longer than news take through a large hall.
 func (n *Node) followLog(ctx context.Context) {
-	if !n.isReader() && clock.Since(n.Follower.Confirmed()) < 2*ConfirmFor {
+	if !n.isLogReader() && clock.Since(n.Follower.Confirmed()) < 2*ConfirmFor {
 		return
 	}
 	callCtx, cancel := context.WithTimeout(ctx, logTimeout)
 	defer cancel()
 	if err := n.Follower.ReadLog(callCtx); err != nil && n.Follower.Revision().Offset == 0 {
-		n.joinFromPeers(ctx)
+		n.loadStateFromPeers(ctx)
 	}
 }
 
-// isReader reports whether this box is among the first of its hall by rendezvous hashing.
-func (n *Node) isReader() bool {
+// isLogReader reports whether this box is among the first of its hall by rendezvous hashing.
+func (n *Node) isLogReader() bool {
 	own := pairScore(n.Self.Boot, "reader")
 	higher := 0
 	for _, box := range n.Table.Live(clock.Now()) {
@@ -351,12 +351,12 @@
 	return higher < readersPerHall
 }
 
-// joinFromPeers takes the newest state that a listed box has, while the log cannot be read; boxes that are silent do not
+// loadStateFromPeers takes the newest state that a listed box has, while the log cannot be read; boxes that are silent do not
 // keep it from the others.
-func (n *Node) joinFromPeers(ctx context.Context) {
+func (n *Node) loadStateFromPeers(ctx context.Context) {
 	listing, _ := n.Listing()
 	var calls sync.WaitGroup
-	places := make(chan struct{}, joinAtOnce)
+	places := make(chan struct{}, maxConcurrentJoins)
 	for _, box := range listing.Boxes {
 		if box.ID == n.Self.Box {
 			continue
@@ -364,14 +364,14 @@
 		places <- struct{}{}
 		calls.Go(func() {
 			defer func() { <-places }()
-			n.joinFrom(ctx, box)
+			n.loadStateFrom(ctx, box)
 		})
 	}
 	calls.Wait()
 }
 
-// joinFrom takes the state of a box.
-func (n *Node) joinFrom(ctx context.Context, box willowwick.Box) {
+// loadStateFrom takes the state of a box.
+func (n *Node) loadStateFrom(ctx context.Context, box willowwick.Box) {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var reply StateReply
@@ -392,14 +392,14 @@
 
 func (n *Node) followList(ctx context.Context) {
 	listing, _ := n.Listing()
-	callCtx, cancel := context.WithTimeout(ctx, listTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, listingTimeout)
 	defer cancel()
 	fresh, changed, err := n.Live.List(callCtx, listing.Revision)
 	if err != nil || !changed {
 		return
 	}
 	n.mu.Lock()
-	n.listing, n.listed = fresh, true
+	n.listing, n.hasListing = fresh, true
 	n.mu.Unlock()
 	n.OnListing(fresh)
 }
@@ -408,5 +408,5 @@
 	now := clock.Now()
 	n.Registry.Sweep(now)
 	n.Table.Forget(now)
-	n.Harm.Expire(now)
+	n.Quarantine.Expire(now)
 }
--- a/fleet/peer.go
+++ b/fleet/peer.go
@@ -40,32 +40,32 @@
 	n := p.node
 	now := clock.Now()
 	n.noteTouch(now)
-	n.merge(now, nil, args.Halls)
+	n.mergeDigests(now, nil, args.Halls)
 	reply.Digests, reply.Halls, reply.Want = n.Table.Newer(args)
 	if args.Hall != n.Self.Hall && args.stampOf(n.Self.Hall) < hallStamp(now) {
 		reply.Halls = append(reply.Halls, n.Table.HallDigest(now))
 	}
 	reply.Offset = n.Follower.Revision().Offset
 	if args.Offset > reply.Offset {
-		n.workers.Go(func() { n.pullFrom(args.Peer) })
+		n.workers.Go(func() { n.pullFromCaller(args.Peer) })
 	}
-	reply.ConfirmMs = n.confirmAge(now)
+	reply.ConfirmMs = n.msSinceConfirmed(now)
 	reply.Boot = n.Self.Boot
-	reply.Harm, _ = n.harm.Answer(args.Harm, args.Peer, now)
-	reply.Limits, _ = n.limits.Answer(args.Limits, args.Peer, now)
+	reply.Harm, _ = n.quarantinePeers.Answer(args.Harm, args.Peer, now)
+	reply.Limits, _ = n.limitPeers.Answer(args.Limits, args.Peer, now)
 	return nil
 }
 
-// pullFrom fetches what a caller has that this box has not.
-func (n *Node) pullFrom(peer string) {
+// pullFromCaller fetches what a caller has that this box has not.
+func (n *Node) pullFromCaller(peer string) {
 	ctx, cancel := context.WithTimeout(n.ctx, callTimeout)
 	defer cancel()
-	n.pull(ctx, peer)
+	n.pullEntries(ctx, peer)
 }
 
 // Push takes digests that were asked for.
 func (p *peerService) Push(args PushArgs, _ *Nothing) error {
-	p.node.merge(clock.Now(), args.Digests, nil)
+	p.node.mergeDigests(clock.Now(), args.Digests, nil)
 	return nil
 }
 
@@ -95,7 +95,7 @@
 // Put sets a claim or a session version.
 func (p *peerService) Put(args PutArgs, reply *PutReply) error {
 	now := clock.Now()
-	if args.Strict && !p.node.mayGrant(now) {
+	if args.Strict && !p.node.canGrantClaims(now) {
 		*reply = PutReply{Status: PutUnconfirmed, Epoch: p.node.Registry.Epoch()}
 		return nil
 	}
@@ -128,12 +128,12 @@
 
 // Hold implements Keeper: the buddy is a box in another hall, if one is alive.
 func (n *Node) Hold(ctx context.Context, args HoldArgs) (alone bool, err error) {
-	buddy, ok := n.chooseBuddy()
+	buddy, ok := n.chooseUsageReplica()
 	if !ok {
 		return true, nil
 	}
 	if err := n.Transport.Call(ctx, buddy.Peer, rpcName+".Hold", args, &Nothing{}); err != nil {
-		n.dropBuddy(buddy)
+		n.dropUsageReplica(buddy)
 		return false, err
 	}
 	return false, nil
@@ -142,7 +142,7 @@
 // Settle implements Keeper; a lost call is made good by the ledger, which counts a record once.
 func (n *Node) Settle(ctx context.Context, args SettleArgs) {
 	n.mu.Lock()
-	buddy := n.buddy
+	buddy := n.usageReplica
 	n.mu.Unlock()
 	if buddy.Boot == "" {
 		return
@@ -152,12 +152,12 @@
 	_ = n.Transport.Call(callCtx, buddy.Peer, rpcName+".Settle", args, &Nothing{})
 }
 
-func (n *Node) chooseBuddy() (LiveBox, bool) {
+func (n *Node) chooseUsageReplica() (LiveBox, bool) {
 	live := n.LiveBoxes(clock.Now())
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.buddy.Boot != "" {
-		return n.buddy, true
+	if n.usageReplica.Boot != "" {
+		return n.usageReplica, true
 	}
 	var same, other []LiveBox
 	for _, box := range live {
@@ -175,15 +175,15 @@
 	if len(other) == 0 {
 		return LiveBox{}, false
 	}
-	n.buddy = other[n.random.IntN(len(other))]
-	return n.buddy, true
+	n.usageReplica = other[n.random.IntN(len(other))]
+	return n.usageReplica, true
 }
 
-func (n *Node) dropBuddy(buddy LiveBox) {
+func (n *Node) dropUsageReplica(buddy LiveBox) {
 	n.mu.Lock()
-	dropped := n.buddy == buddy
+	dropped := n.usageReplica == buddy
 	if dropped {
-		n.buddy = LiveBox{}
+		n.usageReplica = LiveBox{}
 	}
 	n.mu.Unlock()
 	if dropped {
@@ -191,10 +191,10 @@
 	}
 }
 
-// checkBuddy chooses another holder of usage when the present one is gone.
-func (n *Node) checkBuddy() {
+// checkUsageReplica chooses another holder of usage when the present one is gone.
+func (n *Node) checkUsageReplica() {
 	n.mu.Lock()
-	buddy := n.buddy
+	buddy := n.usageReplica
 	n.mu.Unlock()
 	if buddy.Boot == "" {
 		return
@@ -204,7 +204,7 @@
 			return
 		}
 	}
-	n.dropBuddy(buddy)
+	n.dropUsageReplica(buddy)
 }
 
 // ClaimStatus is the outcome of a claim.
@@ -226,7 +226,7 @@
 func (n *Node) Claim(ctx context.Context, key string, request willowwick.RequestID) ClaimStatus {
 	roster := n.Registry.Roster()
 	pair := Pair(roster, key)
-	if len(pair) == 0 || !n.mayGrant(clock.Now()) {
+	if len(pair) == 0 || !n.canGrantClaims(clock.Now()) {
 		return ClaimUnavailable
 	}
 	args := PutArgs{
@@ -234,11 +234,11 @@
 		Entry: RegistryEntry{Key: key, Value: string(request), Deadline: clock.TimeOfDay().Add(ClaimWindow)},
 	}
 	for i, keeper := range pair {
-		reply, err := n.put(ctx, keeper, args)
+		reply, err := n.putAt(ctx, keeper, args)
 		if err == nil && reply.Status == PutGranted {
 			continue
 		}
-		n.dropFrom(ctx, pair[:i+1], DropArgs{Key: key, Value: string(request)})
+		n.dropAt(ctx, pair[:i+1], DropArgs{Key: key, Value: string(request)})
 		switch {
 		case err != nil:
 			return ClaimUnavailable
@@ -253,12 +253,12 @@
 	return ClaimGranted
 }
 
-// Unclaim gives a key back after it is certain that nothing was sent.
-func (n *Node) Unclaim(ctx context.Context, key string, request willowwick.RequestID) {
-	n.dropFrom(ctx, Pair(n.Registry.Roster(), key), DropArgs{Key: key, Value: string(request)})
+// ReleaseClaim gives a key back after it is certain that nothing was sent.
+func (n *Node) ReleaseClaim(ctx context.Context, key string, request willowwick.RequestID) {
+	n.dropAt(ctx, Pair(n.Registry.Roster(), key), DropArgs{Key: key, Value: string(request)})
 }
 
-func (n *Node) put(ctx context.Context, keeper config.Member, args PutArgs) (PutReply, error) {
+func (n *Node) putAt(ctx context.Context, keeper config.Member, args PutArgs) (PutReply, error) {
 	if keeper.Boot == n.Self.Boot {
 		var reply PutReply
 		err := (&peerService{node: n}).Put(args, &reply)
@@ -271,7 +271,7 @@
 	return reply, err
 }
 
-func (n *Node) dropFrom(ctx context.Context, keepers []config.Member, args DropArgs) {
+func (n *Node) dropAt(ctx context.Context, keepers []config.Member, args DropArgs) {
 	for _, keeper := range keepers {
 		if keeper.Boot == n.Self.Boot {
 			n.Registry.Drop(args)
@@ -295,7 +295,7 @@
 			Replace: replace || answered,
 			Entry:   RegistryEntry{Key: key, Value: pinned, Deadline: lasts},
 		}
-		reply, err := n.put(ctx, keeper, args)
+		reply, err := n.putAt(ctx, keeper, args)
 		if err == nil && !answered && reply.Value != "" {
 			pinned, answered = reply.Value, true
 		}
--- a/fleet/permits.go
+++ b/fleet/permits.go
@@ -44,8 +44,8 @@
 	n.granter.SetGranting(now, false)
 	holder, found := n.leaseHolder()
 	if !found || n.isUngranted(now) {
-		n.share.SetGranting(now, true)
-		return n.share.Answer(call, 1/float64(n.fleetSize()), now), nil
+		n.localGranter.SetGranting(now, true)
+		return n.localGranter.Answer(call, 1/float64(n.fleetSize()), now), nil
 	}
 	reply, err := ratelimit.AskWithin(ctx, askLimit, callTimeout, func(ctx context.Context) (reply ratelimit.Reply, err error) {
 		err = n.Transport.Call(ctx, holder.Peer, rpcName+".Permit", call, &reply)
@@ -71,19 +71,19 @@
 func (n *Node) noteTouch(now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.touchedAt = now
+	n.lastContactAt = now
 }
 
 // isAlone reports whether this box has been in touch with no other one for a while; those may grant themselves their shares.
 func (n *Node) isAlone(now time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return now.Sub(n.touchedAt) > aloneAfter
+	return now.Sub(n.lastContactAt) > aloneAfter
 }
 
 // noteGrant notes that somebody grants permits to all boxes.
 func (n *Node) noteGrant(now time.Time) {
-	n.share.SetGranting(now, false)
+	n.localGranter.SetGranting(now, false)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.ungrantedSince = time.Time{}
@@ -99,8 +99,8 @@
 	if now.Sub(n.ungrantedSince) < shareAfter {
 		return false
 	}
-	if !now.Before(n.holderAskAt) {
-		n.holderAskAt = now.Add(holderAskEvery)
+	if !now.Before(n.nextHolderAskAt) {
+		n.nextHolderAskAt = now.Add(holderAskEvery)
 		return false
 	}
 	return true
--- a/fleet/table.go
+++ b/fleet/table.go
@@ -168,13 +168,13 @@
 
 // DigestInterval is how often a box of a hall of this size renews its digest.
 func DigestInterval(hallSize int) time.Duration {
-	return tick * time.Duration(1+hallSize/digestSpacing)
+	return loopInterval * time.Duration(1+hallSize/digestsPerSecond)
 }
 
 // patience is how long a box may be silent and still counts as alive; the caller holds the lock.
 func (t *Table) patience() time.Duration {
 	size := len(t.boxes)
-	spread := tick * time.Duration(bits.Len(uint(size)))
+	spread := loopInterval * time.Duration(bits.Len(uint(size)))
 	return basePatience + missedDigests*DigestInterval(size) + spread
 }
 
--- a/lab/slopes.go
+++ b/lab/slopes.go
@@ -170,12 +170,12 @@
 		},
 		Log: f.log, Live: list, Listener: listener,
 		OnRevision: func(*config.Revision) {}, OnListing: func(willowwick.Listing) {},
-		Fill: func(d *fleet.Digest) {
+		FillDigest: func(d *fleet.Digest) {
 			seq++
 			fillSlope(d, seq, slopeRunners*f.size.Halls/f.size.Boxes)
 		},
 		OnDigests: func([]fleet.Digest, []fleet.HallDigest) {},
-		Lead:      func(context.Context, willowwick.Fence) {},
+		RunLeader:      func(context.Context, willowwick.Fence) {},
 	}, transport)
 	stop, err := node.Start()
 	if err != nil {
--- a/serve/cascade.go
+++ b/serve/cascade.go
@@ -74,7 +74,7 @@
 	now := clock.Now()
 	query := route.VersionQuery{
 		Account: r.request.Account, Model: model, Seed: string(r.request.ID), Pinned: r.token.Versions[model],
-		Confirmed: r.daemon.node.Confirmed(now), Exclude: r.plan.Exclude, Now: now,
+		Confirmed: r.daemon.node.IsConfigCurrent(now), Exclude: r.plan.Exclude, Now: now,
 		Stopped: r.daemon.watch.isBad, Held: r.daemon.watch.isStopped,
 	}
 	// The newest configuration counts, also for a request that has waited.
--- a/serve/daemon.go
+++ b/serve/daemon.go
@@ -103,7 +103,7 @@
 	}
 	d.node = fleet.NewNode(fleet.Settings{
 		Self: self, Log: outside.Log, Live: outside.Live, Listener: outside.Peers,
-		OnRevision: d.revised, OnListing: d.listed, Fill: d.fillDigest, OnDigests: d.heardDigests, Lead: d.lead,
+		OnRevision: d.revised, OnListing: d.listed, FillDigest: d.fillDigest, OnDigests: d.heardDigests, RunLeader: d.lead,
 	}, transport)
 	d.pool = route.NewPoolWith(route.NewPowerOfTwo(settings.Hall, true, seed), route.PoolOptions{Limits: d.node.Limits})
 	d.sessions = newSessions(settings.Key, d.node)
@@ -260,7 +260,7 @@
 
 // isIsolated reports whether this box reaches neither the log nor half of the fleet for some time.
 func (d *Daemon) isIsolated(now time.Time) bool {
-	return !d.node.Confirmed(now) && now.Sub(d.node.Follower.Confirmed()) > isolatedAfter
+	return !d.node.IsConfigCurrent(now) && now.Sub(d.node.Follower.Confirmed()) > isolatedAfter
 }
 
 // ready reports whether the balancer should send requests, and if not, why.
--- a/serve/harm.go
+++ b/serve/harm.go
@@ -43,7 +43,7 @@
 // refuseHarmful refuses a request that ends the endpoints that run it, as all boxes do. The box that holds the lease tries it
 // now and then on a release of the service or version on which it may run after all.
 func (d *Daemon) refuseHarmful(c *content, release willowwick.ReleaseID) *willowwick.Refusal {
-	harm := d.node.Harm
+	harm := d.node.Quarantine
 	if harm.IsEmpty() || !harm.Refuses(c.fingerprint()) {
 		return nil
 	}
@@ -70,12 +70,12 @@
 		return true
 	}
 	c.fingerprint()
-	return d.node.Harm.NoteEnd(c.about, willowwick.EndpointEnd{Endpoint: endpoint.ID, Release: release, At: clock.Now()})
+	return d.node.Quarantine.NoteEnd(c.about, willowwick.EndpointEnd{Endpoint: endpoint.ID, Release: release, At: clock.Now()})
 }
 
 // noteHarmless notes that an endpoint has answered the request whole.
 func (d *Daemon) noteHarmless(c *content) {
-	if !d.node.Harm.IsEmpty() {
-		d.node.Harm.NoteAnswer(c.fingerprint(), clock.Now())
+	if !d.node.Quarantine.IsEmpty() {
+		d.node.Quarantine.NoteAnswer(c.fingerprint(), clock.Now())
 	}
 }
--- a/serve/run.go
+++ b/serve/run.go
@@ -176,7 +176,7 @@
 
 func (r *run) unclaim(ctx context.Context) {
 	if r.request.IdempotencyKey != "" && !r.sent {
-		r.daemon.node.Unclaim(ctx, claimKeyOf(r.request.Account, "chat", r.request.IdempotencyKey), r.request.ID)
+		r.daemon.node.ReleaseClaim(ctx, claimKeyOf(r.request.Account, "chat", r.request.IdempotencyKey), r.request.ID)
 	}
 }
 
--- a/serve/services.go
+++ b/serve/services.go
@@ -170,7 +170,7 @@
 	reply, refusal := s.send(ctx)
 	if refusal != nil {
 		if key != "" && !s.sent {
-			s.daemon.node.Unclaim(ctx, key, s.request.ID)
+			s.daemon.node.ReleaseClaim(ctx, key, s.request.ID)
 		}
 		return nil, refusal
 	}
