--- a/fleet/gossip.go
+++ b/fleet/gossip.go
@@ -103,7 +103,7 @@
 	if err := n.Transport.Call(callCtx, with.Peer, rpcName+".Exchange", args, &reply); err != nil {
 		return
 	}
-	n.noteTouch(clock.Now())
+	n.recordContact(clock.Now())
 	n.mergeDigests(clock.Now(), reply.Digests, reply.Halls)
 	n.limitPeers.Took(reply.Limits, with.Peer, now)
 	n.quarantinePeers.Took(args.Harm, reply.Harm, with.Peer, reply.Boot, clock.Now())
--- a/fleet/peer.go
+++ b/fleet/peer.go
@@ -39,7 +39,7 @@
 func (p *peerService) Exchange(args ExchangeArgs, reply *ExchangeReply) error {
 	n := p.node
 	now := clock.Now()
-	n.noteTouch(now)
+	n.recordContact(now)
 	n.mergeDigests(now, nil, args.Halls)
 	reply.Digests, reply.Halls, reply.Want = n.Table.Newer(args)
 	if args.Hall != n.Self.Hall && args.stampOf(n.Self.Hall) < hallStamp(now) {
--- a/fleet/permits.go
+++ b/fleet/permits.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	// askLimit is how long a request waits for its permit.
-	askLimit = 100 * time.Millisecond
-	// shareAfter is how long nobody has granted permits until a box gives itself those of its equal share: the lease lapses
+	// permitWait is how long a request waits for its permit.
+	permitWait = 100 * time.Millisecond
+	// selfGrantDelay is how long nobody has granted permits until a box gives itself those of its equal share: the lease lapses
 	// while the log is away, and so does the right to grant.
-	shareAfter = time.Second
-	// aloneAfter is how long a holder of the lease is in touch with no other box until it grants no more than its own share.
-	aloneAfter = 3 * time.Second
-	// holderAskEvery is how often the holder of the lease is asked all the same.
-	holderAskEvery = 3 * time.Second
+	selfGrantDelay = time.Second
+	// isolationTimeout is how long a holder of the lease is in touch with no other box until it grants no more than its own share.
+	isolationTimeout = 3 * time.Second
+	// holderRetryInterval is how often the holder of the lease is asked all the same.
+	holderRetryInterval = 3 * time.Second
 )
 
 // ObtainPermit reports whether a request may be sent to an endpoint that names a limit. The holder of the lease grants permits
 // to all boxes; where nobody does, each box grants itself its equal share.
 func (n *Node) ObtainPermit(ctx context.Context, endpoint willowwick.EndpointID) bool {
 	now := clock.Now()
-	reply, err := n.askPermit(ctx, n.Limits.Ask(now, endpoint, n.Self.Box), now)
+	reply, err := n.requestPermit(ctx, n.Limits.Ask(now, endpoint, n.Self.Box), now)
 	if err != nil {
 		slog.Debug("no permit was had", "endpoint", endpoint, "error", err)
 		n.Limits.Unanswered(clock.Now(), endpoint)
@@ -36,71 +36,71 @@
 	return n.Limits.Answered(clock.Now(), now, endpoint, reply)
 }
 
-func (n *Node) askPermit(ctx context.Context, call ratelimit.Call, now time.Time) (ratelimit.Reply, error) {
+func (n *Node) requestPermit(ctx context.Context, call ratelimit.Call, now time.Time) (ratelimit.Reply, error) {
 	if _, holdsLease := n.Lease.Fence(now); holdsLease {
-		n.noteGrant(now)
-		return n.grant(call, now), nil
+		n.recordGrant(now)
+		return n.grantPermit(call, now), nil
 	}
 	n.granter.SetGranting(now, false)
 	holder, found := n.leaseHolder()
-	if !found || n.isUngranted(now) {
+	if !found || n.lacksGranter(now) {
 		n.localGranter.SetGranting(now, true)
 		return n.localGranter.Answer(call, 1/float64(n.fleetSize()), now), nil
 	}
-	reply, err := ratelimit.AskWithin(ctx, askLimit, callTimeout, func(ctx context.Context) (reply ratelimit.Reply, err error) {
+	reply, err := ratelimit.AskWithin(ctx, permitWait, callTimeout, func(ctx context.Context) (reply ratelimit.Reply, err error) {
 		err = n.Transport.Call(ctx, holder.Peer, rpcName+".Permit", call, &reply)
 		return reply, err
 	})
 	if err == nil {
-		n.noteGrant(clock.Now())
+		n.recordGrant(clock.Now())
 	}
 	return reply, err
 }
 
-// grant answers a question as the holder of the lease, with the part of the limit that the boxes make which it reaches.
-func (n *Node) grant(call ratelimit.Call, now time.Time) ratelimit.Reply {
+// grantPermit answers a question as the holder of the lease, with the part of the limit that the boxes make which it reaches.
+func (n *Node) grantPermit(call ratelimit.Call, now time.Time) ratelimit.Reply {
 	n.granter.SetGranting(now, true)
 	reached := min(len(n.Table.Live(now)), n.fleetSize())
-	if n.isAlone(now) {
+	if n.isIsolated(now) {
 		reached = 1
 	}
 	return n.granter.Answer(call, float64(reached)/float64(n.fleetSize()), now)
 }
 
-// noteTouch notes that another box has called, or answered.
-func (n *Node) noteTouch(now time.Time) {
+// recordContact notes that another box has called, or answered.
+func (n *Node) recordContact(now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.lastContactAt = now
 }
 
-// isAlone reports whether this box has been in touch with no other one for a while; those may grant themselves their shares.
-func (n *Node) isAlone(now time.Time) bool {
+// isIsolated reports whether this box has been in touch with no other one for a while; those may grant themselves their shares.
+func (n *Node) isIsolated(now time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return now.Sub(n.lastContactAt) > aloneAfter
+	return now.Sub(n.lastContactAt) > isolationTimeout
 }
 
-// noteGrant notes that somebody grants permits to all boxes.
-func (n *Node) noteGrant(now time.Time) {
+// recordGrant notes that somebody grants permits to all boxes.
+func (n *Node) recordGrant(now time.Time) {
 	n.localGranter.SetGranting(now, false)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.ungrantedSince = time.Time{}
 }
 
-// isUngranted reports whether nobody has granted permits for a while, though this box asked; from time to time it asks again.
-func (n *Node) isUngranted(now time.Time) bool {
+// lacksGranter reports whether nobody has granted permits for a while, though this box asked; from time to time it asks again.
+func (n *Node) lacksGranter(now time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.ungrantedSince.IsZero() {
 		n.ungrantedSince = now
 	}
-	if now.Sub(n.ungrantedSince) < shareAfter {
+	if now.Sub(n.ungrantedSince) < selfGrantDelay {
 		return false
 	}
 	if !now.Before(n.nextHolderAskAt) {
-		n.nextHolderAskAt = now.Add(holderAskEvery)
+		n.nextHolderAskAt = now.Add(holderRetryInterval)
 		return false
 	}
 	return true
@@ -112,6 +112,6 @@
 	if _, holdsLease := n.Lease.Fence(now); !holdsLease {
 		return errors.New("this box does not hold the lease")
 	}
-	*reply = n.grant(call, now)
+	*reply = n.grantPermit(call, now)
 	return nil
 }
