--- a/fleet/bench_test.go
+++ b/fleet/bench_test.go
@@ -67,7 +67,7 @@
 			b.ReportAllocs()
 			for n := 0; b.Loop(); n++ {
 				key := fmt.Sprint("claim/account/service/key", n)
-				Pair(roster, key)
+				ReplicaPair(roster, key)
 				r.Put(now, PutArgs{Epoch: 1, Strict: true, Entry: RegistryEntry{Key: key, Value: "r", Deadline: now.Add(time.Minute)}})
 				r.Drop(DropArgs{Key: key, Value: "r"})
 			}
--- a/fleet/leader.go
+++ b/fleet/leader.go
@@ -40,10 +40,10 @@
 // claimRank is this box's place in the row of claimants; it differs from lease to lease.
 func (n *Node) claimRank(now time.Time) int {
 	salt := "lease" + string(n.Follower.Revision().Lease.Boot)
-	own := pairScore(n.Self.Boot, salt)
+	own := rendezvousScore(n.Self.Boot, salt)
 	rank := 0
 	for _, box := range n.Table.Live(now) {
-		if pairScore(box.Boot, salt) > own {
+		if rendezvousScore(box.Boot, salt) > own {
 			rank++
 		}
 	}
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -341,10 +341,10 @@
 
 // isLogReader reports whether this box is among the first of its hall by rendezvous hashing.
 func (n *Node) isLogReader() bool {
-	own := pairScore(n.Self.Boot, "reader")
+	own := rendezvousScore(n.Self.Boot, "reader")
 	higher := 0
 	for _, box := range n.Table.Live(clock.Now()) {
-		if box.Hall == n.Self.Hall && box.Boot != n.Self.Boot && pairScore(box.Boot, "reader") > own {
+		if box.Hall == n.Self.Hall && box.Boot != n.Self.Boot && rendezvousScore(box.Boot, "reader") > own {
 			higher++
 		}
 	}
--- a/fleet/peer.go
+++ b/fleet/peer.go
@@ -225,7 +225,7 @@
 // Claim asks both keepers of a key to reserve it for a request.
 func (n *Node) Claim(ctx context.Context, key string, request willowwick.RequestID) ClaimStatus {
 	roster := n.Registry.Roster()
-	pair := Pair(roster, key)
+	pair := ReplicaPair(roster, key)
 	if len(pair) == 0 || !n.canGrantClaims(clock.Now()) {
 		return ClaimUnavailable
 	}
@@ -255,7 +255,7 @@
 
 // ReleaseClaim gives a key back after it is certain that nothing was sent.
 func (n *Node) ReleaseClaim(ctx context.Context, key string, request willowwick.RequestID) {
-	n.dropAt(ctx, Pair(n.Registry.Roster(), key), DropArgs{Key: key, Value: string(request)})
+	n.dropAt(ctx, ReplicaPair(n.Registry.Roster(), key), DropArgs{Key: key, Value: string(request)})
 }
 
 func (n *Node) putAt(ctx context.Context, keeper config.Member, args PutArgs) (PutReply, error) {
@@ -290,7 +290,7 @@
 func (n *Node) Pin(ctx context.Context, key string, version willowwick.VersionID, lasts time.Time, replace bool) willowwick.VersionID {
 	pinned := string(version)
 	answered := false
-	for _, keeper := range Pair(n.Registry.Roster(), key) {
+	for _, keeper := range ReplicaPair(n.Registry.Roster(), key) {
 		args := PutArgs{
 			Replace: replace || answered,
 			Entry:   RegistryEntry{Key: key, Value: pinned, Deadline: lasts},
--- a/fleet/registry.go
+++ b/fleet/registry.go
@@ -16,8 +16,8 @@
 	ClaimWindow = 10 * time.Minute
 	// maxEntries bounds the memory of a box for claims and session versions.
 	maxEntries = 500_000
-	// keyClockMargin is how far a key's own time may be off.
-	keyClockMargin = 5 * time.Second
+	// maxKeyClockSkew is how far a key's own time may be off.
+	maxKeyClockSkew = 5 * time.Second
 )
 
 type (
@@ -71,22 +71,22 @@
 	// the pair before. Where none is left, what may have been set before the
 	// epoch is unknown until the window has passed.
 	Registry struct {
-		mu          sync.Mutex
-		self        willowwick.BootID
-		roster      config.Roster
-		transitions []*transition
-		entries     map[string]RegistryEntry
-		exports     map[willowwick.BootID][]RegistryEntry // at epoch exportsAt
-		exportsAt   willowwick.Epoch
+		mu           sync.Mutex
+		self         willowwick.BootID
+		roster       config.Roster
+		transitions  []*transition
+		entries      map[string]RegistryEntry
+		exports      map[willowwick.BootID][]RegistryEntry // at epoch exportsAt
+		exportsEpoch willowwick.Epoch
 	}
 
 	// transition is a change of roster and what was learnt of it.
 	transition struct {
-		former  config.Roster
-		synced  map[willowwick.BootID]bool
-		gone    map[willowwick.BootID]bool // not on the new roster
-		knowing bool                       // this box was a member before, with its memory
-		adopted time.Time
+		former     config.Roster
+		synced     map[willowwick.BootID]bool
+		removed    map[willowwick.BootID]bool // not on the new roster
+		hadEntries bool                       // this box was a member before, with its memory
+		adopted    time.Time
 	}
 )
 
@@ -113,13 +113,13 @@
 	return &Registry{self: self, entries: map[string]RegistryEntry{}}
 }
 
-// Pair returns the members that keep a key: the two highest by rendezvous
+// ReplicaPair returns the members that keep a key: the two highest by rendezvous
 // hashing, the second from another hall if there is one.
-func Pair(roster config.Roster, key string) []config.Member {
+func ReplicaPair(roster config.Roster, key string) []config.Member {
 	var first, second, sameHall *config.Member
 	var firstScore, secondScore, sameScore uint64
 	for i := range roster.Members {
-		if score := pairScore(roster.Members[i].Boot, key); first == nil || score > firstScore {
+		if score := rendezvousScore(roster.Members[i].Boot, key); first == nil || score > firstScore {
 			first, firstScore = &roster.Members[i], score
 		}
 	}
@@ -131,7 +131,7 @@
 		if m.Boot == first.Boot {
 			continue
 		}
-		score := pairScore(m.Boot, key)
+		score := rendezvousScore(m.Boot, key)
 		if m.Hall != first.Hall && (second == nil || score > secondScore) {
 			second, secondScore = m, score
 		}
@@ -148,7 +148,7 @@
 	return []config.Member{*first, *second}
 }
 
-func pairScore(boot willowwick.BootID, key string) uint64 {
+func rendezvousScore(boot willowwick.BootID, key string) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(string(boot))
 	_, _ = digest.WriteString("|")
@@ -165,14 +165,14 @@
 	}
 	t := &transition{
 		former: former, adopted: now,
-		synced: map[willowwick.BootID]bool{}, gone: map[willowwick.BootID]bool{},
-		knowing: former.Epoch == r.roster.Epoch && former.IsMember(r.self),
+		synced: map[willowwick.BootID]bool{}, removed: map[willowwick.BootID]bool{},
+		hadEntries: former.Epoch == r.roster.Epoch && former.IsMember(r.self),
 	}
 	var sources []config.Member
 	for _, m := range former.Members {
 		switch {
 		case !roster.IsMember(m.Boot):
-			t.gone[m.Boot] = true
+			t.removed[m.Boot] = true
 		case m.Boot != r.self:
 			sources = append(sources, m)
 		}
@@ -225,23 +225,23 @@
 	if r.roster.Epoch < args.Epoch {
 		return ExportReply{}
 	}
-	r.sortOut(now)
+	r.buildExports(now)
 	return ExportReply{Ready: true, Complete: r.isComplete(now), Entries: r.exports[args.For]}
 }
 
-// sortOut finds, once for each roster, who is to have which entries: a pass
+// buildExports finds, once for each roster, who is to have which entries: a pass
 // for each asking box would cost the square of the fleet's size. What is set
 // later needs no export, since its keepers both agreed under the new roster.
-func (r *Registry) sortOut(now time.Time) {
-	if r.exportsAt == r.roster.Epoch && r.exports != nil {
+func (r *Registry) buildExports(now time.Time) {
+	if r.exportsEpoch == r.roster.Epoch && r.exports != nil {
 		return
 	}
-	r.exports, r.exportsAt = map[willowwick.BootID][]RegistryEntry{}, r.roster.Epoch
+	r.exports, r.exportsEpoch = map[willowwick.BootID][]RegistryEntry{}, r.roster.Epoch
 	for key, entry := range r.entries {
 		if !clock.System(now).Before(entry.Deadline) {
 			continue
 		}
-		for _, keeper := range Pair(r.roster, key) {
+		for _, keeper := range ReplicaPair(r.roster, key) {
 			r.exports[keeper.Boot] = append(r.exports[keeper.Boot], entry)
 		}
 	}
@@ -254,7 +254,7 @@
 		return true
 	}
 	last := r.transitions[len(r.transitions)-1]
-	if len(last.former.Members) > 0 && !last.knowing {
+	if len(last.former.Members) > 0 && !last.hadEntries {
 		return false
 	}
 	for _, t := range r.transitions[:len(r.transitions)-1] {
@@ -270,15 +270,15 @@
 	if len(t.former.Members) == 0 {
 		return true
 	}
-	lost := len(t.gone)
+	lost := len(t.removed)
 	for _, m := range t.former.Members {
 		if m.Boot == self {
-			if !t.knowing {
+			if !t.hadEntries {
 				lost++
 			}
 			continue
 		}
-		if !t.gone[m.Boot] && !t.synced[m.Boot] {
+		if !t.removed[m.Boot] && !t.synced[m.Boot] {
 			return false
 		}
 	}
@@ -322,17 +322,17 @@
 	r.dropOldTransitions(now)
 	for i := len(r.transitions) - 1; i >= 0; i-- {
 		t := r.transitions[i]
-		if len(t.former.Members) == 0 || isYoungerThan(key, t.adopted) {
+		if len(t.former.Members) == 0 || isCreatedAfter(key, t.adopted) {
 			return PutGranted
 		}
 		own, survivors := false, 0
-		for _, m := range Pair(t.former, key) {
+		for _, m := range ReplicaPair(t.former, key) {
 			switch {
-			case m.Boot == r.self && t.knowing:
+			case m.Boot == r.self && t.hadEntries:
 				own = true
 			case t.synced[m.Boot]:
 				return PutGranted
-			case m.Boot != r.self && !t.gone[m.Boot]:
+			case m.Boot != r.self && !t.removed[m.Boot]:
 				survivors++
 			}
 		}
@@ -347,22 +347,22 @@
 	return PutGranted
 }
 
-// isYoungerThan reports whether a key carries a time (a version 7 UUID) after the given one.
-func isYoungerThan(key string, at time.Time) bool {
+// isCreatedAfter reports whether a key carries a time (a version 7 UUID) after the given one.
+func isCreatedAfter(key string, at time.Time) bool {
 	if len(key) < uuidLength {
 		return false
 	}
 	id, err := uuid.Parse(key[len(key)-uuidLength:])
-	if err != nil || id.Version() != uuidWithTime {
+	if err != nil || id.Version() != uuidVersionWithTime {
 		return false
 	}
 	seconds, nanoseconds := id.Time().UnixTime()
-	return time.Unix(seconds, nanoseconds).After(at.Add(keyClockMargin))
+	return time.Unix(seconds, nanoseconds).After(at.Add(maxKeyClockSkew))
 }
 
 const (
-	uuidLength   = 36
-	uuidWithTime = 7
+	uuidLength          = 36
+	uuidVersionWithTime = 7
 )
 
 // Drop takes back an entry if the value is the one that stands.
@@ -397,7 +397,7 @@
 	var owner willowwick.BoxID
 	var highest uint64
 	for _, box := range boxes {
-		if score := pairScore(box.Boot, name); owner == "" || score > highest {
+		if score := rendezvousScore(box.Boot, name); owner == "" || score > highest {
 			owner, highest = box.Box, score
 		}
 	}
--- a/lab/fleet_promises_test.go
+++ b/lab/fleet_promises_test.go
@@ -41,7 +41,7 @@
 	state, err := s.State()
 	require.NoError(s.t, err)
 	var boxes []int
-	for _, member := range fleet.Pair(state.Roster, "claim/lab-coimbra/bookkeeping/"+key) {
+	for _, member := range fleet.ReplicaPair(state.Roster, "claim/lab-coimbra/bookkeeping/"+key) {
 		for i, box := range s.Boxes {
 			if box.ID == member.Box {
 				boxes = append(boxes, i)
