--- a/fleet/digest.go
+++ b/fleet/digest.go
@@ -201,8 +201,8 @@
 	return len(h.Demand.Accounts) == len(h.Demand.Rates) && h.Evidence.isWhole()
 }
 
-// stampOf returns the stamp of the digest that the caller has of a hall.
-func (a ExchangeArgs) stampOf(hall willowwick.HallID) int64 {
+// knownStamp returns the stamp of the digest that the caller has of a hall.
+func (a ExchangeArgs) knownStamp(hall willowwick.HallID) int64 {
 	for _, mark := range a.HallMarks {
 		if mark.Hall == hall {
 			return mark.Stamp
@@ -211,22 +211,22 @@
 	return 0
 }
 
-// summary adds up digests of one hall.
-type summary struct {
+// digestTotals adds up digests of one hall.
+type digestTotals struct {
 	demand   map[NameHash]float64
 	evidence map[NameHash]rollout.Evidence
 	leaving  map[willowwick.EndpointID]bool
 }
 
-func newSummary() *summary {
-	return &summary{
+func newDigestTotals() *digestTotals {
+	return &digestTotals{
 		demand:   map[NameHash]float64{},
 		evidence: map[NameHash]rollout.Evidence{},
 		leaving:  map[willowwick.EndpointID]bool{},
 	}
 }
 
-func (s *summary) add(d *Digest) {
+func (s *digestTotals) add(d *Digest) {
 	for row, account := range d.Demand.Accounts {
 		s.demand[account] += float64(d.Demand.Rates[row])
 	}
@@ -238,8 +238,8 @@
 	}
 }
 
-// fill writes the sums into a hall's digest, in a fixed order.
-func (s *summary) fill(h *HallDigest) {
+// writeTo writes the sums into a hall's digest, in a fixed order.
+func (s *digestTotals) writeTo(h *HallDigest) {
 	for _, account := range sortedNames(s.demand) {
 		h.Demand.Add(account, s.demand[account])
 	}
--- a/fleet/peer.go
+++ b/fleet/peer.go
@@ -42,7 +42,7 @@
 	n.recordContact(now)
 	n.mergeDigests(now, nil, args.Halls)
 	reply.Digests, reply.Halls, reply.Want = n.Table.Newer(args)
-	if args.Hall != n.Self.Hall && args.stampOf(n.Self.Hall) < hallStamp(now) {
+	if args.Hall != n.Self.Hall && args.knownStamp(n.Self.Hall) < hallStamp(now) {
 		reply.Halls = append(reply.Halls, n.Table.HallDigest(now))
 	}
 	reply.Offset = n.Follower.Revision().Offset
--- a/fleet/table.go
+++ b/fleet/table.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// basePatience is how long a box may be silent beyond some of its digests
+	// baseLivenessTimeout is how long a box may be silent beyond some of its digests
 	// and the time that they take through the hall.
-	basePatience    = 2 * time.Second
-	missedDigests   = 3
-	missedHallTerms = 3
+	baseLivenessTimeout = 2 * time.Second
+	missedDigests       = 3
+	missedHallPeriods   = 3
 	// hallPeriod is how often the digest of a hall is renewed.
 	hallPeriod = 5 * time.Second
 	// forgetAfter is when a silent box is dropped from the table.
@@ -30,8 +30,8 @@
 	Table struct {
 		mu    sync.Mutex
 		self  Identity
-		boxes map[willowwick.BoxID]heardDigest
-		halls map[willowwick.HallID]heardHall
+		boxes map[willowwick.BoxID]receivedDigest
+		halls map[willowwick.HallID]receivedHallDigest
 	}
 
 	// Identity is what a daemon is called.
@@ -43,12 +43,12 @@
 		Started time.Time
 	}
 
-	heardDigest struct {
+	receivedDigest struct {
 		Digest
 		heard time.Time
 	}
 
-	heardHall struct {
+	receivedHallDigest struct {
 		HallDigest
 		heard time.Time
 	}
@@ -68,8 +68,8 @@
 func NewTable(self Identity) *Table {
 	return &Table{
 		self:  self,
-		boxes: map[willowwick.BoxID]heardDigest{},
-		halls: map[willowwick.HallID]heardHall{},
+		boxes: map[willowwick.BoxID]receivedDigest{},
+		halls: map[willowwick.HallID]receivedHallDigest{},
 	}
 }
 
@@ -86,12 +86,12 @@
 		if d.Box == t.self.Box && d.Boot != t.self.Boot {
 			continue
 		}
-		t.boxes[d.Box] = heardDigest{Digest: d, heard: now}
+		t.boxes[d.Box] = receivedDigest{Digest: d, heard: now}
 		taken = append(taken, d)
 	}
 	for _, h := range halls {
 		if h.Hall != t.self.Hall && h.Stamp > t.halls[h.Hall].Stamp && h.isWhole() {
-			t.halls[h.Hall] = heardHall{HallDigest: h, heard: now}
+			t.halls[h.Hall] = receivedHallDigest{HallDigest: h, heard: now}
 		}
 	}
 	return taken
@@ -120,18 +120,18 @@
 	var digests []Digest
 	var want []NameHash
 	if args.Hall == t.self.Hall && len(args.Marks.Boxes) == len(args.Marks.Versions) {
-		digests, want = t.compare(args.Marks)
+		digests, want = t.compareMarks(args.Marks)
 	}
 	var halls []HallDigest
 	for id, h := range t.halls {
-		if id != args.Hall && h.Stamp > args.stampOf(id) {
+		if id != args.Hall && h.Stamp > args.knownStamp(id) {
 			halls = append(halls, h.HallDigest)
 		}
 	}
 	return digests, halls, want
 }
 
-func (t *Table) compare(marks Marks) (newer []Digest, want []NameHash) {
+func (t *Table) compareMarks(marks Marks) (newer []Digest, want []NameHash) {
 	theirs := make(map[NameHash]DigestVersion, len(marks.Boxes))
 	for row, box := range marks.Boxes {
 		theirs[box] = marks.Versions[row]
@@ -171,16 +171,16 @@
 	return loopInterval * time.Duration(1+hallSize/digestsPerSecond)
 }
 
-// patience is how long a box may be silent and still counts as alive; the caller holds the lock.
-func (t *Table) patience() time.Duration {
+// livenessTimeout is how long a box may be silent and still counts as alive; the caller holds the lock.
+func (t *Table) livenessTimeout() time.Duration {
 	size := len(t.boxes)
 	spread := loopInterval * time.Duration(bits.Len(uint(size)))
-	return basePatience + missedDigests*DigestInterval(size) + spread
+	return baseLivenessTimeout + missedDigests*DigestInterval(size) + spread
 }
 
-// hallPatience is patience with boxes of other halls, of which the hall's digest tells.
-func (t *Table) hallPatience() time.Duration {
-	return t.patience() + missedHallTerms*hallPeriod
+// hallLivenessTimeout is patience with boxes of other halls, of which the hall's digest tells.
+func (t *Table) hallLivenessTimeout() time.Duration {
+	return t.livenessTimeout() + missedHallPeriods*hallPeriod
 }
 
 // hallStamp is the same for all digests of a hall within a period, whoever
@@ -194,10 +194,10 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	h := HallDigest{Hall: t.self.Hall, Stamp: hallStamp(now)}
-	total := newSummary()
+	total := newDigestTotals()
 	for _, d := range t.boxes {
 		age := now.Sub(d.heard)
-		if age > t.patience() {
+		if age > t.livenessTimeout() {
 			continue
 		}
 		h.Members = append(h.Members, HallMember{Box: d.Box, Boot: d.Boot, AgeMs: age.Milliseconds(), Draining: d.Draining})
@@ -205,7 +205,7 @@
 		total.add(&d.Digest)
 	}
 	sort.Slice(h.Members, func(i, j int) bool { return h.Members[i].Box < h.Members[j].Box })
-	total.fill(&h)
+	total.writeTo(&h)
 	return h
 }
 
@@ -216,13 +216,13 @@
 	defer t.mu.Unlock()
 	live := []LiveBox{{Box: t.self.Box, Boot: t.self.Boot, Hall: t.self.Hall, Peer: t.self.Peer}}
 	for _, d := range t.boxes {
-		if d.Box != t.self.Box && now.Sub(d.heard) <= t.patience() {
+		if d.Box != t.self.Box && now.Sub(d.heard) <= t.livenessTimeout() {
 			live = append(live, LiveBox{Box: d.Box, Boot: d.Boot, Hall: d.Hall, Peer: d.Peer, Draining: d.Draining})
 		}
 	}
 	for _, h := range t.halls {
 		for _, m := range h.Members {
-			if now.Sub(h.heard)+time.Duration(m.AgeMs)*time.Millisecond <= t.hallPatience() {
+			if now.Sub(h.heard)+time.Duration(m.AgeMs)*time.Millisecond <= t.hallLivenessTimeout() {
 				live = append(live, LiveBox{Box: m.Box, Boot: m.Boot, Hall: h.Hall, Draining: m.Draining})
 			}
 		}
@@ -253,16 +253,16 @@
 	defer t.mu.Unlock()
 	var peers []route.Peer
 	for _, d := range t.boxes {
-		if d.Box != t.self.Box && now.Sub(d.heard) <= t.patience() {
-			peers = append(peers, route.Peer{Fresh: true, Demand: demandOf(d.Demand, names)})
+		if d.Box != t.self.Box && now.Sub(d.heard) <= t.livenessTimeout() {
+			peers = append(peers, route.Peer{Fresh: true, Demand: decodeDemand(d.Demand, names)})
 		}
 	}
 	for _, h := range t.halls {
-		if now.Sub(h.heard) > t.hallPatience() || len(h.Members) == 0 {
+		if now.Sub(h.heard) > t.hallLivenessTimeout() || len(h.Members) == 0 {
 			continue
 		}
 		// The hall's demand stands at one of its members; only sums are used.
-		peers = append(peers, route.Peer{Fresh: true, Demand: demandOf(h.Demand, names)})
+		peers = append(peers, route.Peer{Fresh: true, Demand: decodeDemand(h.Demand, names)})
 		for range len(h.Members) - 1 {
 			peers = append(peers, route.Peer{Fresh: true})
 		}
@@ -273,7 +273,7 @@
 	return peers
 }
 
-func demandOf(columns Demand, names map[NameHash]willowwick.AccountID) route.Demand {
+func decodeDemand(columns Demand, names map[NameHash]willowwick.AccountID) route.Demand {
 	demand := make(route.Demand, len(columns.Accounts))
 	for row, account := range columns.Accounts {
 		if name, ok := names[account]; ok {
@@ -309,30 +309,30 @@
 	lowSince time.Time
 }
 
-const markPatience = 16 * time.Second
+const counterResetDelay = 16 * time.Second
 
 // NewEvidenceTracker returns a tracker that has seen nothing.
 func NewEvidenceTracker() *EvidenceTracker {
 	return &EvidenceTracker{marks: map[string]map[NameHash]evidenceMark{}}
 }
 
-// Deltas adds what is new from all sources; sources that are gone are forgotten.
-func (e *EvidenceTracker) Deltas(now time.Time, sources map[string]VersionCounts, totals map[NameHash]rollout.Evidence) {
+// AddDeltas adds what is new from all sources; sources that are gone are forgotten.
+func (e *EvidenceTracker) AddDeltas(now time.Time, sources map[string]VersionCounts, totals map[NameHash]rollout.Evidence) {
 	for source := range e.marks {
 		if _, known := sources[source]; !known {
 			delete(e.marks, source)
 		}
 	}
 	for source, counts := range sources {
-		e.delta(now, source, counts, totals)
+		e.addDelta(now, source, counts, totals)
 	}
 }
 
-// delta adds what is new from one source.
+// addDelta adds what is new from one source.
 //
 // Sums of a hall may fall a little when another box authored them, or for good
 // when a box restarted; only in the second case the count starts anew.
-func (e *EvidenceTracker) delta(now time.Time, source string, counts VersionCounts, totals map[NameHash]rollout.Evidence) {
+func (e *EvidenceTracker) addDelta(now time.Time, source string, counts VersionCounts, totals map[NameHash]rollout.Evidence) {
 	marks := e.marks[source]
 	if marks == nil {
 		marks = map[NameHash]evidenceMark{}
@@ -347,7 +347,7 @@
 		}
 		if mark.lowSince.IsZero() {
 			mark.lowSince = now
-		} else if now.Sub(mark.lowSince) > markPatience {
+		} else if now.Sub(mark.lowSince) > counterResetDelay {
 			mark = evidenceMark{Evidence: seen}
 		}
 		marks[version] = mark
--- a/serve/evidence.go
+++ b/serve/evidence.go
@@ -119,7 +119,7 @@
 // addPeers adds what the other boxes have newly seen.
 func (w *watch) addPeers(now time.Time, r *config.Revision, news map[willowwick.VersionID]rollout.Evidence) {
 	fresh := map[fleet.NameHash]rollout.Evidence{}
-	w.tracker.Deltas(now, w.daemon.node.Table.Evidence(), fresh)
+	w.tracker.AddDeltas(now, w.daemon.node.Table.Evidence(), fresh)
 	for _, version := range r.Versions() {
 		if evidence, ok := fresh[fleet.HashName(version)]; ok {
 			news[version] = news[version].Add(evidence)
