--- a/fleet/follower.go
+++ b/fleet/follower.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	readLimit    = 500
-	recentLength = 1024
-	// ConfirmFor is how long a configuration counts as current after it was compared with the log or the fleet.
-	ConfirmFor = 5 * time.Second
+	maxEntriesPerRead = 500
+	maxRecentEntries  = 1024
+	// ConfirmationTTL is how long a configuration counts as current after it was compared with the log or the fleet.
+	ConfirmationTTL = 5 * time.Second
 )
 
 // ErrBehind says that the log no longer has the entries that are needed, and no snapshot either.
@@ -28,21 +28,21 @@
 //
 // Its offset only ever grows, so that an accepted configuration never reverts.
 type Follower struct {
-	log          willowwick.Log
-	revision     atomic.Pointer[config.Revision]
-	changed      func(*config.Revision)
-	mu           sync.Mutex
-	recent       []willowwick.Entry
-	confirmed    time.Time // when the offset was last known to be the log's end
-	atLog        time.Time // when the log itself last answered
-	newerSchema  bool
-	lastSnapshot willowwick.Offset
-	first        willowwick.Offset // oldest offset that the log still has
+	log            willowwick.Log
+	revision       atomic.Pointer[config.Revision]
+	onChange       func(*config.Revision)
+	mu             sync.Mutex
+	recent         []willowwick.Entry
+	confirmedAt    time.Time // when the offset was last known to be the log's end
+	logReachedAt   time.Time // when the log itself last answered
+	hasNewerSchema bool
+	lastSnapshot   willowwick.Offset
+	firstOffset    willowwick.Offset // oldest offset that the log still has
 }
 
 // NewFollower returns a follower that has read nothing; changed is called after each step, in order.
 func NewFollower(log willowwick.Log, changed func(*config.Revision)) *Follower {
-	f := &Follower{log: log, changed: changed}
+	f := &Follower{log: log, onChange: changed}
 	f.revision.Store(config.NewRevision(config.NewState()))
 	return f
 }
@@ -52,26 +52,26 @@
 	return f.revision.Load()
 }
 
-// Confirmed returns when the configuration was last known to be current.
-func (f *Follower) Confirmed() time.Time {
+// ConfirmedAt returns when the configuration was last known to be current.
+func (f *Follower) ConfirmedAt() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.confirmed
+	return f.confirmedAt
 }
 
-// LogReached returns when the log itself last answered.
-func (f *Follower) LogReached() time.Time {
+// LogReachedAt returns when the log itself last answered.
+func (f *Follower) LogReachedAt() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.atLog
+	return f.logReachedAt
 }
 
 // Confirm notes that another daemon knew the offset to be current at the given time.
 func (f *Follower) Confirm(offset willowwick.Offset, at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if offset <= f.Revision().Offset && at.After(f.confirmed) {
-		f.confirmed = at
+	if offset <= f.Revision().Offset && at.After(f.confirmedAt) {
+		f.confirmedAt = at
 	}
 }
 
@@ -79,7 +79,7 @@
 func (f *Follower) IsBlocked() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.newerSchema
+	return f.hasNewerSchema
 }
 
 // ReadLog folds the log to its end.
@@ -87,13 +87,13 @@
 	for {
 		asked := clock.Now()
 		from := f.Revision().Offset + 1
-		page, err := f.log.Read(ctx, willowwick.StreamConfig, from, readLimit)
+		page, err := f.log.Read(ctx, willowwick.StreamConfig, from, maxEntriesPerRead)
 		if err != nil {
 			return errors.Wrap(err, "read log")
 		}
-		f.noteLog(asked, page.First)
+		f.recordLogRead(asked, page.First)
 		if page.First > from {
-			if err := f.rejoin(ctx, page.First); err != nil {
+			if err := f.restoreFromSnapshot(ctx, page.First); err != nil {
 				return err
 			}
 			continue
@@ -114,17 +114,17 @@
 	}
 }
 
-func (f *Follower) noteLog(at time.Time, first willowwick.Offset) {
+func (f *Follower) recordLogRead(at time.Time, first willowwick.Offset) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.atLog, f.first = at, first
+	f.logReachedAt, f.firstOffset = at, first
 }
 
-// rejoin starts again from a snapshot, after the log dropped entries that were not read yet.
-func (f *Follower) rejoin(ctx context.Context, first willowwick.Offset) error {
+// restoreFromSnapshot starts again from a snapshot, after the log dropped entries that were not read yet.
+func (f *Follower) restoreFromSnapshot(ctx context.Context, first willowwick.Offset) error {
 	var entries []willowwick.Entry
 	for from := first; ; {
-		page, err := f.log.Read(ctx, willowwick.StreamConfig, from, readLimit)
+		page, err := f.log.Read(ctx, willowwick.StreamConfig, from, maxEntriesPerRead)
 		if err != nil {
 			return errors.Wrap(err, "read log")
 		}
@@ -162,30 +162,30 @@
 		}
 		next, err := config.Fold(state, entry)
 		if err != nil {
-			f.noteNewerSchema()
+			f.recordNewerSchema()
 			f.publish(before, state)
 			return err
 		}
-		f.noteSnapshot(state, next)
+		f.recordSnapshot(state, next)
 		state = next
 		f.recent = append(f.recent, entry)
 	}
-	if len(f.recent) > recentLength {
-		f.recent = append([]willowwick.Entry(nil), f.recent[len(f.recent)-recentLength:]...)
+	if len(f.recent) > maxRecentEntries {
+		f.recent = append([]willowwick.Entry(nil), f.recent[len(f.recent)-maxRecentEntries:]...)
 	}
-	f.newerSchema = false
+	f.hasNewerSchema = false
 	f.publish(before, state)
 	return nil
 }
 
-func (f *Follower) noteNewerSchema() {
-	if !f.newerSchema {
+func (f *Follower) recordNewerSchema() {
+	if !f.hasNewerSchema {
 		slog.Error("the log holds a record of a newer schema; this build keeps what it has and is not ready")
 	}
-	f.newerSchema = true
+	f.hasNewerSchema = true
 }
 
-func (f *Follower) noteSnapshot(before, after *config.State) {
+func (f *Follower) recordSnapshot(before, after *config.State) {
 	if len(after.Audit) == 0 {
 		return
 	}
@@ -207,7 +207,7 @@
 	}
 	revision := config.NewRevision(state)
 	f.revision.Store(revision)
-	f.changed(revision)
+	f.onChange(revision)
 }
 
 // Install takes a whole state if it is newer than the one in force.
@@ -240,14 +240,14 @@
 	return append([]willowwick.Entry(nil), entries...), true
 }
 
-// snapshotDue reports whether the log should get a new snapshot before its head goes.
-func (f *Follower) snapshotDue() bool {
+// isSnapshotDue reports whether the log should get a new snapshot before its head goes.
+func (f *Follower) isSnapshotDue() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	offset := f.Revision().Offset
 	if offset-f.lastSnapshot > maxEntriesSinceSnapshot {
 		return true
 	}
-	middle := f.first + (offset-f.first)/2
-	return f.first > 1 && f.lastSnapshot < middle
+	middle := f.firstOffset + (offset-f.firstOffset)/2
+	return f.firstOffset > 1 && f.lastSnapshot < middle
 }
--- a/fleet/gossip.go
+++ b/fleet/gossip.go
@@ -53,7 +53,7 @@
 }
 
 func (n *Node) msSinceConfirmed(now time.Time) int64 {
-	confirmed := n.Follower.Confirmed()
+	confirmed := n.Follower.ConfirmedAt()
 	if confirmed.IsZero() {
 		return -1
 	}
--- a/fleet/leader.go
+++ b/fleet/leader.go
@@ -138,7 +138,7 @@
 
 // writeSnapshotIfDue writes the fold to the log before the log forgets its head.
 func (n *Node) writeSnapshotIfDue(ctx context.Context, fence willowwick.Fence) {
-	if !n.Follower.snapshotDue() {
+	if !n.Follower.isSnapshotDue() {
 		return
 	}
 	if err := n.Follower.ReadLog(ctx); err != nil {
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -202,7 +202,7 @@
 
 // IsConfigCurrent reports whether the configuration is known to be current.
 func (n *Node) IsConfigCurrent(now time.Time) bool {
-	return now.Sub(n.Follower.Confirmed()) <= ConfirmFor || n.hasQuorum(now, false)
+	return now.Sub(n.Follower.ConfirmedAt()) <= ConfirmationTTL || n.hasQuorum(now, false)
 }
 
 // hasQuorum reports whether this box is in touch with half of the roster
@@ -240,7 +240,7 @@
 
 // canGrantClaims reports whether this box may keep claims: its roster must be current.
 func (n *Node) canGrantClaims(now time.Time) bool {
-	return now.Sub(n.Follower.Confirmed()) <= ConfirmFor || n.hasQuorum(now, true)
+	return now.Sub(n.Follower.ConfirmedAt()) <= ConfirmationTTL || n.hasQuorum(now, true)
 }
 
 // Listing returns the platform's list as last read; ok is false before the first.
@@ -329,7 +329,7 @@
 // followLog reads the log if this box is one of the readers of its hall, or has
 // not heard of a current offset for longer than news take through a large hall.
 func (n *Node) followLog(ctx context.Context) {
-	if !n.isLogReader() && clock.Since(n.Follower.Confirmed()) < 2*ConfirmFor {
+	if !n.isLogReader() && clock.Since(n.Follower.ConfirmedAt()) < 2*ConfirmationTTL {
 		return
 	}
 	callCtx, cancel := context.WithTimeout(ctx, logTimeout)
--- a/fleet/usage.go
+++ b/fleet/usage.go
@@ -438,7 +438,7 @@
 func ReadLedger(ctx context.Context, log willowwick.Log) (*Ledger, error) {
 	ledger := NewLedger()
 	for from := willowwick.Offset(1); ; {
-		page, err := log.Read(ctx, willowwick.StreamUsage, from, readLimit)
+		page, err := log.Read(ctx, willowwick.StreamUsage, from, maxEntriesPerRead)
 		if err != nil {
 			return nil, errors.Wrap(err, "read usage")
 		}
--- a/lab/for_good_test.go
+++ b/lab/for_good_test.go
@@ -45,7 +45,7 @@
 			return s.ask(2, Chat{Key: "demo-quay-new"}).Outcome == OutcomeWhole && s.ask(2, Chat{Model: "extra"}).Outcome == OutcomeWhole
 		})
 		// It may have what it missed from another box a moment before it knows that nothing came after that.
-		s.eventually(fleet.ConfirmFor, "refused for good", func() bool {
+		s.eventually(fleet.ConfirmationTTL, "refused for good", func() bool {
 			return s.ask(2, Chat{Model: "never"}).Text == string(willowwick.KindInvalid)
 		})
 	})
--- a/serve/admin.go
+++ b/serve/admin.go
@@ -100,7 +100,7 @@
 	hash, _ := r.Hash()
 	status := Status{
 		Box: d.settings.Box, Boot: d.settings.Boot, Hall: d.settings.Hall, Ready: ready, Why: why,
-		Offset: r.Offset, Confirmed: d.node.IsConfigCurrent(now), ConfirmedAt: d.node.Follower.Confirmed(),
+		Offset: r.Offset, Confirmed: d.node.IsConfigCurrent(now), ConfirmedAt: d.node.Follower.ConfirmedAt(),
 		Epoch: r.Roster.Epoch, LeaseHolder: r.Lease.Box, HoldsLease: holds, Live: d.node.Table.Live(now),
 		InFlight: d.inFlight.Load(), UsageOwn: own, UsageHeld: held, StateHash: hash,
 		PeerSent: d.node.Transport.Sent.Load(), PeerReceived: d.node.Transport.Received.Load(),
--- a/serve/daemon.go
+++ b/serve/daemon.go
@@ -260,7 +260,7 @@
 
 // isIsolated reports whether this box reaches neither the log nor half of the fleet for some time.
 func (d *Daemon) isIsolated(now time.Time) bool {
-	return !d.node.IsConfigCurrent(now) && now.Sub(d.node.Follower.Confirmed()) > isolatedAfter
+	return !d.node.IsConfigCurrent(now) && now.Sub(d.node.Follower.ConfirmedAt()) > isolatedAfter
 }
 
 // ready reports whether the balancer should send requests, and if not, why.
--- a/serve/run.go
+++ b/serve/run.go
@@ -162,7 +162,7 @@
 // touch are no excuse here: they may know no more, or be cut off with this one. The age is taken before the
 // configuration: one that comes into force in between makes no older one up to date.
 func (d *Daemon) unlessStale(refusal *willowwick.Refusal, revision *config.Revision, now time.Time) *willowwick.Refusal {
-	isStale := now.Sub(d.node.Follower.Confirmed()) > inForceWithin || d.node.Follower.Revision() != revision
+	isStale := now.Sub(d.node.Follower.ConfirmedAt()) > inForceWithin || d.node.Follower.Revision() != revision
 	return refusal.UnlessStale(isStale, now.Add(isolatedRetry))
 }
 
