--- a/fleet/transport.go
+++ b/fleet/transport.go
@@ -22,18 +22,18 @@
 const (
 	nonceSize        = 16
 	handshakeTimeout = 2 * time.Second
-	// writeLimit is how long the other side may take nothing of what is written to it: as long as the longest limit of
+	// writeTimeout is how long the other side may take nothing of what is written to it: as long as the longest limit of
 	// a call, since nobody waits for the message after that.
-	writeLimit = callTimeout
-	// writePiece is the number of bytes that must be taken within it, so that a slow link that makes progress is not cut:
+	writeTimeout = callTimeout
+	// writeChunkSize is the number of bytes that must be taken within it, so that a slow link that makes progress is not cut:
 	// 0.25 Mbit/s will do.
-	writePiece = 64 << 10
-	// keptFor is how long a connection is kept for the next call. A box of a hall of 200 swaps digests with each other one
+	writeChunkSize = 64 << 10
+	// idleTimeout is how long a connection is kept for the next call. A box of a hall of 200 swaps digests with each other one
 	// about every 200 s (tick), so most calls find their connection.
-	keptFor = 4 * time.Minute
-	// silenceLimit is how long a connection may bring nothing before it is closed: a minute longer than the other side
+	idleTimeout = 4 * time.Minute
+	// readTimeout is how long a connection may bring nothing before it is closed: a minute longer than the other side
 	// keeps it for its next call, far more than a call takes, so that no call meets a connection that is just being closed.
-	silenceLimit = keptFor + time.Minute
+	readTimeout = idleTimeout + time.Minute
 )
 
 type (
@@ -61,16 +61,16 @@
 	// peerClient calls another daemon over one connection.
 	peerClient struct {
 		*rpc.Client
-		keptUntil time.Time // when it is too long since the last call; the transport's lock guards it
+		idleDeadline time.Time // when it is too long since the last call; the transport's lock guards it
 	}
 
 	// peerConn is a connection to another daemon. It counts its bytes and, once both sides are known, bounds how long
 	// it waits for the other side.
 	peerConn struct {
 		net.Conn
-		raw       net.Conn // without TLS
-		transport *Transport
-		bounded   bool
+		raw         net.Conn // without TLS
+		transport   *Transport
+		hasTimeouts bool
 	}
 )
 
@@ -154,22 +154,22 @@
 		return errors.Wrap(err, "handshake")
 	}
 	theirNonce := make([]byte, nonceSize)
-	if err := swap(conn, nonce, theirNonce); err != nil {
+	if err := exchangeBytes(conn, nonce, theirNonce); err != nil {
 		return errors.Wrap(err, "handshake")
 	}
 	proof := make([]byte, sha256.Size)
-	if err := swap(conn, t.prove(own, theirNonce), proof); err != nil {
+	if err := exchangeBytes(conn, t.handshakeProof(own, theirNonce), proof); err != nil {
 		return errors.Wrap(err, "handshake")
 	}
-	if !hmac.Equal(proof, t.prove(other, nonce)) {
+	if !hmac.Equal(proof, t.handshakeProof(other, nonce)) {
 		return ErrBadPeer
 	}
-	conn.bounded = true
+	conn.hasTimeouts = true
 	return errors.Wrap(conn.SetDeadline(time.Time{}), "handshake")
 }
 
-// swap writes and reads at once, since the other side does the same.
-func swap(conn net.Conn, out, in []byte) error {
+// exchangeBytes writes and reads at once, since the other side does the same.
+func exchangeBytes(conn net.Conn, out, in []byte) error {
 	written := make(chan error, 1)
 	go func() {
 		_, err := conn.Write(out)
@@ -182,7 +182,7 @@
 	return err
 }
 
-func (t *Transport) prove(role string, nonce []byte) []byte {
+func (t *Transport) handshakeProof(role string, nonce []byte) []byte {
 	mac := hmac.New(sha256.New, t.key)
 	mac.Write([]byte(role))
 	mac.Write(nonce)
@@ -205,26 +205,26 @@
 			return nil
 		}
 		if _, answered := call.Error.(rpc.ServerError); !answered {
-			t.drop(address, client)
+			t.dropClient(address, client)
 		}
 		return errors.Wrapf(call.Error, "%s at %s", method, address)
 	case <-ctx.Done():
 		// The reply may still be written to by the client; a fresh connection keeps late answers away from it.
-		t.drop(address, client)
+		t.dropClient(address, client)
 		return errors.Wrapf(ctx.Err(), "%s at %s", method, address)
 	}
 }
 
 // client returns the kept connection to the address, or opens one.
 func (t *Transport) client(ctx context.Context, address string) (*peerClient, error) {
-	if client := t.kept(address, clock.Now()); client != nil {
+	if client := t.idleClient(address, clock.Now()); client != nil {
 		return client, nil
 	}
-	conn, err := t.open(ctx, address)
+	conn, err := t.dialPeer(ctx, address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "dial %s", address)
 	}
-	client := &peerClient{Client: rpc.NewClient(conn), keptUntil: clock.Now().Add(keptFor)}
+	client := &peerClient{Client: rpc.NewClient(conn), idleDeadline: clock.Now().Add(idleTimeout)}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.closed {
@@ -239,25 +239,25 @@
 	return client, nil
 }
 
-// kept returns the connection that is kept for the address, if there is one and it was used of late.
-func (t *Transport) kept(address string, now time.Time) *peerClient {
+// idleClient returns the connection that is idleClient for the address, if there is one and it was used of late.
+func (t *Transport) idleClient(address string, now time.Time) *peerClient {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	client := t.clients[address]
 	if client == nil {
 		return nil
 	}
-	if now.After(client.keptUntil) {
+	if now.After(client.idleDeadline) {
 		delete(t.clients, address)
 		_ = client.Close()
 		return nil
 	}
-	client.keptUntil = now.Add(keptFor)
+	client.idleDeadline = now.Add(idleTimeout)
 	return client
 }
 
-// open dials the address and shakes hands, until the context ends.
-func (t *Transport) open(ctx context.Context, address string) (*peerConn, error) {
+// dialPeer dials the address and shakes hands, until the context ends.
+func (t *Transport) dialPeer(ctx context.Context, address string) (*peerConn, error) {
 	raw, err := t.dial(ctx, address)
 	if err != nil {
 		return nil, err
@@ -278,7 +278,7 @@
 	return conn, nil
 }
 
-func (t *Transport) drop(address string, client *peerClient) {
+func (t *Transport) dropClient(address string, client *peerClient) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.clients[address] == client {
@@ -289,14 +289,14 @@
 
 // Read implements io.Reader; a connection that brings nothing for silenceLimit is at its end.
 func (c *peerConn) Read(p []byte) (int, error) {
-	if c.bounded {
-		if err := c.SetReadDeadline(time.Now().Add(silenceLimit)); err != nil {
+	if c.hasTimeouts {
+		if err := c.SetReadDeadline(time.Now().Add(readTimeout)); err != nil {
 			return 0, err
 		}
 	}
 	n, err := c.Conn.Read(p)
 	c.transport.Received.Add(uint64(n))
-	if err != nil && c.bounded {
+	if err != nil && c.hasTimeouts {
 		slog.Debug("peer connection ended", "peer", c.RemoteAddr().String(), "error", err)
 		// The library leaves a client's connection open until somebody calls over it again.
 		_ = c.Close()
@@ -306,12 +306,12 @@
 
 // Write implements io.Writer; it ends the connection if the other side takes nothing for writeLimit.
 func (c *peerConn) Write(p []byte) (int, error) {
-	if !c.bounded {
+	if !c.hasTimeouts {
 		return c.write(p)
 	}
 	written := 0
 	for written < len(p) {
-		n, err := c.writeInTime(p[written:min(written+writePiece, len(p))])
+		n, err := c.writeChunk(p[written:min(written+writeChunkSize, len(p))])
 		written += n
 		if err != nil {
 			// A part of a message may be out, and the library does not close what it serves after a failed reply.
@@ -322,8 +322,8 @@
 	return written, nil
 }
 
-func (c *peerConn) writeInTime(piece []byte) (int, error) {
-	if err := c.SetWriteDeadline(time.Now().Add(writeLimit)); err != nil {
+func (c *peerConn) writeChunk(piece []byte) (int, error) {
+	if err := c.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return 0, err
 	}
 	n, err := c.write(piece)
