--- a/cmd/willowctl/show.go
+++ b/cmd/willowctl/show.go
@@ -215,7 +215,7 @@
 			for _, account := range accounts {
 				fmt.Fprintf(w, "%-20s %12d micro-units\n", account, ledger.ByAccount[willowwick.AccountID(account)])
 			}
-			fmt.Fprintf(w, "%d requests, %d records were appended more than once and counted once\n", ledger.TotalCount, ledger.Repeated)
+			fmt.Fprintf(w, "%d requests, %d records were appended more than once and counted once\n", ledger.TotalCount, ledger.Duplicates)
 		})
 	})
 }
--- a/fleet/peer.go
+++ b/fleet/peer.go
@@ -187,7 +187,7 @@
 	}
 	n.mu.Unlock()
 	if dropped {
-		n.Usage.KeeperLost()
+		n.Usage.ReplicaLost()
 	}
 }
 
--- a/fleet/usage.go
+++ b/fleet/usage.go
@@ -16,16 +16,16 @@
 	// MaxUsageBacklog bounds the records that one box keeps, its own and others'.
 	MaxUsageBacklog = 200_000
 
-	usageBatch       = 500
-	usagePeriod      = 250 * time.Millisecond
-	usagePerBox      = 10 * time.Millisecond // so that the fleet appends about a hundred batches a second
-	holdTimeout      = 2 * time.Second
-	holdCallTimeout  = time.Second
-	heldFor          = 10 * time.Second
-	usageRetry       = time.Second
-	appendTimeout    = 3 * time.Second
-	noBuddyPause     = 50 * time.Millisecond
-	holdBatchRecords = 1000
+	maxBatchRecords      = 500
+	minAppendInterval    = 250 * time.Millisecond
+	appendIntervalPerBox = 10 * time.Millisecond // so that the fleet appends about a hundred batches a second
+	holdTimeout          = 2 * time.Second
+	holdCallTimeout      = time.Second
+	heldAppendDelay      = 10 * time.Second
+	appendRetryInterval  = time.Second
+	appendTimeout        = 3 * time.Second
+	holdRetryInterval    = 50 * time.Millisecond
+	maxHoldRecords       = 1000
 )
 
 type (
@@ -46,8 +46,8 @@
 		Seqs []uint64
 	}
 
-	// Keeper sends records to another box, and reports false if there is no other box.
-	Keeper interface {
+	// UsageReplicator sends records to another box, and reports false if there is no other box.
+	UsageReplicator interface {
 		Hold(ctx context.Context, args HoldArgs) (alone bool, err error)
 		Settle(ctx context.Context, args SettleArgs)
 	}
@@ -56,29 +56,29 @@
 	// second box before the answer ends, and appended to the log in batches,
 	// by this box or, should it be gone, by the other.
 	Usage struct {
-		log     willowwick.Log
-		keeper  Keeper
-		boot    willowwick.BootID
-		boxes   func() int
-		mu      sync.Mutex
-		seq     uint64
-		own     map[uint64]*ownRecord
-		order   []uint64
-		held    map[heldKey]heldRecord
-		wake    chan struct{}
-		full    bool
-		leaving bool // a planned stop: nothing may stay here
+		log        willowwick.Log
+		replicator UsageReplicator
+		boot       willowwick.BootID
+		fleetSize  func() int
+		mu         sync.Mutex
+		seq        uint64
+		own        map[uint64]*ownRecord
+		ownOrder   []uint64
+		held       map[recordKey]heldRecord
+		wake       chan struct{}
+		wasFull    bool
+		draining   bool // a planned stop: nothing may stay here
 
 		unreplicated uint64 // records that were in one memory only when their answer ended
 	}
 
 	ownRecord struct {
-		record willowwick.UsageRecord
-		safe   chan struct{} // closed once held elsewhere or on the log
-		isSafe bool
+		record    willowwick.UsageRecord
+		durable   chan struct{} // closed once held elsewhere or on the log
+		isDurable bool
 	}
 
-	heldKey struct {
+	recordKey struct {
 		boot willowwick.BootID
 		seq  uint64
 	}
@@ -93,10 +93,10 @@
 var ErrUsageFull = errors.New("the backlog of usage records is full")
 
 // NewUsage returns an empty keeper of usage; boxes tells the size of the fleet.
-func NewUsage(log willowwick.Log, keeper Keeper, boot willowwick.BootID, boxes func() int) *Usage {
+func NewUsage(log willowwick.Log, keeper UsageReplicator, boot willowwick.BootID, boxes func() int) *Usage {
 	return &Usage{
-		log: log, keeper: keeper, boot: boot, boxes: boxes,
-		own: map[uint64]*ownRecord{}, held: map[heldKey]heldRecord{}, wake: make(chan struct{}, 1),
+		log: log, replicator: keeper, boot: boot, fleetSize: boxes,
+		own: map[uint64]*ownRecord{}, held: map[recordKey]heldRecord{}, wake: make(chan struct{}, 1),
 	}
 }
 
@@ -109,9 +109,9 @@
 
 func (u *Usage) isFull() bool {
 	full := len(u.own)+len(u.held) >= MaxUsageBacklog
-	if full != u.full {
+	if full != u.wasFull {
 		slog.Error("usage backlog changed", "full", full, "records", len(u.own)+len(u.held))
-		u.full = full
+		u.wasFull = full
 	}
 	return full
 }
@@ -138,15 +138,15 @@
 	u.mu.Lock()
 	u.seq++
 	record.Boot, record.Seq = u.boot, u.seq
-	mine := &ownRecord{record: record, safe: make(chan struct{})}
+	mine := &ownRecord{record: record, durable: make(chan struct{})}
 	u.own[record.Seq] = mine
-	u.order = append(u.order, record.Seq)
+	u.ownOrder = append(u.ownOrder, record.Seq)
 	u.mu.Unlock()
-	u.poke()
+	u.wakeHold()
 	timer := time.NewTimer(holdTimeout)
 	defer timer.Stop()
 	select {
-	case <-mine.safe:
+	case <-mine.durable:
 	case <-timer.C:
 		u.mu.Lock()
 		u.unreplicated++
@@ -155,7 +155,7 @@
 	}
 }
 
-func (u *Usage) poke() {
+func (u *Usage) wakeHold() {
 	select {
 	case u.wake <- struct{}{}:
 	default:
@@ -178,34 +178,34 @@
 		case <-u.wake:
 		}
 		for ctx.Err() == nil {
-			records := u.unsafeRecords()
+			records := u.undurableRecords()
 			if len(records) == 0 {
 				break
 			}
 			callCtx, cancel := context.WithTimeout(ctx, holdCallTimeout)
-			alone, err := u.keeper.Hold(callCtx, HoldArgs{Boot: u.boot, Records: records})
+			alone, err := u.replicator.Hold(callCtx, HoldArgs{Boot: u.boot, Records: records})
 			cancel()
 			if err == nil && !alone {
-				u.markSafe(records)
+				u.markDurable(records)
 				continue
 			}
 			if alone {
 				u.AppendNow(ctx)
 			}
-			sleep(ctx, noBuddyPause)
+			sleep(ctx, holdRetryInterval)
 		}
 	}
 }
 
-// unsafeRecords lists own records that only this box has.
-func (u *Usage) unsafeRecords() []willowwick.UsageRecord {
+// undurableRecords lists own records that only this box has.
+func (u *Usage) undurableRecords() []willowwick.UsageRecord {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	var records []willowwick.UsageRecord
-	for _, seq := range u.order {
-		if mine := u.own[seq]; mine != nil && !mine.isSafe {
+	for _, seq := range u.ownOrder {
+		if mine := u.own[seq]; mine != nil && !mine.isDurable {
 			records = append(records, mine.record)
-			if len(records) == holdBatchRecords {
+			if len(records) == maxHoldRecords {
 				break
 			}
 		}
@@ -213,43 +213,43 @@
 	return records
 }
 
-func (u *Usage) markSafe(records []willowwick.UsageRecord) {
+func (u *Usage) markDurable(records []willowwick.UsageRecord) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, record := range records {
-		u.safe(record.Seq)
+		u.setDurable(record.Seq)
 	}
 }
 
-func (u *Usage) safe(seq uint64) {
-	if mine := u.own[seq]; mine != nil && !mine.isSafe {
-		mine.isSafe = true
-		close(mine.safe)
+func (u *Usage) setDurable(seq uint64) {
+	if mine := u.own[seq]; mine != nil && !mine.isDurable {
+		mine.isDurable = true
+		close(mine.durable)
 	}
 }
 
-// KeeperLost makes all own records be held again, by another box.
-func (u *Usage) KeeperLost() {
+// ReplicaLost makes all own records be held again, by another box.
+func (u *Usage) ReplicaLost() {
 	u.mu.Lock()
 	for _, mine := range u.own {
-		if mine.isSafe {
-			mine.isSafe = false
-			mine.safe = make(chan struct{})
+		if mine.isDurable {
+			mine.isDurable = false
+			mine.durable = make(chan struct{})
 		}
 	}
 	u.mu.Unlock()
-	u.poke()
+	u.wakeHold()
 }
 
 func (u *Usage) runAppend(ctx context.Context) {
 	for {
-		period := max(usagePeriod, time.Duration(u.boxes())*usagePerBox)
+		period := max(minAppendInterval, time.Duration(u.fleetSize())*appendIntervalPerBox)
 		sleep(ctx, period)
 		if ctx.Err() != nil {
 			return
 		}
 		if !u.AppendNow(ctx) {
-			sleep(ctx, usageRetry)
+			sleep(ctx, appendRetryInterval)
 		}
 	}
 }
@@ -257,7 +257,7 @@
 // AppendNow appends what is due and reports whether the log took it.
 func (u *Usage) AppendNow(ctx context.Context) bool {
 	for {
-		records := u.due(clock.Now())
+		records := u.dueRecords(clock.Now())
 		if len(records) == 0 {
 			return true
 		}
@@ -272,7 +272,7 @@
 		if err != nil {
 			return false
 		}
-		u.appended(ctx, records)
+		u.removeAppended(ctx, records)
 	}
 }
 
@@ -281,26 +281,26 @@
 // It reports false if the context ended first.
 func (u *Usage) HandOver(ctx context.Context) bool {
 	u.mu.Lock()
-	u.leaving = true
+	u.draining = true
 	u.mu.Unlock()
 	for ctx.Err() == nil {
-		if u.AppendNow(ctx) || u.giveAway(ctx) {
+		if u.AppendNow(ctx) || u.transferAll(ctx) {
 			return true
 		}
-		sleep(ctx, noBuddyPause)
+		sleep(ctx, holdRetryInterval)
 	}
 	return false
 }
 
-// giveAway puts all records, own and held, into the memory of another box.
-func (u *Usage) giveAway(ctx context.Context) bool {
+// transferAll puts all records, own and held, into the memory of another box.
+func (u *Usage) transferAll(ctx context.Context) bool {
 	callCtx, cancel := context.WithTimeout(ctx, holdCallTimeout)
 	defer cancel()
-	alone, err := u.keeper.Hold(callCtx, HoldArgs{Boot: u.boot, Records: u.all()})
+	alone, err := u.replicator.Hold(callCtx, HoldArgs{Boot: u.boot, Records: u.allRecords()})
 	return err == nil && !alone
 }
 
-func (u *Usage) all() []willowwick.UsageRecord {
+func (u *Usage) allRecords() []willowwick.UsageRecord {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	records := make([]willowwick.UsageRecord, 0, len(u.own)+len(u.held))
@@ -313,46 +313,46 @@
 	return records
 }
 
-// due lists own records and those held for others that nobody has appended in time.
-func (u *Usage) due(now time.Time) []willowwick.UsageRecord {
+// dueRecords lists own records and those held for others that nobody has appended in time.
+func (u *Usage) dueRecords(now time.Time) []willowwick.UsageRecord {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	var records []willowwick.UsageRecord
-	for _, seq := range u.order {
-		if mine := u.own[seq]; mine != nil && len(records) < usageBatch {
+	for _, seq := range u.ownOrder {
+		if mine := u.own[seq]; mine != nil && len(records) < maxBatchRecords {
 			records = append(records, mine.record)
 		}
 	}
 	for _, held := range u.held {
-		if (u.leaving || !now.Before(held.appendAt)) && len(records) < usageBatch {
+		if (u.draining || !now.Before(held.appendAt)) && len(records) < maxBatchRecords {
 			records = append(records, held.record)
 		}
 	}
 	return records
 }
 
-func (u *Usage) appended(ctx context.Context, records []willowwick.UsageRecord) {
+func (u *Usage) removeAppended(ctx context.Context, records []willowwick.UsageRecord) {
 	var seqs []uint64
 	u.mu.Lock()
 	for _, record := range records {
 		if record.Boot != u.boot {
-			delete(u.held, heldKey{record.Boot, record.Seq})
+			delete(u.held, recordKey{record.Boot, record.Seq})
 			continue
 		}
-		u.safe(record.Seq)
+		u.setDurable(record.Seq)
 		delete(u.own, record.Seq)
 		seqs = append(seqs, record.Seq)
 	}
-	kept := u.order[:0]
-	for _, seq := range u.order {
+	kept := u.ownOrder[:0]
+	for _, seq := range u.ownOrder {
 		if u.own[seq] != nil {
 			kept = append(kept, seq)
 		}
 	}
-	u.order = kept
+	u.ownOrder = kept
 	u.mu.Unlock()
 	if len(seqs) > 0 {
-		u.keeper.Settle(ctx, SettleArgs{Boot: u.boot, Seqs: seqs})
+		u.replicator.Settle(ctx, SettleArgs{Boot: u.boot, Seqs: seqs})
 	}
 }
 
@@ -369,7 +369,7 @@
 			// would be due again after every append.
 			continue
 		}
-		u.held[heldKey{record.Boot, record.Seq}] = heldRecord{record: record, appendAt: now.Add(heldFor)}
+		u.held[recordKey{record.Boot, record.Seq}] = heldRecord{record: record, appendAt: now.Add(heldAppendDelay)}
 	}
 	return nil
 }
@@ -379,14 +379,14 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, seq := range args.Seqs {
-		delete(u.held, heldKey{args.Boot, seq})
+		delete(u.held, recordKey{args.Boot, seq})
 	}
 }
 
 // Ledger is the fold of the usage stream: it counts each record once, however often it was appended.
 type Ledger struct {
-	Records    map[heldKey]willowwick.UsageRecord
-	Repeated   int // appends of a record that was there already
+	Records    map[recordKey]willowwick.UsageRecord
+	Duplicates int // appends of a record that was there already
 	ByAccount  map[willowwick.AccountID]willowwick.MicroUnits
 	ByRequest  map[willowwick.RequestID]int
 	TotalCost  willowwick.MicroUnits
@@ -396,7 +396,7 @@
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger {
 	return &Ledger{
-		Records:   map[heldKey]willowwick.UsageRecord{},
+		Records:   map[recordKey]willowwick.UsageRecord{},
 		ByAccount: map[willowwick.AccountID]willowwick.MicroUnits{},
 		ByRequest: map[willowwick.RequestID]int{},
 	}
@@ -409,9 +409,9 @@
 		return errors.Wrapf(err, "usage at offset %d", entry.Offset)
 	}
 	for _, record := range batch.Records {
-		key := heldKey{record.Boot, record.Seq}
+		key := recordKey{record.Boot, record.Seq}
 		if _, known := l.Records[key]; known {
-			l.Repeated++
+			l.Duplicates++
 			continue
 		}
 		l.Records[key] = record
--- a/fleet/usage_test.go
+++ b/fleet/usage_test.go
@@ -67,12 +67,12 @@
 		t.Run(back.name, func(t *testing.T) {
 			log := &countingLog{}
 			usage := usageWithRecords(log, 3)
-			records := usage.all()
+			records := usage.allRecords()
 			require.Len(t, records, 3)
 			if back.appended {
 				require.True(t, usage.AppendNow(t.Context()))
 			}
-			given := time.Now().Add(-2 * heldFor)
+			given := time.Now().Add(-2 * heldAppendDelay)
 			require.NoError(t, usage.Hold(given, HoldArgs{Boot: "box2.1", Records: records}))
 			require.True(t, usage.AppendNow(t.Context()), "%d batches on the log", len(log.entries))
 			require.Len(t, log.entries, 1)
@@ -90,7 +90,7 @@
 	require.NoError(t, usage.Hold(time.Now(), HoldArgs{Boot: "box2.1", Records: records}))
 	require.True(t, usage.AppendNow(t.Context()))
 	require.Empty(t, log.entries)
-	require.NoError(t, usage.Hold(time.Now().Add(-2*heldFor), HoldArgs{Boot: "box2.1", Records: records}))
+	require.NoError(t, usage.Hold(time.Now().Add(-2*heldAppendDelay), HoldArgs{Boot: "box2.1", Records: records}))
 	require.True(t, usage.AppendNow(t.Context()))
 	require.Len(t, log.entries, 1)
 	_, held := usage.Backlog()
--- a/lab/handover_test.go
+++ b/lab/handover_test.go
@@ -31,6 +31,6 @@
 		appended := len(s.Platform.Entries(willowwick.StreamUsage))
 		time.Sleep(time.Minute)
 		require.Len(t, s.Platform.Entries(willowwick.StreamUsage), appended)
-		require.Zero(t, ledger.Repeated)
+		require.Zero(t, ledger.Duplicates)
 	})
 }
--- a/lab/promises_test.go
+++ b/lab/promises_test.go
@@ -298,7 +298,7 @@
 		}
 		s.Boxes[2].Kill()
 		ledger := s.requireBills()
-		require.Positive(t, ledger.Repeated)
+		require.Positive(t, ledger.Duplicates)
 	})
 }
 
