--- a/fleet/follower_test.go
+++ b/fleet/follower_test.go
@@ -53,9 +53,9 @@
 	return data
 }
 
-// TestFollowerNeverGoesBack: whatever order reads, pulls, joins, lags and failures come in, every daemon's state is
+// TestFollowerOffsetNeverDecreases: whatever order reads, pulls, joins, lags and failures come in, every daemon's state is
 // the fold of a prefix of the log, and its offset only grows.
-func TestFollowerNeverGoesBack(t *testing.T) {
+func TestFollowerOffsetNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		log := &fakeLog{}
 		states := []*config.State{config.NewState()} // by offset: the oracle
@@ -117,8 +117,8 @@
 	})
 }
 
-// TestNewerSchemaKeepsWhatIsInForce: a record of a newer build stops the fold and loses nothing.
-func TestNewerSchemaKeepsWhatIsInForce(t *testing.T) {
+// TestNewerSchemaBlocksFollowerAndKeepsState: a record of a newer build stops the fold and loses nothing.
+func TestNewerSchemaBlocksFollowerAndKeepsState(t *testing.T) {
 	log := &fakeLog{}
 	f := NewFollower(log, func(*config.Revision) {})
 	_, err := log.Append(context.Background(), willowwick.StreamConfig, cascadeRecord(t, "one", 0))
--- a/fleet/join_test.go
+++ b/fleet/join_test.go
@@ -14,11 +14,11 @@
 	"github.com/willowwick/willowwick/config"
 )
 
-// silentBoxes is how many listed boxes of a fleet take connections and say nothing.
-const silentBoxes = 50
+// unresponsiveBoxes is how many listed boxes of a fleet take connections and say nothing.
+const unresponsiveBoxes = 50
 
-// joinNode returns a node that reaches nothing but what is dialed.
-func joinNode(t *testing.T, name string, dial Dialer) *Node {
+// newJoinNode returns a node that reaches nothing but what is dialed.
+func newJoinNode(t *testing.T, name string, dial Dialer) *Node {
 	transport, closeTransport := NewTransport([]byte("key"), dial, nil)
 	t.Cleanup(closeTransport)
 	self := Identity{Box: willowwick.BoxID(name), Boot: willowwick.BootID(name + ".1"), Hall: "hall-a"}
@@ -27,22 +27,22 @@
 
 // Seen in a review: a box that started while the log was down asked the listed boxes for their state one after the other,
 // and each that was silent cost it the limit of a call; with a hall of silent boxes it had no configuration for minutes.
-func TestSilentBoxesDoNotKeepTheStateFromABoxThatStarts(t *testing.T) {
+func TestStartingBoxLoadsStateDespiteUnresponsivePeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		link := &silentLink{accept: make(chan net.Conn), closed: make(chan struct{})}
-		knowing := joinNode(t, "knowing", nil)
+		link := &stallableLink{accept: make(chan net.Conn), closed: make(chan struct{})}
+		knowing := newJoinNode(t, "knowing", nil)
 		require.NoError(t, knowing.Follower.Ingest([]willowwick.Entry{{Offset: 1, Data: cascadeRecord(t, "1", 0)}}))
 		calls := rpc.NewServer()
 		require.NoError(t, calls.RegisterName(rpcName, &peerService{node: knowing}))
 		go knowing.Transport.Serve(link, calls)
-		starting := joinNode(t, "starting", func(ctx context.Context, address string) (net.Conn, error) {
+		starting := newJoinNode(t, "starting", func(ctx context.Context, address string) (net.Conn, error) {
 			if address == "knowing" {
 				return link.dial(ctx, address)
 			}
 			own, _ := net.Pipe()
 			return own, nil
 		})
-		for i := range silentBoxes {
+		for i := range unresponsiveBoxes {
 			box := willowwick.Box{ID: willowwick.BoxID(fmt.Sprintf("silent-%d", i)), Peer: "silent"}
 			starting.listing.Boxes = append(starting.listing.Boxes, box)
 		}
--- a/fleet/lease_test.go
+++ b/fleet/lease_test.go
@@ -19,9 +19,9 @@
 	return next
 }
 
-// TestLeaseTrustsOnlyTheClaimThatWasGranted: a holder that learns late of its grant counts from the claim that was
+// TestLeaseExpiryCountsFromGrantedClaim: a holder that learns late of its grant counts from the claim that was
 // granted, not from one that it made since.
-func TestLeaseTrustsOnlyTheClaimThatWasGranted(t *testing.T) {
+func TestLeaseExpiryCountsFromGrantedClaim(t *testing.T) {
 	begun := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	l := NewLease(Identity{Boot: "a", Box: "a", Started: begun})
 	state := config.NewState()
@@ -40,8 +40,8 @@
 	require.False(t, held, "others may take the lease %s after they saw the first claim", leaseTakeoverDelay)
 }
 
-// TestPausedHolderFindsOut by its own clock, before it asks anybody.
-func TestPausedHolderFindsOut(t *testing.T) {
+// TestPausedHolderLosesLeaseByItsOwnClock by its own clock, before it asks anybody.
+func TestPausedHolderLosesLeaseByItsOwnClock(t *testing.T) {
 	begun := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	l := NewLease(Identity{Boot: "a", Box: "a", Started: begun})
 	claim, _ := l.Claim(begun, 0)
@@ -54,8 +54,8 @@
 	require.False(t, held)
 }
 
-// TestOthersWaitLongerThanTheHolderTrusts, by clocks that differ by a quarter.
-func TestOthersWaitLongerThanTheHolderTrusts(t *testing.T) {
+// TestTakeoverWaitsUntilHolderExpiresDespiteClockDrift, by clocks that differ by a quarter.
+func TestTakeoverWaitsUntilHolderExpiresDespiteClockDrift(t *testing.T) {
 	begun := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	holder := NewLease(Identity{Boot: "a", Box: "a", Started: begun})
 	other := NewLease(Identity{Boot: "b", Box: "b", Started: begun})
--- a/fleet/transport_test.go
+++ b/fleet/transport_test.go
@@ -24,33 +24,33 @@
 const (
 	// largeMessage is more than a silentLink takes in, so that the writer of it waits for a reader.
 	largeMessage = 1 << 20
-	// callPatience is the limit of calls here, and callEnds how long such a call may take in all.
-	callPatience = 100 * time.Millisecond
-	callEnds     = time.Second
-	// testGap is well longer than any limit of a call, and the most that a message may wait to be taken.
-	testGap = 5 * time.Second
-	// longSilence is longer than any connection may be silent.
-	longSilence = 10 * time.Minute
+	// testCallTimeout is the limit of calls here, and callEnds how long such a call may take in all.
+	testCallTimeout = 100 * time.Millisecond
+	maxCallDuration = time.Second
+	// unreadMessageWait is well longer than any limit of a call, and the most that a message may wait to be taken.
+	unreadMessageWait = 5 * time.Second
+	// longIdle is longer than any connection may be silent.
+	longIdle = 10 * time.Minute
 )
 
 type (
 	// echoService answers with what it is sent, or with a large message.
 	echoService struct{}
 
-	// silentLink leads from a dialer to a listener. Silenced, its connections take in one more read each and pass
+	// stallableLink leads from a dialer to a listener. Silenced, its connections take in one more read each and pass
 	// nothing on, not even their end; those that are dialed later work.
-	silentLink struct {
-		accept chan net.Conn
-		closed chan struct{}
-		mu     sync.Mutex
-		conns  []*silentConn
-		mute   atomic.Bool // new connections are silent from the first
+	stallableLink struct {
+		accept   chan net.Conn
+		closed   chan struct{}
+		mu       sync.Mutex
+		conns    []*stallableConn
+		stallNew atomic.Bool // new connections are silent from the first
 	}
 
-	silentConn struct {
-		near, far      net.Conn      // the link's own ends
-		toFar, fromFar atomic.Bool   // whether the way is silent
-		resume         chan struct{} // closed at the end
+	stallableConn struct {
+		near, far               net.Conn      // the link's own ends
+		farStalled, nearStalled atomic.Bool   // whether the way is silent
+		released                chan struct{} // closed at the end
 	}
 )
 
@@ -66,12 +66,12 @@
 	return nil
 }
 
-func (l *silentLink) dial(ctx context.Context, _ string) (net.Conn, error) {
+func (l *stallableLink) dial(ctx context.Context, _ string) (net.Conn, error) {
 	own, near := net.Pipe()
 	far, other := net.Pipe()
-	conn := &silentConn{near: near, far: far, resume: make(chan struct{})}
-	conn.toFar.Store(l.mute.Load())
-	conn.fromFar.Store(l.mute.Load())
+	conn := &stallableConn{near: near, far: far, released: make(chan struct{})}
+	conn.farStalled.Store(l.stallNew.Load())
+	conn.nearStalled.Store(l.stallNew.Load())
 	select {
 	case l.accept <- other:
 	case <-ctx.Done():
@@ -80,18 +80,18 @@
 	l.mu.Lock()
 	l.conns = append(l.conns, conn)
 	l.mu.Unlock()
-	go conn.pass(&conn.toFar, near, far)
-	go conn.pass(&conn.fromFar, far, near)
+	go conn.forward(&conn.farStalled, near, far)
+	go conn.forward(&conn.nearStalled, far, near)
 	return own, nil
 }
 
-// pass copies bytes, and the end of the connection, until the way is silenced.
-func (c *silentConn) pass(silent *atomic.Bool, from, to net.Conn) {
+// forward copies bytes, and the end of the connection, until the way is silenced.
+func (c *stallableConn) forward(silent *atomic.Bool, from, to net.Conn) {
 	buffer := make([]byte, 4<<10)
 	for {
 		n, err := from.Read(buffer)
 		if silent.Load() {
-			<-c.resume
+			<-c.released
 			return
 		}
 		if err != nil {
@@ -105,34 +105,34 @@
 	}
 }
 
-// silence makes the present connections silent for good.
-func (l *silentLink) silence() {
-	l.silenceReplies()
+// stall makes the present connections silent for good.
+func (l *stallableLink) stall() {
+	l.stallReplies()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, conn := range l.conns {
-		conn.toFar.Store(true)
+		conn.farStalled.Store(true)
 	}
 }
 
-// silenceReplies makes only the way back to the dialer silent.
-func (l *silentLink) silenceReplies() {
+// stallReplies makes only the way back to the dialer silent.
+func (l *stallableLink) stallReplies() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, conn := range l.conns {
-		conn.fromFar.Store(true)
+		conn.nearStalled.Store(true)
 	}
 }
 
-// dialed is the number of connections so far.
-func (l *silentLink) dialed() int {
+// dialCount is the number of connections so far.
+func (l *stallableLink) dialCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.conns)
 }
 
 // Accept implements net.Listener.
-func (l *silentLink) Accept() (net.Conn, error) {
+func (l *stallableLink) Accept() (net.Conn, error) {
 	select {
 	case conn := <-l.accept:
 		return conn, nil
@@ -142,12 +142,12 @@
 }
 
 // Close implements net.Listener.
-func (l *silentLink) Close() error {
+func (l *stallableLink) Close() error {
 	close(l.closed)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, conn := range l.conns {
-		close(conn.resume)
+		close(conn.released)
 		_ = conn.near.Close()
 		_ = conn.far.Close()
 	}
@@ -155,13 +155,13 @@
 }
 
 // Addr implements net.Listener.
-func (*silentLink) Addr() net.Addr {
+func (*stallableLink) Addr() net.Addr {
 	return &net.TCPAddr{}
 }
 
-// withSilentLink runs a test with a transport that calls another over a link that can be silenced.
-func withSilentLink(t *testing.T, tlsConfig *tls.Config, test func(caller, server *Transport, link *silentLink)) {
-	link := &silentLink{accept: make(chan net.Conn), closed: make(chan struct{})}
+// withStallableLink runs a test with a transport that calls another over a link that can be silenced.
+func withStallableLink(t *testing.T, tlsConfig *tls.Config, test func(caller, server *Transport, link *stallableLink)) {
+	link := &stallableLink{accept: make(chan net.Conn), closed: make(chan struct{})}
 	caller, closeCaller := NewTransport([]byte("key"), link.dial, tlsConfig)
 	server, closeServer := NewTransport([]byte("key"), nil, tlsConfig)
 	calls := rpc.NewServer()
@@ -175,8 +175,8 @@
 	test(caller, server, link)
 }
 
-// callIn makes a call with a limit; the channel tells when it has ended.
-func callIn(caller *Transport, limit time.Duration, method string, args []byte) chan error {
+// startCall makes a call with a limit; the channel tells when it has ended.
+func startCall(caller *Transport, limit time.Duration, method string, args []byte) chan error {
 	ended := make(chan error, 1)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), limit)
@@ -187,8 +187,8 @@
 	return ended
 }
 
-// endsWithin waits for a call and returns its error.
-func endsWithin(t *testing.T, ended chan error, limit time.Duration, what string) error {
+// waitForCall waits for a call and returns its error.
+func waitForCall(t *testing.T, ended chan error, limit time.Duration, what string) error {
 	t.Helper()
 	select {
 	case err := <-ended:
@@ -199,12 +199,12 @@
 	}
 }
 
-func callWell(t *testing.T, caller *Transport) {
+func requireCallSucceeds(t *testing.T, caller *Transport) {
 	t.Helper()
-	require.NoError(t, endsWithin(t, callIn(caller, testGap, "Echo", []byte("hello")), callEnds, "a small call"))
+	require.NoError(t, waitForCall(t, startCall(caller, unreadMessageWait, "Echo", []byte("hello")), maxCallDuration, "a small call"))
 }
 
-func (t *Transport) acceptedNow() int {
+func (t *Transport) acceptedCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.accepted)
@@ -213,86 +213,86 @@
 // Seen in a review: a box that sent a large configuration to another never swapped with that box again. Its connection
 // had gone silent with the send buffer full; the call wrote the message before it looked at its context, and the
 // write had no limit, so the swap stayed under way for ever, and calls behind it waited for the client's lock.
-func TestCallEndsWithItsContextThoughItsMessageIsNotTaken(t *testing.T) {
-	withSilentLink(t, nil, func(caller, _ *Transport, link *silentLink) {
-		callWell(t, caller)
-		link.silence()
-		large := callIn(caller, callPatience, "Echo", make([]byte, largeMessage))
-		time.Sleep(callPatience / 4)
-		behind := callIn(caller, callPatience, "Echo", []byte("small"))
-		require.Error(t, endsWithin(t, large, callEnds, "one whose message is not taken"))
-		require.Error(t, endsWithin(t, behind, callEnds, "one behind it"))
-		callWell(t, caller)
-		assert.Equal(t, 2, link.dialed(), "the silent connection is given up")
+func TestCallReturnsAtDeadlineWhenPeerStopsReading(t *testing.T) {
+	withStallableLink(t, nil, func(caller, _ *Transport, link *stallableLink) {
+		requireCallSucceeds(t, caller)
+		link.stall()
+		large := startCall(caller, testCallTimeout, "Echo", make([]byte, largeMessage))
+		time.Sleep(testCallTimeout / 4)
+		behind := startCall(caller, testCallTimeout, "Echo", []byte("small"))
+		require.Error(t, waitForCall(t, large, maxCallDuration, "one whose message is not taken"))
+		require.Error(t, waitForCall(t, behind, maxCallDuration, "one behind it"))
+		requireCallSucceeds(t, caller)
+		assert.Equal(t, 2, link.dialCount(), "the silent connection is given up")
 	})
 }
 
 // A new connection that was silent from the first held its call for the limit of the handshake, beyond the call's own.
-func TestCallEndsWithItsContextDuringTheHandshake(t *testing.T) {
-	withSilentLink(t, nil, func(caller, _ *Transport, link *silentLink) {
-		link.mute.Store(true)
-		err := endsWithin(t, callIn(caller, callPatience, "Echo", nil), callEnds, "one whose handshake is not answered")
+func TestCallReturnsAtDeadlineDuringHandshake(t *testing.T) {
+	withStallableLink(t, nil, func(caller, _ *Transport, link *stallableLink) {
+		link.stallNew.Store(true)
+		err := waitForCall(t, startCall(caller, testCallTimeout, "Echo", nil), maxCallDuration, "one whose handshake is not answered")
 		require.ErrorIs(t, err, context.DeadlineExceeded)
 	})
 }
 
 // Replies were written without a limit: a caller that took nothing any more held the connection, and the memory of all
 // replies that waited for it, for ever.
-func TestReplyThatIsNotTakenEndsItsConnection(t *testing.T) {
+func TestUnreadReplyClosesConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		withSilentLink(t, nil, func(caller, server *Transport, link *silentLink) {
-			callWell(t, caller)
-			link.silenceReplies()
-			ended := callIn(caller, testGap, "Large", nil)
-			time.Sleep(callPatience)
-			link.silence()
-			require.Error(t, endsWithin(t, ended, 2*testGap, "one whose reply is lost"))
-			time.Sleep(testGap)
-			assert.Zero(t, server.acceptedNow(), "accepted connections")
+		withStallableLink(t, nil, func(caller, server *Transport, link *stallableLink) {
+			requireCallSucceeds(t, caller)
+			link.stallReplies()
+			ended := startCall(caller, unreadMessageWait, "Large", nil)
+			time.Sleep(testCallTimeout)
+			link.stall()
+			require.Error(t, waitForCall(t, ended, 2*unreadMessageWait, "one whose reply is lost"))
+			time.Sleep(unreadMessageWait)
+			assert.Zero(t, server.acceptedCount(), "accepted connections")
 		})
 	})
 }
 
 // A connection that had gone silent was kept for ever on the side that only answers, and its reader on the other.
-func TestSilentConnectionIsNotKeptForEver(t *testing.T) {
+func TestStalledConnectionIsClosedOnBothSides(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		withSilentLink(t, nil, func(caller, server *Transport, link *silentLink) {
-			callWell(t, caller)
-			link.silence()
-			time.Sleep(longSilence)
-			assert.Zero(t, server.acceptedNow(), "accepted connections")
+		withStallableLink(t, nil, func(caller, server *Transport, link *stallableLink) {
+			requireCallSucceeds(t, caller)
+			link.stall()
+			time.Sleep(longIdle)
+			assert.Zero(t, server.acceptedCount(), "accepted connections")
 			// A pipe takes a deadline as long as neither end is closed.
 			err := link.conns[0].near.SetWriteDeadline(time.Time{})
 			assert.ErrorIs(t, err, io.ErrClosedPipe, "the caller has closed its end")
 			// The next call does not find out only by its own limit.
-			callWell(t, caller)
+			requireCallSucceeds(t, caller)
 		})
 	})
 }
 
 // A connection in use is not closed between two calls, however many minutes they are spread over.
-func TestConnectionInUseIsKept(t *testing.T) {
+func TestConnectionIsReusedBetweenCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		withSilentLink(t, nil, func(caller, _ *Transport, link *silentLink) {
+		withStallableLink(t, nil, func(caller, _ *Transport, link *stallableLink) {
 			for range 10 {
-				callWell(t, caller)
+				requireCallSucceeds(t, caller)
 				time.Sleep(3 * time.Minute)
 			}
-			assert.Equal(t, 1, link.dialed())
+			assert.Equal(t, 1, link.dialCount())
 		})
 	})
 }
 
 // Closing a TLS connection says so to the other side first, for up to 5 s if that takes nothing; the transport closed
 // under its lock, so that calls to all other boxes waited.
-func TestSilentTLSConnectionHoldsUpNoOtherCall(t *testing.T) {
-	withSilentLink(t, selfSigned(t), func(caller, _ *Transport, link *silentLink) {
-		callWell(t, caller)
-		link.silence()
+func TestClosingStalledTLSConnectionDoesNotBlockOtherCalls(t *testing.T) {
+	withStallableLink(t, selfSigned(t), func(caller, _ *Transport, link *stallableLink) {
+		requireCallSucceeds(t, caller)
+		link.stall()
 		// The link takes the call in, but not the word of the end after it.
-		ended := callIn(caller, callPatience, "Echo", []byte("small"))
-		require.Error(t, endsWithin(t, ended, callEnds, "one on a silent connection"))
-		callWell(t, caller)
+		ended := startCall(caller, testCallTimeout, "Echo", []byte("small"))
+		require.Error(t, waitForCall(t, ended, maxCallDuration, "one on a silent connection"))
+		requireCallSucceeds(t, caller)
 	})
 }
 
--- a/fleet/usage_test.go
+++ b/fleet/usage_test.go
@@ -10,8 +10,8 @@
 	"github.com/willowwick/willowwick"
 )
 
-// tooManyAppends is where a log gives up on a box that appends without end; a test's records fit into one batch.
-const tooManyAppends = 10
+// maxTestAppends is where a log gives up on a box that appends without end; a test's records fit into one batch.
+const maxTestAppends = 10
 
 type (
 	// countingLog fails once more has been appended than a test's records can need.
@@ -19,27 +19,27 @@
 		fakeLog
 	}
 
-	// noKeeper stands for a fleet that has no other box.
-	noKeeper struct{}
+	// noReplicator stands for a fleet that has no other box.
+	noReplicator struct{}
 )
 
-var errTooMany = errors.New("the same records are appended without end")
+var errTooManyAppends = errors.New("the same records are appended without end")
 
 func (l *countingLog) Append(ctx context.Context, stream willowwick.StreamID, data []byte) (willowwick.Offset, error) {
-	if len(l.entries) == tooManyAppends {
-		return 0, errTooMany
+	if len(l.entries) == maxTestAppends {
+		return 0, errTooManyAppends
 	}
 	return l.fakeLog.Append(ctx, stream, data)
 }
 
-func (noKeeper) Hold(context.Context, HoldArgs) (bool, error) {
+func (noReplicator) Hold(context.Context, HoldArgs) (bool, error) {
 	return true, nil
 }
 
-func (noKeeper) Settle(context.Context, SettleArgs) {}
+func (noReplicator) Settle(context.Context, SettleArgs) {}
 
 func usageWithRecords(log willowwick.Log, records int) *Usage {
-	usage := NewUsage(log, noKeeper{}, "box1.1", func() int { return 2 })
+	usage := NewUsage(log, noReplicator{}, "box1.1", func() int { return 2 })
 	gone, cancel := context.WithCancel(context.Background())
 	cancel()
 	for range records {
@@ -56,7 +56,7 @@
 //
 // What caused it: the box kept its own records as held for another. What is held so is due after heldFor, and is
 // forgotten after an append only if it is of another boot.
-func TestOwnRecordsThatComeBackAreAppendedOnce(t *testing.T) {
+func TestReturnedOwnRecordsAreAppendedOnce(t *testing.T) {
 	for _, back := range []struct {
 		name     string
 		appended bool // before they come back
@@ -82,8 +82,8 @@
 	}
 }
 
-// TestHeldRecordsAreAppendedOnceAndOnlyWhenTheirOwnerDoesNot: what another box gives is kept, and appended after heldFor.
-func TestHeldRecordsAreAppendedOnceAndOnlyWhenTheirOwnerDoesNot(t *testing.T) {
+// TestHeldRecordsAreAppendedOnceAfterDelay: what another box gives is kept, and appended after heldFor.
+func TestHeldRecordsAreAppendedOnceAfterDelay(t *testing.T) {
 	log := &countingLog{}
 	usage := usageWithRecords(log, 0)
 	records := []willowwick.UsageRecord{{Boot: "box2.1", Seq: 1}, {Boot: "box3.1", Seq: 1}}
