--- a/exchange/call.go
+++ b/exchange/call.go
@@ -166,7 +166,7 @@
 
 func (c *call) readBody(r *http.Request) *willowwick.Refusal {
 	if r.ContentLength == 0 && len(r.TransferEncoding) == 0 {
-		c.message.HasLen = r.Header.Get("Content-Length") != ""
+		c.message.HasBody = r.Header.Get("Content-Length") != ""
 		return nil
 	}
 	limit := c.table.Limits.BodyBytes
@@ -183,7 +183,7 @@
 	if int64(len(body)) > limit {
 		return willowwick.Invalid(willowwick.CodeTooLarge, "body", "the body exceeds the limit of %d bytes", limit)
 	}
-	c.message.Body, c.message.HasLen = body, true
+	c.message.Body, c.message.HasBody = body, true
 	return nil
 }
 
@@ -210,7 +210,7 @@
 	if c.head.Model == anyModel && len(c.route.Models) > 0 {
 		c.cascadeStage = 0
 	}
-	wire.StripHop(c.message.Header)
+	wire.StripHopHeaders(c.message.Header)
 	delete(c.message.Header, "Content-Length")
 	delete(c.message.Header, "Expect")
 	c.router.retryBudget(c.service).Request(c.arrived)
--- a/exchange/lead.go
+++ b/exchange/lead.go
@@ -128,7 +128,7 @@
 		report := s.router.peers.fleetReport(now)
 		s.router.releases.setPinnedElsewhere(report.Kept)
 		s.router.releases.judge(report.evidence(), now)
-		s.router.conns.Sweep(now)
+		s.router.conns.CloseExpired(now)
 		sleep(ctx, leadEvery)
 	}
 }
--- a/exchange/listing.go
+++ b/exchange/listing.go
@@ -246,7 +246,7 @@
 
 func (s *syncer) drop(id willowwick.EndpointID, now time.Time) {
 	slog.Info("endpoint gone", "endpoint", id, "release", s.listed[id].Release, "store_failed_ms_ago", now.Sub(s.failedAt).Milliseconds())
-	s.router.conns.Drop(s.listed[id].Address)
+	s.router.conns.CloseIdle(s.listed[id].Address)
 	s.gone[id] = goneEntry{beat: s.listed[id].Beat}
 	delete(s.listed, id)
 	delete(s.lapsed, id)
--- a/exchange/lives.go
+++ b/exchange/lives.go
@@ -47,7 +47,7 @@
 		return
 	}
 	delete(s.listed, entry.ID)
-	s.router.conns.Drop(old.Address)
+	s.router.conns.CloseIdle(old.Address)
 	if !s.lives[entry.ID].formerLeft {
 		s.router.crashes.recordRestart(entry.ID, former)
 	}
--- a/exchange/poison.go
+++ b/exchange/poison.go
@@ -134,7 +134,7 @@
 	now := clock.Now()
 	restored := make([]willowwick.HarmfulRequest, len(records))
 	for i, record := range records {
-		restored[i] = record.WithEndTimes(func(at time.Time) time.Time { return now.Add(-clock.System(now).Sub(at)) })
+		restored[i] = record.WithEndTimes(func(at time.Time) time.Time { return now.Add(-clock.SystemTime(now).Sub(at)) })
 	}
 	s.router.poison.Restore(restored, now)
 	return true
@@ -144,7 +144,7 @@
 func (s *syncer) writePoison(ctx context.Context) bool {
 	for _, request := range s.router.poison.Due() {
 		era := s.currentEra()
-		if err := s.control.SetHarmful(ctx, request.WithEndTimes(clock.System)); err != nil {
+		if err := s.control.SetHarmful(ctx, request.WithEndTimes(clock.SystemTime)); err != nil {
 			slog.Info("write of a poison request failed", "fingerprint", request.Request.String(), "error", err)
 			return false
 		}
--- a/exchange/router.go
+++ b/exchange/router.go
@@ -97,7 +97,7 @@
 
 // newRouter returns a router without configuration, and a function that closes its connections.
 func newRouter(settings Settings, codec willowwick.HeaderCodec) (*Router, func()) {
-	conns, closeConns := wire.NewPool(wire.Settings{DialLimit: dialLimit, Silence: sendSilence})
+	conns, closeConns := wire.NewPool(wire.Settings{DialTimeout: dialLimit, AckTimeout: sendSilence})
 	limits := ratelimit.NewLedger()
 	x := &Router{
 		settings: settings, codec: codec, conns: conns, gate: gate.New(), warm: make(chan struct{}),
--- a/exchange/send.go
+++ b/exchange/send.go
@@ -127,7 +127,7 @@
 		s.checkForCrash()
 	}
 	if s.receivedNothing(result) {
-		c.router.conns.Suspect(ticket.Endpoint.Address, s.sentAt)
+		c.router.conns.CloseIdleBefore(ticket.Endpoint.Address, s.sentAt)
 	}
 	if result.kind == silent {
 		c.router.hints.publish(ticket.HeldUp(clock.Now()))
--- a/exchange/suspension_test.go
+++ b/exchange/suspension_test.go
@@ -15,7 +15,7 @@
 
 // suspend lets the box's clock go on as if its machine had been suspended.
 func suspend(t *testing.T) {
-	t.Cleanup(clock.Suspend(asleep))
+	t.Cleanup(clock.SimulateSuspension(asleep))
 }
 
 // A configuration that was the newest before the machine was suspended is not for certain after it: nothing is refused for good
--- a/fleet/digest.go
+++ b/fleet/digest.go
@@ -162,8 +162,8 @@
 	}
 }
 
-// isWhole reports whether all columns have the same length.
-func (v *VersionCounts) isWhole() bool {
+// isWellFormed reports whether all columns have the same length.
+func (v *VersionCounts) isWellFormed() bool {
 	n := len(v.Versions)
 	return len(v.Requests) == n && len(v.Errors) == n && len(v.Slow) == n && len(v.Rated) == n && len(v.Low) == n
 }
@@ -187,18 +187,18 @@
 	}
 }
 
-func (l *Loads) isWhole() bool {
+func (l *Loads) isWellFormed() bool {
 	n := len(l.Endpoints)
 	return len(l.Running) == n && len(l.Waiting) == n && len(l.Slots) == n && len(l.AgeMs) == n
 }
 
-// isWhole reports whether the digest can be read: a peer's columns may not fit together.
-func (d *Digest) isWhole() bool {
-	return len(d.Demand.Accounts) == len(d.Demand.Rates) && d.Evidence.isWhole() && d.Loads.isWhole()
+// isWellFormed reports whether the digest can be read: a peer's columns may not fit together.
+func (d *Digest) isWellFormed() bool {
+	return len(d.Demand.Accounts) == len(d.Demand.Rates) && d.Evidence.isWellFormed() && d.Loads.isWellFormed()
 }
 
-func (h *HallDigest) isWhole() bool {
-	return len(h.Demand.Accounts) == len(h.Demand.Rates) && h.Evidence.isWhole()
+func (h *HallDigest) isWellFormed() bool {
+	return len(h.Demand.Accounts) == len(h.Demand.Rates) && h.Evidence.isWellFormed()
 }
 
 // knownStamp returns the stamp of the digest that the caller has of a hall.
--- a/fleet/lease.go
+++ b/fleet/lease.go
@@ -78,11 +78,11 @@
 			return config.Record{}, false
 		}
 	case l.observed.Boot == "":
-		free := l.observedAt
-		if free.Before(l.self.Started) {
-			free = l.self.Started
+		freeSince := l.observedAt
+		if freeSince.Before(l.self.Started) {
+			freeSince = l.self.Started
 		}
-		if now.Before(free.Add(time.Duration(rank) * claimStagger)) {
+		if now.Before(freeSince.Add(time.Duration(rank) * claimStagger)) {
 			return config.Record{}, false
 		}
 	default:
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -193,11 +193,11 @@
 	}
 }
 
-// jitter returns a length between three quarters and five quarters of the given one.
-func (n *Node) jitter(length time.Duration) time.Duration {
+// jitter returns a duration between three quarters and five quarters of the given one.
+func (n *Node) jitter(duration time.Duration) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return length*3/4 + time.Duration(n.random.Int64N(int64(length/2)))
+	return duration*3/4 + time.Duration(n.random.Int64N(int64(duration/2)))
 }
 
 // IsConfigCurrent reports whether the configuration is known to be current.
@@ -356,14 +356,14 @@
 func (n *Node) loadStateFromPeers(ctx context.Context) {
 	listing, _ := n.Listing()
 	var calls sync.WaitGroup
-	places := make(chan struct{}, maxConcurrentJoins)
+	slots := make(chan struct{}, maxConcurrentJoins)
 	for _, box := range listing.Boxes {
 		if box.ID == n.Self.Box {
 			continue
 		}
-		places <- struct{}{}
+		slots <- struct{}{}
 		calls.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			n.loadStateFrom(ctx, box)
 		})
 	}
--- a/fleet/peer.go
+++ b/fleet/peer.go
@@ -126,14 +126,14 @@
 	return nil
 }
 
-// Hold implements Keeper: the buddy is a box in another hall, if one is alive.
+// Hold implements Keeper: the replica is a box in another hall, if one is alive.
 func (n *Node) Hold(ctx context.Context, args HoldArgs) (alone bool, err error) {
-	buddy, ok := n.chooseUsageReplica()
+	replica, ok := n.chooseUsageReplica()
 	if !ok {
 		return true, nil
 	}
-	if err := n.Transport.Call(ctx, buddy.Peer, rpcName+".Hold", args, &Nothing{}); err != nil {
-		n.dropUsageReplica(buddy)
+	if err := n.Transport.Call(ctx, replica.Peer, rpcName+".Hold", args, &Nothing{}); err != nil {
+		n.dropUsageReplica(replica)
 		return false, err
 	}
 	return false, nil
@@ -142,14 +142,14 @@
 // Settle implements Keeper; a lost call is made good by the ledger, which counts a record once.
 func (n *Node) Settle(ctx context.Context, args SettleArgs) {
 	n.mu.Lock()
-	buddy := n.usageReplica
+	replica := n.usageReplica
 	n.mu.Unlock()
-	if buddy.Boot == "" {
+	if replica.Boot == "" {
 		return
 	}
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	_ = n.Transport.Call(callCtx, buddy.Peer, rpcName+".Settle", args, &Nothing{})
+	_ = n.Transport.Call(callCtx, replica.Peer, rpcName+".Settle", args, &Nothing{})
 }
 
 func (n *Node) chooseUsageReplica() (LiveBox, bool) {
@@ -179,9 +179,9 @@
 	return n.usageReplica, true
 }
 
-func (n *Node) dropUsageReplica(buddy LiveBox) {
+func (n *Node) dropUsageReplica(replica LiveBox) {
 	n.mu.Lock()
-	dropped := n.usageReplica == buddy
+	dropped := n.usageReplica == replica
 	if dropped {
 		n.usageReplica = LiveBox{}
 	}
@@ -194,17 +194,17 @@
 // checkUsageReplica chooses another holder of usage when the present one is gone.
 func (n *Node) checkUsageReplica() {
 	n.mu.Lock()
-	buddy := n.usageReplica
+	replica := n.usageReplica
 	n.mu.Unlock()
-	if buddy.Boot == "" {
+	if replica.Boot == "" {
 		return
 	}
 	for _, box := range n.Table.Live(clock.Now()) {
-		if box.Boot == buddy.Boot && !box.Draining {
+		if box.Boot == replica.Boot && !box.Draining {
 			return
 		}
 	}
-	n.dropUsageReplica(buddy)
+	n.dropUsageReplica(replica)
 }
 
 // ClaimStatus is the outcome of a claim.
@@ -222,7 +222,7 @@
 	ClaimUnavailable
 )
 
-// Claim asks both keepers of a key to reserve it for a request.
+// Claim asks both replicas of a key to reserve it for a request.
 func (n *Node) Claim(ctx context.Context, key string, request willowwick.RequestID) ClaimStatus {
 	roster := n.Registry.Roster()
 	pair := ReplicaPair(roster, key)
@@ -233,8 +233,8 @@
 		Epoch: roster.Epoch, Strict: true,
 		Entry: RegistryEntry{Key: key, Value: string(request), Deadline: clock.TimeOfDay().Add(ClaimWindow)},
 	}
-	for i, keeper := range pair {
-		reply, err := n.putAt(ctx, keeper, args)
+	for i, replica := range pair {
+		reply, err := n.putAt(ctx, replica, args)
 		if err == nil && reply.Status == PutGranted {
 			continue
 		}
@@ -258,8 +258,8 @@
 	n.dropAt(ctx, ReplicaPair(n.Registry.Roster(), key), DropArgs{Key: key, Value: string(request)})
 }
 
-func (n *Node) putAt(ctx context.Context, keeper config.Member, args PutArgs) (PutReply, error) {
-	if keeper.Boot == n.Self.Boot {
+func (n *Node) putAt(ctx context.Context, replica config.Member, args PutArgs) (PutReply, error) {
+	if replica.Boot == n.Self.Boot {
 		var reply PutReply
 		err := (&peerService{node: n}).Put(args, &reply)
 		return reply, err
@@ -267,35 +267,35 @@
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var reply PutReply
-	err := n.Transport.Call(callCtx, keeper.Peer, rpcName+".Put", args, &reply)
+	err := n.Transport.Call(callCtx, replica.Peer, rpcName+".Put", args, &reply)
 	return reply, err
 }
 
-func (n *Node) dropAt(ctx context.Context, keepers []config.Member, args DropArgs) {
-	for _, keeper := range keepers {
-		if keeper.Boot == n.Self.Boot {
+func (n *Node) dropAt(ctx context.Context, replicas []config.Member, args DropArgs) {
+	for _, replica := range replicas {
+		if replica.Boot == n.Self.Boot {
 			n.Registry.Drop(args)
 			continue
 		}
 		callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
-		_ = n.Transport.Call(callCtx, keeper.Peer, rpcName+".Drop", args, &Nothing{})
+		_ = n.Transport.Call(callCtx, replica.Peer, rpcName+".Drop", args, &Nothing{})
 		cancel()
 	}
 }
 
 // Pin makes a session keep the version, or returns the one that it keeps already.
 //
-// It asks both keepers and takes the first answer; replace moves a session
+// It asks both replicas and takes the first answer; replace moves a session
 // whose version may no longer be used.
 func (n *Node) Pin(ctx context.Context, key string, version willowwick.VersionID, lasts time.Time, replace bool) willowwick.VersionID {
 	pinned := string(version)
 	answered := false
-	for _, keeper := range ReplicaPair(n.Registry.Roster(), key) {
+	for _, replica := range ReplicaPair(n.Registry.Roster(), key) {
 		args := PutArgs{
 			Replace: replace || answered,
 			Entry:   RegistryEntry{Key: key, Value: pinned, Deadline: lasts},
 		}
-		reply, err := n.putAt(ctx, keeper, args)
+		reply, err := n.putAt(ctx, replica, args)
 		if err == nil && !answered && reply.Value != "" {
 			pinned, answered = reply.Value, true
 		}
--- a/fleet/registry.go
+++ b/fleet/registry.go
@@ -238,11 +238,11 @@
 	}
 	r.exports, r.exportsEpoch = map[willowwick.BootID][]RegistryEntry{}, r.roster.Epoch
 	for key, entry := range r.entries {
-		if !clock.System(now).Before(entry.Deadline) {
+		if !clock.SystemTime(now).Before(entry.Deadline) {
 			continue
 		}
-		for _, keeper := range ReplicaPair(r.roster, key) {
-			r.exports[keeper.Boot] = append(r.exports[keeper.Boot], entry)
+		for _, replica := range ReplicaPair(r.roster, key) {
+			r.exports[replica.Boot] = append(r.exports[replica.Boot], entry)
 		}
 	}
 }
@@ -295,7 +295,7 @@
 		return reply
 	}
 	entry, known := r.entries[args.Entry.Key]
-	if known && clock.System(now).Before(entry.Deadline) && !args.Replace {
+	if known && clock.SystemTime(now).Before(entry.Deadline) && !args.Replace {
 		reply.Value = entry.Value
 		if entry.Value != args.Entry.Value {
 			reply.Status = PutHeld
@@ -379,7 +379,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for key, entry := range r.entries {
-		if !clock.System(now).Before(entry.Deadline) {
+		if !clock.SystemTime(now).Before(entry.Deadline) {
 			delete(r.entries, key)
 		}
 	}
--- a/fleet/table.go
+++ b/fleet/table.go
@@ -80,7 +80,7 @@
 	var taken []Digest
 	for _, d := range digests {
 		known := t.boxes[d.Box]
-		if d.Hall != t.self.Hall || d.Version <= known.Version || !d.isWhole() {
+		if d.Hall != t.self.Hall || d.Version <= known.Version || !d.isWellFormed() {
 			continue
 		}
 		if d.Box == t.self.Box && d.Boot != t.self.Boot {
@@ -90,7 +90,7 @@
 		taken = append(taken, d)
 	}
 	for _, h := range halls {
-		if h.Hall != t.self.Hall && h.Stamp > t.halls[h.Hall].Stamp && h.isWhole() {
+		if h.Hall != t.self.Hall && h.Stamp > t.halls[h.Hall].Stamp && h.isWellFormed() {
 			t.halls[h.Hall] = receivedHallDigest{HallDigest: h, heard: now}
 		}
 	}
@@ -132,22 +132,22 @@
 }
 
 func (t *Table) compareMarks(marks Marks) (newer []Digest, want []NameHash) {
-	theirs := make(map[NameHash]DigestVersion, len(marks.Boxes))
+	peerVersions := make(map[NameHash]DigestVersion, len(marks.Boxes))
 	for row, box := range marks.Boxes {
-		theirs[box] = marks.Versions[row]
+		peerVersions[box] = marks.Versions[row]
 	}
 	for _, own := range t.boxes {
 		box := HashName(own.Box)
 		switch {
-		case own.Version > theirs[box]:
+		case own.Version > peerVersions[box]:
 			newer = append(newer, own.Digest)
-		case own.Version < theirs[box]:
+		case own.Version < peerVersions[box]:
 			want = append(want, box)
 		}
-		delete(theirs, box)
+		delete(peerVersions, box)
 	}
 	// What is left, only the peer knows.
-	for box := range theirs {
+	for box := range peerVersions {
 		want = append(want, box)
 	}
 	return newer, want
@@ -186,7 +186,7 @@
 // hallStamp is the same for all digests of a hall within a period, whoever
 // sums it up, so that each period's digest travels once.
 func hallStamp(now time.Time) int64 {
-	return clock.System(now).UnixNano() / int64(hallPeriod) // by the time of day, which boxes share
+	return clock.SystemTime(now).UnixNano() / int64(hallPeriod) // by the time of day, which boxes share
 }
 
 // HallDigest sums up the own hall.
--- a/fleet/usage.go
+++ b/fleet/usage.go
@@ -138,15 +138,15 @@
 	u.mu.Lock()
 	u.seq++
 	record.Boot, record.Seq = u.boot, u.seq
-	mine := &ownRecord{record: record, durable: make(chan struct{})}
-	u.own[record.Seq] = mine
+	own := &ownRecord{record: record, durable: make(chan struct{})}
+	u.own[record.Seq] = own
 	u.ownOrder = append(u.ownOrder, record.Seq)
 	u.mu.Unlock()
 	u.wakeHold()
 	timer := time.NewTimer(holdTimeout)
 	defer timer.Stop()
 	select {
-	case <-mine.durable:
+	case <-own.durable:
 	case <-timer.C:
 		u.mu.Lock()
 		u.unreplicated++
@@ -203,8 +203,8 @@
 	defer u.mu.Unlock()
 	var records []willowwick.UsageRecord
 	for _, seq := range u.ownOrder {
-		if mine := u.own[seq]; mine != nil && !mine.isDurable {
-			records = append(records, mine.record)
+		if own := u.own[seq]; own != nil && !own.isDurable {
+			records = append(records, own.record)
 			if len(records) == maxHoldRecords {
 				break
 			}
@@ -222,19 +222,19 @@
 }
 
 func (u *Usage) setDurable(seq uint64) {
-	if mine := u.own[seq]; mine != nil && !mine.isDurable {
-		mine.isDurable = true
-		close(mine.durable)
+	if own := u.own[seq]; own != nil && !own.isDurable {
+		own.isDurable = true
+		close(own.durable)
 	}
 }
 
 // ReplicaLost makes all own records be held again, by another box.
 func (u *Usage) ReplicaLost() {
 	u.mu.Lock()
-	for _, mine := range u.own {
-		if mine.isDurable {
-			mine.isDurable = false
-			mine.durable = make(chan struct{})
+	for _, own := range u.own {
+		if own.isDurable {
+			own.isDurable = false
+			own.durable = make(chan struct{})
 		}
 	}
 	u.mu.Unlock()
@@ -304,8 +304,8 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	records := make([]willowwick.UsageRecord, 0, len(u.own)+len(u.held))
-	for _, mine := range u.own {
-		records = append(records, mine.record)
+	for _, own := range u.own {
+		records = append(records, own.record)
 	}
 	for _, held := range u.held {
 		records = append(records, held.record)
@@ -319,8 +319,8 @@
 	defer u.mu.Unlock()
 	var records []willowwick.UsageRecord
 	for _, seq := range u.ownOrder {
-		if mine := u.own[seq]; mine != nil && len(records) < maxBatchRecords {
-			records = append(records, mine.record)
+		if own := u.own[seq]; own != nil && len(records) < maxBatchRecords {
+			records = append(records, own.record)
 		}
 	}
 	for _, held := range u.held {
@@ -458,8 +458,8 @@
 	}
 }
 
-func sleep(ctx context.Context, length time.Duration) {
-	timer := time.NewTimer(length)
+func sleep(ctx context.Context, duration time.Duration) {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/remote/client.go
+++ b/remote/client.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	maxAnswer       = 64 << 20
-	maxErrorText    = 512
-	idlePerEndpoint = 64
-	idleTimeout     = 30 * time.Second
-	contentTypeJSON = "application/json"
+	maxResponseBytes   = 64 << 20
+	maxErrorTextBytes  = 512
+	maxIdlePerEndpoint = 64
+	idleTimeout        = 30 * time.Second
+	contentTypeJSON    = "application/json"
 )
 
 type (
@@ -33,11 +33,11 @@
 		http *http.Client
 	}
 
-	appendAnswer struct {
+	appendResponse struct {
 		Offset willowwick.Offset `json:"offset"`
 	}
 
-	rateAnswer struct {
+	rateResponse struct {
 		Score willowwick.Score `json:"score"`
 	}
 )
@@ -51,14 +51,14 @@
 
 // NewClient returns a client and a function that closes its idle connections.
 func NewClient(base string, dial DialFunc) (*Client, func()) {
-	kept := newPools(dial)
-	return &Client{base: base, http: &http.Client{Transport: kept}}, kept.CloseIdleConnections
+	transports := newTransportPool(dial)
+	return &Client{base: base, http: &http.Client{Transport: transports}}, transports.CloseIdleConnections
 }
 
 func newTransport(dial DialFunc) *http.Transport {
 	return &http.Transport{
 		DialContext:         dial,
-		MaxIdleConnsPerHost: idlePerEndpoint,
+		MaxIdleConnsPerHost: maxIdlePerEndpoint,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
@@ -66,7 +66,7 @@
 
 // Append implements willowwick.Log.
 func (c *Client) Append(ctx context.Context, stream willowwick.StreamID, data []byte) (willowwick.Offset, error) {
-	var answer appendAnswer
+	var answer appendResponse
 	err := c.do(ctx, http.MethodPost, PathLog+string(stream), data, &answer)
 	return answer.Offset, err
 }
@@ -98,7 +98,7 @@
 	if err != nil {
 		return 0, errors.Wrap(err, "encode rating")
 	}
-	var answer rateAnswer
+	var answer rateResponse
 	err = c.do(ctx, http.MethodPost, PathRate, data, &answer)
 	return answer.Score, err
 }
@@ -118,7 +118,7 @@
 	defer func() { _ = response.Body.Close() }()
 	switch response.StatusCode {
 	case http.StatusOK:
-		err := json.NewDecoder(io.LimitReader(response.Body, maxAnswer)).Decode(answer)
+		err := json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(answer)
 		return errors.Wrapf(err, "platform: %s", path)
 	case http.StatusNotModified:
 		return errNotModified
@@ -128,6 +128,6 @@
 }
 
 func errorText(body io.Reader) string {
-	text, _ := io.ReadAll(io.LimitReader(body, maxErrorText))
+	text, _ := io.ReadAll(io.LimitReader(body, maxErrorTextBytes))
 	return string(bytes.TrimSpace(text))
 }
--- a/remote/engine.go
+++ b/remote/engine.go
@@ -21,19 +21,19 @@
 
 // Headers between the router and endpoints.
 const (
-	HeaderRequestID = "X-Request-Id"
-	HeaderResumeAt  = "X-Resume-At"
-	HeaderDeadline  = "X-Deadline"
-	HeaderRunning   = "X-Load-Running"
-	HeaderWaiting   = "X-Load-Waiting"
-	HeaderSlots     = "X-Load-Slots"
-	HeaderLeaving   = "X-Leaving"
-	HeaderRest      = "Retry-After"  // in a 503: how long the endpoint wants no request of the box that it answers
-	HeaderRateLimit = "X-Rate-Limit" // requests a second that the endpoint takes from all boxes together
+	HeaderRequestID  = "X-Request-Id"
+	HeaderResumeAt   = "X-Resume-At"
+	HeaderDeadline   = "X-Deadline"
+	HeaderRunning    = "X-Load-Running"
+	HeaderWaiting    = "X-Load-Waiting"
+	HeaderSlots      = "X-Load-Slots"
+	HeaderLeaving    = "X-Leaving"
+	HeaderRetryAfter = "Retry-After"  // in a 503: how long the endpoint wants no request of the box that it answers
+	HeaderRateLimit  = "X-Rate-Limit" // requests a second that the endpoint takes from all boxes together
 )
 
 // noticeHeaders are those in which an answer tells of its endpoint.
-var noticeHeaders = willowwick.NoticeHeaders{Leaving: HeaderLeaving, Rest: HeaderRest, RateLimit: HeaderRateLimit}
+var noticeHeaders = willowwick.NoticeHeaders{Leaving: HeaderLeaving, Rest: HeaderRetryAfter, RateLimit: HeaderRateLimit}
 
 // Paths of a runner.
 const (
@@ -42,8 +42,8 @@
 	PathOrders      = "/orders"
 )
 
-// doneMark ends a stream of the chat completions API.
-const doneMark = "[DONE]"
+// streamEndMarker ends a stream of the chat completions API.
+const streamEndMarker = "[DONE]"
 
 type (
 	// EngineClient reaches runners by the OpenAI-compatible chat completions API.
@@ -100,8 +100,8 @@
 
 // NewEngineClient returns a client and a function that closes its idle connections.
 func NewEngineClient(dial DialFunc) (*EngineClient, func()) {
-	kept := newPools(dial)
-	return &EngineClient{http: &http.Client{Transport: kept}, dial: dial}, kept.CloseIdleConnections
+	transports := newTransportPool(dial)
+	return &EngineClient{http: &http.Client{Transport: transports}, dial: dial}, transports.CloseIdleConnections
 }
 
 // Open implements willowwick.Engine.
@@ -112,14 +112,14 @@
 		cancel()
 		return nil, nil, err
 	}
-	tellNotice(call.Heard, response)
+	reportNotice(call.Heard, response)
 	if err := checkStatus(response); err != nil {
 		cancel()
 		_ = response.Body.Close()
 		return nil, nil, err
 	}
 	next, stop := iter.Pull2(sse.Read(response.Body, nil))
-	stream := &engineStream{load: loadFrom(call.Endpoint.ID, response.Header), next: next}
+	stream := &engineStream{load: loadFromHeader(call.Endpoint.ID, response.Header), next: next}
 	return stream, func() {
 		// The connection goes first, so that a read that is under way ends.
 		cancel()
@@ -142,23 +142,23 @@
 	}
 	request.Header.Set("Content-Type", contentTypeJSON)
 	request.Header.Set(HeaderRequestID, string(call.Request))
-	request.Header.Set(HeaderDeadline, clock.System(call.Deadline).UTC().Format(time.RFC3339Nano))
+	request.Header.Set(HeaderDeadline, clock.SystemTime(call.Deadline).UTC().Format(time.RFC3339Nano))
 	if call.ResumeAt > 0 {
 		request.Header.Set(HeaderResumeAt, strconv.Itoa(call.ResumeAt))
 	}
 	response, err := e.http.Do(request)
-	return response, wrapSend(err)
+	return response, wrapSendError(err)
 }
 
-// tellNotice tells what an answer says of its endpoint.
-func tellNotice(heard func(willowwick.Notice), response *http.Response) {
+// reportNotice tells what an answer says of its endpoint.
+func reportNotice(heard func(willowwick.Notice), response *http.Response) {
 	if heard != nil {
 		heard(noticeHeaders.Read(response.StatusCode, response.Header, clock.Now()))
 	}
 }
 
-// wrapSend marks errors of calls that cannot have reached the endpoint.
-func wrapSend(err error) error {
+// wrapSendError marks errors of calls that cannot have reached the endpoint.
+func wrapSendError(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -199,7 +199,7 @@
 	if !ok {
 		return willowwick.Chunk{}, errors.Wrap(willowwick.ErrBroken, "it ends without its end mark")
 	}
-	if event.Data == doneMark {
+	if event.Data == streamEndMarker {
 		s.ended = true
 		return willowwick.Chunk{}, io.EOF
 	}
@@ -225,7 +225,7 @@
 	return decoded, nil
 }
 
-func loadFrom(endpoint willowwick.EndpointID, header http.Header) willowwick.EndpointLoad {
+func loadFromHeader(endpoint willowwick.EndpointID, header http.Header) willowwick.EndpointLoad {
 	number := func(name string) int {
 		n, err := strconv.Atoi(header.Get(name))
 		if err != nil {
@@ -255,7 +255,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	var load willowwick.EndpointLoad
-	if err := json.NewDecoder(io.LimitReader(response.Body, maxAnswer)).Decode(&load); err != nil {
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(&load); err != nil {
 		return load, errors.Wrap(err, "load")
 	}
 	load.Endpoint = endpoint.ID
--- a/remote/pools.go
+++ b/remote/pools.go
@@ -13,92 +13,92 @@
 	"github.com/pkg/errors"
 )
 
-// leftSoon is how long after it was begun the end of a call by its caller shows nothing of the connection: as long as
+// earlyCancelWindow is how long after it was begun the end of a call by its caller shows nothing of the connection: as long as
 // a load report, the quickest of the answers, may take.
-const leftSoon = time.Second
+const earlyCancelWindow = time.Second
 
 type (
-	// pools keeps connections, apart for each address. Connections to one address mostly go silent together: after a call
+	// transportPool keeps connections, apart for each address. Connections to one address mostly go silent together: after a call
 	// over a kept one that got no whole answer, the others that are kept to the address are not used any more, so that
 	// silence costs the limit of one call and not that of one for each of them in turn. Closing them costs new connections.
-	pools struct {
-		dial DialFunc
-		mu   sync.Mutex
-		all  map[string]*pool // by address
+	transportPool struct {
+		dial      DialFunc
+		mu        sync.Mutex
+		byAddress map[string]*pooledTransport // by address
 	}
 
-	pool struct {
+	pooledTransport struct {
 		transport *http.Transport
-		keptUntil time.Time // when it may be forgotten; what is in use then is closed by the transport once it has idled
+		expiresAt time.Time // when it may be forgotten; what is in use then is closed by the transport once it has idled
 	}
 
-	// watchedBody notes an answer that breaks off.
-	watchedBody struct {
+	// monitoredBody notes an answer that breaks off.
+	monitoredBody struct {
 		io.ReadCloser
-		broke func(error)
+		onError func(error)
 	}
 )
 
-func newPools(dial DialFunc) *pools {
-	return &pools{dial: dial, all: map[string]*pool{}}
+func newTransportPool(dial DialFunc) *transportPool {
+	return &transportPool{dial: dial, byAddress: map[string]*pooledTransport{}}
 }
 
 // RoundTrip implements http.RoundTripper.
-func (p *pools) RoundTrip(request *http.Request) (*http.Response, error) {
-	begun := time.Now()
-	transport := p.of(request.URL.Host, begun)
+func (p *transportPool) RoundTrip(request *http.Request) (*http.Response, error) {
+	started := time.Now()
+	transport := p.transportFor(request.URL.Host, started)
 	var wasKept atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) { wasKept.Store(info.Reused) }}
 	ctx := httptrace.WithClientTrace(request.Context(), trace)
-	broke := func(err error) {
-		if !wasKept.Load() || (errors.Is(ctx.Err(), context.Canceled) && time.Since(begun) < leftSoon) {
+	onError := func(err error) {
+		if !wasKept.Load() || (errors.Is(ctx.Err(), context.Canceled) && time.Since(started) < earlyCancelWindow) {
 			return
 		}
-		slog.Info("kept connection gave no answer; no other to the address is kept", "address", request.URL.Host, "error", err)
+		slog.Info("pooled connection gave no answer; no other to the address is pooled", "address", request.URL.Host, "error", err)
 		transport.CloseIdleConnections()
 	}
 	response, err := transport.RoundTrip(request.WithContext(ctx))
 	if err != nil {
-		broke(err)
+		onError(err)
 		return nil, err
 	}
-	response.Body = &watchedBody{ReadCloser: response.Body, broke: broke}
+	response.Body = &monitoredBody{ReadCloser: response.Body, onError: onError}
 	return response, nil
 }
 
-// of returns the connections to an address, and forgets addresses to which none is kept any more.
-func (p *pools) of(address string, now time.Time) *http.Transport {
+// transportFor returns the connections to an address, and forgets addresses to which none is kept any more.
+func (p *transportPool) transportFor(address string, now time.Time) *http.Transport {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known := p.all[address]
+	known := p.byAddress[address]
 	if known == nil {
-		for other, old := range p.all {
-			if now.After(old.keptUntil) {
+		for other, old := range p.byAddress {
+			if now.After(old.expiresAt) {
 				old.transport.CloseIdleConnections()
-				delete(p.all, other)
+				delete(p.byAddress, other)
 			}
 		}
-		known = &pool{transport: newTransport(p.dial)}
-		p.all[address] = known
+		known = &pooledTransport{transport: newTransport(p.dial)}
+		p.byAddress[address] = known
 	}
-	known.keptUntil = now.Add(idleTimeout)
+	known.expiresAt = now.Add(idleTimeout)
 	return known.transport
 }
 
 // CloseIdleConnections closes the connections that are not in use.
-func (p *pools) CloseIdleConnections() {
+func (p *transportPool) CloseIdleConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, kept := range p.all {
-		kept.transport.CloseIdleConnections()
+	for _, pooled := range p.byAddress {
+		pooled.transport.CloseIdleConnections()
 	}
 }
 
 // Read implements io.Reader.
-func (b *watchedBody) Read(data []byte) (int, error) {
+func (b *monitoredBody) Read(data []byte) (int, error) {
 	n, err := b.ReadCloser.Read(data)
 	if err != nil && err != io.EOF {
-		b.broke(err)
+		b.onError(err)
 	}
 	return n, err
 }
--- a/remote/remote_test.go
+++ b/remote/remote_test.go
@@ -14,8 +14,8 @@
 	"github.com/willowwick/willowwick"
 )
 
-// flakyServer answers the first request of each connection, and reads the second without answering.
-func flakyServer(t *testing.T) (address string, received *atomic.Int32) {
+// oneResponseServer answers the first request of each connection, and reads the second without answering.
+func oneResponseServer(t *testing.T) (address string, received *atomic.Int32) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -45,9 +45,9 @@
 	return listener.Addr().String(), received
 }
 
-// TestCallThatMayNotBeRepeatedIsSentOnce: the HTTP library would send a GET again when a kept connection breaks.
-func TestCallThatMayNotBeRepeatedIsSentOnce(t *testing.T) {
-	address, received := flakyServer(t)
+// TestNonRepeatableCallIsSentOnce: the HTTP library would send a GET again when a kept connection breaks.
+func TestNonRepeatableCallIsSentOnce(t *testing.T) {
+	address, received := oneResponseServer(t)
 	client, closeClient := NewServiceClient(nil)
 	defer closeClient()
 	sent := 0
@@ -65,7 +65,7 @@
 	require.Equal(t, int32(sent), received.Load())
 }
 
-func TestRefusedConnectionCountsAsNotSent(t *testing.T) {
+func TestRefusedConnectionReturnsErrNotSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, listener.Close())
--- a/remote/service.go
+++ b/remote/service.go
@@ -12,31 +12,31 @@
 
 // ServiceClient reaches plain services.
 type ServiceClient struct {
-	repeatable *http.Client
-	once       *http.Client
+	keepAlive *http.Client
+	noReuse   *http.Client
 }
 
-// hopHeaders belong to one connection and are not passed on.
-var hopHeaders = []string{
+// hopByHopHeaders belong to one connection and are not passed on.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Authorization", "Idempotency-Key",
 }
 
 // NewServiceClient returns a client and a function that closes its idle connections.
 func NewServiceClient(dial DialFunc) (*ServiceClient, func()) {
-	repeatable := newPools(dial)
+	repeatable := newTransportPool(dial)
 	// The library sends a call again if a kept connection turns out to be
 	// closed. On a fresh connection it never does.
 	once := newTransport(dial)
 	once.DisableKeepAlives = true
 	return &ServiceClient{
-		repeatable: &http.Client{Transport: repeatable, CheckRedirect: keepRedirect},
-		once:       &http.Client{Transport: once, CheckRedirect: keepRedirect},
+		keepAlive: &http.Client{Transport: repeatable, CheckRedirect: returnRedirect},
+		noReuse:   &http.Client{Transport: once, CheckRedirect: returnRedirect},
 	}, repeatable.CloseIdleConnections
 }
 
-// keepRedirect passes redirects on to the caller: following one would send the call again.
-func keepRedirect(*http.Request, []*http.Request) error {
+// returnRedirect passes redirects on to the caller: following one would send the call again.
+func returnRedirect(*http.Request, []*http.Request) error {
 	return http.ErrUseLastResponse
 }
 
@@ -51,26 +51,26 @@
 		return nil, errors.Wrap(willowwick.ErrNotSent, err.Error())
 	}
 	request.Header = call.Header.Clone()
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		request.Header.Del(name)
 	}
 	request.Header.Set(HeaderRequestID, string(call.Request))
 	request.Header.Set(HeaderDeadline, call.Deadline.UTC().Format(time.RFC3339Nano))
-	client := s.once
+	client := s.noReuse
 	if call.Repeatable {
-		client = s.repeatable
+		client = s.keepAlive
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		return nil, wrapSend(err)
+		return nil, wrapSendError(err)
 	}
-	tellNotice(call.Heard, response)
+	reportNotice(call.Heard, response)
 	if response.StatusCode == http.StatusServiceUnavailable && response.Header.Get(HeaderLeaving) != "" {
 		_ = response.Body.Close()
 		return nil, willowwick.ErrLeaving
 	}
 	header := response.Header.Clone()
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		header.Del(name)
 	}
 	return &willowwick.ServiceAnswer{Status: response.StatusCode, Header: header, Body: response.Body}, nil
--- a/remote/silence_test.go
+++ b/remote/silence_test.go
@@ -21,26 +21,26 @@
 const (
 	// keptConnections is how many a client keeps when they go silent, callLimit the limit of the call that finds it out,
 	// and wellLimit more than a call over a fresh connection takes.
-	keptConnections = 4
-	callLimit       = 100 * time.Millisecond
-	wellLimit       = 2 * time.Second
+	keptConnections  = 4
+	callLimit        = 100 * time.Millisecond
+	healthyCallLimit = 2 * time.Second
 )
 
-// crowd is a server whose requests wait for each other, so that each needs a connection of its own.
-type crowd struct {
+// barrierServer is a server whose requests wait for each other, so that each needs a connection of its own.
+type barrierServer struct {
 	mu      sync.Mutex
 	waiting int
 	gate    chan struct{}
 }
 
-// gather makes the next requests wait until so many have come.
-func (c *crowd) gather(size int) {
+// expect makes the next requests wait until so many have come.
+func (c *barrierServer) expect(size int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.waiting, c.gate = size, make(chan struct{})
 }
 
-func (c *crowd) arrive() chan struct{} {
+func (c *barrierServer) arrive() chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.waiting--; c.waiting == 0 {
@@ -50,7 +50,7 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (c *crowd) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c *barrierServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	select {
 	case <-c.arrive():
 	case <-r.Context().Done():
@@ -59,8 +59,8 @@
 	_, _ = w.Write([]byte("{}"))
 }
 
-// callers are the calls that go over kept connections.
-func callers(t *testing.T, address string) map[string]func(context.Context) error {
+// clientCalls are the calls that go over kept connections.
+func clientCalls(t *testing.T, address string) map[string]func(context.Context) error {
 	dial := (&net.Dialer{}).DialContext
 	platform, closePlatform := remote.NewClient("http://"+address, dial)
 	engines, closeEngines := remote.NewEngineClient(dial)
@@ -91,14 +91,14 @@
 	}
 }
 
-// together makes so many calls at once.
-func together(t *testing.T, server *crowd, size int, call func(context.Context) error) {
+// callConcurrently makes so many calls at once.
+func callConcurrently(t *testing.T, server *barrierServer, size int, call func(context.Context) error) {
 	t.Helper()
-	server.gather(size)
+	server.expect(size)
 	var calls sync.WaitGroup
 	for range size {
 		calls.Go(func() {
-			ctx, cancel := context.WithTimeout(t.Context(), wellLimit)
+			ctx, cancel := context.WithTimeout(t.Context(), healthyCallLimit)
 			defer cancel()
 			assert.NoError(t, call(ctx))
 		})
@@ -106,17 +106,17 @@
 	calls.Wait()
 }
 
-func withKeptConnections(t *testing.T, test func(*testing.T, *standin.Silencer, *crowd, func(context.Context) error)) {
+func withKeptConnections(t *testing.T, test func(*testing.T, *standin.Silencer, *barrierServer, func(context.Context) error)) {
 	for _, name := range []string{"platform", "runner", "service"} {
 		t.Run(name, func(t *testing.T) {
-			server := &crowd{}
+			server := &barrierServer{}
 			listening := httptest.NewServer(server)
 			defer listening.Close()
 			network, closeNetwork, err := standin.NewSilencer(strings.TrimPrefix(listening.URL, "http://"))
 			require.NoError(t, err)
 			defer closeNetwork()
-			call := callers(t, network.Address())[name]
-			together(t, server, keptConnections, call)
+			call := clientCalls(t, network.Address())[name]
+			callConcurrently(t, server, keptConnections, call)
 			require.Equal(t, keptConnections, network.Opened())
 			test(t, network, server, call)
 		})
@@ -126,37 +126,37 @@
 // Seen in a review: when all connections to an address go silent at once, each kept one cost a call its whole limit in
 // turn, for as long as connections are kept; the platform's log was then out of reach for half a minute, though new
 // connections worked.
-func TestCallAfterOneOnASilentConnectionIsAnswered(t *testing.T) {
-	withKeptConnections(t, func(t *testing.T, network *standin.Silencer, server *crowd, call func(context.Context) error) {
+func TestCallSucceedsAfterTimeoutOnSilentConnection(t *testing.T) {
+	withKeptConnections(t, func(t *testing.T, network *standin.Silencer, server *barrierServer, call func(context.Context) error) {
 		network.Silence()
 		ctx, cancel := context.WithTimeout(t.Context(), callLimit)
 		defer cancel()
 		require.ErrorIs(t, call(ctx), context.DeadlineExceeded)
-		together(t, server, 1, call)
+		callConcurrently(t, server, 1, call)
 	})
 }
 
 // A stall is found out by who waits for the answer, who then leaves as a caller does, only later.
-func TestCallAfterOneThatWasGivenUpLateIsAnswered(t *testing.T) {
-	withKeptConnections(t, func(t *testing.T, network *standin.Silencer, server *crowd, call func(context.Context) error) {
+func TestCallSucceedsAfterLateCancelOnSilentConnection(t *testing.T) {
+	withKeptConnections(t, func(t *testing.T, network *standin.Silencer, server *barrierServer, call func(context.Context) error) {
 		network.Silence()
 		ctx, cancel := context.WithCancel(t.Context())
-		leaves := time.AfterFunc(wellLimit, cancel)
+		leaves := time.AfterFunc(healthyCallLimit, cancel)
 		defer leaves.Stop()
 		require.ErrorIs(t, call(ctx), context.Canceled)
-		together(t, server, 1, call)
+		callConcurrently(t, server, 1, call)
 	})
 }
 
 // A caller that leaves soon says nothing of the connections: the others are kept.
-func TestConnectionsAreKeptWhenACallerLeavesSoon(t *testing.T) {
-	withKeptConnections(t, func(t *testing.T, network *standin.Silencer, server *crowd, call func(context.Context) error) {
-		server.gather(2)
+func TestEarlyCancelKeepsIdleConnections(t *testing.T) {
+	withKeptConnections(t, func(t *testing.T, network *standin.Silencer, server *barrierServer, call func(context.Context) error) {
+		server.expect(2)
 		ctx, cancel := context.WithCancel(t.Context())
 		leaves := time.AfterFunc(callLimit, cancel)
 		defer leaves.Stop()
 		require.ErrorIs(t, call(ctx), context.Canceled)
-		together(t, server, keptConnections-1, call)
+		callConcurrently(t, server, keptConnections-1, call)
 		assert.Equal(t, keptConnections, network.Opened())
 	})
 }
--- a/serve/sessions.go
+++ b/serve/sessions.go
@@ -83,7 +83,7 @@
 	if err := json.Unmarshal(data, &token); err != nil {
 		return sessionToken{}, false
 	}
-	return token, token.Account == account && clock.System(now).Before(token.Expires)
+	return token, token.Account == account && clock.SystemTime(now).Before(token.Expires)
 }
 
 func pinKey(account willowwick.AccountID, model willowwick.ModelID, session willowwick.SessionID) string {
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -227,7 +227,7 @@
 	}
 	if e.faults.Rest != "" {
 		e.turnedAway++
-		w.Header().Set(remote.HeaderRest, e.faults.Rest)
+		w.Header().Set(remote.HeaderRetryAfter, e.faults.Rest)
 		http.Error(w, "busy", http.StatusServiceUnavailable)
 		return false
 	}
--- a/wire/fetch.go
+++ b/wire/fetch.go
@@ -10,16 +10,16 @@
 type (
 	// FetchLimits bound one call whose answer is read whole.
 	FetchLimits struct {
-		Head  time.Duration // setting: within it the head of the answer must come
-		Pause time.Duration // setting: within it something more of the body must, until it is whole
-		Bytes int64         // of the body
+		HeadTimeout  time.Duration // setting: within it the head of the answer must come
+		IdleTimeout  time.Duration // setting: within it something more of the body must, until it is whole
+		MaxBodyBytes int64         // of the body
 	}
 
 	// progressReader resets a timer whenever something is read.
 	progressReader struct {
 		io.Reader
-		timer *time.Timer
-		pause time.Duration // setting: what the timer is reset to
+		timer   *time.Timer
+		timeout time.Duration // setting: what the timer is reset to
 	}
 )
 
@@ -27,15 +27,15 @@
 func Fetch(client *http.Client, request *http.Request, limits FetchLimits) (*http.Response, []byte, error) {
 	ctx, cancel := context.WithCancel(request.Context())
 	defer cancel()
-	late := time.AfterFunc(limits.Head, cancel)
-	defer late.Stop()
+	timer := time.AfterFunc(limits.HeadTimeout, cancel)
+	defer timer.Stop()
 	response, err := client.Do(request.WithContext(ctx))
 	if err != nil {
 		return nil, nil, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	late.Reset(limits.Pause)
-	body := &progressReader{Reader: io.LimitReader(response.Body, limits.Bytes), timer: late, pause: limits.Pause}
+	timer.Reset(limits.IdleTimeout)
+	body := &progressReader{Reader: io.LimitReader(response.Body, limits.MaxBodyBytes), timer: timer, timeout: limits.IdleTimeout}
 	answer, err := io.ReadAll(body)
 	return response, answer, err
 }
@@ -44,7 +44,7 @@
 func (r *progressReader) Read(p []byte) (int, error) {
 	n, err := r.Reader.Read(p)
 	if n > 0 {
-		r.timer.Reset(r.pause)
+		r.timer.Reset(r.timeout)
 	}
 	return n, err
 }
--- a/wire/pool.go
+++ b/wire/pool.go
@@ -18,25 +18,25 @@
 )
 
 const (
-	// readBuffer holds a head and some events; larger answers take more reads.
-	readBuffer = 4 << 10
-	// quietIdle is how long a connection is kept if the endpoint does not say how long it keeps it.
-	quietIdle = 500 * time.Millisecond
+	// readBufferSize holds a head and some events; larger answers take more reads.
+	readBufferSize = 4 << 10
+	// defaultIdleTimeout is how long a connection is kept if the endpoint does not say how long it keeps it.
+	defaultIdleTimeout = 500 * time.Millisecond
 	// idleMargin is given up of the time that the endpoint names, for the way there.
 	idleMargin = 400 * time.Millisecond
-	// maxIdle bounds the idle connections to one endpoint: twice the usual requests of a box at one.
-	maxIdle = 32
-	// probeIdle, probeGap and probeCount find a silent machine within two seconds.
-	probeIdle  = time.Second
-	probeGap   = 500 * time.Millisecond
-	probeCount = 2
+	// maxIdlePerAddress bounds the idle connections to one endpoint: twice the usual requests of a box at one.
+	maxIdlePerAddress = 32
+	// keepAliveIdle, keepAliveInterval and keepAliveCount find a silent machine within two seconds.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = 500 * time.Millisecond
+	keepAliveCount    = 2
 )
 
 type (
 	// Settings bound what connections may take.
 	Settings struct {
-		DialLimit time.Duration // setting: how long a connection may take to come up
-		Silence   time.Duration // setting: how long sent bytes may stay unacknowledged
+		DialTimeout time.Duration // setting: how long a connection may take to come up
+		AckTimeout  time.Duration // setting: how long sent bytes may stay unacknowledged
 	}
 
 	// Stats count what the pool did.
@@ -60,14 +60,14 @@
 
 	// Conn is one connection; it carries one request at a time.
 	Conn struct {
-		pool    *Pool
-		conn    net.Conn
-		raw     syscall.RawConn
-		reader  *bufio.Reader
-		address string
-		until   time.Time // when the endpoint may close it while idle
-		rested  time.Time // when its last answer was whole
-		writing chan error
+		pool         *Pool
+		conn         net.Conn
+		raw          syscall.RawConn
+		reader       *bufio.Reader
+		address      string
+		idleDeadline time.Time // when the endpoint may close it while idle
+		idleSince    time.Time // when its last answer was whole
+		writeResult  chan error
 	}
 )
 
@@ -75,20 +75,20 @@
 func NewPool(settings Settings) (*Pool, func()) {
 	p := &Pool{settings: settings, idle: map[string][]*Conn{}}
 	p.dialer = net.Dialer{
-		Timeout: settings.DialLimit,
-		Control: p.setSocket,
+		Timeout: settings.DialTimeout,
+		Control: p.setUserTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: probeIdle, Interval: probeGap, Count: probeCount,
+			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
 		},
 	}
 	return p, p.close
 }
 
-// setSocket bounds how long sent bytes may stay unacknowledged before the connection fails.
-func (p *Pool) setSocket(_, _ string, raw syscall.RawConn) error {
+// setUserTimeout bounds how long sent bytes may stay unacknowledged before the connection fails.
+func (p *Pool) setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(p.settings.Silence.Milliseconds()))
+		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(p.settings.AckTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
@@ -105,11 +105,11 @@
 		if c == nil {
 			break
 		}
-		if c.isQuiet(clock.Now()) {
-			p.count(func(s *Stats) { s.Reused++ })
+		if c.isReusable(clock.Now()) {
+			p.updateStats(func(s *Stats) { s.Reused++ })
 			return c, nil
 		}
-		p.count(func(s *Stats) { s.Stale++ })
+		p.updateStats(func(s *Stats) { s.Stale++ })
 		c.Close()
 	}
 	c, err := p.dial(ctx, address)
@@ -125,8 +125,8 @@
 	if err != nil {
 		return nil, err
 	}
-	p.count(func(s *Stats) { s.Dialed++ })
-	c := &Conn{pool: p, conn: conn, reader: bufio.NewReaderSize(conn, readBuffer), address: address}
+	p.updateStats(func(s *Stats) { s.Dialed++ })
+	c := &Conn{pool: p, conn: conn, reader: bufio.NewReaderSize(conn, readBufferSize), address: address}
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		if c.raw, err = tcp.SyscallConn(); err != nil {
 			_ = conn.Close()
@@ -150,7 +150,7 @@
 	return true, true
 }
 
-func (p *Pool) count(change func(*Stats)) {
+func (p *Pool) updateStats(change func(*Stats)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	change(&p.stats)
@@ -167,44 +167,44 @@
 func (p *Pool) takeIdle(address string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	row := p.idle[address]
-	if len(row) == 0 {
+	conns := p.idle[address]
+	if len(conns) == 0 {
 		return nil
 	}
-	c := row[len(row)-1]
-	p.idle[address] = row[:len(row)-1]
+	c := conns[len(conns)-1]
+	p.idle[address] = conns[:len(conns)-1]
 	return c
 }
 
-// Drop closes the idle connections to an address whose endpoint is gone.
-func (p *Pool) Drop(address string) {
+// CloseIdle closes the idle connections to an address whose endpoint is gone.
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
-	row := p.idle[address]
+	conns := p.idle[address]
 	delete(p.idle, address)
 	p.mu.Unlock()
-	closeAll(row)
+	closeAll(conns)
 }
 
-// Suspect closes the idle connections to an address that have answered nothing since a request was sent there that got no
+// CloseIdleBefore closes the idle connections to an address that have answered nothing since a request was sent there that got no
 // answer: they may have fallen silent with that request's. Otherwise each of them would cost a request of its own.
-func (p *Pool) Suspect(address string, sent time.Time) {
-	p.closeWhere(func(at string, c *Conn) bool { return at == address && c.rested.Before(sent) })
+func (p *Pool) CloseIdleBefore(address string, sent time.Time) {
+	p.closeIdleWhere(func(at string, c *Conn) bool { return at == address && c.idleSince.Before(sent) })
 }
 
-// Sweep closes the idle connections that their endpoints are about to close.
-func (p *Pool) Sweep(now time.Time) {
-	p.closeWhere(func(_ string, c *Conn) bool { return !now.Before(c.until) })
+// CloseExpired closes the idle connections that their endpoints are about to close.
+func (p *Pool) CloseExpired(now time.Time) {
+	p.closeIdleWhere(func(_ string, c *Conn) bool { return !now.Before(c.idleDeadline) })
 }
 
-// closeWhere closes the idle connections that are to be closed.
-func (p *Pool) closeWhere(isOver func(address string, c *Conn) bool) {
-	var over []*Conn
+// closeIdleWhere closes the idle connections that are to be closed.
+func (p *Pool) closeIdleWhere(shouldClose func(address string, c *Conn) bool) {
+	var closing []*Conn
 	p.mu.Lock()
-	for address, row := range p.idle {
-		kept := row[:0]
-		for _, c := range row {
-			if isOver(address, c) {
-				over = append(over, c)
+	for address, conns := range p.idle {
+		kept := conns[:0]
+		for _, c := range conns {
+			if shouldClose(address, c) {
+				closing = append(closing, c)
 				continue
 			}
 			kept = append(kept, c)
@@ -214,7 +214,7 @@
 		}
 	}
 	p.mu.Unlock()
-	closeAll(over)
+	closeAll(closing)
 }
 
 func (p *Pool) close() {
@@ -223,8 +223,8 @@
 	idle := p.idle
 	p.idle = map[string][]*Conn{}
 	p.mu.Unlock()
-	for _, row := range idle {
-		closeAll(row)
+	for _, conns := range idle {
+		closeAll(conns)
 	}
 }
 
@@ -234,9 +234,9 @@
 	}
 }
 
-// isQuiet reports whether the connection is open and holds no bytes that nobody asked for.
-func (c *Conn) isQuiet(now time.Time) bool {
-	if !now.Before(c.until) || c.reader.Buffered() > 0 {
+// isReusable reports whether the connection is open and holds no bytes that nobody asked for.
+func (c *Conn) isReusable(now time.Time) bool {
+	if !now.Before(c.idleDeadline) || c.reader.Buffered() > 0 {
 		return false
 	}
 	if c.raw == nil {
@@ -254,20 +254,20 @@
 
 // Release gives the connection back after a whole answer, or closes it if it may not be used again.
 func (c *Conn) Release(keepAlive string) {
-	c.rested = clock.Now()
-	c.until = c.rested.Add(idleTime(keepAlive))
+	c.idleSince = clock.Now()
+	c.idleDeadline = c.idleSince.Add(parseIdleTime(keepAlive))
 	if err := c.conn.SetDeadline(time.Time{}); err != nil || c.reader.Buffered() > 0 || !c.wasWritten() {
 		c.Close()
 		return
 	}
 	c.pool.mu.Lock()
-	row := c.pool.idle[c.address]
-	if c.pool.closed || len(row) >= maxIdle {
+	conns := c.pool.idle[c.address]
+	if c.pool.closed || len(conns) >= maxIdlePerAddress {
 		c.pool.mu.Unlock()
 		c.Close()
 		return
 	}
-	c.pool.idle[c.address] = append(row, c)
+	c.pool.idle[c.address] = append(conns, c)
 	c.pool.mu.Unlock()
 }
 
@@ -276,8 +276,8 @@
 	_ = c.conn.Close()
 }
 
-// idleTime reads the value of Keep-Alive; without one the endpoint may close the connection soon.
-func idleTime(keepAlive string) time.Duration {
+// parseIdleTime reads the value of Keep-Alive; without one the endpoint may close the connection soon.
+func parseIdleTime(keepAlive string) time.Duration {
 	for _, item := range strings.Split(keepAlive, ",") {
 		name, value, found := strings.Cut(strings.TrimSpace(item), "=")
 		if !found || !strings.EqualFold(name, "timeout") {
@@ -287,5 +287,5 @@
 			return time.Duration(seconds)*time.Second - idleMargin
 		}
 	}
-	return quietIdle
+	return defaultIdleTimeout
 }
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -55,13 +55,13 @@
 }
 
 func newTestPool(t *testing.T) *Pool {
-	pool, closePool := NewPool(Settings{DialLimit: second, Silence: second})
+	pool, closePool := NewPool(Settings{DialTimeout: second, AckTimeout: second})
 	t.Cleanup(closePool)
 	return pool
 }
 
 func message(id, body string) *Message {
-	return &Message{Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{"Id": {id}}, Body: []byte(body), HasLen: true}
+	return &Message{Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{"Id": {id}}, Body: []byte(body), HasBody: true}
 }
 
 func belongsTo(id string) func(*Answer) bool {
@@ -92,11 +92,11 @@
 	return c, peer
 }
 
-func whole(id, body string) string {
+func completeAnswer(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nKeep-Alive: timeout=5\r\nContent-Length: " + string(rune('0'+len(body))) + "\r\n\r\n" + body
 }
 
-func TestConnectionIsUsedAgain(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	address, conns := newPeer(t)
 	pool := newTestPool(t)
 	var peer *peerConn
@@ -107,7 +107,7 @@
 			peer = <-conns
 		}
 		assert.Equal(t, "a x", peer.readRequest(t))
-		peer.write(t, whole("a", "ok"))
+		peer.write(t, completeAnswer("a", "ok"))
 		answer, body, err := receive(c, "a")
 		require.NoError(t, err)
 		assert.Equal(t, "ok", body)
@@ -117,22 +117,22 @@
 	assert.Equal(t, uint64(2), pool.Stats().Reused)
 }
 
-func TestSurplusAnswerOfAnEarlierRequestIsSkipped(t *testing.T) {
+func TestAnswerToEarlierRequestIsSkipped(t *testing.T) {
 	address, conns := newPeer(t)
 	pool := newTestPool(t)
 	c, peer := sendOne(t, pool, address, conns, "b")
-	peer.write(t, whole("a", "old")+whole("b", "new"))
+	peer.write(t, completeAnswer("a", "old")+completeAnswer("b", "new"))
 	_, body, err := receive(c, "b")
 	require.NoError(t, err)
 	assert.Equal(t, "new", body)
 	assert.Equal(t, uint64(1), pool.Stats().Surplus)
 }
 
-func TestConnectionWithSurplusBytesIsNotUsedAgain(t *testing.T) {
+func TestConnectionWithExtraBytesIsNotReused(t *testing.T) {
 	address, conns := newPeer(t)
 	pool := newTestPool(t)
 	c, peer := sendOne(t, pool, address, conns, "a")
-	peer.write(t, whole("a", "ok")+"more")
+	peer.write(t, completeAnswer("a", "ok")+"more")
 	answer, _, err := receive(c, "a")
 	require.NoError(t, err)
 	answer.Done()
@@ -140,15 +140,15 @@
 	assert.Equal(t, uint64(2), pool.Stats().Dialed)
 }
 
-func TestConnectionThatWasClosedOrSpokeWhileIdleIsNotUsedAgain(t *testing.T) {
+func TestConnectionClosedOrReadableWhileIdleIsNotReused(t *testing.T) {
 	for _, spoil := range []func(*peerConn){
 		func(p *peerConn) { _ = p.Close() },
-		func(p *peerConn) { _, _ = io.WriteString(p, whole("a", "again")) },
+		func(p *peerConn) { _, _ = io.WriteString(p, completeAnswer("a", "again")) },
 	} {
 		address, conns := newPeer(t)
 		pool := newTestPool(t)
 		c, peer := sendOne(t, pool, address, conns, "a")
-		peer.write(t, whole("a", "ok"))
+		peer.write(t, completeAnswer("a", "ok"))
 		answer, _, err := receive(c, "a")
 		require.NoError(t, err)
 		answer.Done()
@@ -159,13 +159,13 @@
 	}
 }
 
-func TestAnswerBeforeTheBodyIsReadEndsTheConnection(t *testing.T) {
+func TestAnswerBeforeBodyIsReadClosesConnection(t *testing.T) {
 	address, conns := newPeer(t)
 	pool := newTestPool(t)
 	c := open(t, pool, address)
 	require.NoError(t, c.Send(message("a", strings.Repeat("x", 8<<20))))
 	peer := <-conns
-	peer.write(t, whole("a", "no"))
+	peer.write(t, completeAnswer("a", "no"))
 	answer, body, err := receive(c, "a")
 	require.NoError(t, err)
 	assert.Equal(t, "no", body)
@@ -174,7 +174,7 @@
 	assert.Equal(t, uint64(2), pool.Stats().Dialed)
 }
 
-func TestBytesThatAreNoAnswerAreABreak(t *testing.T) {
+func TestMalformedAnswerReturnsErrBroken(t *testing.T) {
 	address, conns := newPeer(t)
 	c, peer := sendOne(t, newTestPool(t), address, conns, "a")
 	peer.write(t, "garbage\r\n\r\n")
@@ -182,7 +182,7 @@
 	assert.ErrorIs(t, err, willowwick.ErrBroken)
 }
 
-func TestUnframedAnswerEndsWithItsConnection(t *testing.T) {
+func TestAnswerWithoutLengthEndsAtConnectionClose(t *testing.T) {
 	address, conns := newPeer(t)
 	pool := newTestPool(t)
 	c, peer := sendOne(t, pool, address, conns, "a")
@@ -193,7 +193,7 @@
 	assert.Equal(t, "all of it", body)
 }
 
-func TestResetWithinAnUnframedAnswerIsNoEnd(t *testing.T) {
+func TestResetInAnswerWithoutLengthIsAnError(t *testing.T) {
 	address, conns := newPeer(t)
 	c, peer := sendOne(t, newTestPool(t), address, conns, "a")
 	peer.write(t, "HTTP/1.1 200 OK\r\nId: a\r\n\r\nhalf")
@@ -206,30 +206,30 @@
 	assert.Error(t, err)
 }
 
-func TestSilenceIsToldAndTheAnswerStillComes(t *testing.T) {
+func TestReceiveAfterErrSilentReturnsAnswer(t *testing.T) {
 	address, conns := newPeer(t)
 	c, peer := sendOne(t, newTestPool(t), address, conns, "a")
 	_, err := c.Receive(http.MethodPost, time.Now().Add(30*time.Millisecond), time.Now().Add(second), belongsTo("a"))
 	require.ErrorIs(t, err, ErrSilent)
-	peer.write(t, whole("a", "ok"))
+	peer.write(t, completeAnswer("a", "ok"))
 	_, body, err := receive(c, "a")
 	require.NoError(t, err)
 	assert.Equal(t, "ok", body)
 }
 
-func TestRefusedConnectionIsNotSent(t *testing.T) {
+func TestRefusedConnectionReturnsErrNotSent(t *testing.T) {
 	_, err := newTestPool(t).Open(context.Background(), "127.0.0.1:1")
 	assert.ErrorIs(t, err, willowwick.ErrNotSent)
 }
 
-func TestHopHeadersAreTakenOut(t *testing.T) {
+func TestStripHopHeaders(t *testing.T) {
 	header := http.Header{"Connection": {"close, X-Own"}, "X-Own": {"1"}, "Keep-Alive": {"timeout=1"}, "Upgrade": {"h2c"}, "Kept": {"1"}}
-	StripHop(header)
+	StripHopHeaders(header)
 	assert.Equal(t, http.Header{"Kept": {"1"}}, header)
 }
 
-func TestIdleTimeIsTheEndpoints(t *testing.T) {
-	assert.Equal(t, 5*second-idleMargin, idleTime("timeout=5, max=100"))
-	assert.Equal(t, quietIdle, idleTime(""))
-	assert.Equal(t, quietIdle, idleTime("timeout=x"))
+func TestParseIdleTime(t *testing.T) {
+	assert.Equal(t, 5*second-idleMargin, parseIdleTime("timeout=5, max=100"))
+	assert.Equal(t, defaultIdleTimeout, parseIdleTime(""))
+	assert.Equal(t, defaultIdleTimeout, parseIdleTime("timeout=x"))
 }
