--- a/clock/clock.go
+++ b/clock/clock.go
@@ -12,56 +12,59 @@
 )
 
 const (
-	// minClockJump is by how much the time of day may run away from the steady clock until it is found out why: more than both are
-	// ever corrected between two looks, less than any bound on an age.
+	// minClockJump is the drift between the time of day and the monotonic clock that triggers a check for a
+	// suspension: more than regular clock corrections add up to between two checks, less than any limit on an age.
 	minClockJump = 20 * time.Millisecond
-	// checkInterval is how often that is found out anyway: a step of the time of day may hide a suspension.
+	// checkInterval is how often suspensions are checked for regardless: a step of the time of day may hide one.
 	checkInterval = time.Second
-	// readAttempts is how often two clocks are read for one difference, since the process may be held up between the reads.
+	// readAttempts is how often two clocks are read for one difference, since the process may be paused between the
+	// reads.
 	readAttempts = 3
 )
 
 type (
-	// Clock is the steady clock with the time that it leaves out while the machine is suspended. A box that has slept
-	// would else take all that it knows for younger than it is, and send on requests whose time is up.
+	// Clock is the monotonic clock plus the time for which the machine was suspended, which the monotonic clock
+	// leaves out. Without it, a box that was suspended would take its data for younger than it is, and forward
+	// requests whose deadline has passed.
 	//
-	// Its times compare with each other alone. Their time of day is no use to anybody: it runs ahead by the time of suspension.
+	// Its times compare only with each other. Their time of day is meaningless: it is ahead by the suspended time.
 	Clock struct {
 		now             func() time.Time
-		readSuspended   func() (time.Duration, error) // how long the machine has been suspended since it started
+		readSuspended   func() (time.Duration, error) // total time that the machine has been suspended since it booted
 		start           time.Time
-		suspendedBefore time.Duration // suspended before the clock was made
+		suspendedBefore time.Duration // suspended time before the clock was created
 
 		mu          sync.Mutex
 		lastReading atomic.Pointer[reading]
 	}
 
-	// reading is what the last look showed.
+	// reading is the result of a check for suspensions.
 	reading struct {
-		at        time.Time     // by the steady clock
-		drift     time.Duration // measured length: by how much the time of day ran away from the steady clock since began
-		suspended time.Duration // measured length: of suspension since began
+		at        time.Time     // by the monotonic clock
+		drift     time.Duration // measured duration: drift of the time of day from the monotonic clock since start
+		suspended time.Duration // measured duration: suspended time since start
 	}
 )
 
-// process is the clock of this process.
+// process is the clock that the package-level functions use.
 var process = New(time.Now, readSuspendedTime)
 
-// New returns a clock over a steady one that also has a time of day, and the time for which the machine was suspended.
+// New returns a clock over a monotonic clock that also has a time of day, and a function that returns the suspended
+// time.
 func New(now func() time.Time, readSuspended func() (time.Duration, error)) *Clock {
 	c := &Clock{now: now, readSuspended: readSuspended, start: now()}
 	before, err := readSuspended()
 	if err != nil {
-		slog.Error("suspensions of the machine are not noticed", "error", err)
+		slog.Error("failed to read suspended time; suspensions will not be detected", "error", err)
 	}
 	c.suspendedBefore = before
 	c.lastReading.Store(&reading{at: c.start})
 	return c
 }
 
-// Now returns the time.
+// Now returns the current time.
 //
-// It asks the system for more than its usual time only where the time of day has jumped, and once a second.
+// It reads the suspended time only after a jump of the time of day, and once per second.
 func (c *Clock) Now() time.Time {
 	now := c.now()
 	last := c.lastReading.Load()
@@ -72,14 +75,14 @@
 	return now.Add(last.suspended)
 }
 
-// checkSuspension finds out whether the machine was suspended.
+// checkSuspension reads the suspended time and stores it in a new reading.
 func (c *Clock) checkSuspension(now time.Time, drift time.Duration) *reading {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	next := &reading{at: now, drift: drift, suspended: c.lastReading.Load().suspended}
 	total, err := c.readSuspended()
 	if err != nil {
-		slog.Debug("time of suspension could not be read", "error", err)
+		slog.Debug("failed to read suspended time", "error", err)
 	} else if suspended := total - c.suspendedBefore; suspended-next.suspended >= minClockJump {
 		slog.Info("the machine was suspended", "ms", (suspended - next.suspended).Milliseconds())
 		next.suspended = suspended
@@ -88,17 +91,17 @@
 	return next
 }
 
-// readSuspendedTime is how long the machine has been suspended since it started.
+// readSuspendedTime returns how long the machine has been suspended since it booted.
 func readSuspendedTime() (time.Duration, error) {
 	var longest time.Duration
 	for try := range readAttempts {
 		var steady, whole unix.Timespec
-		// In this order a pause between the reads makes the difference smaller, never larger.
+		// In this order, a pause between the reads can only make the difference smaller.
 		if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &whole); err != nil {
-			return 0, errors.Wrap(err, "clock since the start of the machine")
+			return 0, errors.Wrap(err, "read CLOCK_BOOTTIME")
 		}
 		if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady); err != nil {
-			return 0, errors.Wrap(err, "steady clock")
+			return 0, errors.Wrap(err, "read CLOCK_MONOTONIC")
 		}
 		if difference := time.Duration(whole.Nano() - steady.Nano()); try == 0 || difference > longest {
 			longest = difference
@@ -107,28 +110,28 @@
 	return longest, nil
 }
 
-// Now returns the time of this process's clock.
+// Now returns the current time of the process clock.
 func Now() time.Time {
 	return process.Now()
 }
 
-// Since returns how long ago a time of this process's clock was.
+// Since returns the time elapsed since t, which is a time of the process clock.
 func Since(t time.Time) time.Duration {
 	return process.Now().Sub(t)
 }
 
-// Until returns how long it is until a time of this process's clock.
+// Until returns the time until t, which is a time of the process clock.
 func Until(t time.Time) time.Duration {
 	return t.Sub(process.Now())
 }
 
-// TimeOfDay returns the time by which boxes and people tell each other when something was.
+// TimeOfDay returns the time of day, which is comparable between boxes and meaningful to people.
 func TimeOfDay() time.Time {
 	return time.Now()
 }
 
-// SystemTime returns a time of this process's clock as timers of the runtime take it, which do not count suspensions, and
-// with its time of day.
+// SystemTime converts a time of the process clock to one of the system's clock: one with a correct time of day, for
+// use with runtime timers, which leave out suspensions.
 func SystemTime(t time.Time) time.Time {
 	if t.IsZero() {
 		return t
@@ -136,13 +139,13 @@
 	return t.Add(-process.lastReading.Load().suspended)
 }
 
-// WithDeadline is context.WithDeadline for a time of this process's clock.
+// WithDeadline is context.WithDeadline for a deadline of the process clock.
 func WithDeadline(parent context.Context, deadline time.Time) (context.Context, context.CancelFunc) {
 	return context.WithDeadline(parent, SystemTime(deadline))
 }
 
-// SimulateSuspension makes this process's clock go on by a length, as if the machine had been suspended, and returns a function that
-// takes that back; for tests.
+// SimulateSuspension advances the process clock as if the machine had been suspended for the given duration, and
+// returns a function that undoes it; for tests.
 func SimulateSuspension(duration time.Duration) func() {
 	before := process.readSuspended
 	process.setReadSuspended(func() (time.Duration, error) {
@@ -152,7 +155,7 @@
 	return func() { process.setReadSuspended(before) }
 }
 
-// setReadSuspended replaces the source, and looks at it at once.
+// setReadSuspended replaces the source of the suspended time, and checks it at once.
 func (c *Clock) setReadSuspended(readSuspended func() (time.Duration, error)) {
 	c.mu.Lock()
 	c.readSuspended = readSuspended
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -13,17 +13,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// testMachine has clocks that a test sets.
+// testMachine is a machine whose clocks are set by the test.
 type testMachine struct {
-	steady    time.Duration // since the start
+	steady    time.Duration // time since testStart, by the monotonic clock
 	suspended time.Duration
-	reads     int // of the time of suspension
+	reads     int // number of reads of the suspended time
 	err       error
 }
 
 var testStart = time.Now()
 
-// newClock is a clock over them.
+// newClock returns a Clock over the clocks of the machine.
 func (m *testMachine) newClock() *Clock {
 	return New(func() time.Time { return testStart.Add(m.steady) }, func() (time.Duration, error) {
 		m.reads++
@@ -36,13 +36,13 @@
 	c := m.newClock()
 	began := c.Now()
 	m.steady += 300 * time.Millisecond
-	assert.Equal(t, 300*time.Millisecond, c.Now().Sub(began), "what was suspended before does not count")
+	assert.Equal(t, 300*time.Millisecond, c.Now().Sub(began), "earlier suspensions do not count")
 	m.steady += checkInterval
 	m.suspended += 9 * time.Second
 	assert.Equal(t, 10300*time.Millisecond, c.Now().Sub(began))
 	m.steady += 2 * checkInterval
 	m.suspended -= 5 * time.Millisecond
-	assert.Equal(t, 12300*time.Millisecond, c.Now().Sub(began), "it never goes back")
+	assert.Equal(t, 12300*time.Millisecond, c.Now().Sub(began), "time never goes back")
 	m.err = errors.New("no such clock")
 	m.steady += 2 * checkInterval
 	assert.Equal(t, 14300*time.Millisecond, c.Now().Sub(began))
@@ -58,7 +58,7 @@
 	assert.LessOrEqual(t, m.reads, 4, "in two seconds")
 }
 
-// The first look at the clock after a suspension shows it, since the time of day has jumped.
+// The first call of Now after a suspension includes it, since the time of day has jumped.
 func TestSuspensionIsDetectedAtOnce(t *testing.T) {
 	m := &testMachine{}
 	c := m.newClock()
@@ -77,15 +77,15 @@
 	assert.Less(t, Since(began), time.Second)
 	restore := SimulateSuspension(time.Minute)
 	assert.InDelta(t, 60, Since(began).Seconds(), 1)
-	assert.InDelta(t, 0, time.Until(SystemTime(Now())).Seconds(), 1, "timers of the runtime do not count it")
+	assert.InDelta(t, 0, time.Until(SystemTime(Now())).Seconds(), 1, "runtime timers do not count it")
 	restore()
 	assert.Less(t, Since(began), time.Second)
 }
 
-// Whoever asks the steady clock of an age takes it for too young on a box that was suspended.
+// On a box that was suspended, ages by the monotonic clock are too small.
 func TestSourcesUseThisClockForAgesAndDeadlines(t *testing.T) {
 	steady := regexp.MustCompile(`time\.(Now|Since|Until)\(|context\.WithDeadline\(`)
-	// A length from now, for a timer of the runtime, or a time of day.
+	// A duration from now, for a runtime timer, or a time of day.
 	allowed := regexp.MustCompile(`Deadline\(time\.Now\(\)\.Add\(|time\.Now\(\)\.Unix`)
 	for _, folder := range []string{"exchange", "platform", "route", "gate", "wire", "quarantine", "rollout", "fleet", "serve"} {
 		files, err := filepath.Glob(filepath.Join("..", folder, "*.go"))
--- a/clock/doc.go
+++ b/clock/doc.go
@@ -1,2 +1,2 @@
-// Package clock tells the time that has passed, that of a suspended machine included.
+// Package clock measures elapsed time, including the time for which the machine was suspended.
 package clock
--- a/fleet/bench_test.go
+++ b/fleet/bench_test.go
@@ -13,7 +13,7 @@
 	"github.com/willowwick/willowwick/rollout"
 )
 
-// benchDigest is as full as a digest is at the size to design for.
+// benchDigest returns a digest with as many rows as at the largest supported fleet size.
 func benchDigest(box, loads int) Digest {
 	now := time.Now()
 	d := Digest{
@@ -58,7 +58,7 @@
 	}
 }
 
-// BenchmarkClaim is the work of one keeper for one claim, at three sizes of fleet.
+// BenchmarkClaim measures the work of one replica for one claim, at three sizes of fleet.
 func BenchmarkClaim(b *testing.B) {
 	for _, boxes := range []int{7, 96, 390} {
 		b.Run(fmt.Sprintf("boxes=%d", boxes), func(b *testing.B) {
@@ -86,7 +86,7 @@
 	return roster
 }
 
-// benchRegistry is the registry of one of so many boxes.
+// benchRegistry returns the registry of one box in a fleet of the given size.
 func benchRegistry(now time.Time, boxes int) (config.Roster, *Registry) {
 	roster := benchRoster(boxes)
 	r := NewRegistry(roster.Members[0].Boot)
@@ -94,7 +94,7 @@
 	return roster, r
 }
 
-// BenchmarkExport sorts 1,000 entries out over a new roster, which each box does once for each.
+// BenchmarkExport groups 1,000 entries by box for a new roster, which each box does once per roster.
 func BenchmarkExport(b *testing.B) {
 	for _, boxes := range []int{7, 96, 390} {
 		b.Run(fmt.Sprintf("boxes=%d", boxes), func(b *testing.B) {
--- a/fleet/digest.go
+++ b/fleet/digest.go
@@ -12,19 +12,19 @@
 )
 
 type (
-	// NameHash stands for a name in digests, where names would be most of the bytes.
+	// NameHash is the hash that stands for a name in digests, where full names would take up most of the bytes.
 	NameHash uint32
 
-	// DigestVersion orders the digests of a box: by its start, then by number.
+	// DigestVersion orders the digests of a box, first by the start time of the box, then by sequence number.
 	DigestVersion uint64
 
-	// Demand is what client accounts ask, in tokens a second; one column each.
+	// Demand holds the demand of client accounts in tokens per second, one column per field.
 	Demand struct {
 		Accounts []NameHash
 		Rates    []uint32
 	}
 
-	// VersionCounts is the evidence on versions since a box started; one column each.
+	// VersionCounts holds the evidence on versions since a box started, one column per field.
 	VersionCounts struct {
 		Versions []NameHash
 		Requests []uint64
@@ -34,16 +34,16 @@
 		Low      []uint64
 	}
 
-	// Loads are the reports of endpoints as one box of the hall polled them; one column each.
+	// Loads holds the endpoint load reports that one box of the hall polled, one column per field.
 	Loads struct {
 		Endpoints []NameHash
 		Running   []uint32
 		Waiting   []uint32
 		Slots     []uint32
-		AgeMs     []uint32 // when the digest was made
+		AgeMs     []uint32 // age of the report when the digest was made
 	}
 
-	// Digest is what a box tells the other boxes of its hall.
+	// Digest is the state that a box sends to the other boxes of its hall.
 	Digest struct {
 		Box       willowwick.BoxID
 		Boot      willowwick.BootID
@@ -51,7 +51,7 @@
 		Hall      willowwick.HallID
 		Peer      string
 		Offset    willowwick.Offset
-		ConfirmMs int64 // how long ago the offset was known to be current; negative if never
+		ConfirmMs int64 // time since the offset was last confirmed as current; negative if never
 		Demand    Demand
 		Evidence  VersionCounts
 		Loads     Loads
@@ -59,7 +59,7 @@
 		Draining  bool
 	}
 
-	// HallMember is one box in a hall's digest.
+	// HallMember describes one box in a hall's digest.
 	HallMember struct {
 		Box   willowwick.BoxID
 		Boot  willowwick.BootID
@@ -68,10 +68,10 @@
 		Draining bool
 	}
 
-	// HallDigest is what a hall tells the other halls.
+	// HallDigest sums up a hall for the other halls.
 	HallDigest struct {
 		Hall     willowwick.HallID
-		Stamp    int64 // number of its period
+		Stamp    int64 // sequence number of the period in which it was made
 		Offset   willowwick.Offset
 		Members  []HallMember
 		Demand   Demand
@@ -79,19 +79,20 @@
 		Leaving  []willowwick.EndpointID
 	}
 
-	// Marks say which digests of boxes the sender has; one column each.
+	// Marks lists the digest version that the sender has of each box, one column per field.
 	Marks struct {
 		Boxes    []NameHash
 		Versions []DigestVersion
 	}
 
-	// HallMark says which digest of a hall the sender has.
+	// HallMark is the stamp of the digest that the sender has of a hall.
 	HallMark struct {
 		Hall  willowwick.HallID
 		Stamp int64
 	}
 
-	// ExchangeArgs offers what the caller has; digests of the caller's own hall travel only within it.
+	// ExchangeArgs lists the digests that the caller has. Digests of the caller's own hall are sent only within that
+	// hall.
 	ExchangeArgs struct {
 		Peer      string // the caller's own address
 		Hall      willowwick.HallID
@@ -103,7 +104,7 @@
 		Limits    ratelimit.News
 	}
 
-	// ExchangeReply brings what the caller lacked and asks for what the answerer lacks.
+	// ExchangeReply returns the digests that the caller lacked and lists those that the replying box lacks.
 	ExchangeReply struct {
 		Offset    willowwick.Offset
 		ConfirmMs int64
@@ -115,26 +116,26 @@
 		Limits    ratelimit.News
 	}
 
-	// PushArgs brings digests that were asked for.
+	// PushArgs carries the digests that an ExchangeReply asked for.
 	PushArgs struct {
 		Digests []Digest
 	}
 
-	// Nothing is the reply of calls that answer nothing.
+	// Nothing is the empty argument or reply of an RPC.
 	Nothing struct{}
 )
 
 const (
 	hashBits    = 32
-	versionBits = 24 // for the number; the rest holds the start in seconds
+	versionBits = 24 // bits for the sequence number; the rest holds the start time in seconds
 )
 
-// HashName returns what stands for a name in digests.
+// HashName returns the hash that stands for a name in digests.
 func HashName[T ~string](name T) NameHash {
 	return NameHash(xxhash.Sum64String(string(name)) >> hashBits)
 }
 
-// newDigestVersion orders by start, then by number.
+// newDigestVersion packs a box's start time and the sequence number of a digest into a version.
 func newDigestVersion(started time.Time, number uint64) DigestVersion {
 	return DigestVersion(uint64(started.Unix())<<versionBits | number&(1<<versionBits-1))
 }
@@ -177,7 +178,7 @@
 	l.AgeMs = append(l.AgeMs, uint32(max(0, now.Sub(load.At).Milliseconds())))
 }
 
-// At returns the report in one row; its age is counted from when the digest came in.
+// At returns the report in one row; its age is relative to the time when the digest was received.
 func (l *Loads) At(row int, received time.Time) willowwick.EndpointLoad {
 	return willowwick.EndpointLoad{
 		Running: int(l.Running[row]),
@@ -192,7 +193,7 @@
 	return len(l.Running) == n && len(l.Waiting) == n && len(l.Slots) == n && len(l.AgeMs) == n
 }
 
-// isWellFormed reports whether the digest can be read: a peer's columns may not fit together.
+// isWellFormed reports whether the digest's columns have matching lengths; a digest from a peer may not.
 func (d *Digest) isWellFormed() bool {
 	return len(d.Demand.Accounts) == len(d.Demand.Rates) && d.Evidence.isWellFormed() && d.Loads.isWellFormed()
 }
@@ -201,7 +202,7 @@
 	return len(h.Demand.Accounts) == len(h.Demand.Rates) && h.Evidence.isWellFormed()
 }
 
-// knownStamp returns the stamp of the digest that the caller has of a hall.
+// knownStamp returns the stamp of the digest that the caller has of a hall, or 0 if it has none.
 func (a ExchangeArgs) knownStamp(hall willowwick.HallID) int64 {
 	for _, mark := range a.HallMarks {
 		if mark.Hall == hall {
@@ -211,7 +212,7 @@
 	return 0
 }
 
-// digestTotals adds up digests of one hall.
+// digestTotals sums up the digests of one hall.
 type digestTotals struct {
 	demand   map[NameHash]float64
 	evidence map[NameHash]rollout.Evidence
@@ -238,7 +239,7 @@
 	}
 }
 
-// writeTo writes the sums into a hall's digest, in a fixed order.
+// writeTo writes the totals into a hall's digest, sorted by key.
 func (s *digestTotals) writeTo(h *HallDigest) {
 	for _, account := range sortedNames(s.demand) {
 		h.Demand.Add(account, s.demand[account])
--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -1,4 +1,3 @@
-// Package fleet lets the daemons act together: it follows the configuration
-// stream, exchanges digests, keeps claims and session versions at pairs of
-// boxes, holds usage records for other boxes, and holds the lease.
+// Package fleet coordinates the daemons of a fleet: it follows the configuration stream, gossips digests, stores
+// claims and session versions on pairs of boxes, replicates usage records to other boxes, and holds the leader lease.
 package fleet
--- a/fleet/follower.go
+++ b/fleet/follower.go
@@ -21,28 +21,30 @@
 	ConfirmationTTL = 5 * time.Second
 )
 
-// ErrBehind says that the log no longer has the entries that are needed, and no snapshot either.
-var ErrBehind = errors.New("the log no longer has the needed entries and no snapshot to start from")
+// ErrBehind is returned when the log has dropped entries that were not read yet and holds no snapshot to restore
+// from.
+var ErrBehind = errors.New("the log has dropped entries that were not read yet and holds no snapshot to restore from")
 
-// Follower folds the configuration stream, from the log or from other daemons.
+// Follower folds the configuration stream into the configuration in force, reading from the log or from other
+// daemons.
 //
-// Its offset only ever grows, so that an accepted configuration never reverts.
+// Its offset only grows, so an accepted configuration is never reverted.
 type Follower struct {
 	log            willowwick.Log
 	revision       atomic.Pointer[config.Revision]
 	onChange       func(*config.Revision)
 	mu             sync.Mutex
 	recent         []willowwick.Entry
-	confirmedAt    time.Time // when the offset was last known to be the log's end
-	logReachedAt   time.Time // when the log itself last answered
+	confirmedAt    time.Time // when the offset was last known to be the end of the log
+	logReachedAt   time.Time // when the log itself last replied
 	hasNewerSchema bool
 	lastSnapshot   willowwick.Offset
-	firstOffset    willowwick.Offset // oldest offset that the log still has
+	firstOffset    willowwick.Offset // oldest offset that is still in the log
 }
 
-// NewFollower returns a follower that has read nothing; changed is called after each step, in order.
-func NewFollower(log willowwick.Log, changed func(*config.Revision)) *Follower {
-	f := &Follower{log: log, onChange: changed}
+// NewFollower returns a follower at offset 0; onChange is called after each new revision, in order.
+func NewFollower(log willowwick.Log, onChange func(*config.Revision)) *Follower {
+	f := &Follower{log: log, onChange: onChange}
 	f.revision.Store(config.NewRevision(config.NewState()))
 	return f
 }
@@ -59,14 +61,14 @@
 	return f.confirmedAt
 }
 
-// LogReachedAt returns when the log itself last answered.
+// LogReachedAt returns when the log itself last replied.
 func (f *Follower) LogReachedAt() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.logReachedAt
 }
 
-// Confirm notes that another daemon knew the offset to be current at the given time.
+// Confirm records that the given offset was known to be current at the given time.
 func (f *Follower) Confirm(offset willowwick.Offset, at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -75,14 +77,14 @@
 	}
 }
 
-// IsBlocked reports whether the log holds a record of a newer schema.
+// IsBlocked reports whether the log contains a record with a newer schema, which this build can't fold.
 func (f *Follower) IsBlocked() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.hasNewerSchema
 }
 
-// ReadLog folds the log to its end.
+// ReadLog reads and folds the log up to its end.
 func (f *Follower) ReadLog(ctx context.Context) error {
 	for {
 		asked := clock.Now()
@@ -102,14 +104,14 @@
 			return err
 		}
 		if f.Revision().Offset+1 >= page.Next {
-			// A read that lags behind what is known already confirms nothing.
+			// A page that ends before the known offset is stale and confirms nothing.
 			if f.Revision().Offset+1 == page.Next {
 				f.Confirm(f.Revision().Offset, asked)
 			}
 			return nil
 		}
 		if len(page.Entries) == 0 || f.Revision().Offset+1 == from {
-			return errors.New("read log: the answer had none of the entries that were asked for")
+			return errors.New("read log: the page contains none of the requested entries")
 		}
 	}
 }
@@ -120,7 +122,7 @@
 	f.logReachedAt, f.firstOffset = at, first
 }
 
-// restoreFromSnapshot starts again from a snapshot, after the log dropped entries that were not read yet.
+// restoreFromSnapshot restarts from a snapshot after the log has dropped entries that were not read yet.
 func (f *Follower) restoreFromSnapshot(ctx context.Context, first willowwick.Offset) error {
 	var entries []willowwick.Entry
 	for from := first; ; {
@@ -145,7 +147,7 @@
 	return nil
 }
 
-// Ingest folds entries; it takes them in any order, repeated or not, up to the first gap.
+// Ingest folds entries up to the first gap; they may be unsorted and contain duplicates.
 func (f *Follower) Ingest(entries []willowwick.Entry) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -180,7 +182,7 @@
 
 func (f *Follower) recordNewerSchema() {
 	if !f.hasNewerSchema {
-		slog.Error("the log holds a record of a newer schema; this build keeps what it has and is not ready")
+		slog.Error("log contains a record with a newer schema; this build keeps its configuration and is not ready")
 	}
 	f.hasNewerSchema = true
 }
@@ -196,11 +198,11 @@
 	if last.Accepted {
 		f.lastSnapshot = before.Offset
 	} else {
-		slog.Error("a snapshot was not taken", "offset", after.Offset, "why", last.Why)
+		slog.Error("snapshot record rejected", "offset", after.Offset, "why", last.Why)
 	}
 }
 
-// publish puts a newer state in force.
+// publish puts state in force if it differs from before; the caller holds the lock.
 func (f *Follower) publish(before *config.Revision, state *config.State) {
 	if state == before.State {
 		return
@@ -210,7 +212,7 @@
 	f.onChange(revision)
 }
 
-// Install takes a whole state if it is newer than the one in force.
+// Install replaces the state in force if the given one is newer, and reports whether it did.
 func (f *Follower) Install(state *config.State) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -223,7 +225,7 @@
 	return true
 }
 
-// Since returns the entries after an offset, if all of them are still at hand.
+// Since returns up to limit entries after an offset; ok is false if some of them are no longer in memory.
 func (f *Follower) Since(offset willowwick.Offset, limit int) ([]willowwick.Entry, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -240,7 +242,7 @@
 	return append([]willowwick.Entry(nil), entries...), true
 }
 
-// isSnapshotDue reports whether the log should get a new snapshot before its head goes.
+// isSnapshotDue reports whether a new snapshot must be written before the log drops the entries that precede it.
 func (f *Follower) isSnapshotDue() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fleet/follower_test.go
+++ b/fleet/follower_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// fakeLog is a log whose reads can fail, lag, and come in any order, twice.
+// fakeLog is a log whose reads can fail, lag, and return entries unordered and duplicated.
 type fakeLog struct {
 	entries []willowwick.Entry
 	first   willowwick.Offset
@@ -53,12 +53,12 @@
 	return data
 }
 
-// TestFollowerOffsetNeverDecreases: whatever order reads, pulls, joins, lags and failures come in, every daemon's state is
-// the fold of a prefix of the log, and its offset only grows.
+// TestFollowerOffsetNeverDecreases checks that under any order of reads, pulls, joins, lags and failures every
+// follower's state is the fold of a prefix of the log, and that its offset never decreases.
 func TestFollowerOffsetNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		log := &fakeLog{}
-		states := []*config.State{config.NewState()} // by offset: the oracle
+		states := []*config.State{config.NewState()} // expected state, by offset
 		log.shuffle = func(entries []willowwick.Entry) []willowwick.Entry {
 			if len(entries) == 0 {
 				return entries
@@ -117,7 +117,8 @@
 	})
 }
 
-// TestNewerSchemaBlocksFollowerAndKeepsState: a record of a newer build stops the fold and loses nothing.
+// TestNewerSchemaBlocksFollowerAndKeepsState checks that a record of a newer build stops the fold and keeps the
+// configuration in force.
 func TestNewerSchemaBlocksFollowerAndKeepsState(t *testing.T) {
 	log := &fakeLog{}
 	f := NewFollower(log, func(*config.Revision) {})
--- a/fleet/gossip.go
+++ b/fleet/gossip.go
@@ -10,11 +10,11 @@
 	"github.com/willowwick/willowwick/config"
 )
 
-// pullLimit is the number of entries of the log that one call brings at the most.
+// pullLimit is the maximum number of log entries in one Pull reply.
 const pullLimit = 500
 
-// gossip renews the own digest when due and exchanges digests with one box of
-// the hall and one of another hall.
+// gossip renews this box's digest when due, exchanges digests with one box of its hall and one of another hall, and
+// checks the usage replica.
 func (n *Node) gossip(ctx context.Context) {
 	n.renewDigest(clock.Now())
 	same, other := n.pickGossipPeers()
@@ -60,7 +60,7 @@
 	return now.Sub(confirmed).Milliseconds()
 }
 
-// pickGossipPeers picks one other box of the hall and one of another hall at random.
+// pickGossipPeers picks another box of this hall and a box of another hall at random; either is nil if there is none.
 func (n *Node) pickGossipPeers() (same, other *willowwick.Box) {
 	listing, _ := n.Listing()
 	var sameHall, otherHalls []willowwick.Box
@@ -120,7 +120,8 @@
 	}
 }
 
-// syncOffset pulls what a peer has beyond the own offset, or confirms the own.
+// syncOffset pulls the entries that a peer has beyond this box's offset, and confirms the offset if the peer has
+// confirmed it.
 func (n *Node) syncOffset(ctx context.Context, peer string, offset willowwick.Offset, confirmMs int64) {
 	if offset > n.Follower.Revision().Offset {
 		n.pullEntries(ctx, peer)
@@ -144,6 +145,6 @@
 		return
 	}
 	if err := n.Follower.Ingest(reply.Entries); err != nil {
-		slog.Warn("entries of a peer could not be folded", "peer", peer, "error", err)
+		slog.Warn("failed to fold entries from peer", "peer", peer, "error", err)
 	}
 }
--- a/fleet/join_test.go
+++ b/fleet/join_test.go
@@ -14,10 +14,10 @@
 	"github.com/willowwick/willowwick/config"
 )
 
-// unresponsiveBoxes is how many listed boxes of a fleet take connections and say nothing.
+// unresponsiveBoxes is the number of listed boxes that accept connections and never respond.
 const unresponsiveBoxes = 50
 
-// newJoinNode returns a node that reaches nothing but what is dialed.
+// newJoinNode returns a node that has no log and reaches other boxes through dial only.
 func newJoinNode(t *testing.T, name string, dial Dialer) *Node {
 	transport, closeTransport := NewTransport([]byte("key"), dial, nil)
 	t.Cleanup(closeTransport)
@@ -25,8 +25,8 @@
 	return NewNode(Settings{Self: self, Log: &fakeLog{fail: true}, OnRevision: func(*config.Revision) {}}, transport)
 }
 
-// Seen in a review: a box that started while the log was down asked the listed boxes for their state one after the other,
-// and each that was silent cost it the limit of a call; with a hall of silent boxes it had no configuration for minutes.
+// A box that started while the log was down asked the listed boxes for their state one after the other. Each
+// unresponsive box cost it a full call timeout, so with a hall of them it had no configuration for minutes.
 func TestStartingBoxLoadsStateDespiteUnresponsivePeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		link := &stallableLink{accept: make(chan net.Conn), closed: make(chan struct{})}
--- a/fleet/leader.go
+++ b/fleet/leader.go
@@ -11,7 +11,7 @@
 	"github.com/willowwick/willowwick/config"
 )
 
-// runLease claims or renews the lease, and does the holder's duties.
+// runLease claims or renews the lease, and runs the leader's tasks while this box holds it.
 func (n *Node) runLease(ctx context.Context) {
 	now := clock.Now()
 	callCtx, cancel := context.WithTimeout(ctx, logTimeout)
@@ -37,7 +37,8 @@
 	return n.draining
 }
 
-// claimRank is this box's place in the row of claimants; it differs from lease to lease.
+// claimRank returns how many live boxes come before this one in claiming the lease; the order differs from lease to
+// lease.
 func (n *Node) claimRank(now time.Time) int {
 	salt := "lease" + string(n.Follower.Revision().Lease.Boot)
 	own := rendezvousScore(n.Self.Boot, salt)
@@ -50,7 +51,7 @@
 	return rank
 }
 
-// updateRoster writes a new roster when the boxes that are alive differ from the one in force.
+// updateRoster writes a new roster when the live boxes differ from the roster in force.
 func (n *Node) updateRoster(ctx context.Context, fence willowwick.Fence) {
 	now := clock.Now()
 	roster := n.Follower.Revision().Roster
@@ -66,8 +67,8 @@
 	slog.Info("roster written", "members", len(members))
 }
 
-// isRosterChangeDue holds changes back for a while, so that many boxes that come
-// and go together make one; a box in a planned stop does not wait.
+// isRosterChangeDue delays roster changes, so that boxes that start or stop together cause a single one. A draining
+// box doesn't wait.
 func (n *Node) isRosterChangeDue(now time.Time, roster config.Roster) bool {
 	for _, box := range n.Table.Live(now) {
 		if box.Draining && roster.IsMember(box.Boot) {
@@ -86,11 +87,12 @@
 	return b
 }
 
-// desiredMembers lists the boxes that are alive and stay, and those silent ones that may not be dropped yet.
+// desiredMembers returns the live boxes that are not draining, and the unreachable members that must not be removed
+// yet.
 //
-// A silent box is dropped if the platform's list no longer has it or another
-// start of it is alive, or if more than half of the roster is in touch: then
-// the dropped one cannot be, and grants nothing.
+// An unreachable member is removed if the platform's list no longer has its box, if another incarnation of the box is
+// alive, or if this box reaches more than half of the roster: the removed box can't reach a majority then, so it
+// grants nothing.
 func (n *Node) desiredMembers(now time.Time, roster config.Roster) []config.Member {
 	alive := map[willowwick.BoxID]LiveBox{}
 	var members []config.Member
@@ -136,7 +138,7 @@
 	return true
 }
 
-// writeSnapshotIfDue writes the fold to the log before the log forgets its head.
+// writeSnapshotIfDue appends a snapshot of the state to the log before the log drops the entries behind it.
 func (n *Node) writeSnapshotIfDue(ctx context.Context, fence willowwick.Fence) {
 	if !n.Follower.isSnapshotDue() {
 		return
@@ -149,7 +151,7 @@
 	}
 	state, err := n.Follower.Revision().Encode()
 	if err != nil {
-		slog.Error("snapshot could not be encoded", "error", err)
+		slog.Error("failed to encode snapshot", "error", err)
 		return
 	}
 	if err := appendRecord(ctx, n.Log, config.Record{Kind: config.RecordSnapshot, Snapshot: &state}); err != nil {
--- a/fleet/lease.go
+++ b/fleet/lease.go
@@ -10,27 +10,28 @@
 )
 
 const (
-	// leaseDuration is how long a holder may act after it began its last renewal that was granted.
+	// leaseDuration is how long a holder may act after it began its last granted renewal.
 	leaseDuration = 12 * time.Second
-	// leaseTakeoverDelay is how long others wait for a sign of the holder; the gap to leaseFor covers unlike clock rates.
+	// leaseTakeoverDelay is how long other boxes wait after the last renewal before they claim the lease; it exceeds
+	// leaseDuration to allow for clocks that run at different rates.
 	leaseTakeoverDelay = 16 * time.Second
 	leaseRenewInterval = 4 * time.Second
 	claimStagger       = 400 * time.Millisecond
 )
 
-// Lease says whether this daemon may order and advance.
+// Lease tracks whether this daemon is the leader, which may order and advance roll-outs.
 //
-// The log is the arbiter: a claim names the lease's last record, and the fold
-// takes the first claim that does. A holder trusts its lease only for a time
-// counted from before it asked, so one that was paused finds out by its own clock.
+// The log is the arbiter: a claim names the last record of the lease that it has seen, and the fold accepts the first
+// such claim. The holder counts the validity of its lease from before it sent the claim, so a process that was paused
+// detects the expiry by its own clock.
 type Lease struct {
 	mu           sync.Mutex
 	self         Identity
-	observed     config.Lease         // as last folded
-	observedAt   time.Time            // when it last changed here
-	claimNumber  uint64               // number of the newest claim
-	pendingSince time.Time            // when it was begun, while its outcome is not known
-	begunAt      map[uint64]time.Time // when claims whose outcome is not known were begun
+	observed     config.Lease         // lease as last folded
+	observedAt   time.Time            // when observed last changed on this box
+	claimNumber  uint64               // number of the latest claim
+	pendingSince time.Time            // when the latest claim was begun, while its outcome is unknown; zero otherwise
+	begunAt      map[uint64]time.Time // start times of the claims with an unknown outcome, by claim number
 	validUntil   time.Time
 }
 
@@ -39,7 +40,7 @@
 	return &Lease{self: self, begunAt: map[uint64]time.Time{}}
 }
 
-// Observe takes the lease as the fold has it.
+// Observe records the lease that the fold has reached.
 func (l *Lease) Observe(now time.Time, folded config.Lease) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -64,8 +65,8 @@
 	return l.observed.Fence, true
 }
 
-// Claim returns the record that takes or renews the lease, if it is time to;
-// rank spreads the claims of daemons that see the lease lapse together.
+// Claim returns the record that takes or renews the lease if a claim is due; rank staggers the claims of daemons that
+// see the lease expire at the same time.
 func (l *Lease) Claim(now time.Time, rank int) (config.Record, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -96,7 +97,7 @@
 	return config.Record{Kind: config.RecordLease, Lease: claim}, true
 }
 
-// appendRecord writes a record to the configuration stream.
+// appendRecord appends a record to the configuration stream.
 func appendRecord(ctx context.Context, log willowwick.Log, record config.Record) error {
 	data, err := record.Encode()
 	if err != nil {
--- a/fleet/lease_test.go
+++ b/fleet/lease_test.go
@@ -9,7 +9,7 @@
 	"github.com/willowwick/willowwick/config"
 )
 
-// foldLease applies a claim as the log's next record.
+// foldLease folds a claim as the log's next record.
 func foldLease(t *testing.T, state *config.State, record config.Record) *config.State {
 	t.Helper()
 	data, err := record.Encode()
@@ -19,8 +19,8 @@
 	return next
 }
 
-// TestLeaseExpiryCountsFromGrantedClaim: a holder that learns late of its grant counts from the claim that was
-// granted, not from one that it made since.
+// TestLeaseExpiryCountsFromGrantedClaim checks that a holder that learns late of its grant counts the lease from the
+// claim that was granted, not from a later one.
 func TestLeaseExpiryCountsFromGrantedClaim(t *testing.T) {
 	begun := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	l := NewLease(Identity{Boot: "a", Box: "a", Started: begun})
@@ -28,7 +28,7 @@
 	first, due := l.Claim(begun, 0)
 	require.True(t, due)
 	state = foldLease(t, state, first)
-	// The log cannot be read for a while, so the daemon asks again.
+	// The log can't be read for a while, so the daemon claims the lease again.
 	later := begun.Add(10 * time.Second)
 	second, due := l.Claim(later, 0)
 	require.True(t, due)
@@ -40,7 +40,8 @@
 	require.False(t, held, "others may take the lease %s after they saw the first claim", leaseTakeoverDelay)
 }
 
-// TestPausedHolderLosesLeaseByItsOwnClock by its own clock, before it asks anybody.
+// TestPausedHolderLosesLeaseByItsOwnClock checks that a holder that was paused detects the expiry without contacting
+// another box.
 func TestPausedHolderLosesLeaseByItsOwnClock(t *testing.T) {
 	begun := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	l := NewLease(Identity{Boot: "a", Box: "a", Started: begun})
@@ -54,7 +55,7 @@
 	require.False(t, held)
 }
 
-// TestTakeoverWaitsUntilHolderExpiresDespiteClockDrift, by clocks that differ by a quarter.
+// TestTakeoverWaitsUntilHolderExpiresDespiteClockDrift runs the claimant's clock a quarter faster than the holder's.
 func TestTakeoverWaitsUntilHolderExpiresDespiteClockDrift(t *testing.T) {
 	begun := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	holder := NewLease(Identity{Boot: "a", Box: "a", Started: begun})
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -24,7 +24,7 @@
 	loopInterval            = time.Second
 	callTimeout             = 2 * time.Second
 	readersPerHall          = 2
-	digestsPerSecond        = 12 // boxes of a hall that renew their digest in one second
+	digestsPerSecond        = 12 // number of boxes of a hall that renew their digest per second
 	listingTimeout          = 2 * time.Second
 	logTimeout              = 3 * time.Second
 	maxEntriesSinceSnapshot = 1000
@@ -32,16 +32,16 @@
 	minRosterInterval       = 8 * time.Second
 	importRetryInterval     = 200 * time.Millisecond
 	drainPollInterval       = 100 * time.Millisecond
-	importDelayPerBox       = 5 * time.Millisecond // for each box of the fleet
-	// maxConcurrentJoins is how many boxes are asked for their state at once: at half a megabyte of configuration each, what they
-	// bring takes 8 MB of memory.
+	importDelayPerBox       = 5 * time.Millisecond // multiplied by the number of boxes in the fleet
+	// maxConcurrentJoins bounds the number of boxes that are asked for their state at the same time: at 0.5 MB of
+	// configuration each, the replies take 8 MB of memory.
 	maxConcurrentJoins = 16
-	// maxIncompleteExports is how often a survivor that still waits for others is asked again.
+	// maxIncompleteExports bounds how often a member whose own imports are incomplete is asked again.
 	maxIncompleteExports = 50
 )
 
 type (
-	// Settings are what a node needs to know and reach.
+	// Settings holds the identity, the dependencies and the callbacks of a node.
 	Settings struct {
 		Self     Identity
 		Log      willowwick.Log
@@ -51,15 +51,15 @@
 		OnRevision func(*config.Revision)
 		// OnListing is called when the platform's list has changed.
 		OnListing func(willowwick.Listing)
-		// FillDigest adds the daemon's own demand, evidence and load reports to its digest.
+		// FillDigest adds the daemon's demand, evidence and load reports to its digest.
 		FillDigest func(*Digest)
-		// OnDigests is called with digests of other boxes as they come in.
+		// OnDigests is called with newly received digests of other boxes.
 		OnDigests func([]Digest, []HallDigest)
-		// RunLeader is called every second on the holder of the lease.
+		// RunLeader is called about every second while this box holds the lease.
 		RunLeader func(ctx context.Context, fence willowwick.Fence)
 	}
 
-	// Node is one daemon's part in the fleet.
+	// Node is one daemon's member of the fleet.
 	Node struct {
 		Settings
 		Transport  *Transport
@@ -68,25 +68,26 @@
 		Registry   *Registry
 		Usage      *Usage
 		Lease      *Lease
-		Quarantine *quarantine.Ledger // of requests that end endpoints
-		Limits     *ratelimit.Ledger  // of endpoints
+		Quarantine *quarantine.Ledger // poison requests, which crash endpoints
+		Limits     *ratelimit.Ledger  // rate limits of endpoints
 
 		quarantinePeers *quarantine.Peers
 		limitPeers      *ratelimit.Peers
-		granter         *ratelimit.Granter // for all boxes, while this one holds the lease
-		localGranter    *ratelimit.Granter // for this box, while nobody does
+		granter         *ratelimit.Granter // grants permits to all boxes while this box holds the lease
+		localGranter    *ratelimit.Granter // grants this box permits from its equal share while no leader does
 		mu              sync.Mutex
 		listing         willowwick.Listing
 		hasListing      bool
-		digestCount     uint64 // made so far
+		digestCount     uint64 // number of digests made so far
 		nextDigestAt    time.Time
 		usageReplica    LiveBox
 		draining        bool
-		rosterChangedAt time.Time // when the roster last changed here
-		// ungrantedSince is when this box first asked for a permit and nobody granted any since; zero if somebody did.
+		rosterChangedAt time.Time // when this box last adopted a roster
+		// ungrantedSince is when this box first requested a permit without getting a reply since; zero if the last
+		// request was answered.
 		ungrantedSince  time.Time
-		nextHolderAskAt time.Time // when the holder of the lease is asked again meanwhile
-		lastContactAt   time.Time // when another box last called or answered
+		nextHolderAskAt time.Time // when the lease holder is next asked despite ungrantedSince
+		lastContactAt   time.Time // when another box last called or replied
 		random          *rand.Rand
 		cancel          context.CancelFunc
 		ctx             context.Context // ends when the node stops
@@ -94,7 +95,7 @@
 	}
 )
 
-// NewNode returns a node that is not running yet.
+// NewNode returns a node that hasn't been started.
 func NewNode(settings Settings, transport *Transport) *Node {
 	n := &Node{
 		Settings:   settings,
@@ -116,7 +117,7 @@
 	return n
 }
 
-// Start serves peers and runs the node's loops; the function it returns stops them.
+// Start serves peers and runs the node's loops; the returned function stops them.
 func (n *Node) Start() (func(), error) {
 	server := rpc.NewServer()
 	if err := server.RegisterName(rpcName, &peerService{node: n}); err != nil {
@@ -139,8 +140,8 @@
 	n.workers.Close()
 }
 
-// Drain tells the other boxes that this one is stopping, and returns once it
-// is off the roster and does not hold the lease, or the context ends.
+// Drain announces to the other boxes that this one is shutting down, and returns once it is off the roster and
+// doesn't hold the lease, or when the context ends.
 func (n *Node) Drain(ctx context.Context) {
 	n.mu.Lock()
 	n.draining = true
@@ -159,7 +160,7 @@
 	return n.Follower.Revision().Roster.IsMember(n.Self.Boot)
 }
 
-// leaseHolder returns the box that holds the lease, unless it is this one.
+// leaseHolder returns the box that holds the lease; ok is false if it is this one or not on the roster.
 func (n *Node) leaseHolder() (willowwick.Box, bool) {
 	r := n.Follower.Revision()
 	for _, m := range r.Roster.Members {
@@ -170,7 +171,7 @@
 	return willowwick.Box{}, false
 }
 
-// releaseLease gives the lease up and reports whether this box still holds it.
+// releaseLease gives up the lease and reports whether this box still holds it.
 func (n *Node) releaseLease(ctx context.Context) bool {
 	lease := n.Follower.Revision().Lease
 	if lease.Boot != n.Self.Boot {
@@ -184,8 +185,8 @@
 	return n.Follower.Revision().Lease.Boot == n.Self.Boot
 }
 
-// runPeriodically runs a step about each tick until the context ends; the first runs at
-// once. Boxes that tick together would bring each other the same digests.
+// runPeriodically runs a step about every loopInterval, starting at once, until the context ends. The interval has
+// jitter: boxes that gossip at the same moment would send each other the same digests.
 func (n *Node) runPeriodically(ctx context.Context, step func(context.Context)) {
 	for ctx.Err() == nil {
 		step(ctx)
@@ -205,9 +206,8 @@
 	return now.Sub(n.Follower.ConfirmedAt()) <= ConfirmationTTL || n.hasQuorum(now, false)
 }
 
-// hasQuorum reports whether this box is in touch with half of the roster
-// (or more than half, if strict) while the log is down, so that nothing can
-// have been accepted that it does not know.
+// hasQuorum reports whether this box reaches at least half of the roster, or more than half if strict. In that case,
+// nothing can have been accepted while the log is down that this box doesn't know.
 func (n *Node) hasQuorum(now time.Time, strict bool) bool {
 	roster := n.Follower.Revision().Roster
 	if len(roster.Members) == 0 {
@@ -215,7 +215,7 @@
 	}
 	reached := 0
 	for _, box := range n.Table.Live(now) {
-		// A restarted box knows the configuration as well, but its claims are gone.
+		// A restarted box has the configuration too, but has lost its claims.
 		if roster.IsMember(box.Boot) || (!strict && roster.HasBox(box.Box)) {
 			reached++
 		}
@@ -226,7 +226,8 @@
 	return 2*reached >= len(roster.Members)
 }
 
-// hasListingQuorum is for the time before the first roster: half of the listed boxes will do.
+// hasListingQuorum reports whether this box reaches at least half of the listed boxes; it applies before the first
+// roster exists.
 func (n *Node) hasListingQuorum(now time.Time) bool {
 	listed := n.listedBoxes()
 	reached := 0
@@ -238,19 +239,19 @@
 	return len(listed) > 0 && 2*reached >= len(listed)
 }
 
-// canGrantClaims reports whether this box may keep claims: its roster must be current.
+// canGrantClaims reports whether this box may accept claims, which requires that its roster is current.
 func (n *Node) canGrantClaims(now time.Time) bool {
 	return now.Sub(n.Follower.ConfirmedAt()) <= ConfirmationTTL || n.hasQuorum(now, true)
 }
 
-// Listing returns the platform's list as last read; ok is false before the first.
+// Listing returns the platform's list as last read; ok is false before the first read.
 func (n *Node) Listing() (listing willowwick.Listing, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.listing, n.hasListing
 }
 
-// LiveBoxes lists the boxes that are alive, with the addresses that the platform lists.
+// LiveBoxes returns the live boxes, with the peer addresses from the platform's list where the table has none.
 func (n *Node) LiveBoxes(now time.Time) []LiveBox {
 	listing, _ := n.Listing()
 	peers := make(map[willowwick.BoxID]string, len(listing.Boxes))
@@ -271,7 +272,8 @@
 	return max(1, len(listing.Boxes))
 }
 
-// FleetPeers returns the other boxes as the limiter needs them; names are the client accounts.
+// FleetPeers returns the demand of the other boxes for the limiter; names maps the hashes of the client accounts. It
+// reports whether this box is connected to the fleet.
 func (n *Node) FleetPeers(now time.Time, names map[NameHash]willowwick.AccountID) (peers []route.Peer, connected bool) {
 	size := n.fleetSize()
 	peers = n.Table.Peers(now, size, names)
@@ -284,7 +286,8 @@
 	return peers, size == 1 || fresh > 0
 }
 
-// applyRevision runs after each step of the fold.
+// applyRevision is called after each new revision of the configuration; it observes the lease and adopts a new
+// roster.
 func (n *Node) applyRevision(r *config.Revision) {
 	now := clock.Now()
 	n.Lease.Observe(now, r.Lease)
@@ -304,9 +307,10 @@
 	n.rosterChangedAt = now
 }
 
-// importFrom takes the claims that a survivor of the former roster has for this box.
+// importFrom imports the entries that this box must store from a member of the former roster that is still on the
+// roster.
 func (n *Node) importFrom(epoch willowwick.Epoch, member config.Member) {
-	// Not everybody asks at once.
+	// Spread the calls of all boxes over time.
 	sleep(n.ctx, n.jitter(importDelayPerBox*time.Duration(n.fleetSize())))
 	incomplete := 0
 	for n.ctx.Err() == nil && n.Registry.Epoch() == epoch && incomplete < maxIncompleteExports {
@@ -319,15 +323,15 @@
 			if reply.Complete {
 				return
 			}
-			// The survivor is itself still waiting for somebody.
+			// The member's own imports are still incomplete.
 			incomplete++
 		}
 		sleep(n.ctx, importRetryInterval)
 	}
 }
 
-// followLog reads the log if this box is one of the readers of its hall, or has
-// not heard of a current offset for longer than news take through a large hall.
+// followLog reads the log if this box is one of its hall's log readers, or has had no confirmed offset for longer
+// than updates take to spread through a large hall.
 func (n *Node) followLog(ctx context.Context) {
 	if !n.isLogReader() && clock.Since(n.Follower.ConfirmedAt()) < 2*ConfirmationTTL {
 		return
@@ -339,7 +343,8 @@
 	}
 }
 
-// isLogReader reports whether this box is among the first of its hall by rendezvous hashing.
+// isLogReader reports whether this box is among the readersPerHall boxes of its hall that rank highest by rendezvous
+// hashing.
 func (n *Node) isLogReader() bool {
 	own := rendezvousScore(n.Self.Boot, "reader")
 	higher := 0
@@ -351,8 +356,8 @@
 	return higher < readersPerHall
 }
 
-// loadStateFromPeers takes the newest state that a listed box has, while the log cannot be read; boxes that are silent do not
-// keep it from the others.
+// loadStateFromPeers installs the newest state of the listed boxes while the log can't be read. Boxes are asked
+// concurrently, so that unresponsive ones don't delay the others.
 func (n *Node) loadStateFromPeers(ctx context.Context) {
 	listing, _ := n.Listing()
 	var calls sync.WaitGroup
@@ -370,13 +375,13 @@
 	calls.Wait()
 }
 
-// loadStateFrom takes the state of a box.
+// loadStateFrom requests the state of a box and installs it if it is newer.
 func (n *Node) loadStateFrom(ctx context.Context, box willowwick.Box) {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var reply StateReply
 	if err := n.Transport.Call(callCtx, box.Peer, rpcName+".State", Nothing{}, &reply); err != nil {
-		slog.Info("no state from a peer", "box", box.ID, "error", err)
+		slog.Info("failed to load state from peer", "box", box.ID, "error", err)
 		return
 	}
 	if len(reply.State) == 0 {
@@ -384,7 +389,7 @@
 	}
 	state, err := config.DecodeState(reply.State)
 	if err != nil {
-		slog.Error("a state from a peer could not be read", "box", box.ID, "error", err)
+		slog.Error("failed to decode state from peer", "box", box.ID, "error", err)
 		return
 	}
 	n.Follower.Install(state)
--- a/fleet/peer.go
+++ b/fleet/peer.go
@@ -12,30 +12,30 @@
 )
 
 type (
-	// PullArgs asks for the entries after an offset.
+	// PullArgs requests the log entries after an offset.
 	PullArgs struct {
 		After willowwick.Offset
 		Limit int
 	}
 
-	// PullReply brings entries, or the whole state if they are no longer at hand.
+	// PullReply returns entries, or the whole state if some entries are no longer in memory.
 	PullReply struct {
 		Entries []willowwick.Entry
 		State   json.RawMessage
 	}
 
-	// StateReply brings the whole state.
+	// StateReply returns the whole state.
 	StateReply struct {
 		State json.RawMessage
 	}
 
-	// peerService answers the calls of other daemons.
+	// peerService serves the RPCs of other daemons.
 	peerService struct {
 		node *Node
 	}
 )
 
-// Exchange swaps digests.
+// Exchange serves a gossip exchange of digests.
 func (p *peerService) Exchange(args ExchangeArgs, reply *ExchangeReply) error {
 	n := p.node
 	now := clock.Now()
@@ -56,20 +56,20 @@
 	return nil
 }
 
-// pullFromCaller fetches what a caller has that this box has not.
+// pullFromCaller pulls the entries that a caller has and this box lacks.
 func (n *Node) pullFromCaller(peer string) {
 	ctx, cancel := context.WithTimeout(n.ctx, callTimeout)
 	defer cancel()
 	n.pullEntries(ctx, peer)
 }
 
-// Push takes digests that were asked for.
+// Push receives the digests that this box asked for in an ExchangeReply.
 func (p *peerService) Push(args PushArgs, _ *Nothing) error {
 	p.node.mergeDigests(clock.Now(), args.Digests, nil)
 	return nil
 }
 
-// Pull answers with entries of the configuration stream.
+// Pull returns entries of the configuration stream.
 func (p *peerService) Pull(args PullArgs, reply *PullReply) error {
 	entries, ok := p.node.Follower.Since(args.After, args.Limit)
 	if ok {
@@ -81,7 +81,7 @@
 	return err
 }
 
-// State answers with the whole state.
+// State returns the whole state.
 func (p *peerService) State(_ Nothing, reply *StateReply) error {
 	revision := p.node.Follower.Revision()
 	if revision.Offset == 0 {
@@ -92,7 +92,7 @@
 	return err
 }
 
-// Put sets a claim or a session version.
+// Put stores a claim or a session version.
 func (p *peerService) Put(args PutArgs, reply *PutReply) error {
 	now := clock.Now()
 	if args.Strict && !p.node.canGrantClaims(now) {
@@ -103,30 +103,30 @@
 	return nil
 }
 
-// Drop takes back a claim.
+// Drop removes a claim.
 func (p *peerService) Drop(args DropArgs, _ *Nothing) error {
 	p.node.Registry.Drop(args)
 	return nil
 }
 
-// Export hands entries to a box that is new to their pairs.
+// Export returns the entries that another box must store under the adopted roster.
 func (p *peerService) Export(args ExportArgs, reply *ExportReply) error {
 	*reply = p.node.Registry.Export(clock.Now(), args)
 	return nil
 }
 
-// Hold keeps usage records.
+// Hold stores usage records of another box.
 func (p *peerService) Hold(args HoldArgs, _ *Nothing) error {
 	return p.node.Usage.Hold(clock.Now(), args)
 }
 
-// Settle forgets usage records that are on the log.
+// Settle removes usage records that are on the log.
 func (p *peerService) Settle(args SettleArgs, _ *Nothing) error {
 	p.node.Usage.Settle(args)
 	return nil
 }
 
-// Hold implements Keeper: the replica is a box in another hall, if one is alive.
+// Hold implements UsageReplicator; the replica is a box in another hall, if one is alive.
 func (n *Node) Hold(ctx context.Context, args HoldArgs) (alone bool, err error) {
 	replica, ok := n.chooseUsageReplica()
 	if !ok {
@@ -139,7 +139,8 @@
 	return false, nil
 }
 
-// Settle implements Keeper; a lost call is made good by the ledger, which counts a record once.
+// Settle implements UsageReplicator. A lost call does no harm: the replica may append the records again, and the
+// ledger counts each record once.
 func (n *Node) Settle(ctx context.Context, args SettleArgs) {
 	n.mu.Lock()
 	replica := n.usageReplica
@@ -191,7 +192,7 @@
 	}
 }
 
-// checkUsageReplica chooses another holder of usage when the present one is gone.
+// checkUsageReplica drops the usage replica when it is draining or no longer alive, so that another is chosen.
 func (n *Node) checkUsageReplica() {
 	n.mu.Lock()
 	replica := n.usageReplica
@@ -212,13 +213,13 @@
 
 // Outcomes of a claim.
 const (
-	// ClaimGranted: this request may run, and no other under its key will.
+	// ClaimGranted: this request may run, and no other request with its key will.
 	ClaimGranted ClaimStatus = iota
-	// ClaimHeld: a request with this key was taken on before.
+	// ClaimHeld: a request with this key was accepted before.
 	ClaimHeld
-	// ClaimUnknown: whether one was is no longer known.
+	// ClaimUnknown: it is no longer known whether a request with this key was accepted.
 	ClaimUnknown
-	// ClaimUnavailable: no claim can be had just now.
+	// ClaimUnavailable: claims can't be granted at the moment.
 	ClaimUnavailable
 )
 
@@ -253,7 +254,7 @@
 	return ClaimGranted
 }
 
-// ReleaseClaim gives a key back after it is certain that nothing was sent.
+// ReleaseClaim releases a key once it is certain that nothing was sent.
 func (n *Node) ReleaseClaim(ctx context.Context, key string, request willowwick.RequestID) {
 	n.dropAt(ctx, ReplicaPair(n.Registry.Roster(), key), DropArgs{Key: key, Value: string(request)})
 }
@@ -283,10 +284,9 @@
 	}
 }
 
-// Pin makes a session keep the version, or returns the one that it keeps already.
+// Pin pins a session to the version, or returns the version to which it is pinned already.
 //
-// It asks both replicas and takes the first answer; replace moves a session
-// whose version may no longer be used.
+// It asks both replicas and uses the first reply; replace overwrites a pinned version that may no longer be used.
 func (n *Node) Pin(ctx context.Context, key string, version willowwick.VersionID, lasts time.Time, replace bool) willowwick.VersionID {
 	pinned := string(version)
 	answered := false
--- a/fleet/permits.go
+++ b/fleet/permits.go
@@ -14,22 +14,23 @@
 const (
 	// permitWait is how long a request waits for its permit.
 	permitWait = 100 * time.Millisecond
-	// selfGrantDelay is how long nobody has granted permits until a box gives itself those of its equal share: the lease lapses
-	// while the log is away, and so does the right to grant.
+	// selfGrantDelay is how long permit requests go unanswered until a box grants itself permits from its equal
+	// share: while the log is down the lease expires, and with it the right to grant.
 	selfGrantDelay = time.Second
-	// isolationTimeout is how long a holder of the lease is in touch with no other box until it grants no more than its own share.
+	// isolationTimeout is how long a lease holder may be without contact with other boxes before it grants only its
+	// own share.
 	isolationTimeout = 3 * time.Second
-	// holderRetryInterval is how often the holder of the lease is asked all the same.
+	// holderRetryInterval is how often the lease holder is asked while this box grants permits to itself.
 	holderRetryInterval = 3 * time.Second
 )
 
-// ObtainPermit reports whether a request may be sent to an endpoint that names a limit. The holder of the lease grants permits
-// to all boxes; where nobody does, each box grants itself its equal share.
+// ObtainPermit reports whether a request may be sent to an endpoint that announces a rate limit. The lease holder
+// grants permits to all boxes; without one, each box grants itself its equal share.
 func (n *Node) ObtainPermit(ctx context.Context, endpoint willowwick.EndpointID) bool {
 	now := clock.Now()
 	reply, err := n.requestPermit(ctx, n.Limits.Ask(now, endpoint, n.Self.Box), now)
 	if err != nil {
-		slog.Debug("no permit was had", "endpoint", endpoint, "error", err)
+		slog.Debug("permit request failed", "endpoint", endpoint, "error", err)
 		n.Limits.Unanswered(clock.Now(), endpoint)
 		return false
 	}
@@ -57,7 +58,8 @@
 	return reply, err
 }
 
-// grantPermit answers a question as the holder of the lease, with the part of the limit that the boxes make which it reaches.
+// grantPermit replies to a permit request as the lease holder, with the fraction of the limit that corresponds to the
+// fraction of the fleet that it reaches.
 func (n *Node) grantPermit(call ratelimit.Call, now time.Time) ratelimit.Reply {
 	n.granter.SetGranting(now, true)
 	reached := min(len(n.Table.Live(now)), n.fleetSize())
@@ -67,21 +69,22 @@
 	return n.granter.Answer(call, float64(reached)/float64(n.fleetSize()), now)
 }
 
-// recordContact notes that another box has called, or answered.
+// recordContact records that another box has called or replied.
 func (n *Node) recordContact(now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.lastContactAt = now
 }
 
-// isIsolated reports whether this box has been in touch with no other one for a while; those may grant themselves their shares.
+// isIsolated reports whether this box has had no contact with other boxes for isolationTimeout; those may be granting
+// themselves their shares.
 func (n *Node) isIsolated(now time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return now.Sub(n.lastContactAt) > isolationTimeout
 }
 
-// recordGrant notes that somebody grants permits to all boxes.
+// recordGrant records that a lease holder grants permits to all boxes.
 func (n *Node) recordGrant(now time.Time) {
 	n.localGranter.SetGranting(now, false)
 	n.mu.Lock()
@@ -89,7 +92,8 @@
 	n.ungrantedSince = time.Time{}
 }
 
-// lacksGranter reports whether nobody has granted permits for a while, though this box asked; from time to time it asks again.
+// lacksGranter reports whether this box's permit requests have gone unanswered for selfGrantDelay. It returns false
+// once every holderRetryInterval, so that the lease holder is asked again.
 func (n *Node) lacksGranter(now time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -106,7 +110,7 @@
 	return true
 }
 
-// Permit grants permits to a box that asks, if this one holds the lease.
+// Permit grants permits to the calling box if this box holds the lease.
 func (p *peerService) Permit(call ratelimit.Call, reply *ratelimit.Reply) error {
 	n, now := p.node, clock.Now()
 	if _, holdsLease := n.Lease.Fence(now); !holdsLease {
--- a/fleet/registry.go
+++ b/fleet/registry.go
@@ -12,99 +12,99 @@
 )
 
 const (
-	// ClaimWindow is how long a claim is remembered.
+	// ClaimWindow is how long a claim is kept.
 	ClaimWindow = 10 * time.Minute
-	// maxEntries bounds the memory of a box for claims and session versions.
+	// maxEntries bounds the number of claims and session versions in a box's memory.
 	maxEntries = 500_000
-	// maxKeyClockSkew is how far a key's own time may be off.
+	// maxKeyClockSkew is how far the time inside a key may be off.
 	maxKeyClockSkew = 5 * time.Second
 )
 
 type (
-	// PutStatus is a keeper's answer to a put.
+	// PutStatus is a replica's reply to a put.
 	PutStatus int
 
 	// RegistryEntry is a claim or a session version.
 	RegistryEntry struct {
 		Key      string
 		Value    string
-		Deadline time.Time // when it may be forgotten, by the time of day
+		Deadline time.Time // when the entry expires, by the time of day
 	}
 
-	// PutArgs sets a key that is not set yet.
+	// PutArgs sets a key that isn't set yet, or replaces its value.
 	PutArgs struct {
 		Epoch   willowwick.Epoch
 		Entry   RegistryEntry
-		Strict  bool // a claim: refuse unless nothing can be missed
-		Replace bool // a session that must move
+		Strict  bool // set for claims: refuse the entry unless this box would know of any earlier one
+		Replace bool // overwrite the current value, for a session that must move to another version
 	}
 
-	// PutReply is the answer; Value is what stands under the key.
+	// PutReply is the reply to a put; Value is the value stored under the key.
 	PutReply struct {
 		Status PutStatus
 		Epoch  willowwick.Epoch
 		Value  string
 	}
 
-	// DropArgs takes back a claim of which nothing came.
+	// DropArgs removes a claim whose request was not sent.
 	DropArgs struct {
 		Key   string
 		Value string
 	}
 
-	// ExportArgs asks for the entries that a box keeps at an epoch.
+	// ExportArgs requests the entries that the box For stores under the roster of an epoch.
 	ExportArgs struct {
 		Epoch willowwick.Epoch
 		For   willowwick.BootID
 	}
 
-	// ExportReply brings them; Ready is false while the answerer has not adopted the epoch.
+	// ExportReply returns the entries. Ready is false until the replying box has adopted the epoch; Complete says
+	// that it has all entries that it stored under the former roster.
 	ExportReply struct {
 		Ready    bool
 		Complete bool
 		Entries  []RegistryEntry
 	}
 
-	// Registry keeps entries at pairs of boxes, by rendezvous hashing over the roster.
+	// Registry stores entries on pairs of boxes, which are chosen by rendezvous hashing over the roster.
 	//
-	// A box that is new to a pair first takes the entries from a survivor of
-	// the pair before. Where none is left, what may have been set before the
-	// epoch is unknown until the window has passed.
+	// A box that is new to a pair first imports the entries from a surviving member of the former pair. If there is
+	// none, the entries from before the epoch are unknown until ClaimWindow has passed.
 	Registry struct {
 		mu           sync.Mutex
 		self         willowwick.BootID
 		roster       config.Roster
 		transitions  []*transition
 		entries      map[string]RegistryEntry
-		exports      map[willowwick.BootID][]RegistryEntry // at epoch exportsAt
+		exports      map[willowwick.BootID][]RegistryEntry // by destination box; computed at exportsEpoch
 		exportsEpoch willowwick.Epoch
 	}
 
-	// transition is a change of roster and what was learnt of it.
+	// transition is a change of roster and the progress of the imports that follow it.
 	transition struct {
 		former     config.Roster
 		synced     map[willowwick.BootID]bool
-		removed    map[willowwick.BootID]bool // not on the new roster
-		hadEntries bool                       // this box was a member before, with its memory
+		removed    map[willowwick.BootID]bool // members of the former roster that are not on the new one
+		hadEntries bool                       // this box was a member of the former roster and still has its entries
 		adopted    time.Time
 	}
 )
 
-// Answers of a keeper.
+// Replies of a replica to a put.
 const (
-	// PutGranted: the entry stands.
+	// PutGranted: the entry is stored.
 	PutGranted PutStatus = iota
-	// PutHeld: another value stands under the key.
+	// PutHeld: another value is stored under the key.
 	PutHeld
-	// PutWrongEpoch: the keeper is at another roster.
+	// PutWrongEpoch: the replica has adopted another roster.
 	PutWrongEpoch
-	// PutSyncing: the keeper has yet to hear from the survivors.
+	// PutSyncing: the replica is still importing entries from the surviving members.
 	PutSyncing
-	// PutUnknown: what was set before the roster changed is lost.
+	// PutUnknown: the entries from before the roster change are lost.
 	PutUnknown
-	// PutFull: the keeper has no memory left.
+	// PutFull: the replica has reached maxEntries.
 	PutFull
-	// PutUnconfirmed: the keeper cannot tell whether its roster is current.
+	// PutUnconfirmed: the replica doesn't know whether its roster is current.
 	PutUnconfirmed
 )
 
@@ -113,8 +113,8 @@
 	return &Registry{self: self, entries: map[string]RegistryEntry{}}
 }
 
-// ReplicaPair returns the members that keep a key: the two highest by rendezvous
-// hashing, the second from another hall if there is one.
+// ReplicaPair returns the members that store a key: the two that rank highest by rendezvous hashing, the second from
+// another hall if there is one.
 func ReplicaPair(roster config.Roster, key string) []config.Member {
 	var first, second, sameHall *config.Member
 	var firstScore, secondScore, sameScore uint64
@@ -156,7 +156,7 @@
 	return digest.Sum64()
 }
 
-// Adopt takes a new roster and returns the members to take entries from.
+// Adopt adopts a newer roster and returns the members from which entries must be imported.
 func (r *Registry) Adopt(now time.Time, roster, former config.Roster) []config.Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -203,7 +203,7 @@
 	return r.roster
 }
 
-// Import takes entries from a survivor.
+// Import stores entries from a member that has survived the roster change.
 func (r *Registry) Import(epoch willowwick.Epoch, from willowwick.BootID, reply ExportReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -218,7 +218,7 @@
 	}
 }
 
-// Export returns the entries that the asking box keeps under the adopted roster.
+// Export returns the entries that the calling box must store under the adopted roster.
 func (r *Registry) Export(now time.Time, args ExportArgs) ExportReply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -229,9 +229,9 @@
 	return ExportReply{Ready: true, Complete: r.isComplete(now), Entries: r.exports[args.For]}
 }
 
-// buildExports finds, once for each roster, who is to have which entries: a pass
-// for each asking box would cost the square of the fleet's size. What is set
-// later needs no export, since its keepers both agreed under the new roster.
+// buildExports groups the entries by destination box, once per roster: a pass for each calling box would cost the
+// square of the fleet's size. Entries that are set later need no export, since both replicas accept them under the
+// new roster.
 func (r *Registry) buildExports(now time.Time) {
 	if r.exportsEpoch == r.roster.Epoch && r.exports != nil {
 		return
@@ -247,7 +247,7 @@
 	}
 }
 
-// isComplete reports whether this box misses nothing of the pairs it was in under the roster before.
+// isComplete reports whether this box has all entries of the pairs to which it belonged under the former roster.
 func (r *Registry) isComplete(now time.Time) bool {
 	r.dropOldTransitions(now)
 	if len(r.transitions) == 0 {
@@ -265,7 +265,7 @@
 	return true
 }
 
-// isCovered reports whether every pair of the former roster had a survivor that was heard out.
+// isCovered reports whether every pair of the former roster has a survivor whose entries were imported.
 func (t *transition) isCovered(self willowwick.BootID) bool {
 	if len(t.former.Members) == 0 {
 		return true
@@ -285,7 +285,7 @@
 	return lost <= 1 && lost < len(t.former.Members)
 }
 
-// Put sets a key that is not set yet.
+// Put sets a key that isn't set yet, or replaces its value if args.Replace is set.
 func (r *Registry) Put(now time.Time, args PutArgs) PutReply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -317,7 +317,8 @@
 	return reply
 }
 
-// coverage tells whether this box would know of an earlier entry under the key.
+// coverage returns PutGranted if this box would know of an earlier entry under the key, and the reason for the
+// refusal otherwise.
 func (r *Registry) coverage(now time.Time, key string) PutStatus {
 	r.dropOldTransitions(now)
 	for i := len(r.transitions) - 1; i >= 0; i-- {
@@ -347,7 +348,7 @@
 	return PutGranted
 }
 
-// isCreatedAfter reports whether a key carries a time (a version 7 UUID) after the given one.
+// isCreatedAfter reports whether a key ends with a time-based (version 7) UUID that was made after the given time.
 func isCreatedAfter(key string, at time.Time) bool {
 	if len(key) < uuidLength {
 		return false
@@ -365,7 +366,7 @@
 	uuidVersionWithTime = 7
 )
 
-// Drop takes back an entry if the value is the one that stands.
+// Drop removes an entry if its value is the given one.
 func (r *Registry) Drop(args DropArgs) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -374,7 +375,7 @@
 	}
 }
 
-// Sweep forgets entries past their deadline.
+// Sweep removes expired entries.
 func (r *Registry) Sweep(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -392,7 +393,7 @@
 	return len(r.entries)
 }
 
-// Owner returns the box that owns a name by rendezvous hashing.
+// Owner returns the box that owns a name by rendezvous hashing, or "" if there are no boxes.
 func Owner(boxes []LiveBox, name string) willowwick.BoxID {
 	var owner willowwick.BoxID
 	var highest uint64
--- a/fleet/table.go
+++ b/fleet/table.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// baseLivenessTimeout is how long a box may be silent beyond some of its digests
-	// and the time that they take through the hall.
+	// baseLivenessTimeout is how long a box may send no digest and still count as alive, in addition to missedDigests
+	// digest intervals and the time that a digest takes to spread through the hall.
 	baseLivenessTimeout = 2 * time.Second
 	missedDigests       = 3
 	missedHallPeriods   = 3
 	// hallPeriod is how often the digest of a hall is renewed.
 	hallPeriod = 5 * time.Second
-	// forgetAfter is when a silent box is dropped from the table.
+	// forgetAfter is how long a box without new digests stays in the table.
 	forgetAfter = 10 * time.Minute
 )
 
 type (
-	// Table holds the newest digests of the own hall's boxes and of the other halls.
+	// Table holds the latest digests of the boxes of this hall and of the other halls.
 	Table struct {
 		mu    sync.Mutex
 		self  Identity
@@ -34,7 +34,7 @@
 		halls map[willowwick.HallID]receivedHallDigest
 	}
 
-	// Identity is what a daemon is called.
+	// Identity identifies a daemon.
 	Identity struct {
 		Box     willowwick.BoxID
 		Boot    willowwick.BootID
@@ -53,18 +53,18 @@
 		heard time.Time
 	}
 
-	// LiveBox is a box that was heard of lately.
+	// LiveBox is a box whose digest was received recently enough to count as alive.
 	LiveBox struct {
 		Box  willowwick.BoxID
 		Boot willowwick.BootID
 		Hall willowwick.HallID
 		Peer string
-		// Draining boxes are in a planned stop.
+		// Draining is set while the box shuts down as planned.
 		Draining bool
 	}
 )
 
-// NewTable returns a table that knows of nobody.
+// NewTable returns an empty table.
 func NewTable(self Identity) *Table {
 	return &Table{
 		self:  self,
@@ -73,7 +73,7 @@
 	}
 }
 
-// Merge takes digests that are newer than the ones known and returns those it took.
+// Merge stores the digests that are newer than the known ones, and returns the stored digests of boxes.
 func (t *Table) Merge(now time.Time, digests []Digest, halls []HallDigest) []Digest {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -97,7 +97,7 @@
 	return taken
 }
 
-// Marks lists what the table has.
+// Marks returns the versions and stamps of the digests in the table.
 func (t *Table) Marks() (Marks, []HallMark) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -113,7 +113,8 @@
 	return marks, hallMarks
 }
 
-// Newer returns the digests that a peer with the given marks lacks, and the boxes of which it has newer ones.
+// Newer returns the digests that a peer with the given marks lacks, and the boxes of which the peer has newer
+// digests.
 func (t *Table) Newer(args ExchangeArgs) ([]Digest, []HallDigest, []NameHash) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -146,7 +147,7 @@
 		}
 		delete(peerVersions, box)
 	}
-	// What is left, only the peer knows.
+	// The remaining boxes are known to the peer only.
 	for box := range peerVersions {
 		want = append(want, box)
 	}
@@ -166,30 +167,30 @@
 	return digests
 }
 
-// DigestInterval is how often a box of a hall of this size renews its digest.
+// DigestInterval returns how often a box renews its digest in a hall of the given size.
 func DigestInterval(hallSize int) time.Duration {
 	return loopInterval * time.Duration(1+hallSize/digestsPerSecond)
 }
 
-// livenessTimeout is how long a box may be silent and still counts as alive; the caller holds the lock.
+// livenessTimeout returns how long a box may send no new digest and still count as alive; the caller holds the lock.
 func (t *Table) livenessTimeout() time.Duration {
 	size := len(t.boxes)
 	spread := loopInterval * time.Duration(bits.Len(uint(size)))
 	return baseLivenessTimeout + missedDigests*DigestInterval(size) + spread
 }
 
-// hallLivenessTimeout is patience with boxes of other halls, of which the hall's digest tells.
+// hallLivenessTimeout is livenessTimeout for boxes of other halls, which are known through their hall's digest only.
 func (t *Table) hallLivenessTimeout() time.Duration {
 	return t.livenessTimeout() + missedHallPeriods*hallPeriod
 }
 
-// hallStamp is the same for all digests of a hall within a period, whoever
-// sums it up, so that each period's digest travels once.
+// hallStamp returns the number of the current period. All digests of a hall within a period have the same stamp,
+// whichever box makes them, so that only one digest per period spreads.
 func hallStamp(now time.Time) int64 {
-	return clock.SystemTime(now).UnixNano() / int64(hallPeriod) // by the time of day, which boxes share
+	return clock.SystemTime(now).UnixNano() / int64(hallPeriod) // by the time of day, which all boxes share
 }
 
-// HallDigest sums up the own hall.
+// HallDigest sums up the digests of this hall.
 func (t *Table) HallDigest(now time.Time) HallDigest {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -209,8 +210,8 @@
 	return h
 }
 
-// Live lists the boxes heard of lately, this one included, by box id; the
-// addresses of those in other halls stand on the platform's list alone.
+// Live returns the live boxes, this one included, sorted by box ID. Boxes of other halls have no peer address here:
+// only the platform's list has it.
 func (t *Table) Live(now time.Time) []LiveBox {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -231,7 +232,7 @@
 	return live
 }
 
-// Evidence returns the counts of each source: each box of the hall, and each other hall.
+// Evidence returns the counts of each source, which is another box of this hall or another hall.
 func (t *Table) Evidence() map[string]VersionCounts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -247,7 +248,8 @@
 	return sources
 }
 
-// Peers returns the other boxes as the limiter needs them; expected is the size of the fleet, names its accounts.
+// Peers returns the demand of the other boxes for the limiter; expected is the size of the fleet, and names maps the
+// hashes of the client accounts.
 func (t *Table) Peers(now time.Time, expected int, names map[NameHash]willowwick.AccountID) []route.Peer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -261,7 +263,7 @@
 		if now.Sub(h.heard) > t.hallLivenessTimeout() || len(h.Members) == 0 {
 			continue
 		}
-		// The hall's demand stands at one of its members; only sums are used.
+		// The hall's whole demand is assigned to one of its members; the limiter uses only sums.
 		peers = append(peers, route.Peer{Fresh: true, Demand: decodeDemand(h.Demand, names)})
 		for range len(h.Members) - 1 {
 			peers = append(peers, route.Peer{Fresh: true})
@@ -283,7 +285,7 @@
 	return demand
 }
 
-// Forget drops boxes and halls that have been silent for long.
+// Forget removes boxes and halls without new digests for forgetAfter.
 func (t *Table) Forget(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -299,7 +301,7 @@
 	}
 }
 
-// EvidenceTracker turns growing counts of many sources into what is new.
+// EvidenceTracker computes the increments of the cumulative counts of many sources.
 type EvidenceTracker struct {
 	marks map[string]map[NameHash]evidenceMark
 }
@@ -311,12 +313,12 @@
 
 const counterResetDelay = 16 * time.Second
 
-// NewEvidenceTracker returns a tracker that has seen nothing.
+// NewEvidenceTracker returns an empty tracker.
 func NewEvidenceTracker() *EvidenceTracker {
 	return &EvidenceTracker{marks: map[string]map[NameHash]evidenceMark{}}
 }
 
-// AddDeltas adds what is new from all sources; sources that are gone are forgotten.
+// AddDeltas adds the increments of all sources to totals, and forgets sources that are no longer present.
 func (e *EvidenceTracker) AddDeltas(now time.Time, sources map[string]VersionCounts, totals map[NameHash]rollout.Evidence) {
 	for source := range e.marks {
 		if _, known := sources[source]; !known {
@@ -328,10 +330,10 @@
 	}
 }
 
-// addDelta adds what is new from one source.
+// addDelta adds the increments of one source to totals.
 //
-// Sums of a hall may fall a little when another box authored them, or for good
-// when a box restarted; only in the second case the count starts anew.
+// The totals of a hall may drop a little when another box computed them, or for good when a box restarted; counting
+// restarts only in the second case, which is a drop that lasts longer than counterResetDelay.
 func (e *EvidenceTracker) addDelta(now time.Time, source string, counts VersionCounts, totals map[NameHash]rollout.Evidence) {
 	marks := e.marks[source]
 	if marks == nil {
--- a/fleet/transport.go
+++ b/fleet/transport.go
@@ -22,17 +22,18 @@
 const (
 	nonceSize        = 16
 	handshakeTimeout = 2 * time.Second
-	// writeTimeout is how long the other side may take nothing of what is written to it: as long as the longest limit of
-	// a call, since nobody waits for the message after that.
+	// writeTimeout is how long the peer may read nothing of what is written to it: as long as the longest timeout of
+	// a call, since no caller waits for the message after that.
 	writeTimeout = callTimeout
-	// writeChunkSize is the number of bytes that must be taken within it, so that a slow link that makes progress is not cut:
-	// 0.25 Mbit/s will do.
+	// writeChunkSize is the number of bytes that the peer must read within writeTimeout. A slow link that makes
+	// progress isn't cut: 0.25 Mbit/s is enough.
 	writeChunkSize = 64 << 10
-	// idleTimeout is how long a connection is kept for the next call. A box of a hall of 200 swaps digests with each other one
-	// about every 200 s (tick), so most calls find their connection.
+	// idleTimeout is how long a connection is kept for the next call. In a hall of 200, a given pair of boxes has a
+	// gossip exchange about every 200 s (loopInterval), so most calls find an open connection.
 	idleTimeout = 4 * time.Minute
-	// readTimeout is how long a connection may bring nothing before it is closed: a minute longer than the other side
-	// keeps it for its next call, far more than a call takes, so that no call meets a connection that is just being closed.
+	// readTimeout is how long a connection may receive nothing before it is closed: a minute longer than the peer
+	// keeps it for its next call, and far longer than a call takes, so that no call uses a connection that is being
+	// closed.
 	readTimeout = idleTimeout + time.Minute
 )
 
@@ -40,8 +41,8 @@
 	// Dialer opens connections to other daemons.
 	Dialer func(ctx context.Context, address string) (net.Conn, error)
 
-	// Transport calls other daemons and serves their calls, over net/rpc on
-	// connections that both sides have authenticated with the shared key.
+	// Transport calls other daemons and serves their calls, using net/rpc over connections on which both sides have
+	// proven that they hold the shared key.
 	Transport struct {
 		key      []byte
 		dial     Dialer
@@ -54,28 +55,28 @@
 		// Sent and Received count bytes on all peer connections.
 		Sent     atomic.Uint64
 		Received atomic.Uint64
-		// Refused counts connections whose other side did not prove the key.
+		// Refused counts accepted connections whose handshake failed.
 		Refused atomic.Uint64
 	}
 
 	// peerClient calls another daemon over one connection.
 	peerClient struct {
 		*rpc.Client
-		idleDeadline time.Time // when it is too long since the last call; the transport's lock guards it
+		idleDeadline time.Time // when the connection has been idle too long for another call; guarded by the transport's lock
 	}
 
-	// peerConn is a connection to another daemon. It counts its bytes and, once both sides are known, bounds how long
-	// it waits for the other side.
+	// peerConn is a connection to another daemon. It counts its bytes and, after the handshake, applies timeouts to
+	// reads and writes.
 	peerConn struct {
 		net.Conn
-		raw         net.Conn // without TLS
+		raw         net.Conn // underlying connection, without TLS
 		transport   *Transport
 		hasTimeouts bool
 	}
 )
 
-// ErrBadPeer says that the other side does not hold the shared key.
-var ErrBadPeer = errors.New("peer does not hold the shared key")
+// ErrBadPeer is returned when the peer fails to prove that it holds the shared key.
+var ErrBadPeer = errors.New("peer failed to prove that it holds the shared key")
 
 // NewTransport returns a transport and a function that closes its connections.
 func NewTransport(key []byte, dial Dialer, tlsConfig *tls.Config) (*Transport, func()) {
@@ -144,7 +145,8 @@
 	_ = conn.Close()
 }
 
-// handshake proves the key to the other side and checks that it has it too; from then on the connection is bounded.
+// handshake proves to the peer that this side holds the key, and checks that the peer does; after it, reads and
+// writes have timeouts.
 func (t *Transport) handshake(conn *peerConn, own, other string) error {
 	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return errors.Wrap(err, "handshake")
@@ -168,7 +170,7 @@
 	return errors.Wrap(conn.SetDeadline(time.Time{}), "handshake")
 }
 
-// exchangeBytes writes and reads at once, since the other side does the same.
+// exchangeBytes writes and reads concurrently, since the peer does the same.
 func exchangeBytes(conn net.Conn, out, in []byte) error {
 	written := make(chan error, 1)
 	go func() {
@@ -189,15 +191,15 @@
 	return mac.Sum(nil)
 }
 
-// Call runs a method of the daemon at the address, until the context ends; after an error, the arguments and the reply
-// may be in use for a moment yet.
+// Call invokes a method of the daemon at the address and returns at the latest when the context ends. After an error,
+// args and reply may still be in use for a moment.
 func (t *Transport) Call(ctx context.Context, address, method string, args, reply any) error {
 	client, err := t.client(ctx, address)
 	if err != nil {
 		return err
 	}
 	done := make(chan *rpc.Call, 1)
-	// The client writes before it returns, and waits for the writes of other calls.
+	// Go blocks while it writes the request, and while other calls write theirs.
 	go client.Go(method, args, reply, done)
 	select {
 	case call := <-done:
@@ -209,13 +211,13 @@
 		}
 		return errors.Wrapf(call.Error, "%s at %s", method, address)
 	case <-ctx.Done():
-		// The reply may still be written to by the client; a fresh connection keeps late answers away from it.
+		// The client may still write to reply; closing the connection keeps a late response away from it.
 		t.dropClient(address, client)
 		return errors.Wrapf(ctx.Err(), "%s at %s", method, address)
 	}
 }
 
-// client returns the kept connection to the address, or opens one.
+// client returns the open connection to the address, or dials a new one.
 func (t *Transport) client(ctx context.Context, address string) (*peerClient, error) {
 	if client := t.idleClient(address, clock.Now()); client != nil {
 		return client, nil
@@ -239,7 +241,8 @@
 	return client, nil
 }
 
-// idleClient returns the connection that is idleClient for the address, if there is one and it was used of late.
+// idleClient returns the open connection to the address and extends its idle deadline; it returns nil if there is
+// none or it has expired.
 func (t *Transport) idleClient(address string, now time.Time) *peerClient {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -256,7 +259,7 @@
 	return client
 }
 
-// dialPeer dials the address and shakes hands, until the context ends.
+// dialPeer dials the address and performs the handshake, until the context ends.
 func (t *Transport) dialPeer(ctx context.Context, address string) (*peerConn, error) {
 	raw, err := t.dial(ctx, address)
 	if err != nil {
@@ -287,7 +290,7 @@
 	_ = client.Close()
 }
 
-// Read implements io.Reader; a connection that brings nothing for silenceLimit is at its end.
+// Read implements io.Reader; it fails if nothing is received for readTimeout.
 func (c *peerConn) Read(p []byte) (int, error) {
 	if c.hasTimeouts {
 		if err := c.SetReadDeadline(time.Now().Add(readTimeout)); err != nil {
@@ -297,14 +300,14 @@
 	n, err := c.Conn.Read(p)
 	c.transport.Received.Add(uint64(n))
 	if err != nil && c.hasTimeouts {
-		slog.Debug("peer connection ended", "peer", c.RemoteAddr().String(), "error", err)
-		// The library leaves a client's connection open until somebody calls over it again.
+		slog.Debug("peer connection closed", "peer", c.RemoteAddr().String(), "error", err)
+		// net/rpc leaves a client's connection open until the next call on it.
 		_ = c.Close()
 	}
 	return n, err
 }
 
-// Write implements io.Writer; it ends the connection if the other side takes nothing for writeLimit.
+// Write implements io.Writer; it closes the connection if the peer reads nothing for writeTimeout.
 func (c *peerConn) Write(p []byte) (int, error) {
 	if !c.hasTimeouts {
 		return c.write(p)
@@ -314,7 +317,8 @@
 		n, err := c.writeChunk(p[written:min(written+writeChunkSize, len(p))])
 		written += n
 		if err != nil {
-			// A part of a message may be out, and the library does not close what it serves after a failed reply.
+			// Part of a message may have been sent, and net/rpc doesn't close a served connection after a failed
+			// reply.
 			_ = c.Close()
 			return written, err
 		}
@@ -328,7 +332,7 @@
 	}
 	n, err := c.write(piece)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		slog.Info("peer takes nothing any more; its connection is closed", "peer", c.RemoteAddr().String())
+		slog.Info("peer stopped reading; closing its connection", "peer", c.RemoteAddr().String())
 	}
 	return n, err
 }
@@ -339,7 +343,8 @@
 	return n, err
 }
 
-// Close ends the connection without a word to the other side: TLS would wait up to 5 s for a silent one to take it.
+// Close closes the underlying connection without a TLS close notification, which would block for up to 5 s if the
+// peer doesn't read it.
 func (c *peerConn) Close() error {
 	return c.raw.Close()
 }
--- a/fleet/transport_test.go
+++ b/fleet/transport_test.go
@@ -22,45 +22,45 @@
 )
 
 const (
-	// largeMessage is more than a silentLink takes in, so that the writer of it waits for a reader.
+	// largeMessage is more than a stalled stallableLink accepts, so that writing it blocks.
 	largeMessage = 1 << 20
-	// testCallTimeout is the limit of calls here, and callEnds how long such a call may take in all.
+	// testCallTimeout is the timeout of calls, and maxCallDuration the time within which such a call must return.
 	testCallTimeout = 100 * time.Millisecond
 	maxCallDuration = time.Second
-	// unreadMessageWait is well longer than any limit of a call, and the most that a message may wait to be taken.
+	// unreadMessageWait exceeds every call timeout and the time that a message may stay unread.
 	unreadMessageWait = 5 * time.Second
-	// longIdle is longer than any connection may be silent.
+	// longIdle exceeds the time that a connection may be silent.
 	longIdle = 10 * time.Minute
 )
 
 type (
-	// echoService answers with what it is sent, or with a large message.
+	// echoService echoes its argument, or returns a large message.
 	echoService struct{}
 
-	// stallableLink leads from a dialer to a listener. Silenced, its connections take in one more read each and pass
-	// nothing on, not even their end; those that are dialed later work.
+	// stallableLink connects a dialer to a listener. Once stalled, each of its connections accepts one more read and
+	// forwards nothing, not even the close; connections dialed later work.
 	stallableLink struct {
 		accept   chan net.Conn
 		closed   chan struct{}
 		mu       sync.Mutex
 		conns    []*stallableConn
-		stallNew atomic.Bool // new connections are silent from the first
+		stallNew atomic.Bool // new connections are stalled from the start
 	}
 
 	stallableConn struct {
-		near, far               net.Conn      // the link's own ends
-		farStalled, nearStalled atomic.Bool   // whether the way is silent
-		released                chan struct{} // closed at the end
+		near, far               net.Conn      // the link's own ends of the two pipes
+		farStalled, nearStalled atomic.Bool   // whether the direction is stalled
+		released                chan struct{} // closed when the link is closed
 	}
 )
 
-// Echo answers with what it is sent.
+// Echo returns its argument.
 func (echoService) Echo(args []byte, reply *[]byte) error {
 	*reply = args
 	return nil
 }
 
-// Large answers with a large message.
+// Large returns a large message.
 func (echoService) Large(_ []byte, reply *[]byte) error {
 	*reply = make([]byte, largeMessage)
 	return nil
@@ -85,7 +85,7 @@
 	return own, nil
 }
 
-// forward copies bytes, and the end of the connection, until the way is silenced.
+// forward copies bytes, and the close of the connection, until the direction is stalled.
 func (c *stallableConn) forward(silent *atomic.Bool, from, to net.Conn) {
 	buffer := make([]byte, 4<<10)
 	for {
@@ -105,7 +105,7 @@
 	}
 }
 
-// stall makes the present connections silent for good.
+// stall stalls the present connections for good.
 func (l *stallableLink) stall() {
 	l.stallReplies()
 	l.mu.Lock()
@@ -115,7 +115,7 @@
 	}
 }
 
-// stallReplies makes only the way back to the dialer silent.
+// stallReplies stalls only the direction towards the dialer.
 func (l *stallableLink) stallReplies() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -124,7 +124,7 @@
 	}
 }
 
-// dialCount is the number of connections so far.
+// dialCount returns the number of connections dialed so far.
 func (l *stallableLink) dialCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -159,7 +159,7 @@
 	return &net.TCPAddr{}
 }
 
-// withStallableLink runs a test with a transport that calls another over a link that can be silenced.
+// withStallableLink runs a test with a transport that calls another over a link that can be stalled.
 func withStallableLink(t *testing.T, tlsConfig *tls.Config, test func(caller, server *Transport, link *stallableLink)) {
 	link := &stallableLink{accept: make(chan net.Conn), closed: make(chan struct{})}
 	caller, closeCaller := NewTransport([]byte("key"), link.dial, tlsConfig)
@@ -175,7 +175,7 @@
 	test(caller, server, link)
 }
 
-// startCall makes a call with a limit; the channel tells when it has ended.
+// startCall starts a call with a timeout; its error is sent on the channel when it returns.
 func startCall(caller *Transport, limit time.Duration, method string, args []byte) chan error {
 	ended := make(chan error, 1)
 	go func() {
@@ -187,14 +187,14 @@
 	return ended
 }
 
-// waitForCall waits for a call and returns its error.
+// waitForCall waits for a call and returns its error; it fails the test if the call takes longer than limit.
 func waitForCall(t *testing.T, ended chan error, limit time.Duration, what string) error {
 	t.Helper()
 	select {
 	case err := <-ended:
 		return err
 	case <-time.After(limit):
-		require.Fail(t, "a call has not ended", what)
+		require.Fail(t, "call did not return in time", what)
 		return nil
 	}
 }
@@ -210,9 +210,9 @@
 	return len(t.accepted)
 }
 
-// Seen in a review: a box that sent a large configuration to another never swapped with that box again. Its connection
-// had gone silent with the send buffer full; the call wrote the message before it looked at its context, and the
-// write had no limit, so the swap stayed under way for ever, and calls behind it waited for the client's lock.
+// A box that sent a large configuration to another never had a gossip exchange with that box again. The connection
+// had stalled with a full send buffer; the call wrote the message before it checked its context, and the write had no
+// timeout, so the exchange never ended and later calls blocked on the client's lock.
 func TestCallReturnsAtDeadlineWhenPeerStopsReading(t *testing.T) {
 	withStallableLink(t, nil, func(caller, _ *Transport, link *stallableLink) {
 		requireCallSucceeds(t, caller)
@@ -220,24 +220,24 @@
 		large := startCall(caller, testCallTimeout, "Echo", make([]byte, largeMessage))
 		time.Sleep(testCallTimeout / 4)
 		behind := startCall(caller, testCallTimeout, "Echo", []byte("small"))
-		require.Error(t, waitForCall(t, large, maxCallDuration, "one whose message is not taken"))
-		require.Error(t, waitForCall(t, behind, maxCallDuration, "one behind it"))
+		require.Error(t, waitForCall(t, large, maxCallDuration, "a call whose message is not read"))
+		require.Error(t, waitForCall(t, behind, maxCallDuration, "a call queued behind it"))
 		requireCallSucceeds(t, caller)
-		assert.Equal(t, 2, link.dialCount(), "the silent connection is given up")
+		assert.Equal(t, 2, link.dialCount(), "the stalled connection must be dropped")
 	})
 }
 
-// A new connection that was silent from the first held its call for the limit of the handshake, beyond the call's own.
+// A call over a new connection whose peer never responded lasted for the handshake timeout, beyond its own timeout.
 func TestCallReturnsAtDeadlineDuringHandshake(t *testing.T) {
 	withStallableLink(t, nil, func(caller, _ *Transport, link *stallableLink) {
 		link.stallNew.Store(true)
-		err := waitForCall(t, startCall(caller, testCallTimeout, "Echo", nil), maxCallDuration, "one whose handshake is not answered")
+		err := waitForCall(t, startCall(caller, testCallTimeout, "Echo", nil), maxCallDuration, "a call whose handshake gets no response")
 		require.ErrorIs(t, err, context.DeadlineExceeded)
 	})
 }
 
-// Replies were written without a limit: a caller that took nothing any more held the connection, and the memory of all
-// replies that waited for it, for ever.
+// Replies were written without a timeout: a caller that stopped reading kept the connection, and the memory of all
+// replies queued for it, forever.
 func TestUnreadReplyClosesConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		withStallableLink(t, nil, func(caller, server *Transport, link *stallableLink) {
@@ -246,14 +246,14 @@
 			ended := startCall(caller, unreadMessageWait, "Large", nil)
 			time.Sleep(testCallTimeout)
 			link.stall()
-			require.Error(t, waitForCall(t, ended, 2*unreadMessageWait, "one whose reply is lost"))
+			require.Error(t, waitForCall(t, ended, 2*unreadMessageWait, "a call whose reply is lost"))
 			time.Sleep(unreadMessageWait)
 			assert.Zero(t, server.acceptedCount(), "accepted connections")
 		})
 	})
 }
 
-// A connection that had gone silent was kept for ever on the side that only answers, and its reader on the other.
+// A stalled connection was kept forever on the side that only serves calls, and so was its reader on the other side.
 func TestStalledConnectionIsClosedOnBothSides(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		withStallableLink(t, nil, func(caller, server *Transport, link *stallableLink) {
@@ -261,16 +261,16 @@
 			link.stall()
 			time.Sleep(longIdle)
 			assert.Zero(t, server.acceptedCount(), "accepted connections")
-			// A pipe takes a deadline as long as neither end is closed.
+			// A pipe accepts a deadline while neither end is closed.
 			err := link.conns[0].near.SetWriteDeadline(time.Time{})
-			assert.ErrorIs(t, err, io.ErrClosedPipe, "the caller has closed its end")
-			// The next call does not find out only by its own limit.
+			assert.ErrorIs(t, err, io.ErrClosedPipe, "the caller must close its end")
+			// The next call must not have to time out on the stalled connection.
 			requireCallSucceeds(t, caller)
 		})
 	})
 }
 
-// A connection in use is not closed between two calls, however many minutes they are spread over.
+// A connection that is used every few minutes must not be closed between two calls.
 func TestConnectionIsReusedBetweenCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		withStallableLink(t, nil, func(caller, _ *Transport, link *stallableLink) {
@@ -283,15 +283,15 @@
 	})
 }
 
-// Closing a TLS connection says so to the other side first, for up to 5 s if that takes nothing; the transport closed
-// under its lock, so that calls to all other boxes waited.
+// Closing a TLS connection first sends a notification, for up to 5 s if the peer doesn't read it. The transport
+// closed connections while holding its lock, so that calls to all other boxes blocked.
 func TestClosingStalledTLSConnectionDoesNotBlockOtherCalls(t *testing.T) {
 	withStallableLink(t, selfSigned(t), func(caller, _ *Transport, link *stallableLink) {
 		requireCallSucceeds(t, caller)
 		link.stall()
-		// The link takes the call in, but not the word of the end after it.
+		// The link accepts the call, but not the close notification after it.
 		ended := startCall(caller, testCallTimeout, "Echo", []byte("small"))
-		require.Error(t, waitForCall(t, ended, maxCallDuration, "one on a silent connection"))
+		require.Error(t, waitForCall(t, ended, maxCallDuration, "a call on a stalled connection"))
 		requireCallSucceeds(t, caller)
 	})
 }
--- a/fleet/usage.go
+++ b/fleet/usage.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// MaxUsageBacklog bounds the records that one box keeps, its own and others'.
+	// MaxUsageBacklog bounds the usage records in one box's memory, its own and those it holds for others.
 	MaxUsageBacklog = 200_000
 
 	maxBatchRecords      = 500
 	minAppendInterval    = 250 * time.Millisecond
-	appendIntervalPerBox = 10 * time.Millisecond // so that the fleet appends about a hundred batches a second
+	appendIntervalPerBox = 10 * time.Millisecond // limits the whole fleet to about 100 batches per second
 	holdTimeout          = 2 * time.Second
 	holdCallTimeout      = time.Second
 	heldAppendDelay      = 10 * time.Second
@@ -29,32 +29,31 @@
 )
 
 type (
-	// UsageBatch is one record of the usage stream.
+	// UsageBatch is one entry of the usage stream.
 	UsageBatch struct {
 		Records []willowwick.UsageRecord `json:"records"`
 	}
 
-	// HoldArgs gives records to another box for safe keeping.
+	// HoldArgs replicates usage records to another box.
 	HoldArgs struct {
 		Boot    willowwick.BootID
 		Records []willowwick.UsageRecord
 	}
 
-	// SettleArgs says that records are on the log.
+	// SettleArgs lists records that are on the log, so that the replica can remove them.
 	SettleArgs struct {
 		Boot willowwick.BootID
 		Seqs []uint64
 	}
 
-	// UsageReplicator sends records to another box, and reports false if there is no other box.
+	// UsageReplicator replicates usage records to another box; Hold reports alone if there is no other box.
 	UsageReplicator interface {
 		Hold(ctx context.Context, args HoldArgs) (alone bool, err error)
 		Settle(ctx context.Context, args SettleArgs)
 	}
 
-	// Usage sees to it that each request is billed once: a record is held by a
-	// second box before the answer ends, and appended to the log in batches,
-	// by this box or, should it be gone, by the other.
+	// Usage makes sure that each request is billed once: a record is replicated to a second box before the response
+	// ends, and appended to the log in batches by this box or, if it crashes, by the second box.
 	Usage struct {
 		log        willowwick.Log
 		replicator UsageReplicator
@@ -67,14 +66,14 @@
 		held       map[recordKey]heldRecord
 		wake       chan struct{}
 		wasFull    bool
-		draining   bool // a planned stop: nothing may stay here
+		draining   bool // set by a planned stop, which leaves no record in this box's memory
 
-		unreplicated uint64 // records that were in one memory only when their answer ended
+		unreplicated uint64 // records that only this box had when their response ended
 	}
 
 	ownRecord struct {
 		record    willowwick.UsageRecord
-		durable   chan struct{} // closed once held elsewhere or on the log
+		durable   chan struct{} // closed once the record is replicated or on the log
 		isDurable bool
 	}
 
@@ -89,13 +88,13 @@
 	}
 )
 
-// ErrUsageFull says that no more usage can be kept until the log takes it.
-var ErrUsageFull = errors.New("the backlog of usage records is full")
+// ErrUsageFull is returned when no more usage records are accepted until the log accepts appends again.
+var ErrUsageFull = errors.New("usage record backlog is full")
 
-// NewUsage returns an empty keeper of usage; boxes tells the size of the fleet.
-func NewUsage(log willowwick.Log, keeper UsageReplicator, boot willowwick.BootID, boxes func() int) *Usage {
+// NewUsage returns an empty Usage; fleetSize returns the number of boxes in the fleet.
+func NewUsage(log willowwick.Log, replicator UsageReplicator, boot willowwick.BootID, fleetSize func() int) *Usage {
 	return &Usage{
-		log: log, replicator: keeper, boot: boot, fleetSize: boxes,
+		log: log, replicator: replicator, boot: boot, fleetSize: fleetSize,
 		own: map[uint64]*ownRecord{}, held: map[recordKey]heldRecord{}, wake: make(chan struct{}, 1),
 	}
 }
@@ -123,17 +122,16 @@
 	return len(u.own), len(u.held)
 }
 
-// Unreplicated counts the records that were in one memory only when their answer ended.
+// Unreplicated returns the number of records that only this box had when their response ended.
 func (u *Usage) Unreplicated() uint64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.unreplicated
 }
 
-// Record takes a record and returns once a second box or the log has it.
+// Record adds a record and returns once a second box or the log has it.
 //
-// If neither can be had within holdTimeout, the record stays in this box's
-// memory alone, which is counted.
+// After holdTimeout the record stays in this box's memory alone, and is counted as unreplicated.
 func (u *Usage) Record(ctx context.Context, record willowwick.UsageRecord) {
 	u.mu.Lock()
 	u.seq++
@@ -162,7 +160,7 @@
 	}
 }
 
-// Run holds and appends records until the context ends.
+// Run replicates and appends records until the context ends.
 func (u *Usage) Run(ctx context.Context) {
 	var workers sync.WaitGroup
 	workers.Go(func() { u.runHold(ctx) })
@@ -197,7 +195,7 @@
 	}
 }
 
-// undurableRecords lists own records that only this box has.
+// undurableRecords returns up to maxHoldRecords own records that only this box has.
 func (u *Usage) undurableRecords() []willowwick.UsageRecord {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -228,7 +226,7 @@
 	}
 }
 
-// ReplicaLost makes all own records be held again, by another box.
+// ReplicaLost marks all own records as unreplicated, so that they are sent to another box.
 func (u *Usage) ReplicaLost() {
 	u.mu.Lock()
 	for _, own := range u.own {
@@ -254,7 +252,7 @@
 	}
 }
 
-// AppendNow appends what is due and reports whether the log took it.
+// AppendNow appends all due records and reports whether the log accepted them.
 func (u *Usage) AppendNow(ctx context.Context) bool {
 	for {
 		records := u.dueRecords(clock.Now())
@@ -263,7 +261,7 @@
 		}
 		data, err := json.Marshal(UsageBatch{Records: records})
 		if err != nil {
-			slog.Error("usage cannot be encoded", "error", err)
+			slog.Error("failed to encode usage batch", "error", err)
 			return false
 		}
 		callCtx, cancel := context.WithTimeout(ctx, appendTimeout)
@@ -276,9 +274,8 @@
 	}
 }
 
-// HandOver gets every record out of this box's memory before a planned stop:
-// onto the log or, while that is down, into the memory of a box that stays.
-// It reports false if the context ended first.
+// HandOver moves every record out of this box's memory before a planned stop: onto the log or, while the log is down,
+// into the memory of a box that stays. It returns false if the context ended first.
 func (u *Usage) HandOver(ctx context.Context) bool {
 	u.mu.Lock()
 	u.draining = true
@@ -292,7 +289,7 @@
 	return false
 }
 
-// transferAll puts all records, own and held, into the memory of another box.
+// transferAll replicates all records, own and held, to another box.
 func (u *Usage) transferAll(ctx context.Context) bool {
 	callCtx, cancel := context.WithTimeout(ctx, holdCallTimeout)
 	defer cancel()
@@ -313,7 +310,8 @@
 	return records
 }
 
-// dueRecords lists own records and those held for others that nobody has appended in time.
+// dueRecords returns a batch of own records and of held records that their owner hasn't appended within
+// heldAppendDelay.
 func (u *Usage) dueRecords(now time.Time) []willowwick.UsageRecord {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -356,7 +354,7 @@
 	}
 }
 
-// Hold keeps records for another box.
+// Hold stores records of another box.
 func (u *Usage) Hold(now time.Time, args HoldArgs) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -365,8 +363,8 @@
 	}
 	for _, record := range args.Records {
 		if record.Boot == u.boot {
-			// A box that stops gives what it held also to the owner, who has it already, or on the log; held as another's, it
-			// would be due again after every append.
+			// A box that stops also hands the records that it held to their owner, which has them already or has
+			// appended them. Stored as held records, they would be due again after every append.
 			continue
 		}
 		u.held[recordKey{record.Boot, record.Seq}] = heldRecord{record: record, appendAt: now.Add(heldAppendDelay)}
@@ -374,7 +372,7 @@
 	return nil
 }
 
-// Settle forgets records that their owner has appended.
+// Settle removes held records that their owner has appended.
 func (u *Usage) Settle(args SettleArgs) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -383,10 +381,10 @@
 	}
 }
 
-// Ledger is the fold of the usage stream: it counts each record once, however often it was appended.
+// Ledger is the fold of the usage stream; it counts each record once, however often it was appended.
 type Ledger struct {
 	Records    map[recordKey]willowwick.UsageRecord
-	Duplicates int // appends of a record that was there already
+	Duplicates int // appends of records that were already counted
 	ByAccount  map[willowwick.AccountID]willowwick.MicroUnits
 	ByRequest  map[willowwick.RequestID]int
 	TotalCost  willowwick.MicroUnits
@@ -423,7 +421,7 @@
 	return nil
 }
 
-// BilledTwice counts requests with more than one record.
+// BilledTwice returns the number of requests with more than one record.
 func (l *Ledger) BilledTwice() int {
 	twice := 0
 	for _, records := range l.ByRequest {
@@ -434,7 +432,7 @@
 	return twice
 }
 
-// ReadLedger folds the whole usage stream.
+// ReadLedger reads and folds the whole usage stream.
 func ReadLedger(ctx context.Context, log willowwick.Log) (*Ledger, error) {
 	ledger := NewLedger()
 	for from := willowwick.Offset(1); ; {
--- a/fleet/usage_test.go
+++ b/fleet/usage_test.go
@@ -10,20 +10,20 @@
 	"github.com/willowwick/willowwick"
 )
 
-// maxTestAppends is where a log gives up on a box that appends without end; a test's records fit into one batch.
+// maxTestAppends is the number of appends after which countingLog fails; the records of a test fit into one batch.
 const maxTestAppends = 10
 
 type (
-	// countingLog fails once more has been appended than a test's records can need.
+	// countingLog fails after maxTestAppends appends.
 	countingLog struct {
 		fakeLog
 	}
 
-	// noReplicator stands for a fleet that has no other box.
+	// noReplicator is the replicator of a fleet with a single box.
 	noReplicator struct{}
 )
 
-var errTooManyAppends = errors.New("the same records are appended without end")
+var errTooManyAppends = errors.New("the same records are appended endlessly")
 
 func (l *countingLog) Append(ctx context.Context, stream willowwick.StreamID, data []byte) (willowwick.Offset, error) {
 	if len(l.entries) == maxTestAppends {
@@ -43,23 +43,21 @@
 	gone, cancel := context.WithCancel(context.Background())
 	cancel()
 	for range records {
-		// The caller does not wait for the record to be held.
+		// The canceled context skips the wait for the record to be replicated.
 		usage.Record(gone, willowwick.UsageRecord{Cost: 1})
 	}
 	return usage
 }
 
-// What was seen: a box appends a few usage records to the log again and again, without a pause, until it is stopped.
+// A box appended a few usage records to the log again and again, without a pause, until it was stopped.
 //
-// How it came about: while the log was down, another box held this one's records. It was stopped as planned and gave all
-// that it held to this box.
-//
-// What caused it: the box kept its own records as held for another. What is held so is due after heldFor, and is
-// forgotten after an append only if it is of another boot.
+// While the log was down, another box held this box's records. That box was stopped as planned and handed all that it
+// held to this one, which stored its own records as held for another box. Held records are due after heldAppendDelay,
+// and are removed after an append only if they are of another incarnation.
 func TestReturnedOwnRecordsAreAppendedOnce(t *testing.T) {
 	for _, back := range []struct {
 		name     string
-		appended bool // before they come back
+		appended bool // whether the records are appended before they are returned
 	}{
 		{"before they are on the log", false},
 		{"after they are on the log", true},
@@ -82,7 +80,8 @@
 	}
 }
 
-// TestHeldRecordsAreAppendedOnceAfterDelay: what another box gives is kept, and appended after heldFor.
+// TestHeldRecordsAreAppendedOnceAfterDelay checks that records of another box are held, and appended once
+// heldAppendDelay has passed.
 func TestHeldRecordsAreAppendedOnceAfterDelay(t *testing.T) {
 	log := &countingLog{}
 	usage := usageWithRecords(log, 0)
--- a/fleet/workers.go
+++ b/fleet/workers.go
@@ -2,14 +2,14 @@
 
 import "sync"
 
-// Workers are goroutines that must have ended before their owner is gone.
+// Workers runs goroutines that must end before their owner is closed.
 type Workers struct {
 	mu     sync.Mutex
 	group  sync.WaitGroup
 	closed bool
 }
 
-// Go runs a function in a goroutine of its own, unless the owner is closing.
+// Go runs a function in a new goroutine, unless the owner is closing.
 func (w *Workers) Go(work func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -18,7 +18,7 @@
 	}
 }
 
-// Close takes no more work and waits for what is running.
+// Close rejects further work and waits for the running goroutines.
 func (w *Workers) Close() {
 	w.mu.Lock()
 	w.closed = true
--- a/remote/client.go
+++ b/remote/client.go
@@ -24,10 +24,10 @@
 )
 
 type (
-	// DialFunc opens a connection.
+	// DialFunc opens a network connection.
 	DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-	// Client reaches the platform's log, list and rater under one base URL.
+	// Client calls the platform's log, list and rater under one base URL.
 	Client struct {
 		base string
 		http *http.Client
--- a/remote/doc.go
+++ b/remote/doc.go
@@ -1,3 +1,3 @@
-// Package remote reaches the platform's services, runners and plain services
-// over HTTP, behind the interfaces of the root package.
+// Package remote implements the interfaces of the root package for the platform's services, runners and plain
+// services over HTTP.
 package remote
--- a/remote/engine.go
+++ b/remote/engine.go
@@ -28,11 +28,11 @@
 	HeaderWaiting    = "X-Load-Waiting"
 	HeaderSlots      = "X-Load-Slots"
 	HeaderLeaving    = "X-Leaving"
-	HeaderRetryAfter = "Retry-After"  // in a 503: how long the endpoint wants no request of the box that it answers
-	HeaderRateLimit  = "X-Rate-Limit" // requests a second that the endpoint takes from all boxes together
+	HeaderRetryAfter = "Retry-After"  // in a 503: the backoff that the endpoint asks of the box that it answers
+	HeaderRateLimit  = "X-Rate-Limit" // requests per second that the endpoint accepts from all boxes together
 )
 
-// noticeHeaders are those in which an answer tells of its endpoint.
+// noticeHeaders names the response headers that carry the state of an endpoint.
 var noticeHeaders = willowwick.NoticeHeaders{Leaving: HeaderLeaving, Rest: HeaderRetryAfter, RateLimit: HeaderRateLimit}
 
 // Paths of a runner.
@@ -42,11 +42,11 @@
 	PathOrders      = "/orders"
 )
 
-// streamEndMarker ends a stream of the chat completions API.
+// streamEndMarker is the last event of a stream of the chat completions API.
 const streamEndMarker = "[DONE]"
 
 type (
-	// EngineClient reaches runners by the OpenAI-compatible chat completions API.
+	// EngineClient calls runners over the OpenAI-compatible chat completions API.
 	EngineClient struct {
 		http *http.Client
 		dial DialFunc
@@ -61,7 +61,7 @@
 		Stream      bool                 `json:"stream"`
 	}
 
-	// ChatChunk is one event of an answer.
+	// ChatChunk is one event of a streamed answer.
 	ChatChunk struct {
 		ID       willowwick.RequestID `json:"id"`
 		Object   string               `json:"object"`
@@ -121,7 +121,7 @@
 	next, stop := iter.Pull2(sse.Read(response.Body, nil))
 	stream := &engineStream{load: loadFromHeader(call.Endpoint.ID, response.Header), next: next}
 	return stream, func() {
-		// The connection goes first, so that a read that is under way ends.
+		// Close the connection first, so that a pending read returns.
 		cancel()
 		_ = response.Body.Close()
 		stop()
@@ -150,14 +150,14 @@
 	return response, wrapSendError(err)
 }
 
-// reportNotice tells what an answer says of its endpoint.
+// reportNotice passes the endpoint state in the response headers to heard.
 func reportNotice(heard func(willowwick.Notice), response *http.Response) {
 	if heard != nil {
 		heard(noticeHeaders.Read(response.StatusCode, response.Header, clock.Now()))
 	}
 }
 
-// wrapSendError marks errors of calls that cannot have reached the endpoint.
+// wrapSendError wraps a send error; it is willowwick.ErrNotSent if the request can't have reached the endpoint.
 func wrapSendError(err error) error {
 	if err == nil {
 		return nil
@@ -182,12 +182,12 @@
 	}
 }
 
-// Load returns what the runner said of itself with its answer.
+// Load returns the load that the runner reported in the response headers.
 func (s *engineStream) Load() willowwick.EndpointLoad {
 	return s.load
 }
 
-// Next returns the next chunk; io.EOF comes only after the end mark.
+// Next returns the next chunk; it returns io.EOF only after streamEndMarker.
 func (s *engineStream) Next() (willowwick.Chunk, error) {
 	if s.ended {
 		return willowwick.Chunk{}, io.EOF
@@ -197,7 +197,7 @@
 		return willowwick.Chunk{}, errors.Wrap(willowwick.ErrBroken, err.Error())
 	}
 	if !ok {
-		return willowwick.Chunk{}, errors.Wrap(willowwick.ErrBroken, "it ends without its end mark")
+		return willowwick.Chunk{}, errors.Wrap(willowwick.ErrBroken, "stream ended without [DONE]")
 	}
 	if event.Data == streamEndMarker {
 		s.ended = true
@@ -212,7 +212,7 @@
 		return willowwick.Chunk{}, errors.Wrap(willowwick.ErrBroken, err.Error())
 	}
 	if chunk.Position == nil || len(chunk.Choices) != 1 {
-		return willowwick.Chunk{}, errors.Wrap(willowwick.ErrBroken, "a chunk lacks its position or its choice")
+		return willowwick.Chunk{}, errors.Wrap(willowwick.ErrBroken, "chunk must have a position and exactly one choice")
 	}
 	decoded := willowwick.Chunk{Request: chunk.ID, Position: *chunk.Position, Text: chunk.Choices[0].Delta.Content}
 	if reason := chunk.Choices[0].FinishReason; reason != nil {
@@ -269,7 +269,7 @@
 		return false, errors.Is(err, syscall.ECONNREFUSED)
 	}
 	if err := conn.Close(); err != nil {
-		slog.Debug("connection did not close", "address", endpoint.Address, "error", err)
+		slog.Debug("failed to close connection", "address", endpoint.Address, "error", err)
 	}
 	return true, true
 }
--- a/remote/pools.go
+++ b/remote/pools.go
@@ -13,26 +13,27 @@
 	"github.com/pkg/errors"
 )
 
-// earlyCancelWindow is how long after it was begun the end of a call by its caller shows nothing of the connection: as long as
-// a load report, the quickest of the answers, may take.
+// earlyCancelWindow is the time after the start of a call within which its cancellation says nothing about the
+// connection: as long as a load report, the fastest of the responses, may take.
 const earlyCancelWindow = time.Second
 
 type (
-	// transportPool keeps connections, apart for each address. Connections to one address mostly go silent together: after a call
-	// over a kept one that got no whole answer, the others that are kept to the address are not used any more, so that
-	// silence costs the limit of one call and not that of one for each of them in turn. Closing them costs new connections.
+	// transportPool keeps a transport, and so a set of connections, per address. Connections to one address usually
+	// stall together: after a call on a reused connection that got no complete response, the idle connections to the
+	// address are closed, so that a stall costs one call timeout and not one per connection. The cost is that new
+	// connections are dialed.
 	transportPool struct {
 		dial      DialFunc
 		mu        sync.Mutex
-		byAddress map[string]*pooledTransport // by address
+		byAddress map[string]*pooledTransport
 	}
 
 	pooledTransport struct {
 		transport *http.Transport
-		expiresAt time.Time // when it may be forgotten; what is in use then is closed by the transport once it has idled
+		expiresAt time.Time // when it may be removed; connections in use by then are closed by the transport after idleTimeout
 	}
 
-	// monitoredBody notes an answer that breaks off.
+	// monitoredBody reports a response body that fails before its end.
 	monitoredBody struct {
 		io.ReadCloser
 		onError func(error)
@@ -47,14 +48,14 @@
 func (p *transportPool) RoundTrip(request *http.Request) (*http.Response, error) {
 	started := time.Now()
 	transport := p.transportFor(request.URL.Host, started)
-	var wasKept atomic.Bool
-	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) { wasKept.Store(info.Reused) }}
+	var wasReused atomic.Bool
+	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) { wasReused.Store(info.Reused) }}
 	ctx := httptrace.WithClientTrace(request.Context(), trace)
 	onError := func(err error) {
-		if !wasKept.Load() || (errors.Is(ctx.Err(), context.Canceled) && time.Since(started) < earlyCancelWindow) {
+		if !wasReused.Load() || (errors.Is(ctx.Err(), context.Canceled) && time.Since(started) < earlyCancelWindow) {
 			return
 		}
-		slog.Info("pooled connection gave no answer; no other to the address is pooled", "address", request.URL.Host, "error", err)
+		slog.Info("reused connection failed; closing idle connections to the address", "address", request.URL.Host, "error", err)
 		transport.CloseIdleConnections()
 	}
 	response, err := transport.RoundTrip(request.WithContext(ctx))
@@ -66,7 +67,7 @@
 	return response, nil
 }
 
-// transportFor returns the connections to an address, and forgets addresses to which none is kept any more.
+// transportFor returns the transport for an address; when it adds one, it removes the expired ones.
 func (p *transportPool) transportFor(address string, now time.Time) *http.Transport {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -85,7 +86,7 @@
 	return known.transport
 }
 
-// CloseIdleConnections closes the connections that are not in use.
+// CloseIdleConnections closes the idle connections to all addresses.
 func (p *transportPool) CloseIdleConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/remote/remote_test.go
+++ b/remote/remote_test.go
@@ -14,7 +14,7 @@
 	"github.com/willowwick/willowwick"
 )
 
-// oneResponseServer answers the first request of each connection, and reads the second without answering.
+// oneResponseServer answers the first request of each connection, and reads the second one without answering.
 func oneResponseServer(t *testing.T) (address string, received *atomic.Int32) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -45,7 +45,7 @@
 	return listener.Addr().String(), received
 }
 
-// TestNonRepeatableCallIsSentOnce: the HTTP library would send a GET again when a kept connection breaks.
+// TestNonRepeatableCallIsSentOnce: net/http would retry a GET when a reused connection breaks.
 func TestNonRepeatableCallIsSentOnce(t *testing.T) {
 	address, received := oneResponseServer(t)
 	client, closeClient := NewServiceClient(nil)
--- a/remote/service.go
+++ b/remote/service.go
@@ -10,13 +10,13 @@
 	"github.com/willowwick/willowwick"
 )
 
-// ServiceClient reaches plain services.
+// ServiceClient calls plain services.
 type ServiceClient struct {
 	keepAlive *http.Client
 	noReuse   *http.Client
 }
 
-// hopByHopHeaders belong to one connection and are not passed on.
+// hopByHopHeaders belong to one connection, or to the router itself, and are not forwarded.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Authorization", "Idempotency-Key",
@@ -25,8 +25,7 @@
 // NewServiceClient returns a client and a function that closes its idle connections.
 func NewServiceClient(dial DialFunc) (*ServiceClient, func()) {
 	repeatable := newTransportPool(dial)
-	// The library sends a call again if a kept connection turns out to be
-	// closed. On a fresh connection it never does.
+	// net/http retries a request if a reused connection turns out to be closed. On a new connection it never does.
 	once := newTransport(dial)
 	once.DisableKeepAlives = true
 	return &ServiceClient{
@@ -35,7 +34,7 @@
 	}, repeatable.CloseIdleConnections
 }
 
-// returnRedirect passes redirects on to the caller: following one would send the call again.
+// returnRedirect returns redirects to the caller: following one would send the request again.
 func returnRedirect(*http.Request, []*http.Request) error {
 	return http.ErrUseLastResponse
 }
--- a/remote/silence_test.go
+++ b/remote/silence_test.go
@@ -19,21 +19,21 @@
 )
 
 const (
-	// keptConnections is how many a client keeps when they go silent, callLimit the limit of the call that finds it out,
-	// and wellLimit more than a call over a fresh connection takes.
+	// keptConnections is the number of idle connections that stall, callLimit the timeout of the call that detects
+	// it, and healthyCallLimit longer than a call over a new connection takes.
 	keptConnections  = 4
 	callLimit        = 100 * time.Millisecond
 	healthyCallLimit = 2 * time.Second
 )
 
-// barrierServer is a server whose requests wait for each other, so that each needs a connection of its own.
+// barrierServer is a server whose requests wait for each other, so that each needs its own connection.
 type barrierServer struct {
 	mu      sync.Mutex
 	waiting int
 	gate    chan struct{}
 }
 
-// expect makes the next requests wait until so many have come.
+// expect makes the next requests wait until size of them have arrived.
 func (c *barrierServer) expect(size int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -59,7 +59,7 @@
 	_, _ = w.Write([]byte("{}"))
 }
 
-// clientCalls are the calls that go over kept connections.
+// clientCalls returns, by client, a call that reuses idle connections.
 func clientCalls(t *testing.T, address string) map[string]func(context.Context) error {
 	dial := (&net.Dialer{}).DialContext
 	platform, closePlatform := remote.NewClient("http://"+address, dial)
@@ -91,7 +91,7 @@
 	}
 }
 
-// callConcurrently makes so many calls at once.
+// callConcurrently makes size calls at the same time and requires that they succeed.
 func callConcurrently(t *testing.T, server *barrierServer, size int, call func(context.Context) error) {
 	t.Helper()
 	server.expect(size)
@@ -123,8 +123,8 @@
 	}
 }
 
-// Seen in a review: when all connections to an address go silent at once, each kept one cost a call its whole limit in
-// turn, for as long as connections are kept; the platform's log was then out of reach for half a minute, though new
+// When all connections to an address stalled at once, each idle one cost a call its whole timeout, one after the
+// other, for as long as idle connections are kept: the platform's log was unavailable for half a minute, though new
 // connections worked.
 func TestCallSucceedsAfterTimeoutOnSilentConnection(t *testing.T) {
 	withKeptConnections(t, func(t *testing.T, network *standin.Silencer, server *barrierServer, call func(context.Context) error) {
@@ -136,7 +136,8 @@
 	})
 }
 
-// A stall is found out by who waits for the answer, who then leaves as a caller does, only later.
+// A caller that waits for a stalled response cancels as any caller does, only later: a late cancellation counts as a
+// stall.
 func TestCallSucceedsAfterLateCancelOnSilentConnection(t *testing.T) {
 	withKeptConnections(t, func(t *testing.T, network *standin.Silencer, server *barrierServer, call func(context.Context) error) {
 		network.Silence()
@@ -148,7 +149,7 @@
 	})
 }
 
-// A caller that leaves soon says nothing of the connections: the others are kept.
+// An early cancellation says nothing about the connections: the other idle ones are kept.
 func TestEarlyCancelKeepsIdleConnections(t *testing.T) {
 	withKeptConnections(t, func(t *testing.T, network *standin.Silencer, server *barrierServer, call func(context.Context) error) {
 		server.expect(2)
--- a/wire/doc.go
+++ b/wire/doc.go
@@ -1,3 +1,3 @@
-// Package wire sends HTTP/1.1 requests to endpoints over kept connections of its
-// own, and tells for each failure whether the endpoint may have run the request.
+// Package wire sends HTTP/1.1 requests to endpoints over its own pool of persistent connections, and reports for each
+// failure whether the endpoint may have executed the request.
 package wire
--- a/wire/fetch.go
+++ b/wire/fetch.go
@@ -8,22 +8,23 @@
 )
 
 type (
-	// FetchLimits bound one call whose answer is read whole.
+	// FetchLimits holds the limits of one call whose whole body is read.
 	FetchLimits struct {
-		HeadTimeout  time.Duration // setting: within it the head of the answer must come
-		IdleTimeout  time.Duration // setting: within it something more of the body must, until it is whole
+		HeadTimeout  time.Duration // setting: maximum time until the head of the answer is received
+		IdleTimeout  time.Duration // maximum size of the body; the rest is not read
 		MaxBodyBytes int64         // of the body
 	}
 
-	// progressReader resets a timer whenever something is read.
+	// progressReader resets a timer whenever a read returns data.
 	progressReader struct {
 		io.Reader
 		timer   *time.Timer
-		timeout time.Duration // setting: what the timer is reset to
+		timeout time.Duration // setting: duration to which the timer is reset
 	}
 )
 
-// Fetch sends a request and reads its answer whole: a body that goes on coming is read to its end, over however narrow a link.
+// Fetch sends a request and reads the whole body of its answer, however long that takes, as long as data keeps
+// arriving.
 func Fetch(client *http.Client, request *http.Request, limits FetchLimits) (*http.Response, []byte, error) {
 	ctx, cancel := context.WithCancel(request.Context())
 	defer cancel()
--- a/wire/message.go
+++ b/wire/message.go
@@ -15,42 +15,44 @@
 )
 
 const (
-	// maxInlineBody is the largest body that is written before the answer is read: it fits any window.
+	// maxInlineBody is the size of the largest body that is written before the answer is read: it fits into any send
+	// window.
 	maxInlineBody = 2 << 10
-	// maxSkippedAnswers bounds how many answers of earlier requests are skipped, and maxSkippedBytes their size.
+	// maxSkippedAnswers bounds the number of answers to earlier requests that are skipped, and maxSkippedBytes the
+	// size of each.
 	maxSkippedAnswers = 4
 	maxSkippedBytes   = 1 << 20
 )
 
 type (
-	// Message is a request as it goes to an endpoint.
+	// Message is a request as it is sent to an endpoint.
 	Message struct {
 		Method  string
-		Target  string // as on the request line
+		Target  string // request target, as on the request line
 		Host    string
 		Header  http.Header
 		Body    []byte
-		HasBody bool // the caller sent a body, be it empty
+		HasBody bool // the caller sent a body, possibly an empty one
 	}
 
-	// Answer is the head of an endpoint's answer and the way to its body.
+	// Answer is the head of an endpoint's answer and a reader of its body.
 	Answer struct {
 		Status     int
 		Header     http.Header
-		Length     int64 // of the body; -1 if it is not known beforehand
+		Length     int64 // length of the body; -1 if unknown
 		body       io.ReadCloser
 		conn       *Conn
-		bodyRead   int64 // bytes of the body so far
+		bodyRead   int64 // bytes of the body read so far
 		deadline   time.Time
 		isComplete bool
 		closesConn bool
-		keepAlive  string // what the endpoint says of keeping the connection
+		keepAlive  string // value of the Keep-Alive header
 	}
 )
 
 var (
-	// ErrSilent says that nothing came of an answer before the given time.
-	ErrSilent = errors.New("endpoint is silent")
+	// ErrSilent is returned when no byte of an answer was received before the given time.
+	ErrSilent = errors.New("no data from the endpoint before the deadline")
 
 	hopByHopHeaders = []string{
 		"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
@@ -59,7 +61,7 @@
 	buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 )
 
-// StripHopHeaders takes out the headers that concern one connection only.
+// StripHopHeaders removes the headers that concern a single connection.
 func StripHopHeaders(header http.Header) {
 	for _, line := range header["Connection"] {
 		for _, name := range strings.Split(line, ",") {
@@ -73,9 +75,10 @@
 	}
 }
 
-// Send writes the request; an error leaves open how much of it the endpoint has read.
+// Send writes the request; after an error it is unknown how much of it the endpoint has read.
 //
-// A long body is written beside the reading of the answer, since the endpoint may answer before it has read all.
+// A long body is written concurrently with the reading of the answer, since the endpoint may answer before it has
+// read the whole body.
 func (c *Conn) Send(m *Message) error {
 	buffer, _ := buffers.Get().(*bytes.Buffer)
 	buffer.Reset()
@@ -120,7 +123,7 @@
 	buffer.Write(m.Body)
 }
 
-// wasWritten reports whether the whole request has gone out.
+// wasWritten reports whether the whole request has been written.
 func (c *Conn) wasWritten() bool {
 	if c.writeResult == nil {
 		return true
@@ -134,9 +137,9 @@
 	}
 }
 
-// Receive reads the head of the answer that belongs to the request, skipping answers of earlier ones.
+// Receive reads the head of the answer that belongs to the request, skipping answers to earlier requests.
 //
-// It returns ErrSilent if no byte has come by the given time; it may then be called again.
+// It returns ErrSilent if no byte is received before silentAt; it may then be called again.
 func (c *Conn) Receive(method string, silentAt, deadline time.Time, belongs func(*Answer) bool) (*Answer, error) {
 	for range maxSkippedAnswers {
 		answer, err := c.receiveHead(method, silentAt, deadline)
@@ -151,10 +154,10 @@
 		}
 		c.pool.updateStats(func(s *Stats) { s.Surplus++ })
 		if _, err := io.Copy(io.Discard, io.LimitReader(answer.body, maxSkippedBytes)); err != nil {
-			return nil, errors.Wrap(willowwick.ErrBroken, "answer of another request: "+err.Error())
+			return nil, errors.Wrap(willowwick.ErrBroken, "discard answer to another request: "+err.Error())
 		}
 	}
-	return nil, errors.Wrap(willowwick.ErrBroken, "too many answers of other requests")
+	return nil, errors.Wrap(willowwick.ErrBroken, "too many answers to other requests")
 }
 
 func (c *Conn) receiveHead(method string, silentAt, deadline time.Time) (*Answer, error) {
@@ -165,19 +168,19 @@
 		if isTimeout(err) {
 			return nil, ErrSilent
 		}
-		return nil, errors.Wrap(willowwick.ErrBroken, "no answer: "+err.Error())
+		return nil, errors.Wrap(willowwick.ErrBroken, "read answer: "+err.Error())
 	}
 	if err := c.conn.SetReadDeadline(clock.SystemTime(deadline)); err != nil {
 		return nil, errors.Wrap(willowwick.ErrBroken, err.Error())
 	}
 	response, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 	if err != nil {
-		return nil, errors.Wrap(willowwick.ErrBroken, "head of the answer: "+err.Error())
+		return nil, errors.Wrap(willowwick.ErrBroken, "read answer head: "+err.Error())
 	}
 	return &Answer{
 		Status: response.StatusCode, Header: response.Header, Length: response.ContentLength,
 		body: response.Body, conn: c, closesConn: response.Close, deadline: deadline,
-		// The header may have lost it by the end of the answer: it concerns this connection alone.
+		// Read it now: the header may be stripped before the answer ends, since it concerns this connection only.
 		keepAlive: response.Header.Get("Keep-Alive"),
 	}, nil
 }
@@ -187,7 +190,7 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// Read implements io.Reader over the body; io.EOF says that the answer is whole.
+// Read implements io.Reader over the body; it returns io.EOF after the complete body.
 func (a *Answer) Read(p []byte) (int, error) {
 	n, err := a.body.Read(p)
 	a.bodyRead += int64(n)
@@ -197,7 +200,7 @@
 	return n, err
 }
 
-// Await waits for bytes of the body; ErrSilent says that none came by the given time.
+// Await waits for bytes of the body; it returns ErrSilent if none was received before the given time.
 func (a *Answer) Await(until time.Time) error {
 	if a.conn.reader.Buffered() > 0 || a.Length >= 0 && a.bodyRead >= a.Length {
 		return nil
@@ -209,11 +212,11 @@
 	if isTimeout(err) {
 		return ErrSilent
 	}
-	// Any other error, the end of the connection among them, is the body's to tell.
-	return errors.Wrap(a.conn.conn.SetReadDeadline(clock.SystemTime(a.deadline)), "read deadline")
+	// Read reports any other error, including the end of the connection.
+	return errors.Wrap(a.conn.conn.SetReadDeadline(clock.SystemTime(a.deadline)), "set read deadline")
 }
 
-// Done gives the connection back after a whole answer, and closes it otherwise.
+// Done returns the connection to the pool after a complete answer, and closes it otherwise.
 func (a *Answer) Done() {
 	if !a.isComplete || a.closesConn {
 		a.conn.Close()
--- a/wire/pool.go
+++ b/wire/pool.go
@@ -18,36 +18,37 @@
 )
 
 const (
-	// readBufferSize holds a head and some events; larger answers take more reads.
+	// readBufferSize is enough for a head and some events; larger answers take more reads.
 	readBufferSize = 4 << 10
-	// defaultIdleTimeout is how long a connection is kept if the endpoint does not say how long it keeps it.
+	// defaultIdleTimeout is how long an idle connection is kept if the endpoint doesn't announce its own timeout.
 	defaultIdleTimeout = 500 * time.Millisecond
-	// idleMargin is given up of the time that the endpoint names, for the way there.
+	// idleMargin is subtracted from the timeout that the endpoint announces, to allow for the transfer time.
 	idleMargin = 400 * time.Millisecond
-	// maxIdlePerAddress bounds the idle connections to one endpoint: twice the usual requests of a box at one.
+	// maxIdlePerAddress bounds the idle connections to one endpoint: twice the usual number of concurrent requests of
+	// a box to an endpoint.
 	maxIdlePerAddress = 32
-	// keepAliveIdle, keepAliveInterval and keepAliveCount find a silent machine within two seconds.
+	// keepAliveIdle, keepAliveInterval and keepAliveCount detect an unreachable machine within 2 s.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = 500 * time.Millisecond
 	keepAliveCount    = 2
 )
 
 type (
-	// Settings bound what connections may take.
+	// Settings holds the timeouts of connections.
 	Settings struct {
-		DialTimeout time.Duration // setting: how long a connection may take to come up
-		AckTimeout  time.Duration // setting: how long sent bytes may stay unacknowledged
+		DialTimeout time.Duration // setting: maximum time to establish a connection
+		AckTimeout  time.Duration // setting: maximum time that sent bytes may stay unacknowledged
 	}
 
-	// Stats count what the pool did.
+	// Stats counts the connections and skipped answers of a pool.
 	Stats struct {
 		Dialed  uint64
 		Reused  uint64
-		Stale   uint64 // kept connections that turned out to be closed or to hold surplus bytes
-		Surplus uint64 // answers of earlier requests that were skipped
+		Stale   uint64 // idle connections that were found closed or with unexpected bytes
+		Surplus uint64 // answers to earlier requests that were skipped
 	}
 
-	// Pool keeps connections to endpoints.
+	// Pool is a pool of connections to endpoints.
 	Pool struct {
 		settings Settings
 		dialer   net.Dialer
@@ -58,15 +59,15 @@
 		stats  Stats
 	}
 
-	// Conn is one connection; it carries one request at a time.
+	// Conn is a connection that carries one request at a time.
 	Conn struct {
 		pool         *Pool
 		conn         net.Conn
 		raw          syscall.RawConn
 		reader       *bufio.Reader
 		address      string
-		idleDeadline time.Time // when the endpoint may close it while idle
-		idleSince    time.Time // when its last answer was whole
+		idleDeadline time.Time // when the endpoint may close the idle connection
+		idleSince    time.Time // when its last answer was complete
 		writeResult  chan error
 	}
 )
@@ -84,7 +85,7 @@
 	return p, p.close
 }
 
-// setUserTimeout bounds how long sent bytes may stay unacknowledged before the connection fails.
+// setUserTimeout limits how long sent bytes may stay unacknowledged before the connection fails.
 func (p *Pool) setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
@@ -96,7 +97,7 @@
 	return failed
 }
 
-// Open returns a connection to the address, a kept one if there is one in good state.
+// Open returns a connection to the address, an idle one if there is a usable one.
 //
 // An error wraps willowwick.ErrNotSent and its cause.
 func (p *Pool) Open(ctx context.Context, address string) (*Conn, error) {
@@ -136,8 +137,8 @@
 	return c, nil
 }
 
-// IsListening finds out by a new connection whether anything still listens at the address; known is false if that did not show
-// in time. A connection that comes up is kept for the next request.
+// IsListening dials the address to check whether anything still listens there; known is false if that couldn't be
+// determined. A connection that is established is kept for the next request.
 func (p *Pool) IsListening(ctx context.Context, address string) (listens, known bool) {
 	c, err := p.dial(ctx, address)
 	switch {
@@ -156,14 +157,14 @@
 	change(&p.stats)
 }
 
-// Stats returns the counts so far.
+// Stats returns the current counts.
 func (p *Pool) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.stats
 }
 
-// takeIdle takes the connection that was used last: it is the least likely to be closed.
+// takeIdle removes and returns the most recently used idle connection, which is the least likely to be closed.
 func (p *Pool) takeIdle(address string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -185,8 +186,9 @@
 	closeAll(conns)
 }
 
-// CloseIdleBefore closes the idle connections to an address that have answered nothing since a request was sent there that got no
-// answer: they may have fallen silent with that request's. Otherwise each of them would cost a request of its own.
+// CloseIdleBefore closes the idle connections to an address that have had no answer since the given time, when a
+// request was sent that got no answer: they may have stalled together with its connection. Otherwise each of them
+// could cost another request.
 func (p *Pool) CloseIdleBefore(address string, sent time.Time) {
 	p.closeIdleWhere(func(at string, c *Conn) bool { return at == address && c.idleSince.Before(sent) })
 }
@@ -196,7 +198,7 @@
 	p.closeIdleWhere(func(_ string, c *Conn) bool { return !now.Before(c.idleDeadline) })
 }
 
-// closeIdleWhere closes the idle connections that are to be closed.
+// closeIdleWhere closes the idle connections for which shouldClose returns true.
 func (p *Pool) closeIdleWhere(shouldClose func(address string, c *Conn) bool) {
 	var closing []*Conn
 	p.mu.Lock()
@@ -234,7 +236,7 @@
 	}
 }
 
-// isReusable reports whether the connection is open and holds no bytes that nobody asked for.
+// isReusable reports whether the connection is open and has no unread bytes.
 func (c *Conn) isReusable(now time.Time) bool {
 	if !now.Before(c.idleDeadline) || c.reader.Buffered() > 0 {
 		return false
@@ -252,7 +254,7 @@
 	return err == nil && quiet
 }
 
-// Release gives the connection back after a whole answer, or closes it if it may not be used again.
+// Release returns the connection to the pool after a complete answer, or closes it if it can't be reused.
 func (c *Conn) Release(keepAlive string) {
 	c.idleSince = clock.Now()
 	c.idleDeadline = c.idleSince.Add(parseIdleTime(keepAlive))
@@ -271,12 +273,13 @@
 	c.pool.mu.Unlock()
 }
 
-// Close ends the connection, and with it whatever the endpoint still does for the request.
+// Close closes the connection, which also cancels whatever the endpoint still does for the request.
 func (c *Conn) Close() {
 	_ = c.conn.Close()
 }
 
-// parseIdleTime reads the value of Keep-Alive; without one the endpoint may close the connection soon.
+// parseIdleTime returns how long a connection may stay idle, given the value of its Keep-Alive header; without a
+// timeout there the endpoint may close it soon.
 func parseIdleTime(keepAlive string) time.Duration {
 	for _, item := range strings.Split(keepAlive, ",") {
 		name, value, found := strings.Cut(strings.TrimSpace(item), "=")
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -23,7 +23,7 @@
 	reader *bufio.Reader
 }
 
-// newPeer listens and hands the connections that come to the test.
+// newPeer listens and passes accepted connections to the test.
 func newPeer(t *testing.T) (address string, conns chan *peerConn) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
