--- a/fleet/digest.go
+++ b/fleet/digest.go
@@ -63,7 +63,7 @@
 	HallMember struct {
 		Box   willowwick.BoxID
 		Boot  willowwick.BootID
-		AgeMs int64 // since its digest last changed
+		AgeMs int64 // time since its digest last changed
 
 		Draining bool
 	}
--- a/fleet/follower.go
+++ b/fleet/follower.go
@@ -87,13 +87,13 @@
 // ReadLog reads and folds the log up to its end.
 func (f *Follower) ReadLog(ctx context.Context) error {
 	for {
-		asked := clock.Now()
+		requestedAt := clock.Now()
 		from := f.Revision().Offset + 1
 		page, err := f.log.Read(ctx, willowwick.StreamConfig, from, maxEntriesPerRead)
 		if err != nil {
 			return errors.Wrap(err, "read log")
 		}
-		f.recordLogRead(asked, page.First)
+		f.recordLogRead(requestedAt, page.First)
 		if page.First > from {
 			if err := f.restoreFromSnapshot(ctx, page.First); err != nil {
 				return err
@@ -106,7 +106,7 @@
 		if f.Revision().Offset+1 >= page.Next {
 			// A page that ends before the known offset is stale and confirms nothing.
 			if f.Revision().Offset+1 == page.Next {
-				f.Confirm(f.Revision().Offset, asked)
+				f.Confirm(f.Revision().Offset, requestedAt)
 			}
 			return nil
 		}
--- a/lab/handover_test.go
+++ b/lab/handover_test.go
@@ -15,8 +15,8 @@
 // How it came about: while the log is down, a box holds another's bills; it is stopped as planned and gives all that it
 // holds to the box whose bills they are.
 //
-// What caused it: a box kept its own records as held for another; what is held so is due after heldFor and goes only with
-// a record of another boot, so that it was appended without end and without a pause.
+// What caused it: a box kept its own records as held for another; what is held so is due after heldAppendDelay
+// and goes only with a record of another boot, so that it was appended without end and without a pause.
 func TestBillsThatComeBackToTheirOwnerAreAppendedOnce(t *testing.T) {
 	inScene(t, 2, func(s *scene) {
 		s.logDown(true)
--- a/remote/silence_test.go
+++ b/remote/silence_test.go
@@ -110,9 +110,9 @@
 	for _, name := range []string{"platform", "runner", "service"} {
 		t.Run(name, func(t *testing.T) {
 			server := &barrierServer{}
-			listening := httptest.NewServer(server)
-			defer listening.Close()
-			network, closeNetwork, err := standin.NewSilencer(strings.TrimPrefix(listening.URL, "http://"))
+			httpServer := httptest.NewServer(server)
+			defer httpServer.Close()
+			network, closeNetwork, err := standin.NewSilencer(strings.TrimPrefix(httpServer.URL, "http://"))
 			require.NoError(t, err)
 			defer closeNetwork()
 			call := clientCalls(t, network.Address())[name]
@@ -142,8 +142,8 @@
 	withKeptConnections(t, func(t *testing.T, network *standin.Silencer, server *barrierServer, call func(context.Context) error) {
 		network.Silence()
 		ctx, cancel := context.WithCancel(t.Context())
-		leaves := time.AfterFunc(healthyCallLimit, cancel)
-		defer leaves.Stop()
+		cancelTimer := time.AfterFunc(healthyCallLimit, cancel)
+		defer cancelTimer.Stop()
 		require.ErrorIs(t, call(ctx), context.Canceled)
 		callConcurrently(t, server, 1, call)
 	})
@@ -154,8 +154,8 @@
 	withKeptConnections(t, func(t *testing.T, network *standin.Silencer, server *barrierServer, call func(context.Context) error) {
 		server.expect(2)
 		ctx, cancel := context.WithCancel(t.Context())
-		leaves := time.AfterFunc(callLimit, cancel)
-		defer leaves.Stop()
+		cancelTimer := time.AfterFunc(callLimit, cancel)
+		defer cancelTimer.Stop()
 		require.ErrorIs(t, call(ctx), context.Canceled)
 		callConcurrently(t, server, keptConnections-1, call)
 		assert.Equal(t, keptConnections, network.Opened())
