--- a/lab/slopes.go
+++ b/lab/slopes.go
@@ -175,7 +175,7 @@
 			fillSlope(d, seq, slopeRunners*f.size.Halls/f.size.Boxes)
 		},
 		OnDigests: func([]fleet.Digest, []fleet.HallDigest) {},
-		RunLeader:      func(context.Context, willowwick.Fence) {},
+		RunLeader: func(context.Context, willowwick.Fence) {},
 	}, transport)
 	stop, err := node.Start()
 	if err != nil {
