--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -13,44 +13,44 @@
 	"github.com/stretchr/testify/require"
 )
 
-// testMachine has clocks that a test sets.
+// testMachine is a machine whose clocks are set by the test.
 type testMachine struct {
-	steady time.Duration // since the start
-	asleep time.Duration
-	reads  int // of the time of suspension
-	err    error
+	steady    time.Duration // time since testStart, by the monotonic clock
+	suspended time.Duration
+	reads     int // number of reads of the suspended time
+	err       error
 }
 
-var dayOne = time.Now()
+var testStart = time.Now()
 
-// clock is a clock over them.
-func (m *testMachine) clock() *Clock {
-	return New(func() time.Time { return dayOne.Add(m.steady) }, func() (time.Duration, error) {
+// newClock returns a Clock over the clocks of the machine.
+func (m *testMachine) newClock() *Clock {
+	return New(func() time.Time { return testStart.Add(m.steady) }, func() (time.Duration, error) {
 		m.reads++
-		return m.asleep, m.err
+		return m.suspended, m.err
 	})
 }
 
-func TestTheTimeOfASuspensionCounts(t *testing.T) {
-	m := &testMachine{asleep: time.Hour}
-	c := m.clock()
+func TestNowIncludesSuspendedTime(t *testing.T) {
+	m := &testMachine{suspended: time.Hour}
+	c := m.newClock()
 	began := c.Now()
 	m.steady += 300 * time.Millisecond
-	assert.Equal(t, 300*time.Millisecond, c.Now().Sub(began), "what was suspended before does not count")
-	m.steady += lookEvery
-	m.asleep += 9 * time.Second
+	assert.Equal(t, 300*time.Millisecond, c.Now().Sub(began), "earlier suspensions do not count")
+	m.steady += checkInterval
+	m.suspended += 9 * time.Second
 	assert.Equal(t, 10300*time.Millisecond, c.Now().Sub(began))
-	m.steady += 2 * lookEvery
-	m.asleep -= 5 * time.Millisecond
-	assert.Equal(t, 12300*time.Millisecond, c.Now().Sub(began), "it never goes back")
+	m.steady += 2 * checkInterval
+	m.suspended -= 5 * time.Millisecond
+	assert.Equal(t, 12300*time.Millisecond, c.Now().Sub(began), "time never goes back")
 	m.err = errors.New("no such clock")
-	m.steady += 2 * lookEvery
+	m.steady += 2 * checkInterval
 	assert.Equal(t, 14300*time.Millisecond, c.Now().Sub(began))
 }
 
-func TestTheSystemIsAskedRarely(t *testing.T) {
+func TestNowReadsSuspendedTimeRarely(t *testing.T) {
 	m := &testMachine{}
-	c := m.clock()
+	c := m.newClock()
 	for range 2000 {
 		m.steady += time.Millisecond
 		c.Now()
@@ -58,34 +58,34 @@
 	assert.LessOrEqual(t, m.reads, 4, "in two seconds")
 }
 
-// The first look at the clock after a suspension shows it, since the time of day has jumped.
-func TestASuspensionShowsAtOnce(t *testing.T) {
+// The first call of Now after a suspension includes it, since the time of day has jumped.
+func TestSuspensionIsDetectedAtOnce(t *testing.T) {
 	m := &testMachine{}
-	c := m.clock()
+	c := m.newClock()
 	began := c.Now()
-	c.seen.Store(&reading{at: c.began, drift: -5 * time.Second})
-	m.asleep = 5 * time.Second
+	c.lastReading.Store(&reading{at: c.start, drift: -5 * time.Second})
+	m.suspended = 5 * time.Second
 	assert.Equal(t, 5*time.Second, c.Now().Sub(began))
-	c.seen.Store(&reading{at: c.began, drift: 3 * time.Second, slept: 5 * time.Second})
+	c.lastReading.Store(&reading{at: c.start, drift: 3 * time.Second, suspended: 5 * time.Second})
 	assert.Equal(t, 5*time.Second, c.Now().Sub(began), "the time of day was set")
 }
 
-func TestThisMachineTellsItsSuspensions(t *testing.T) {
-	_, err := suspended()
+func TestProcessClockReadsSuspendedTime(t *testing.T) {
+	_, err := readSuspendedTime()
 	require.NoError(t, err)
 	began := Now()
 	assert.Less(t, Since(began), time.Second)
-	restore := Suspend(time.Minute)
+	restore := SimulateSuspension(time.Minute)
 	assert.InDelta(t, 60, Since(began).Seconds(), 1)
-	assert.InDelta(t, 0, time.Until(System(Now())).Seconds(), 1, "timers of the runtime do not count it")
+	assert.InDelta(t, 0, time.Until(SystemTime(Now())).Seconds(), 1, "runtime timers do not count it")
 	restore()
 	assert.Less(t, Since(began), time.Second)
 }
 
-// Whoever asks the steady clock of an age takes it for too young on a box that was suspended.
-func TestAgesAndDeadlinesGoByThisClock(t *testing.T) {
+// On a box that was suspended, ages by the monotonic clock are too small.
+func TestSourcesUseThisClockForAgesAndDeadlines(t *testing.T) {
 	steady := regexp.MustCompile(`time\.(Now|Since|Until)\(|context\.WithDeadline\(`)
-	// A length from now, for a timer of the runtime, or a time of day.
+	// A duration from now, for a runtime timer, or a time of day.
 	allowed := regexp.MustCompile(`Deadline\(time\.Now\(\)\.Add\(|time\.Now\(\)\.Unix`)
 	for _, folder := range []string{"exchange", "platform", "route", "gate", "wire", "quarantine", "rollout", "fleet", "serve"} {
 		files, err := filepath.Glob(filepath.Join("..", folder, "*.go"))
--- a/exchange/incarnations.go
+++ b/exchange/incarnations.go
@@ -48,7 +48,7 @@
 		return
 	}
 	delete(s.listed, entry.ID)
-	s.router.conns.Drop(old.Address)
+	s.router.conns.CloseIdle(old.Address)
 	if !s.incarnations[entry.ID].formerDrained {
 		s.router.crashes.recordRestart(entry.ID, former)
 	}
--- a/exchange/lead.go
+++ b/exchange/lead.go
@@ -129,7 +129,7 @@
 		report := s.router.peers.fleetReport(now)
 		s.router.releases.setPinnedElsewhere(report.Kept)
 		s.router.releases.evaluate(report.evidence(), now)
-		s.router.conns.Sweep(now)
+		s.router.conns.CloseExpired(now)
 		sleep(ctx, rolloutInterval)
 	}
 }
--- a/exchange/listing.go
+++ b/exchange/listing.go
@@ -248,7 +248,7 @@
 
 func (s *syncer) dropEntry(id willowwick.EndpointID, now time.Time) {
 	slog.Info("endpoint gone", "endpoint", id, "release", s.listed[id].Release, "store_failed_ms_ago", now.Sub(s.lastFailureAt).Milliseconds())
-	s.router.conns.Drop(s.listed[id].Address)
+	s.router.conns.CloseIdle(s.listed[id].Address)
 	s.removed[id] = removedEntry{heartbeat: s.listed[id].Beat}
 	delete(s.listed, id)
 	delete(s.lapsed, id)
--- a/exchange/suspension_test.go
+++ b/exchange/suspension_test.go
@@ -15,7 +15,7 @@
 
 // suspend advances the box's clock as if its machine had been suspended.
 func suspend(t *testing.T) {
-	t.Cleanup(clock.Suspend(suspendedFor))
+	t.Cleanup(clock.SimulateSuspension(suspendedFor))
 }
 
 // After a suspension the known configuration may be out of date, so the box must not refuse anything permanently
--- a/fleet/peer.go
+++ b/fleet/peer.go
@@ -12,64 +12,64 @@
 )
 
 type (
-	// PullArgs asks for the entries after an offset.
+	// PullArgs requests the log entries after an offset.
 	PullArgs struct {
 		After willowwick.Offset
 		Limit int
 	}
 
-	// PullReply brings entries, or the whole state if they are no longer at hand.
+	// PullReply returns entries, or the whole state if some entries are no longer in memory.
 	PullReply struct {
 		Entries []willowwick.Entry
 		State   json.RawMessage
 	}
 
-	// StateReply brings the whole state.
+	// StateReply returns the whole state.
 	StateReply struct {
 		State json.RawMessage
 	}
 
-	// peerService answers the calls of other daemons.
+	// peerService serves the RPCs of other daemons.
 	peerService struct {
 		node *Node
 	}
 )
 
-// Exchange swaps digests.
+// Exchange serves a gossip exchange of digests.
 func (p *peerService) Exchange(args ExchangeArgs, reply *ExchangeReply) error {
 	n := p.node
 	now := clock.Now()
-	n.noteTouch(now)
-	n.merge(now, nil, args.Halls)
+	n.recordContact(now)
+	n.mergeDigests(now, nil, args.Halls)
 	reply.Digests, reply.Halls, reply.Want = n.Table.Newer(args)
-	if args.Hall != n.Self.Hall && args.stampOf(n.Self.Hall) < hallStamp(now) {
+	if args.Hall != n.Self.Hall && args.knownStamp(n.Self.Hall) < hallStamp(now) {
 		reply.Halls = append(reply.Halls, n.Table.HallDigest(now))
 	}
 	reply.Offset = n.Follower.Revision().Offset
 	if args.Offset > reply.Offset {
-		n.workers.Go(func() { n.pullFrom(args.Peer) })
+		n.workers.Go(func() { n.pullFromCaller(args.Peer) })
 	}
-	reply.ConfirmMs = n.confirmAge(now)
+	reply.ConfirmMs = n.msSinceConfirmed(now)
 	reply.Boot = n.Self.Boot
-	reply.Harm, _ = n.harm.Answer(args.Harm, args.Peer, now)
-	reply.Limits, _ = n.limits.Answer(args.Limits, args.Peer, now)
+	reply.Harm, _ = n.quarantinePeers.Answer(args.Harm, args.Peer, now)
+	reply.Limits, _ = n.limitPeers.Answer(args.Limits, args.Peer, now)
 	return nil
 }
 
-// pullFrom fetches what a caller has that this box has not.
-func (n *Node) pullFrom(peer string) {
+// pullFromCaller pulls the entries that a caller has and this box lacks.
+func (n *Node) pullFromCaller(peer string) {
 	ctx, cancel := context.WithTimeout(n.ctx, callTimeout)
 	defer cancel()
-	n.pull(ctx, peer)
+	n.pullEntries(ctx, peer)
 }
 
-// Push takes digests that were asked for.
+// Push receives the digests that this box asked for in an ExchangeReply.
 func (p *peerService) Push(args PushArgs, _ *Nothing) error {
-	p.node.merge(clock.Now(), args.Digests, nil)
+	p.node.mergeDigests(clock.Now(), args.Digests, nil)
 	return nil
 }
 
-// Pull answers with entries of the configuration stream.
+// Pull returns entries of the configuration stream.
 func (p *peerService) Pull(args PullArgs, reply *PullReply) error {
 	entries, ok := p.node.Follower.Since(args.After, args.Limit)
 	if ok {
@@ -81,7 +81,7 @@
 	return err
 }
 
-// State answers with the whole state.
+// State returns the whole state.
 func (p *peerService) State(_ Nothing, reply *StateReply) error {
 	revision := p.node.Follower.Revision()
 	if revision.Offset == 0 {
@@ -92,10 +92,10 @@
 	return err
 }
 
-// Put sets a claim or a session version.
+// Put stores a claim or a session version.
 func (p *peerService) Put(args PutArgs, reply *PutReply) error {
 	now := clock.Now()
-	if args.Strict && !p.node.mayGrant(now) {
+	if args.Strict && !p.node.canGrantClaims(now) {
 		*reply = PutReply{Status: PutUnconfirmed, Epoch: p.node.Registry.Epoch()}
 		return nil
 	}
@@ -103,61 +103,62 @@
 	return nil
 }
 
-// Drop takes back a claim.
+// Drop removes a claim.
 func (p *peerService) Drop(args DropArgs, _ *Nothing) error {
 	p.node.Registry.Drop(args)
 	return nil
 }
 
-// Export hands entries to a box that is new to their pairs.
+// Export returns the entries that another box must store under the adopted roster.
 func (p *peerService) Export(args ExportArgs, reply *ExportReply) error {
 	*reply = p.node.Registry.Export(clock.Now(), args)
 	return nil
 }
 
-// Hold keeps usage records.
+// Hold stores usage records of another box.
 func (p *peerService) Hold(args HoldArgs, _ *Nothing) error {
 	return p.node.Usage.Hold(clock.Now(), args)
 }
 
-// Settle forgets usage records that are on the log.
+// Settle removes usage records that are on the log.
 func (p *peerService) Settle(args SettleArgs, _ *Nothing) error {
 	p.node.Usage.Settle(args)
 	return nil
 }
 
-// Hold implements Keeper: the buddy is a box in another hall, if one is alive.
+// Hold implements UsageReplicator; the replica is a box in another hall, if one is alive.
 func (n *Node) Hold(ctx context.Context, args HoldArgs) (alone bool, err error) {
-	buddy, ok := n.chooseBuddy()
+	replica, ok := n.chooseUsageReplica()
 	if !ok {
 		return true, nil
 	}
-	if err := n.Transport.Call(ctx, buddy.Peer, rpcName+".Hold", args, &Nothing{}); err != nil {
-		n.dropBuddy(buddy)
+	if err := n.Transport.Call(ctx, replica.Peer, rpcName+".Hold", args, &Nothing{}); err != nil {
+		n.dropUsageReplica(replica)
 		return false, err
 	}
 	return false, nil
 }
 
-// Settle implements Keeper; a lost call is made good by the ledger, which counts a record once.
+// Settle implements UsageReplicator. A lost call does no harm: the replica may append the records again, and the
+// ledger counts each record once.
 func (n *Node) Settle(ctx context.Context, args SettleArgs) {
 	n.mu.Lock()
-	buddy := n.buddy
+	replica := n.usageReplica
 	n.mu.Unlock()
-	if buddy.Boot == "" {
+	if replica.Boot == "" {
 		return
 	}
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	_ = n.Transport.Call(callCtx, buddy.Peer, rpcName+".Settle", args, &Nothing{})
+	_ = n.Transport.Call(callCtx, replica.Peer, rpcName+".Settle", args, &Nothing{})
 }
 
-func (n *Node) chooseBuddy() (LiveBox, bool) {
+func (n *Node) chooseUsageReplica() (LiveBox, bool) {
 	live := n.LiveBoxes(clock.Now())
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.buddy.Boot != "" {
-		return n.buddy, true
+	if n.usageReplica.Boot != "" {
+		return n.usageReplica, true
 	}
 	var same, other []LiveBox
 	for _, box := range live {
@@ -175,36 +176,36 @@
 	if len(other) == 0 {
 		return LiveBox{}, false
 	}
-	n.buddy = other[n.random.IntN(len(other))]
-	return n.buddy, true
+	n.usageReplica = other[n.random.IntN(len(other))]
+	return n.usageReplica, true
 }
 
-func (n *Node) dropBuddy(buddy LiveBox) {
+func (n *Node) dropUsageReplica(replica LiveBox) {
 	n.mu.Lock()
-	dropped := n.buddy == buddy
+	dropped := n.usageReplica == replica
 	if dropped {
-		n.buddy = LiveBox{}
+		n.usageReplica = LiveBox{}
 	}
 	n.mu.Unlock()
 	if dropped {
-		n.Usage.KeeperLost()
+		n.Usage.ReplicaLost()
 	}
 }
 
-// checkBuddy chooses another holder of usage when the present one is gone.
-func (n *Node) checkBuddy() {
+// checkUsageReplica drops the usage replica when it is draining or no longer alive, so that another is chosen.
+func (n *Node) checkUsageReplica() {
 	n.mu.Lock()
-	buddy := n.buddy
+	replica := n.usageReplica
 	n.mu.Unlock()
-	if buddy.Boot == "" {
+	if replica.Boot == "" {
 		return
 	}
 	for _, box := range n.Table.Live(clock.Now()) {
-		if box.Boot == buddy.Boot && !box.Draining {
+		if box.Boot == replica.Boot && !box.Draining {
 			return
 		}
 	}
-	n.dropBuddy(buddy)
+	n.dropUsageReplica(replica)
 }
 
 // ClaimStatus is the outcome of a claim.
@@ -212,33 +213,33 @@
 
 // Outcomes of a claim.
 const (
-	// ClaimGranted: this request may run, and no other under its key will.
+	// ClaimGranted: this request may run, and no other request with its key will.
 	ClaimGranted ClaimStatus = iota
-	// ClaimHeld: a request with this key was taken on before.
+	// ClaimHeld: a request with this key was accepted before.
 	ClaimHeld
-	// ClaimUnknown: whether one was is no longer known.
+	// ClaimUnknown: it is no longer known whether a request with this key was accepted.
 	ClaimUnknown
-	// ClaimUnavailable: no claim can be had just now.
+	// ClaimUnavailable: claims can't be granted at the moment.
 	ClaimUnavailable
 )
 
-// Claim asks both keepers of a key to reserve it for a request.
+// Claim asks both replicas of a key to reserve it for a request.
 func (n *Node) Claim(ctx context.Context, key string, request willowwick.RequestID) ClaimStatus {
 	roster := n.Registry.Roster()
-	pair := Pair(roster, key)
-	if len(pair) == 0 || !n.mayGrant(clock.Now()) {
+	pair := ReplicaPair(roster, key)
+	if len(pair) == 0 || !n.canGrantClaims(clock.Now()) {
 		return ClaimUnavailable
 	}
 	args := PutArgs{
 		Epoch: roster.Epoch, Strict: true,
 		Entry: RegistryEntry{Key: key, Value: string(request), Deadline: clock.TimeOfDay().Add(ClaimWindow)},
 	}
-	for i, keeper := range pair {
-		reply, err := n.put(ctx, keeper, args)
+	for i, replica := range pair {
+		reply, err := n.putAt(ctx, replica, args)
 		if err == nil && reply.Status == PutGranted {
 			continue
 		}
-		n.dropFrom(ctx, pair[:i+1], DropArgs{Key: key, Value: string(request)})
+		n.dropAt(ctx, pair[:i+1], DropArgs{Key: key, Value: string(request)})
 		switch {
 		case err != nil:
 			return ClaimUnavailable
@@ -253,13 +254,13 @@
 	return ClaimGranted
 }
 
-// Unclaim gives a key back after it is certain that nothing was sent.
-func (n *Node) Unclaim(ctx context.Context, key string, request willowwick.RequestID) {
-	n.dropFrom(ctx, Pair(n.Registry.Roster(), key), DropArgs{Key: key, Value: string(request)})
+// ReleaseClaim releases a key once it is certain that nothing was sent.
+func (n *Node) ReleaseClaim(ctx context.Context, key string, request willowwick.RequestID) {
+	n.dropAt(ctx, ReplicaPair(n.Registry.Roster(), key), DropArgs{Key: key, Value: string(request)})
 }
 
-func (n *Node) put(ctx context.Context, keeper config.Member, args PutArgs) (PutReply, error) {
-	if keeper.Boot == n.Self.Boot {
+func (n *Node) putAt(ctx context.Context, replica config.Member, args PutArgs) (PutReply, error) {
+	if replica.Boot == n.Self.Boot {
 		var reply PutReply
 		err := (&peerService{node: n}).Put(args, &reply)
 		return reply, err
@@ -267,35 +268,34 @@
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var reply PutReply
-	err := n.Transport.Call(callCtx, keeper.Peer, rpcName+".Put", args, &reply)
+	err := n.Transport.Call(callCtx, replica.Peer, rpcName+".Put", args, &reply)
 	return reply, err
 }
 
-func (n *Node) dropFrom(ctx context.Context, keepers []config.Member, args DropArgs) {
-	for _, keeper := range keepers {
-		if keeper.Boot == n.Self.Boot {
+func (n *Node) dropAt(ctx context.Context, replicas []config.Member, args DropArgs) {
+	for _, replica := range replicas {
+		if replica.Boot == n.Self.Boot {
 			n.Registry.Drop(args)
 			continue
 		}
 		callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
-		_ = n.Transport.Call(callCtx, keeper.Peer, rpcName+".Drop", args, &Nothing{})
+		_ = n.Transport.Call(callCtx, replica.Peer, rpcName+".Drop", args, &Nothing{})
 		cancel()
 	}
 }
 
-// Pin makes a session keep the version, or returns the one that it keeps already.
+// Pin pins a session to the version, or returns the version to which it is pinned already.
 //
-// It asks both keepers and takes the first answer; replace moves a session
-// whose version may no longer be used.
+// It asks both replicas and uses the first reply; replace overwrites a pinned version that may no longer be used.
 func (n *Node) Pin(ctx context.Context, key string, version willowwick.VersionID, lasts time.Time, replace bool) willowwick.VersionID {
 	pinned := string(version)
 	answered := false
-	for _, keeper := range Pair(n.Registry.Roster(), key) {
+	for _, replica := range ReplicaPair(n.Registry.Roster(), key) {
 		args := PutArgs{
 			Replace: replace || answered,
 			Entry:   RegistryEntry{Key: key, Value: pinned, Deadline: lasts},
 		}
-		reply, err := n.put(ctx, keeper, args)
+		reply, err := n.putAt(ctx, replica, args)
 		if err == nil && !answered && reply.Value != "" {
 			pinned, answered = reply.Value, true
 		}
--- a/fleet/registry.go
+++ b/fleet/registry.go
@@ -12,99 +12,99 @@
 )
 
 const (
-	// ClaimWindow is how long a claim is remembered.
+	// ClaimWindow is how long a claim is kept.
 	ClaimWindow = 10 * time.Minute
-	// maxEntries bounds the memory of a box for claims and session versions.
+	// maxEntries bounds the number of claims and session versions in a box's memory.
 	maxEntries = 500_000
-	// keyClockMargin is how far a key's own time may be off.
-	keyClockMargin = 5 * time.Second
+	// maxKeyClockSkew is how far the time inside a key may be off.
+	maxKeyClockSkew = 5 * time.Second
 )
 
 type (
-	// PutStatus is a keeper's answer to a put.
+	// PutStatus is a replica's reply to a put.
 	PutStatus int
 
 	// RegistryEntry is a claim or a session version.
 	RegistryEntry struct {
 		Key      string
 		Value    string
-		Deadline time.Time // when it may be forgotten, by the time of day
+		Deadline time.Time // when the entry expires, by the time of day
 	}
 
-	// PutArgs sets a key that is not set yet.
+	// PutArgs sets a key that isn't set yet, or replaces its value.
 	PutArgs struct {
 		Epoch   willowwick.Epoch
 		Entry   RegistryEntry
-		Strict  bool // a claim: refuse unless nothing can be missed
-		Replace bool // a session that must move
+		Strict  bool // set for claims: refuse the entry unless this box would know of any earlier one
+		Replace bool // overwrite the current value, for a session that must move to another version
 	}
 
-	// PutReply is the answer; Value is what stands under the key.
+	// PutReply is the reply to a put; Value is the value stored under the key.
 	PutReply struct {
 		Status PutStatus
 		Epoch  willowwick.Epoch
 		Value  string
 	}
 
-	// DropArgs takes back a claim of which nothing came.
+	// DropArgs removes a claim whose request was not sent.
 	DropArgs struct {
 		Key   string
 		Value string
 	}
 
-	// ExportArgs asks for the entries that a box keeps at an epoch.
+	// ExportArgs requests the entries that the box For stores under the roster of an epoch.
 	ExportArgs struct {
 		Epoch willowwick.Epoch
 		For   willowwick.BootID
 	}
 
-	// ExportReply brings them; Ready is false while the answerer has not adopted the epoch.
+	// ExportReply returns the entries. Ready is false until the replying box has adopted the epoch; Complete says
+	// that it has all entries that it stored under the former roster.
 	ExportReply struct {
 		Ready    bool
 		Complete bool
 		Entries  []RegistryEntry
 	}
 
-	// Registry keeps entries at pairs of boxes, by rendezvous hashing over the roster.
+	// Registry stores entries on pairs of boxes, which are chosen by rendezvous hashing over the roster.
 	//
-	// A box that is new to a pair first takes the entries from a survivor of
-	// the pair before. Where none is left, what may have been set before the
-	// epoch is unknown until the window has passed.
+	// A box that is new to a pair first imports the entries from a surviving member of the former pair. If there is
+	// none, the entries from before the epoch are unknown until ClaimWindow has passed.
 	Registry struct {
-		mu          sync.Mutex
-		self        willowwick.BootID
-		roster      config.Roster
-		transitions []*transition
-		entries     map[string]RegistryEntry
-		exports     map[willowwick.BootID][]RegistryEntry // at epoch exportsAt
-		exportsAt   willowwick.Epoch
+		mu           sync.Mutex
+		self         willowwick.BootID
+		roster       config.Roster
+		transitions  []*transition
+		entries      map[string]RegistryEntry
+		exports      map[willowwick.BootID][]RegistryEntry // by destination box; computed at exportsEpoch
+		exportsEpoch willowwick.Epoch
 	}
 
-	// transition is a change of roster and what was learnt of it.
+	// transition is a change of roster and the progress of the imports that follow it.
 	transition struct {
-		former  config.Roster
-		synced  map[willowwick.BootID]bool
-		gone    map[willowwick.BootID]bool // not on the new roster
-		knowing bool                       // this box was a member before, with its memory
-		adopted time.Time
+		former     config.Roster
+		synced     map[willowwick.BootID]bool
+		removed    map[willowwick.BootID]bool // members of the former roster that are not on the new one
+		hadEntries bool                       // this box was a member of the former roster and still has its entries
+		adopted    time.Time
 	}
 )
 
-// Answers of a keeper.
+// Replies of a replica to a put.
 const (
-	// PutGranted: the entry stands.
+	// PutGranted: the entry is stored.
 	PutGranted PutStatus = iota
-	// PutHeld: another value stands under the key.
+	// PutHeld: another value is stored under the key.
 	PutHeld
-	// PutWrongEpoch: the keeper is at another roster.
+	// PutWrongEpoch: the replica has adopted another roster.
 	PutWrongEpoch
-	// PutSyncing: the keeper has yet to hear from the survivors.
+	// PutSyncing: the replica is still importing entries from the surviving members.
 	PutSyncing
-	// PutUnknown: what was set before the roster changed is lost.
+	// PutUnknown: the entries from before the roster change are lost.
 	PutUnknown
-	// PutFull: the keeper has no memory left.
+	// PutFull: the replica has reached maxEntries.
 	PutFull
-	// PutUnconfirmed: the keeper cannot tell whether its roster is current.
+	// PutUnconfirmed: the replica doesn't know whether its roster is current.
 	PutUnconfirmed
 )
 
@@ -113,13 +113,13 @@
 	return &Registry{self: self, entries: map[string]RegistryEntry{}}
 }
 
-// Pair returns the members that keep a key: the two highest by rendezvous
-// hashing, the second from another hall if there is one.
-func Pair(roster config.Roster, key string) []config.Member {
+// ReplicaPair returns the members that store a key: the two that rank highest by rendezvous hashing, the second from
+// another hall if there is one.
+func ReplicaPair(roster config.Roster, key string) []config.Member {
 	var first, second, sameHall *config.Member
 	var firstScore, secondScore, sameScore uint64
 	for i := range roster.Members {
-		if score := pairScore(roster.Members[i].Boot, key); first == nil || score > firstScore {
+		if score := rendezvousScore(roster.Members[i].Boot, key); first == nil || score > firstScore {
 			first, firstScore = &roster.Members[i], score
 		}
 	}
@@ -131,7 +131,7 @@
 		if m.Boot == first.Boot {
 			continue
 		}
-		score := pairScore(m.Boot, key)
+		score := rendezvousScore(m.Boot, key)
 		if m.Hall != first.Hall && (second == nil || score > secondScore) {
 			second, secondScore = m, score
 		}
@@ -148,7 +148,7 @@
 	return []config.Member{*first, *second}
 }
 
-func pairScore(boot willowwick.BootID, key string) uint64 {
+func rendezvousScore(boot willowwick.BootID, key string) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(string(boot))
 	_, _ = digest.WriteString("|")
@@ -156,7 +156,7 @@
 	return digest.Sum64()
 }
 
-// Adopt takes a new roster and returns the members to take entries from.
+// Adopt adopts a newer roster and returns the members from which entries must be imported.
 func (r *Registry) Adopt(now time.Time, roster, former config.Roster) []config.Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -165,14 +165,14 @@
 	}
 	t := &transition{
 		former: former, adopted: now,
-		synced: map[willowwick.BootID]bool{}, gone: map[willowwick.BootID]bool{},
-		knowing: former.Epoch == r.roster.Epoch && former.IsMember(r.self),
+		synced: map[willowwick.BootID]bool{}, removed: map[willowwick.BootID]bool{},
+		hadEntries: former.Epoch == r.roster.Epoch && former.IsMember(r.self),
 	}
 	var sources []config.Member
 	for _, m := range former.Members {
 		switch {
 		case !roster.IsMember(m.Boot):
-			t.gone[m.Boot] = true
+			t.removed[m.Boot] = true
 		case m.Boot != r.self:
 			sources = append(sources, m)
 		}
@@ -203,7 +203,7 @@
 	return r.roster
 }
 
-// Import takes entries from a survivor.
+// Import stores entries from a member that has survived the roster change.
 func (r *Registry) Import(epoch willowwick.Epoch, from willowwick.BootID, reply ExportReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -218,43 +218,43 @@
 	}
 }
 
-// Export returns the entries that the asking box keeps under the adopted roster.
+// Export returns the entries that the calling box must store under the adopted roster.
 func (r *Registry) Export(now time.Time, args ExportArgs) ExportReply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.roster.Epoch < args.Epoch {
 		return ExportReply{}
 	}
-	r.sortOut(now)
+	r.buildExports(now)
 	return ExportReply{Ready: true, Complete: r.isComplete(now), Entries: r.exports[args.For]}
 }
 
-// sortOut finds, once for each roster, who is to have which entries: a pass
-// for each asking box would cost the square of the fleet's size. What is set
-// later needs no export, since its keepers both agreed under the new roster.
-func (r *Registry) sortOut(now time.Time) {
-	if r.exportsAt == r.roster.Epoch && r.exports != nil {
+// buildExports groups the entries by destination box, once per roster: a pass for each calling box would cost the
+// square of the fleet's size. Entries that are set later need no export, since both replicas accept them under the
+// new roster.
+func (r *Registry) buildExports(now time.Time) {
+	if r.exportsEpoch == r.roster.Epoch && r.exports != nil {
 		return
 	}
-	r.exports, r.exportsAt = map[willowwick.BootID][]RegistryEntry{}, r.roster.Epoch
+	r.exports, r.exportsEpoch = map[willowwick.BootID][]RegistryEntry{}, r.roster.Epoch
 	for key, entry := range r.entries {
-		if !clock.System(now).Before(entry.Deadline) {
+		if !clock.SystemTime(now).Before(entry.Deadline) {
 			continue
 		}
-		for _, keeper := range Pair(r.roster, key) {
-			r.exports[keeper.Boot] = append(r.exports[keeper.Boot], entry)
+		for _, replica := range ReplicaPair(r.roster, key) {
+			r.exports[replica.Boot] = append(r.exports[replica.Boot], entry)
 		}
 	}
 }
 
-// isComplete reports whether this box misses nothing of the pairs it was in under the roster before.
+// isComplete reports whether this box has all entries of the pairs to which it belonged under the former roster.
 func (r *Registry) isComplete(now time.Time) bool {
 	r.dropOldTransitions(now)
 	if len(r.transitions) == 0 {
 		return true
 	}
 	last := r.transitions[len(r.transitions)-1]
-	if len(last.former.Members) > 0 && !last.knowing {
+	if len(last.former.Members) > 0 && !last.hadEntries {
 		return false
 	}
 	for _, t := range r.transitions[:len(r.transitions)-1] {
@@ -265,27 +265,27 @@
 	return true
 }
 
-// isCovered reports whether every pair of the former roster had a survivor that was heard out.
+// isCovered reports whether every pair of the former roster has a survivor whose entries were imported.
 func (t *transition) isCovered(self willowwick.BootID) bool {
 	if len(t.former.Members) == 0 {
 		return true
 	}
-	lost := len(t.gone)
+	lost := len(t.removed)
 	for _, m := range t.former.Members {
 		if m.Boot == self {
-			if !t.knowing {
+			if !t.hadEntries {
 				lost++
 			}
 			continue
 		}
-		if !t.gone[m.Boot] && !t.synced[m.Boot] {
+		if !t.removed[m.Boot] && !t.synced[m.Boot] {
 			return false
 		}
 	}
 	return lost <= 1 && lost < len(t.former.Members)
 }
 
-// Put sets a key that is not set yet.
+// Put sets a key that isn't set yet, or replaces its value if args.Replace is set.
 func (r *Registry) Put(now time.Time, args PutArgs) PutReply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -295,7 +295,7 @@
 		return reply
 	}
 	entry, known := r.entries[args.Entry.Key]
-	if known && clock.System(now).Before(entry.Deadline) && !args.Replace {
+	if known && clock.SystemTime(now).Before(entry.Deadline) && !args.Replace {
 		reply.Value = entry.Value
 		if entry.Value != args.Entry.Value {
 			reply.Status = PutHeld
@@ -317,22 +317,23 @@
 	return reply
 }
 
-// coverage tells whether this box would know of an earlier entry under the key.
+// coverage returns PutGranted if this box would know of an earlier entry under the key, and the reason for the
+// refusal otherwise.
 func (r *Registry) coverage(now time.Time, key string) PutStatus {
 	r.dropOldTransitions(now)
 	for i := len(r.transitions) - 1; i >= 0; i-- {
 		t := r.transitions[i]
-		if len(t.former.Members) == 0 || isYoungerThan(key, t.adopted) {
+		if len(t.former.Members) == 0 || isCreatedAfter(key, t.adopted) {
 			return PutGranted
 		}
 		own, survivors := false, 0
-		for _, m := range Pair(t.former, key) {
+		for _, m := range ReplicaPair(t.former, key) {
 			switch {
-			case m.Boot == r.self && t.knowing:
+			case m.Boot == r.self && t.hadEntries:
 				own = true
 			case t.synced[m.Boot]:
 				return PutGranted
-			case m.Boot != r.self && !t.gone[m.Boot]:
+			case m.Boot != r.self && !t.removed[m.Boot]:
 				survivors++
 			}
 		}
@@ -347,25 +348,25 @@
 	return PutGranted
 }
 
-// isYoungerThan reports whether a key carries a time (a version 7 UUID) after the given one.
-func isYoungerThan(key string, at time.Time) bool {
+// isCreatedAfter reports whether a key ends with a time-based (version 7) UUID that was made after the given time.
+func isCreatedAfter(key string, at time.Time) bool {
 	if len(key) < uuidLength {
 		return false
 	}
 	id, err := uuid.Parse(key[len(key)-uuidLength:])
-	if err != nil || id.Version() != uuidWithTime {
+	if err != nil || id.Version() != uuidVersionWithTime {
 		return false
 	}
 	seconds, nanoseconds := id.Time().UnixTime()
-	return time.Unix(seconds, nanoseconds).After(at.Add(keyClockMargin))
+	return time.Unix(seconds, nanoseconds).After(at.Add(maxKeyClockSkew))
 }
 
 const (
-	uuidLength   = 36
-	uuidWithTime = 7
+	uuidLength          = 36
+	uuidVersionWithTime = 7
 )
 
-// Drop takes back an entry if the value is the one that stands.
+// Drop removes an entry if its value is the given one.
 func (r *Registry) Drop(args DropArgs) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -374,12 +375,12 @@
 	}
 }
 
-// Sweep forgets entries past their deadline.
+// Sweep removes expired entries.
 func (r *Registry) Sweep(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for key, entry := range r.entries {
-		if !clock.System(now).Before(entry.Deadline) {
+		if !clock.SystemTime(now).Before(entry.Deadline) {
 			delete(r.entries, key)
 		}
 	}
@@ -392,12 +393,12 @@
 	return len(r.entries)
 }
 
-// Owner returns the box that owns a name by rendezvous hashing.
+// Owner returns the box that owns a name by rendezvous hashing, or "" if there are no boxes.
 func Owner(boxes []LiveBox, name string) willowwick.BoxID {
 	var owner willowwick.BoxID
 	var highest uint64
 	for _, box := range boxes {
-		if score := pairScore(box.Boot, name); owner == "" || score > highest {
+		if score := rendezvousScore(box.Boot, name); owner == "" || score > highest {
 			owner, highest = box.Box, score
 		}
 	}
--- a/fleet/table.go
+++ b/fleet/table.go
@@ -14,27 +14,27 @@
 )
 
 const (
-	// basePatience is how long a box may be silent beyond some of its digests
-	// and the time that they take through the hall.
-	basePatience    = 2 * time.Second
-	missedDigests   = 3
-	missedHallTerms = 3
+	// baseLivenessTimeout is how long a box may send no digest and still count as alive, in addition to missedDigests
+	// digest intervals and the time that a digest takes to spread through the hall.
+	baseLivenessTimeout = 2 * time.Second
+	missedDigests       = 3
+	missedHallPeriods   = 3
 	// hallPeriod is how often the digest of a hall is renewed.
 	hallPeriod = 5 * time.Second
-	// forgetAfter is when a silent box is dropped from the table.
+	// forgetAfter is how long a box without new digests stays in the table.
 	forgetAfter = 10 * time.Minute
 )
 
 type (
-	// Table holds the newest digests of the own hall's boxes and of the other halls.
+	// Table holds the latest digests of the boxes of this hall and of the other halls.
 	Table struct {
 		mu    sync.Mutex
 		self  Identity
-		boxes map[willowwick.BoxID]heardDigest
-		halls map[willowwick.HallID]heardHall
+		boxes map[willowwick.BoxID]receivedDigest
+		halls map[willowwick.HallID]receivedHallDigest
 	}
 
-	// Identity is what a daemon is called.
+	// Identity identifies a daemon.
 	Identity struct {
 		Box     willowwick.BoxID
 		Boot    willowwick.BootID
@@ -43,61 +43,61 @@
 		Started time.Time
 	}
 
-	heardDigest struct {
+	receivedDigest struct {
 		Digest
 		heard time.Time
 	}
 
-	heardHall struct {
+	receivedHallDigest struct {
 		HallDigest
 		heard time.Time
 	}
 
-	// LiveBox is a box that was heard of lately.
+	// LiveBox is a box whose digest was received recently enough to count as alive.
 	LiveBox struct {
 		Box  willowwick.BoxID
 		Boot willowwick.BootID
 		Hall willowwick.HallID
 		Peer string
-		// Draining boxes are in a planned stop.
+		// Draining is set while the box shuts down as planned.
 		Draining bool
 	}
 )
 
-// NewTable returns a table that knows of nobody.
+// NewTable returns an empty table.
 func NewTable(self Identity) *Table {
 	return &Table{
 		self:  self,
-		boxes: map[willowwick.BoxID]heardDigest{},
-		halls: map[willowwick.HallID]heardHall{},
+		boxes: map[willowwick.BoxID]receivedDigest{},
+		halls: map[willowwick.HallID]receivedHallDigest{},
 	}
 }
 
-// Merge takes digests that are newer than the ones known and returns those it took.
+// Merge stores the digests that are newer than the known ones, and returns the stored digests of boxes.
 func (t *Table) Merge(now time.Time, digests []Digest, halls []HallDigest) []Digest {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var taken []Digest
 	for _, d := range digests {
 		known := t.boxes[d.Box]
-		if d.Hall != t.self.Hall || d.Version <= known.Version || !d.isWhole() {
+		if d.Hall != t.self.Hall || d.Version <= known.Version || !d.isWellFormed() {
 			continue
 		}
 		if d.Box == t.self.Box && d.Boot != t.self.Boot {
 			continue
 		}
-		t.boxes[d.Box] = heardDigest{Digest: d, heard: now}
+		t.boxes[d.Box] = receivedDigest{Digest: d, heard: now}
 		taken = append(taken, d)
 	}
 	for _, h := range halls {
-		if h.Hall != t.self.Hall && h.Stamp > t.halls[h.Hall].Stamp && h.isWhole() {
-			t.halls[h.Hall] = heardHall{HallDigest: h, heard: now}
+		if h.Hall != t.self.Hall && h.Stamp > t.halls[h.Hall].Stamp && h.isWellFormed() {
+			t.halls[h.Hall] = receivedHallDigest{HallDigest: h, heard: now}
 		}
 	}
 	return taken
 }
 
-// Marks lists what the table has.
+// Marks returns the versions and stamps of the digests in the table.
 func (t *Table) Marks() (Marks, []HallMark) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -113,41 +113,42 @@
 	return marks, hallMarks
 }
 
-// Newer returns the digests that a peer with the given marks lacks, and the boxes of which it has newer ones.
+// Newer returns the digests that a peer with the given marks lacks, and the boxes of which the peer has newer
+// digests.
 func (t *Table) Newer(args ExchangeArgs) ([]Digest, []HallDigest, []NameHash) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var digests []Digest
 	var want []NameHash
 	if args.Hall == t.self.Hall && len(args.Marks.Boxes) == len(args.Marks.Versions) {
-		digests, want = t.compare(args.Marks)
+		digests, want = t.compareMarks(args.Marks)
 	}
 	var halls []HallDigest
 	for id, h := range t.halls {
-		if id != args.Hall && h.Stamp > args.stampOf(id) {
+		if id != args.Hall && h.Stamp > args.knownStamp(id) {
 			halls = append(halls, h.HallDigest)
 		}
 	}
 	return digests, halls, want
 }
 
-func (t *Table) compare(marks Marks) (newer []Digest, want []NameHash) {
-	theirs := make(map[NameHash]DigestVersion, len(marks.Boxes))
+func (t *Table) compareMarks(marks Marks) (newer []Digest, want []NameHash) {
+	peerVersions := make(map[NameHash]DigestVersion, len(marks.Boxes))
 	for row, box := range marks.Boxes {
-		theirs[box] = marks.Versions[row]
+		peerVersions[box] = marks.Versions[row]
 	}
 	for _, own := range t.boxes {
 		box := HashName(own.Box)
 		switch {
-		case own.Version > theirs[box]:
+		case own.Version > peerVersions[box]:
 			newer = append(newer, own.Digest)
-		case own.Version < theirs[box]:
+		case own.Version < peerVersions[box]:
 			want = append(want, box)
 		}
-		delete(theirs, box)
+		delete(peerVersions, box)
 	}
-	// What is left, only the peer knows.
-	for box := range theirs {
+	// The remaining boxes are known to the peer only.
+	for box := range peerVersions {
 		want = append(want, box)
 	}
 	return newer, want
@@ -166,38 +167,38 @@
 	return digests
 }
 
-// DigestInterval is how often a box of a hall of this size renews its digest.
+// DigestInterval returns how often a box renews its digest in a hall of the given size.
 func DigestInterval(hallSize int) time.Duration {
-	return tick * time.Duration(1+hallSize/digestSpacing)
+	return loopInterval * time.Duration(1+hallSize/digestsPerSecond)
 }
 
-// patience is how long a box may be silent and still counts as alive; the caller holds the lock.
-func (t *Table) patience() time.Duration {
+// livenessTimeout returns how long a box may send no new digest and still count as alive; the caller holds the lock.
+func (t *Table) livenessTimeout() time.Duration {
 	size := len(t.boxes)
-	spread := tick * time.Duration(bits.Len(uint(size)))
-	return basePatience + missedDigests*DigestInterval(size) + spread
+	spread := loopInterval * time.Duration(bits.Len(uint(size)))
+	return baseLivenessTimeout + missedDigests*DigestInterval(size) + spread
 }
 
-// hallPatience is patience with boxes of other halls, of which the hall's digest tells.
-func (t *Table) hallPatience() time.Duration {
-	return t.patience() + missedHallTerms*hallPeriod
+// hallLivenessTimeout is livenessTimeout for boxes of other halls, which are known through their hall's digest only.
+func (t *Table) hallLivenessTimeout() time.Duration {
+	return t.livenessTimeout() + missedHallPeriods*hallPeriod
 }
 
-// hallStamp is the same for all digests of a hall within a period, whoever
-// sums it up, so that each period's digest travels once.
+// hallStamp returns the number of the current period. All digests of a hall within a period have the same stamp,
+// whichever box makes them, so that only one digest per period spreads.
 func hallStamp(now time.Time) int64 {
-	return clock.System(now).UnixNano() / int64(hallPeriod) // by the time of day, which boxes share
+	return clock.SystemTime(now).UnixNano() / int64(hallPeriod) // by the time of day, which all boxes share
 }
 
-// HallDigest sums up the own hall.
+// HallDigest sums up the digests of this hall.
 func (t *Table) HallDigest(now time.Time) HallDigest {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	h := HallDigest{Hall: t.self.Hall, Stamp: hallStamp(now)}
-	total := newSummary()
+	total := newDigestTotals()
 	for _, d := range t.boxes {
 		age := now.Sub(d.heard)
-		if age > t.patience() {
+		if age > t.livenessTimeout() {
 			continue
 		}
 		h.Members = append(h.Members, HallMember{Box: d.Box, Boot: d.Boot, AgeMs: age.Milliseconds(), Draining: d.Draining})
@@ -205,24 +206,24 @@
 		total.add(&d.Digest)
 	}
 	sort.Slice(h.Members, func(i, j int) bool { return h.Members[i].Box < h.Members[j].Box })
-	total.fill(&h)
+	total.writeTo(&h)
 	return h
 }
 
-// Live lists the boxes heard of lately, this one included, by box id; the
-// addresses of those in other halls stand on the platform's list alone.
+// Live returns the live boxes, this one included, sorted by box ID. Boxes of other halls have no peer address here:
+// only the platform's list has it.
 func (t *Table) Live(now time.Time) []LiveBox {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	live := []LiveBox{{Box: t.self.Box, Boot: t.self.Boot, Hall: t.self.Hall, Peer: t.self.Peer}}
 	for _, d := range t.boxes {
-		if d.Box != t.self.Box && now.Sub(d.heard) <= t.patience() {
+		if d.Box != t.self.Box && now.Sub(d.heard) <= t.livenessTimeout() {
 			live = append(live, LiveBox{Box: d.Box, Boot: d.Boot, Hall: d.Hall, Peer: d.Peer, Draining: d.Draining})
 		}
 	}
 	for _, h := range t.halls {
 		for _, m := range h.Members {
-			if now.Sub(h.heard)+time.Duration(m.AgeMs)*time.Millisecond <= t.hallPatience() {
+			if now.Sub(h.heard)+time.Duration(m.AgeMs)*time.Millisecond <= t.hallLivenessTimeout() {
 				live = append(live, LiveBox{Box: m.Box, Boot: m.Boot, Hall: h.Hall, Draining: m.Draining})
 			}
 		}
@@ -231,7 +232,7 @@
 	return live
 }
 
-// Evidence returns the counts of each source: each box of the hall, and each other hall.
+// Evidence returns the counts of each source, which is another box of this hall or another hall.
 func (t *Table) Evidence() map[string]VersionCounts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -247,22 +248,23 @@
 	return sources
 }
 
-// Peers returns the other boxes as the limiter needs them; expected is the size of the fleet, names its accounts.
+// Peers returns the demand of the other boxes for the limiter; expected is the size of the fleet, and names maps the
+// hashes of the client accounts.
 func (t *Table) Peers(now time.Time, expected int, names map[NameHash]willowwick.AccountID) []route.Peer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var peers []route.Peer
 	for _, d := range t.boxes {
-		if d.Box != t.self.Box && now.Sub(d.heard) <= t.patience() {
-			peers = append(peers, route.Peer{Fresh: true, Demand: demandOf(d.Demand, names)})
+		if d.Box != t.self.Box && now.Sub(d.heard) <= t.livenessTimeout() {
+			peers = append(peers, route.Peer{Fresh: true, Demand: decodeDemand(d.Demand, names)})
 		}
 	}
 	for _, h := range t.halls {
-		if now.Sub(h.heard) > t.hallPatience() || len(h.Members) == 0 {
+		if now.Sub(h.heard) > t.hallLivenessTimeout() || len(h.Members) == 0 {
 			continue
 		}
-		// The hall's demand stands at one of its members; only sums are used.
-		peers = append(peers, route.Peer{Fresh: true, Demand: demandOf(h.Demand, names)})
+		// The hall's whole demand is assigned to one of its members; the limiter uses only sums.
+		peers = append(peers, route.Peer{Fresh: true, Demand: decodeDemand(h.Demand, names)})
 		for range len(h.Members) - 1 {
 			peers = append(peers, route.Peer{Fresh: true})
 		}
@@ -273,7 +275,7 @@
 	return peers
 }
 
-func demandOf(columns Demand, names map[NameHash]willowwick.AccountID) route.Demand {
+func decodeDemand(columns Demand, names map[NameHash]willowwick.AccountID) route.Demand {
 	demand := make(route.Demand, len(columns.Accounts))
 	for row, account := range columns.Accounts {
 		if name, ok := names[account]; ok {
@@ -283,7 +285,7 @@
 	return demand
 }
 
-// Forget drops boxes and halls that have been silent for long.
+// Forget removes boxes and halls without new digests for forgetAfter.
 func (t *Table) Forget(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -299,7 +301,7 @@
 	}
 }
 
-// EvidenceTracker turns growing counts of many sources into what is new.
+// EvidenceTracker computes the increments of the cumulative counts of many sources.
 type EvidenceTracker struct {
 	marks map[string]map[NameHash]evidenceMark
 }
@@ -309,30 +311,30 @@
 	lowSince time.Time
 }
 
-const markPatience = 16 * time.Second
+const counterResetDelay = 16 * time.Second
 
-// NewEvidenceTracker returns a tracker that has seen nothing.
+// NewEvidenceTracker returns an empty tracker.
 func NewEvidenceTracker() *EvidenceTracker {
 	return &EvidenceTracker{marks: map[string]map[NameHash]evidenceMark{}}
 }
 
-// Deltas adds what is new from all sources; sources that are gone are forgotten.
-func (e *EvidenceTracker) Deltas(now time.Time, sources map[string]VersionCounts, totals map[NameHash]rollout.Evidence) {
+// AddDeltas adds the increments of all sources to totals, and forgets sources that are no longer present.
+func (e *EvidenceTracker) AddDeltas(now time.Time, sources map[string]VersionCounts, totals map[NameHash]rollout.Evidence) {
 	for source := range e.marks {
 		if _, known := sources[source]; !known {
 			delete(e.marks, source)
 		}
 	}
 	for source, counts := range sources {
-		e.delta(now, source, counts, totals)
+		e.addDelta(now, source, counts, totals)
 	}
 }
 
-// delta adds what is new from one source.
+// addDelta adds the increments of one source to totals.
 //
-// Sums of a hall may fall a little when another box authored them, or for good
-// when a box restarted; only in the second case the count starts anew.
-func (e *EvidenceTracker) delta(now time.Time, source string, counts VersionCounts, totals map[NameHash]rollout.Evidence) {
+// The totals of a hall may drop a little when another box computed them, or for good when a box restarted; counting
+// restarts only in the second case, which is a drop that lasts longer than counterResetDelay.
+func (e *EvidenceTracker) addDelta(now time.Time, source string, counts VersionCounts, totals map[NameHash]rollout.Evidence) {
 	marks := e.marks[source]
 	if marks == nil {
 		marks = map[NameHash]evidenceMark{}
@@ -347,7 +349,7 @@
 		}
 		if mark.lowSince.IsZero() {
 			mark.lowSince = now
-		} else if now.Sub(mark.lowSince) > markPatience {
+		} else if now.Sub(mark.lowSince) > counterResetDelay {
 			mark = evidenceMark{Evidence: seen}
 		}
 		marks[version] = mark
--- a/fleet/transport.go
+++ b/fleet/transport.go
@@ -22,26 +22,27 @@
 const (
 	nonceSize        = 16
 	handshakeTimeout = 2 * time.Second
-	// writeLimit is how long the other side may take nothing of what is written to it: as long as the longest limit of
-	// a call, since nobody waits for the message after that.
-	writeLimit = callTimeout
-	// writePiece is the number of bytes that must be taken within it, so that a slow link that makes progress is not cut:
-	// 0.25 Mbit/s will do.
-	writePiece = 64 << 10
-	// keptFor is how long a connection is kept for the next call. A box of a hall of 200 swaps digests with each other one
-	// about every 200 s (tick), so most calls find their connection.
-	keptFor = 4 * time.Minute
-	// silenceLimit is how long a connection may bring nothing before it is closed: a minute longer than the other side
-	// keeps it for its next call, far more than a call takes, so that no call meets a connection that is just being closed.
-	silenceLimit = keptFor + time.Minute
+	// writeTimeout is how long the peer may read nothing of what is written to it: as long as the longest timeout of
+	// a call, since no caller waits for the message after that.
+	writeTimeout = callTimeout
+	// writeChunkSize is the number of bytes that the peer must read within writeTimeout. A slow link that makes
+	// progress isn't cut: 0.25 Mbit/s is enough.
+	writeChunkSize = 64 << 10
+	// idleTimeout is how long a connection is kept for the next call. In a hall of 200, a given pair of boxes has a
+	// gossip exchange about every 200 s (loopInterval), so most calls find an open connection.
+	idleTimeout = 4 * time.Minute
+	// readTimeout is how long a connection may receive nothing before it is closed: a minute longer than the peer
+	// keeps it for its next call, and far longer than a call takes, so that no call uses a connection that is being
+	// closed.
+	readTimeout = idleTimeout + time.Minute
 )
 
 type (
 	// Dialer opens connections to other daemons.
 	Dialer func(ctx context.Context, address string) (net.Conn, error)
 
-	// Transport calls other daemons and serves their calls, over net/rpc on
-	// connections that both sides have authenticated with the shared key.
+	// Transport calls other daemons and serves their calls, using net/rpc over connections on which both sides have
+	// proven that they hold the shared key.
 	Transport struct {
 		key      []byte
 		dial     Dialer
@@ -54,28 +55,28 @@
 		// Sent and Received count bytes on all peer connections.
 		Sent     atomic.Uint64
 		Received atomic.Uint64
-		// Refused counts connections whose other side did not prove the key.
+		// Refused counts accepted connections whose handshake failed.
 		Refused atomic.Uint64
 	}
 
 	// peerClient calls another daemon over one connection.
 	peerClient struct {
 		*rpc.Client
-		keptUntil time.Time // when it is too long since the last call; the transport's lock guards it
+		idleDeadline time.Time // when the connection has been idle too long for another call; guarded by the transport's lock
 	}
 
-	// peerConn is a connection to another daemon. It counts its bytes and, once both sides are known, bounds how long
-	// it waits for the other side.
+	// peerConn is a connection to another daemon. It counts its bytes and, after the handshake, applies timeouts to
+	// reads and writes.
 	peerConn struct {
 		net.Conn
-		raw       net.Conn // without TLS
-		transport *Transport
-		bounded   bool
+		raw         net.Conn // underlying connection, without TLS
+		transport   *Transport
+		hasTimeouts bool
 	}
 )
 
-// ErrBadPeer says that the other side does not hold the shared key.
-var ErrBadPeer = errors.New("peer does not hold the shared key")
+// ErrBadPeer is returned when the peer fails to prove that it holds the shared key.
+var ErrBadPeer = errors.New("peer failed to prove that it holds the shared key")
 
 // NewTransport returns a transport and a function that closes its connections.
 func NewTransport(key []byte, dial Dialer, tlsConfig *tls.Config) (*Transport, func()) {
@@ -144,7 +145,8 @@
 	_ = conn.Close()
 }
 
-// handshake proves the key to the other side and checks that it has it too; from then on the connection is bounded.
+// handshake proves to the peer that this side holds the key, and checks that the peer does; after it, reads and
+// writes have timeouts.
 func (t *Transport) handshake(conn *peerConn, own, other string) error {
 	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return errors.Wrap(err, "handshake")
@@ -154,22 +156,22 @@
 		return errors.Wrap(err, "handshake")
 	}
 	theirNonce := make([]byte, nonceSize)
-	if err := swap(conn, nonce, theirNonce); err != nil {
+	if err := exchangeBytes(conn, nonce, theirNonce); err != nil {
 		return errors.Wrap(err, "handshake")
 	}
 	proof := make([]byte, sha256.Size)
-	if err := swap(conn, t.prove(own, theirNonce), proof); err != nil {
+	if err := exchangeBytes(conn, t.handshakeProof(own, theirNonce), proof); err != nil {
 		return errors.Wrap(err, "handshake")
 	}
-	if !hmac.Equal(proof, t.prove(other, nonce)) {
+	if !hmac.Equal(proof, t.handshakeProof(other, nonce)) {
 		return ErrBadPeer
 	}
-	conn.bounded = true
+	conn.hasTimeouts = true
 	return errors.Wrap(conn.SetDeadline(time.Time{}), "handshake")
 }
 
-// swap writes and reads at once, since the other side does the same.
-func swap(conn net.Conn, out, in []byte) error {
+// exchangeBytes writes and reads concurrently, since the peer does the same.
+func exchangeBytes(conn net.Conn, out, in []byte) error {
 	written := make(chan error, 1)
 	go func() {
 		_, err := conn.Write(out)
@@ -182,22 +184,22 @@
 	return err
 }
 
-func (t *Transport) prove(role string, nonce []byte) []byte {
+func (t *Transport) handshakeProof(role string, nonce []byte) []byte {
 	mac := hmac.New(sha256.New, t.key)
 	mac.Write([]byte(role))
 	mac.Write(nonce)
 	return mac.Sum(nil)
 }
 
-// Call runs a method of the daemon at the address, until the context ends; after an error, the arguments and the reply
-// may be in use for a moment yet.
+// Call invokes a method of the daemon at the address and returns at the latest when the context ends. After an error,
+// args and reply may still be in use for a moment.
 func (t *Transport) Call(ctx context.Context, address, method string, args, reply any) error {
 	client, err := t.client(ctx, address)
 	if err != nil {
 		return err
 	}
 	done := make(chan *rpc.Call, 1)
-	// The client writes before it returns, and waits for the writes of other calls.
+	// Go blocks while it writes the request, and while other calls write theirs.
 	go client.Go(method, args, reply, done)
 	select {
 	case call := <-done:
@@ -205,26 +207,26 @@
 			return nil
 		}
 		if _, answered := call.Error.(rpc.ServerError); !answered {
-			t.drop(address, client)
+			t.dropClient(address, client)
 		}
 		return errors.Wrapf(call.Error, "%s at %s", method, address)
 	case <-ctx.Done():
-		// The reply may still be written to by the client; a fresh connection keeps late answers away from it.
-		t.drop(address, client)
+		// The client may still write to reply; closing the connection keeps a late response away from it.
+		t.dropClient(address, client)
 		return errors.Wrapf(ctx.Err(), "%s at %s", method, address)
 	}
 }
 
-// client returns the kept connection to the address, or opens one.
+// client returns the open connection to the address, or dials a new one.
 func (t *Transport) client(ctx context.Context, address string) (*peerClient, error) {
-	if client := t.kept(address, clock.Now()); client != nil {
+	if client := t.idleClient(address, clock.Now()); client != nil {
 		return client, nil
 	}
-	conn, err := t.open(ctx, address)
+	conn, err := t.dialPeer(ctx, address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "dial %s", address)
 	}
-	client := &peerClient{Client: rpc.NewClient(conn), keptUntil: clock.Now().Add(keptFor)}
+	client := &peerClient{Client: rpc.NewClient(conn), idleDeadline: clock.Now().Add(idleTimeout)}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.closed {
@@ -239,25 +241,26 @@
 	return client, nil
 }
 
-// kept returns the connection that is kept for the address, if there is one and it was used of late.
-func (t *Transport) kept(address string, now time.Time) *peerClient {
+// idleClient returns the open connection to the address and extends its idle deadline; it returns nil if there is
+// none or it has expired.
+func (t *Transport) idleClient(address string, now time.Time) *peerClient {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	client := t.clients[address]
 	if client == nil {
 		return nil
 	}
-	if now.After(client.keptUntil) {
+	if now.After(client.idleDeadline) {
 		delete(t.clients, address)
 		_ = client.Close()
 		return nil
 	}
-	client.keptUntil = now.Add(keptFor)
+	client.idleDeadline = now.Add(idleTimeout)
 	return client
 }
 
-// open dials the address and shakes hands, until the context ends.
-func (t *Transport) open(ctx context.Context, address string) (*peerConn, error) {
+// dialPeer dials the address and performs the handshake, until the context ends.
+func (t *Transport) dialPeer(ctx context.Context, address string) (*peerConn, error) {
 	raw, err := t.dial(ctx, address)
 	if err != nil {
 		return nil, err
@@ -278,7 +281,7 @@
 	return conn, nil
 }
 
-func (t *Transport) drop(address string, client *peerClient) {
+func (t *Transport) dropClient(address string, client *peerClient) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.clients[address] == client {
@@ -287,34 +290,35 @@
 	_ = client.Close()
 }
 
-// Read implements io.Reader; a connection that brings nothing for silenceLimit is at its end.
+// Read implements io.Reader; it fails if nothing is received for readTimeout.
 func (c *peerConn) Read(p []byte) (int, error) {
-	if c.bounded {
-		if err := c.SetReadDeadline(time.Now().Add(silenceLimit)); err != nil {
+	if c.hasTimeouts {
+		if err := c.SetReadDeadline(time.Now().Add(readTimeout)); err != nil {
 			return 0, err
 		}
 	}
 	n, err := c.Conn.Read(p)
 	c.transport.Received.Add(uint64(n))
-	if err != nil && c.bounded {
-		slog.Debug("peer connection ended", "peer", c.RemoteAddr().String(), "error", err)
-		// The library leaves a client's connection open until somebody calls over it again.
+	if err != nil && c.hasTimeouts {
+		slog.Debug("peer connection closed", "peer", c.RemoteAddr().String(), "error", err)
+		// net/rpc leaves a client's connection open until the next call on it.
 		_ = c.Close()
 	}
 	return n, err
 }
 
-// Write implements io.Writer; it ends the connection if the other side takes nothing for writeLimit.
+// Write implements io.Writer; it closes the connection if the peer reads nothing for writeTimeout.
 func (c *peerConn) Write(p []byte) (int, error) {
-	if !c.bounded {
+	if !c.hasTimeouts {
 		return c.write(p)
 	}
 	written := 0
 	for written < len(p) {
-		n, err := c.writeInTime(p[written:min(written+writePiece, len(p))])
+		n, err := c.writeChunk(p[written:min(written+writeChunkSize, len(p))])
 		written += n
 		if err != nil {
-			// A part of a message may be out, and the library does not close what it serves after a failed reply.
+			// Part of a message may have been sent, and net/rpc doesn't close a served connection after a failed
+			// reply.
 			_ = c.Close()
 			return written, err
 		}
@@ -322,13 +326,13 @@
 	return written, nil
 }
 
-func (c *peerConn) writeInTime(piece []byte) (int, error) {
-	if err := c.SetWriteDeadline(time.Now().Add(writeLimit)); err != nil {
+func (c *peerConn) writeChunk(piece []byte) (int, error) {
+	if err := c.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return 0, err
 	}
 	n, err := c.write(piece)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		slog.Info("peer takes nothing any more; its connection is closed", "peer", c.RemoteAddr().String())
+		slog.Info("peer stopped reading; closing its connection", "peer", c.RemoteAddr().String())
 	}
 	return n, err
 }
@@ -339,7 +343,8 @@
 	return n, err
 }
 
-// Close ends the connection without a word to the other side: TLS would wait up to 5 s for a silent one to take it.
+// Close closes the underlying connection without a TLS close notification, which would block for up to 5 s if the
+// peer doesn't read it.
 func (c *peerConn) Close() error {
 	return c.raw.Close()
 }
--- a/fleet/usage.go
+++ b/fleet/usage.go
@@ -13,72 +13,71 @@
 )
 
 const (
-	// MaxUsageBacklog bounds the records that one box keeps, its own and others'.
+	// MaxUsageBacklog bounds the usage records in one box's memory, its own and those it holds for others.
 	MaxUsageBacklog = 200_000
 
-	usageBatch       = 500
-	usagePeriod      = 250 * time.Millisecond
-	usagePerBox      = 10 * time.Millisecond // so that the fleet appends about a hundred batches a second
-	holdTimeout      = 2 * time.Second
-	holdCallTimeout  = time.Second
-	heldFor          = 10 * time.Second
-	usageRetry       = time.Second
-	appendTimeout    = 3 * time.Second
-	noBuddyPause     = 50 * time.Millisecond
-	holdBatchRecords = 1000
+	maxBatchRecords      = 500
+	minAppendInterval    = 250 * time.Millisecond
+	appendIntervalPerBox = 10 * time.Millisecond // limits the whole fleet to about 100 batches per second
+	holdTimeout          = 2 * time.Second
+	holdCallTimeout      = time.Second
+	heldAppendDelay      = 10 * time.Second
+	appendRetryInterval  = time.Second
+	appendTimeout        = 3 * time.Second
+	holdRetryInterval    = 50 * time.Millisecond
+	maxHoldRecords       = 1000
 )
 
 type (
-	// UsageBatch is one record of the usage stream.
+	// UsageBatch is one entry of the usage stream.
 	UsageBatch struct {
 		Records []willowwick.UsageRecord `json:"records"`
 	}
 
-	// HoldArgs gives records to another box for safe keeping.
+	// HoldArgs replicates usage records to another box.
 	HoldArgs struct {
 		Boot    willowwick.BootID
 		Records []willowwick.UsageRecord
 	}
 
-	// SettleArgs says that records are on the log.
+	// SettleArgs lists records that are on the log, so that the replica can remove them.
 	SettleArgs struct {
 		Boot willowwick.BootID
 		Seqs []uint64
 	}
 
-	// Keeper sends records to another box, and reports false if there is no other box.
-	Keeper interface {
+	// UsageReplicator replicates usage records to another box; Hold reports alone if there is no other box.
+	UsageReplicator interface {
 		Hold(ctx context.Context, args HoldArgs) (alone bool, err error)
 		Settle(ctx context.Context, args SettleArgs)
 	}
 
-	// Usage sees to it that each request is billed once: a record is held by a
-	// second box before the answer ends, and appended to the log in batches,
-	// by this box or, should it be gone, by the other.
+	// Usage makes sure that each request is billed once: a record is replicated to a second box before the response
+	// ends, and appended to the log in batches by this box or, if it crashes, by the second box.
 	Usage struct {
-		log     willowwick.Log
-		keeper  Keeper
-		boot    willowwick.BootID
-		boxes   func() int
-		mu      sync.Mutex
-		seq     uint64
-		own     map[uint64]*ownRecord
-		order   []uint64
-		held    map[heldKey]heldRecord
-		wake    chan struct{}
-		full    bool
-		leaving bool // a planned stop: nothing may stay here
-
-		unreplicated uint64 // records that were in one memory only when their answer ended
+		log        willowwick.Log
+		replicator UsageReplicator
+		boot       willowwick.BootID
+		fleetSize  func() int
+		mu         sync.Mutex
+		seq        uint64
+		own        map[uint64]*ownRecord
+		ownOrder   []uint64
+		held       map[recordKey]heldRecord
+		wake       chan struct{}
+		wasFull    bool
+		draining   bool // set by a planned stop, which leaves no record in this box's memory
+
+		unreplicated uint64 // records that only this box had when their response ended
 	}
 
 	ownRecord struct {
-		record willowwick.UsageRecord
-		safe   chan struct{} // closed once held elsewhere or on the log
-		isSafe bool
+		record    willowwick.UsageRecord
+		durable   chan struct{} // closed once the record is replicated or on the log
+		isDurable bool
 	}
 
-	heldKey struct {
+	recordKey struct {
 		boot willowwick.BootID
 		seq  uint64
 	}
@@ -89,14 +88,14 @@
 	}
 )
 
-// ErrUsageFull says that no more usage can be kept until the log takes it.
-var ErrUsageFull = errors.New("the backlog of usage records is full")
+// ErrUsageFull is returned when no more usage records are accepted until the log accepts appends again.
+var ErrUsageFull = errors.New("usage record backlog is full")
 
-// NewUsage returns an empty keeper of usage; boxes tells the size of the fleet.
-func NewUsage(log willowwick.Log, keeper Keeper, boot willowwick.BootID, boxes func() int) *Usage {
+// NewUsage returns an empty Usage; fleetSize returns the number of boxes in the fleet.
+func NewUsage(log willowwick.Log, replicator UsageReplicator, boot willowwick.BootID, fleetSize func() int) *Usage {
 	return &Usage{
-		log: log, keeper: keeper, boot: boot, boxes: boxes,
-		own: map[uint64]*ownRecord{}, held: map[heldKey]heldRecord{}, wake: make(chan struct{}, 1),
+		log: log, replicator: replicator, boot: boot, fleetSize: fleetSize,
+		own: map[uint64]*ownRecord{}, held: map[recordKey]heldRecord{}, wake: make(chan struct{}, 1),
 	}
 }
 
@@ -109,9 +108,9 @@
 
 func (u *Usage) isFull() bool {
 	full := len(u.own)+len(u.held) >= MaxUsageBacklog
-	if full != u.full {
+	if full != u.wasFull {
 		slog.Error("usage backlog changed", "full", full, "records", len(u.own)+len(u.held))
-		u.full = full
+		u.wasFull = full
 	}
 	return full
 }
@@ -123,30 +122,29 @@
 	return len(u.own), len(u.held)
 }
 
-// Unreplicated counts the records that were in one memory only when their answer ended.
+// Unreplicated returns the number of records that only this box had when their response ended.
 func (u *Usage) Unreplicated() uint64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.unreplicated
 }
 
-// Record takes a record and returns once a second box or the log has it.
+// Record adds a record and returns once a second box or the log has it.
 //
-// If neither can be had within holdTimeout, the record stays in this box's
-// memory alone, which is counted.
+// After holdTimeout the record stays in this box's memory alone, and is counted as unreplicated.
 func (u *Usage) Record(ctx context.Context, record willowwick.UsageRecord) {
 	u.mu.Lock()
 	u.seq++
 	record.Boot, record.Seq = u.boot, u.seq
-	mine := &ownRecord{record: record, safe: make(chan struct{})}
-	u.own[record.Seq] = mine
-	u.order = append(u.order, record.Seq)
+	own := &ownRecord{record: record, durable: make(chan struct{})}
+	u.own[record.Seq] = own
+	u.ownOrder = append(u.ownOrder, record.Seq)
 	u.mu.Unlock()
-	u.poke()
+	u.wakeHold()
 	timer := time.NewTimer(holdTimeout)
 	defer timer.Stop()
 	select {
-	case <-mine.safe:
+	case <-own.durable:
 	case <-timer.C:
 		u.mu.Lock()
 		u.unreplicated++
@@ -155,14 +153,14 @@
 	}
 }
 
-func (u *Usage) poke() {
+func (u *Usage) wakeHold() {
 	select {
 	case u.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Run holds and appends records until the context ends.
+// Run replicates and appends records until the context ends.
 func (u *Usage) Run(ctx context.Context) {
 	var workers sync.WaitGroup
 	workers.Go(func() { u.runHold(ctx) })
@@ -178,34 +176,34 @@
 		case <-u.wake:
 		}
 		for ctx.Err() == nil {
-			records := u.unsafeRecords()
+			records := u.undurableRecords()
 			if len(records) == 0 {
 				break
 			}
 			callCtx, cancel := context.WithTimeout(ctx, holdCallTimeout)
-			alone, err := u.keeper.Hold(callCtx, HoldArgs{Boot: u.boot, Records: records})
+			alone, err := u.replicator.Hold(callCtx, HoldArgs{Boot: u.boot, Records: records})
 			cancel()
 			if err == nil && !alone {
-				u.markSafe(records)
+				u.markDurable(records)
 				continue
 			}
 			if alone {
 				u.AppendNow(ctx)
 			}
-			sleep(ctx, noBuddyPause)
+			sleep(ctx, holdRetryInterval)
 		}
 	}
 }
 
-// unsafeRecords lists own records that only this box has.
-func (u *Usage) unsafeRecords() []willowwick.UsageRecord {
+// undurableRecords returns up to maxHoldRecords own records that only this box has.
+func (u *Usage) undurableRecords() []willowwick.UsageRecord {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	var records []willowwick.UsageRecord
-	for _, seq := range u.order {
-		if mine := u.own[seq]; mine != nil && !mine.isSafe {
-			records = append(records, mine.record)
-			if len(records) == holdBatchRecords {
+	for _, seq := range u.ownOrder {
+		if own := u.own[seq]; own != nil && !own.isDurable {
+			records = append(records, own.record)
+			if len(records) == maxHoldRecords {
 				break
 			}
 		}
@@ -213,57 +211,57 @@
 	return records
 }
 
-func (u *Usage) markSafe(records []willowwick.UsageRecord) {
+func (u *Usage) markDurable(records []willowwick.UsageRecord) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, record := range records {
-		u.safe(record.Seq)
+		u.setDurable(record.Seq)
 	}
 }
 
-func (u *Usage) safe(seq uint64) {
-	if mine := u.own[seq]; mine != nil && !mine.isSafe {
-		mine.isSafe = true
-		close(mine.safe)
+func (u *Usage) setDurable(seq uint64) {
+	if own := u.own[seq]; own != nil && !own.isDurable {
+		own.isDurable = true
+		close(own.durable)
 	}
 }
 
-// KeeperLost makes all own records be held again, by another box.
-func (u *Usage) KeeperLost() {
+// ReplicaLost marks all own records as unreplicated, so that they are sent to another box.
+func (u *Usage) ReplicaLost() {
 	u.mu.Lock()
-	for _, mine := range u.own {
-		if mine.isSafe {
-			mine.isSafe = false
-			mine.safe = make(chan struct{})
+	for _, own := range u.own {
+		if own.isDurable {
+			own.isDurable = false
+			own.durable = make(chan struct{})
 		}
 	}
 	u.mu.Unlock()
-	u.poke()
+	u.wakeHold()
 }
 
 func (u *Usage) runAppend(ctx context.Context) {
 	for {
-		period := max(usagePeriod, time.Duration(u.boxes())*usagePerBox)
+		period := max(minAppendInterval, time.Duration(u.fleetSize())*appendIntervalPerBox)
 		sleep(ctx, period)
 		if ctx.Err() != nil {
 			return
 		}
 		if !u.AppendNow(ctx) {
-			sleep(ctx, usageRetry)
+			sleep(ctx, appendRetryInterval)
 		}
 	}
 }
 
-// AppendNow appends what is due and reports whether the log took it.
+// AppendNow appends all due records and reports whether the log accepted them.
 func (u *Usage) AppendNow(ctx context.Context) bool {
 	for {
-		records := u.due(clock.Now())
+		records := u.dueRecords(clock.Now())
 		if len(records) == 0 {
 			return true
 		}
 		data, err := json.Marshal(UsageBatch{Records: records})
 		if err != nil {
-			slog.Error("usage cannot be encoded", "error", err)
+			slog.Error("failed to encode usage batch", "error", err)
 			return false
 		}
 		callCtx, cancel := context.WithTimeout(ctx, appendTimeout)
@@ -272,40 +270,39 @@
 		if err != nil {
 			return false
 		}
-		u.appended(ctx, records)
+		u.removeAppended(ctx, records)
 	}
 }
 
-// HandOver gets every record out of this box's memory before a planned stop:
-// onto the log or, while that is down, into the memory of a box that stays.
-// It reports false if the context ended first.
+// HandOver moves every record out of this box's memory before a planned stop: onto the log or, while the log is down,
+// into the memory of a box that stays. It returns false if the context ended first.
 func (u *Usage) HandOver(ctx context.Context) bool {
 	u.mu.Lock()
-	u.leaving = true
+	u.draining = true
 	u.mu.Unlock()
 	for ctx.Err() == nil {
-		if u.AppendNow(ctx) || u.giveAway(ctx) {
+		if u.AppendNow(ctx) || u.transferAll(ctx) {
 			return true
 		}
-		sleep(ctx, noBuddyPause)
+		sleep(ctx, holdRetryInterval)
 	}
 	return false
 }
 
-// giveAway puts all records, own and held, into the memory of another box.
-func (u *Usage) giveAway(ctx context.Context) bool {
+// transferAll replicates all records, own and held, to another box.
+func (u *Usage) transferAll(ctx context.Context) bool {
 	callCtx, cancel := context.WithTimeout(ctx, holdCallTimeout)
 	defer cancel()
-	alone, err := u.keeper.Hold(callCtx, HoldArgs{Boot: u.boot, Records: u.all()})
+	alone, err := u.replicator.Hold(callCtx, HoldArgs{Boot: u.boot, Records: u.allRecords()})
 	return err == nil && !alone
 }
 
-func (u *Usage) all() []willowwick.UsageRecord {
+func (u *Usage) allRecords() []willowwick.UsageRecord {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	records := make([]willowwick.UsageRecord, 0, len(u.own)+len(u.held))
-	for _, mine := range u.own {
-		records = append(records, mine.record)
+	for _, own := range u.own {
+		records = append(records, own.record)
 	}
 	for _, held := range u.held {
 		records = append(records, held.record)
@@ -313,50 +310,51 @@
 	return records
 }
 
-// due lists own records and those held for others that nobody has appended in time.
-func (u *Usage) due(now time.Time) []willowwick.UsageRecord {
+// dueRecords returns a batch of own records and of held records that their owner hasn't appended within
+// heldAppendDelay.
+func (u *Usage) dueRecords(now time.Time) []willowwick.UsageRecord {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	var records []willowwick.UsageRecord
-	for _, seq := range u.order {
-		if mine := u.own[seq]; mine != nil && len(records) < usageBatch {
-			records = append(records, mine.record)
+	for _, seq := range u.ownOrder {
+		if own := u.own[seq]; own != nil && len(records) < maxBatchRecords {
+			records = append(records, own.record)
 		}
 	}
 	for _, held := range u.held {
-		if (u.leaving || !now.Before(held.appendAt)) && len(records) < usageBatch {
+		if (u.draining || !now.Before(held.appendAt)) && len(records) < maxBatchRecords {
 			records = append(records, held.record)
 		}
 	}
 	return records
 }
 
-func (u *Usage) appended(ctx context.Context, records []willowwick.UsageRecord) {
+func (u *Usage) removeAppended(ctx context.Context, records []willowwick.UsageRecord) {
 	var seqs []uint64
 	u.mu.Lock()
 	for _, record := range records {
 		if record.Boot != u.boot {
-			delete(u.held, heldKey{record.Boot, record.Seq})
+			delete(u.held, recordKey{record.Boot, record.Seq})
 			continue
 		}
-		u.safe(record.Seq)
+		u.setDurable(record.Seq)
 		delete(u.own, record.Seq)
 		seqs = append(seqs, record.Seq)
 	}
-	kept := u.order[:0]
-	for _, seq := range u.order {
+	kept := u.ownOrder[:0]
+	for _, seq := range u.ownOrder {
 		if u.own[seq] != nil {
 			kept = append(kept, seq)
 		}
 	}
-	u.order = kept
+	u.ownOrder = kept
 	u.mu.Unlock()
 	if len(seqs) > 0 {
-		u.keeper.Settle(ctx, SettleArgs{Boot: u.boot, Seqs: seqs})
+		u.replicator.Settle(ctx, SettleArgs{Boot: u.boot, Seqs: seqs})
 	}
 }
 
-// Hold keeps records for another box.
+// Hold stores records of another box.
 func (u *Usage) Hold(now time.Time, args HoldArgs) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -365,28 +363,28 @@
 	}
 	for _, record := range args.Records {
 		if record.Boot == u.boot {
-			// A box that stops gives what it held also to the owner, who has it already, or on the log; held as another's, it
-			// would be due again after every append.
+			// A box that stops also hands the records that it held to their owner, which has them already or has
+			// appended them. Stored as held records, they would be due again after every append.
 			continue
 		}
-		u.held[heldKey{record.Boot, record.Seq}] = heldRecord{record: record, appendAt: now.Add(heldFor)}
+		u.held[recordKey{record.Boot, record.Seq}] = heldRecord{record: record, appendAt: now.Add(heldAppendDelay)}
 	}
 	return nil
 }
 
-// Settle forgets records that their owner has appended.
+// Settle removes held records that their owner has appended.
 func (u *Usage) Settle(args SettleArgs) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, seq := range args.Seqs {
-		delete(u.held, heldKey{args.Boot, seq})
+		delete(u.held, recordKey{args.Boot, seq})
 	}
 }
 
-// Ledger is the fold of the usage stream: it counts each record once, however often it was appended.
+// Ledger is the fold of the usage stream; it counts each record once, however often it was appended.
 type Ledger struct {
-	Records    map[heldKey]willowwick.UsageRecord
-	Repeated   int // appends of a record that was there already
+	Records    map[recordKey]willowwick.UsageRecord
+	Duplicates int // appends of records that were already counted
 	ByAccount  map[willowwick.AccountID]willowwick.MicroUnits
 	ByRequest  map[willowwick.RequestID]int
 	TotalCost  willowwick.MicroUnits
@@ -396,7 +394,7 @@
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger {
 	return &Ledger{
-		Records:   map[heldKey]willowwick.UsageRecord{},
+		Records:   map[recordKey]willowwick.UsageRecord{},
 		ByAccount: map[willowwick.AccountID]willowwick.MicroUnits{},
 		ByRequest: map[willowwick.RequestID]int{},
 	}
@@ -409,9 +407,9 @@
 		return errors.Wrapf(err, "usage at offset %d", entry.Offset)
 	}
 	for _, record := range batch.Records {
-		key := heldKey{record.Boot, record.Seq}
+		key := recordKey{record.Boot, record.Seq}
 		if _, known := l.Records[key]; known {
-			l.Repeated++
+			l.Duplicates++
 			continue
 		}
 		l.Records[key] = record
@@ -423,7 +421,7 @@
 	return nil
 }
 
-// BilledTwice counts requests with more than one record.
+// BilledTwice returns the number of requests with more than one record.
 func (l *Ledger) BilledTwice() int {
 	twice := 0
 	for _, records := range l.ByRequest {
@@ -434,11 +432,11 @@
 	return twice
 }
 
-// ReadLedger folds the whole usage stream.
+// ReadLedger reads and folds the whole usage stream.
 func ReadLedger(ctx context.Context, log willowwick.Log) (*Ledger, error) {
 	ledger := NewLedger()
 	for from := willowwick.Offset(1); ; {
-		page, err := log.Read(ctx, willowwick.StreamUsage, from, readLimit)
+		page, err := log.Read(ctx, willowwick.StreamUsage, from, maxEntriesPerRead)
 		if err != nil {
 			return nil, errors.Wrap(err, "read usage")
 		}
@@ -458,8 +456,8 @@
 	}
 }
 
-func sleep(ctx context.Context, length time.Duration) {
-	timer := time.NewTimer(length)
+func sleep(ctx context.Context, duration time.Duration) {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/lab/isolated_config_test.go
+++ b/lab/isolated_config_test.go
@@ -45,7 +45,7 @@
 			return s.ask(2, Chat{Key: "demo-quay-new"}).Outcome == OutcomeComplete && s.ask(2, Chat{Model: "extra"}).Outcome == OutcomeComplete
 		})
 		// The box may get the missed change from a peer slightly before it confirms that nothing newer exists.
-		s.eventually(fleet.ConfirmFor, "refused for good", func() bool {
+		s.eventually(fleet.ConfirmationTTL, "refused for good", func() bool {
 			return s.ask(2, Chat{Model: "never"}).Text == string(willowwick.KindInvalid)
 		})
 	})
--- a/serve/cascade.go
+++ b/serve/cascade.go
@@ -74,7 +74,7 @@
 	now := clock.Now()
 	query := route.VersionQuery{
 		Account: r.request.Account, Model: model, Seed: string(r.request.ID), Pinned: r.token.Versions[model],
-		Confirmed: r.daemon.node.Confirmed(now), Exclude: r.plan.Exclude, Now: now,
+		Confirmed: r.daemon.node.IsConfigCurrent(now), Exclude: r.plan.Exclude, Now: now,
 		Stopped: r.daemon.versionWatcher.isBad, HeldBack: r.daemon.versionWatcher.isStopped,
 	}
 	// This is the newest configuration, not the one from before the request waited.
--- a/serve/daemon.go
+++ b/serve/daemon.go
@@ -103,7 +103,7 @@
 	}
 	d.node = fleet.NewNode(fleet.Settings{
 		Self: self, Log: deps.Log, Live: deps.Live, Listener: deps.Peers,
-		OnRevision: d.onRevision, OnListing: d.onListing, Fill: d.fillDigest, OnDigests: d.onDigests, Lead: d.runLeaderTasks,
+		OnRevision: d.onRevision, OnListing: d.onListing, FillDigest: d.fillDigest, OnDigests: d.onDigests, RunLeader: d.runLeaderTasks,
 	}, transport)
 	d.pool = route.NewPoolWith(route.NewPowerOfTwo(settings.Hall, true, seed), route.PoolOptions{Limits: d.node.Limits})
 	d.sessions = newSessions(settings.Key, d.node)
@@ -261,7 +261,7 @@
 
 // isIsolated reports whether this box has reached neither the log nor half of the fleet for longer than isolatedAfter.
 func (d *Daemon) isIsolated(now time.Time) bool {
-	return !d.node.Confirmed(now) && now.Sub(d.node.Follower.Confirmed()) > isolatedAfter
+	return !d.node.IsConfigCurrent(now) && now.Sub(d.node.Follower.ConfirmedAt()) > isolatedAfter
 }
 
 // ready reports whether the balancer should send requests to this box, and the reason if not.
--- a/serve/poison.go
+++ b/serve/poison.go
@@ -43,7 +43,7 @@
 // refusePoison returns a refusal for a request that crashes the endpoints running it, as all boxes do. The holder of the
 // lease retries such a request from time to time on a release that may be able to run it.
 func (d *Daemon) refusePoison(c *content, release willowwick.ReleaseID) *willowwick.Refusal {
-	harm := d.node.Harm
+	harm := d.node.Quarantine
 	if harm.IsEmpty() || !harm.Refuses(c.fingerprint()) {
 		return nil
 	}
@@ -71,12 +71,12 @@
 		return true
 	}
 	c.fingerprint()
-	return d.node.Harm.RecordCrash(c.poison, willowwick.EndpointCrash{Endpoint: endpoint.ID, Release: release, At: clock.Now()})
+	return d.node.Quarantine.RecordCrash(c.poison, willowwick.EndpointCrash{Endpoint: endpoint.ID, Release: release, At: clock.Now()})
 }
 
 // recordCompleted records that an endpoint has answered the request completely.
 func (d *Daemon) recordCompleted(c *content) {
-	if !d.node.Harm.IsEmpty() {
-		d.node.Harm.RecordAnswer(c.fingerprint(), clock.Now())
+	if !d.node.Quarantine.IsEmpty() {
+		d.node.Quarantine.RecordAnswer(c.fingerprint(), clock.Now())
 	}
 }
--- a/serve/run.go
+++ b/serve/run.go
@@ -164,7 +164,7 @@
 // with other boxes doesn't count: they may know no more, or be cut off together with this one. The age is read
 // before the current revision, so that a revision that comes into force in between can't make an older one seem up to date.
 func (d *Daemon) temporaryIfStale(refusal *willowwick.Refusal, revision *config.Revision, now time.Time) *willowwick.Refusal {
-	isStale := now.Sub(d.node.Follower.Confirmed()) > configPropagationLimit || d.node.Follower.Revision() != revision
+	isStale := now.Sub(d.node.Follower.ConfirmedAt()) > configPropagationLimit || d.node.Follower.Revision() != revision
 	return refusal.TemporaryIfStale(isStale, now.Add(isolatedRetryDelay))
 }
 
@@ -178,7 +178,7 @@
 
 func (r *run) releaseClaim(ctx context.Context) {
 	if r.request.IdempotencyKey != "" && !r.sent {
-		r.daemon.node.Unclaim(ctx, claimKeyOf(r.request.Account, "chat", r.request.IdempotencyKey), r.request.ID)
+		r.daemon.node.ReleaseClaim(ctx, claimKeyOf(r.request.Account, "chat", r.request.IdempotencyKey), r.request.ID)
 	}
 }
 
--- a/serve/version_watcher.go
+++ b/serve/version_watcher.go
@@ -119,7 +119,7 @@
 // addPeerDeltas adds the new evidence of the other boxes.
 func (w *versionWatcher) addPeerDeltas(now time.Time, r *config.Revision, deltas map[willowwick.VersionID]rollout.Evidence) {
 	fresh := map[fleet.NameHash]rollout.Evidence{}
-	w.tracker.Deltas(now, w.daemon.node.Table.Evidence(), fresh)
+	w.tracker.AddDeltas(now, w.daemon.node.Table.Evidence(), fresh)
 	for _, version := range r.Versions() {
 		if evidence, ok := fresh[fleet.HashName(version)]; ok {
 			deltas[version] = deltas[version].Add(evidence)
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -227,7 +227,7 @@
 	}
 	if e.faults.BackoffSeconds != "" {
 		e.rejected++
-		w.Header().Set(remote.HeaderRest, e.faults.BackoffSeconds)
+		w.Header().Set(remote.HeaderRetryAfter, e.faults.BackoffSeconds)
 		http.Error(w, "busy", http.StatusServiceUnavailable)
 		return false
 	}
--- a/wire/fetch.go
+++ b/wire/fetch.go
@@ -8,34 +8,35 @@
 )
 
 type (
-	// FetchLimits bound one call whose answer is read whole.
+	// FetchLimits holds the limits of one call whose whole body is read.
 	FetchLimits struct {
-		Head  time.Duration // setting: within it the head of the answer must come
-		Pause time.Duration // setting: within it something more of the body must, until it is whole
-		Bytes int64         // of the body
+		HeadTimeout  time.Duration // setting: maximum time until the head of the answer is received
+		IdleTimeout  time.Duration // maximum size of the body; the rest is not read
+		MaxBodyBytes int64         // of the body
 	}
 
-	// progressReader resets a timer whenever something is read.
+	// progressReader resets a timer whenever a read returns data.
 	progressReader struct {
 		io.Reader
-		timer *time.Timer
-		pause time.Duration // setting: what the timer is reset to
+		timer   *time.Timer
+		timeout time.Duration // setting: duration to which the timer is reset
 	}
 )
 
-// Fetch sends a request and reads its answer whole: a body that goes on coming is read to its end, over however narrow a link.
+// Fetch sends a request and reads the whole body of its answer, however long that takes, as long as data keeps
+// arriving.
 func Fetch(client *http.Client, request *http.Request, limits FetchLimits) (*http.Response, []byte, error) {
 	ctx, cancel := context.WithCancel(request.Context())
 	defer cancel()
-	late := time.AfterFunc(limits.Head, cancel)
-	defer late.Stop()
+	timer := time.AfterFunc(limits.HeadTimeout, cancel)
+	defer timer.Stop()
 	response, err := client.Do(request.WithContext(ctx))
 	if err != nil {
 		return nil, nil, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	late.Reset(limits.Pause)
-	body := &progressReader{Reader: io.LimitReader(response.Body, limits.Bytes), timer: late, pause: limits.Pause}
+	timer.Reset(limits.IdleTimeout)
+	body := &progressReader{Reader: io.LimitReader(response.Body, limits.MaxBodyBytes), timer: timer, timeout: limits.IdleTimeout}
 	answer, err := io.ReadAll(body)
 	return response, answer, err
 }
@@ -44,7 +45,7 @@
 func (r *progressReader) Read(p []byte) (int, error) {
 	n, err := r.Reader.Read(p)
 	if n > 0 {
-		r.timer.Reset(r.pause)
+		r.timer.Reset(r.timeout)
 	}
 	return n, err
 }
--- a/wire/message.go
+++ b/wire/message.go
@@ -15,52 +15,54 @@
 )
 
 const (
-	// inlineBody is the largest body that is written before the answer is read: it fits any window.
-	inlineBody = 2 << 10
-	// maxSurplus bounds how many answers of earlier requests are skipped, and maxSurplusBytes their size.
-	maxSurplus      = 4
-	maxSurplusBytes = 1 << 20
+	// maxInlineBody is the size of the largest body that is written before the answer is read: it fits into any send
+	// window.
+	maxInlineBody = 2 << 10
+	// maxSkippedAnswers bounds the number of answers to earlier requests that are skipped, and maxSkippedBytes the
+	// size of each.
+	maxSkippedAnswers = 4
+	maxSkippedBytes   = 1 << 20
 )
 
 type (
-	// Message is a request as it goes to an endpoint.
+	// Message is a request as it is sent to an endpoint.
 	Message struct {
-		Method string
-		Target string // as on the request line
-		Host   string
-		Header http.Header
-		Body   []byte
-		HasLen bool // the caller sent a body, be it empty
+		Method  string
+		Target  string // request target, as on the request line
+		Host    string
+		Header  http.Header
+		Body    []byte
+		HasBody bool // the caller sent a body, possibly an empty one
 	}
 
-	// Answer is the head of an endpoint's answer and the way to its body.
+	// Answer is the head of an endpoint's answer and a reader of its body.
 	Answer struct {
-		Status   int
-		Header   http.Header
-		Length   int64 // of the body; -1 if it is not known beforehand
-		body     io.ReadCloser
-		conn     *Conn
-		read     int64 // bytes of the body so far
-		deadline time.Time
-		ended    bool
-		closing  bool
-		keep     string // what the endpoint says of keeping the connection
+		Status     int
+		Header     http.Header
+		Length     int64 // length of the body; -1 if unknown
+		body       io.ReadCloser
+		conn       *Conn
+		bodyRead   int64 // bytes of the body read so far
+		deadline   time.Time
+		isComplete bool
+		closesConn bool
+		keepAlive  string // value of the Keep-Alive header
 	}
 )
 
 var (
-	// ErrSilent says that nothing came of an answer before the given time.
-	ErrSilent = errors.New("endpoint is silent")
+	// ErrSilent is returned when no byte of an answer was received before the given time.
+	ErrSilent = errors.New("no data from the endpoint before the deadline")
 
-	hopHeaders = []string{
+	hopByHopHeaders = []string{
 		"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 		"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	}
 	buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 )
 
-// StripHop takes out the headers that concern one connection only.
-func StripHop(header http.Header) {
+// StripHopHeaders removes the headers that concern a single connection.
+func StripHopHeaders(header http.Header) {
 	for _, line := range header["Connection"] {
 		for _, name := range strings.Split(line, ",") {
 			if name = strings.TrimSpace(name); name != "" {
@@ -68,26 +70,27 @@
 			}
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		delete(header, name)
 	}
 }
 
-// Send writes the request; an error leaves open how much of it the endpoint has read.
+// Send writes the request; after an error it is unknown how much of it the endpoint has read.
 //
-// A long body is written beside the reading of the answer, since the endpoint may answer before it has read all.
+// A long body is written concurrently with the reading of the answer, since the endpoint may answer before it has
+// read the whole body.
 func (c *Conn) Send(m *Message) error {
 	buffer, _ := buffers.Get().(*bytes.Buffer)
 	buffer.Reset()
 	m.appendTo(buffer)
-	if len(m.Body) <= inlineBody {
+	if len(m.Body) <= maxInlineBody {
 		_, err := c.conn.Write(buffer.Bytes())
 		buffers.Put(buffer)
-		c.writing = nil
+		c.writeResult = nil
 		return errors.Wrap(err, "send")
 	}
 	written := make(chan error, 1)
-	c.writing = written
+	c.writeResult = written
 	go func() {
 		_, err := c.conn.Write(buffer.Bytes())
 		buffers.Put(buffer)
@@ -111,7 +114,7 @@
 			buffer.WriteString("\r\n")
 		}
 	}
-	if len(m.Body) > 0 || m.HasLen {
+	if len(m.Body) > 0 || m.HasBody {
 		buffer.WriteString("Content-Length: ")
 		buffer.WriteString(strconv.Itoa(len(m.Body)))
 		buffer.WriteString("\r\n")
@@ -120,26 +123,26 @@
 	buffer.Write(m.Body)
 }
 
-// wasWritten reports whether the whole request has gone out.
+// wasWritten reports whether the whole request has been written.
 func (c *Conn) wasWritten() bool {
-	if c.writing == nil {
+	if c.writeResult == nil {
 		return true
 	}
 	select {
-	case err := <-c.writing:
-		c.writing = nil
+	case err := <-c.writeResult:
+		c.writeResult = nil
 		return err == nil
 	default:
 		return false
 	}
 }
 
-// Receive reads the head of the answer that belongs to the request, skipping answers of earlier ones.
+// Receive reads the head of the answer that belongs to the request, skipping answers to earlier requests.
 //
-// It returns ErrSilent if no byte has come by the given time; it may then be called again.
+// It returns ErrSilent if no byte is received before silentAt; it may then be called again.
 func (c *Conn) Receive(method string, silentAt, deadline time.Time, belongs func(*Answer) bool) (*Answer, error) {
-	for range maxSurplus {
-		answer, err := c.receiveOne(method, silentAt, deadline)
+	for range maxSkippedAnswers {
+		answer, err := c.receiveHead(method, silentAt, deadline)
 		if err != nil {
 			return nil, err
 		}
@@ -149,36 +152,36 @@
 		if belongs(answer) {
 			return answer, nil
 		}
-		c.pool.count(func(s *Stats) { s.Surplus++ })
-		if _, err := io.Copy(io.Discard, io.LimitReader(answer.body, maxSurplusBytes)); err != nil {
-			return nil, errors.Wrap(willowwick.ErrBroken, "answer of another request: "+err.Error())
+		c.pool.updateStats(func(s *Stats) { s.Surplus++ })
+		if _, err := io.Copy(io.Discard, io.LimitReader(answer.body, maxSkippedBytes)); err != nil {
+			return nil, errors.Wrap(willowwick.ErrBroken, "discard answer to another request: "+err.Error())
 		}
 	}
-	return nil, errors.Wrap(willowwick.ErrBroken, "too many answers of other requests")
+	return nil, errors.Wrap(willowwick.ErrBroken, "too many answers to other requests")
 }
 
-func (c *Conn) receiveOne(method string, silentAt, deadline time.Time) (*Answer, error) {
-	if err := c.conn.SetReadDeadline(clock.System(silentAt)); err != nil {
+func (c *Conn) receiveHead(method string, silentAt, deadline time.Time) (*Answer, error) {
+	if err := c.conn.SetReadDeadline(clock.SystemTime(silentAt)); err != nil {
 		return nil, errors.Wrap(willowwick.ErrBroken, err.Error())
 	}
 	if _, err := c.reader.Peek(1); err != nil {
 		if isTimeout(err) {
 			return nil, ErrSilent
 		}
-		return nil, errors.Wrap(willowwick.ErrBroken, "no answer: "+err.Error())
+		return nil, errors.Wrap(willowwick.ErrBroken, "read answer: "+err.Error())
 	}
-	if err := c.conn.SetReadDeadline(clock.System(deadline)); err != nil {
+	if err := c.conn.SetReadDeadline(clock.SystemTime(deadline)); err != nil {
 		return nil, errors.Wrap(willowwick.ErrBroken, err.Error())
 	}
 	response, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 	if err != nil {
-		return nil, errors.Wrap(willowwick.ErrBroken, "head of the answer: "+err.Error())
+		return nil, errors.Wrap(willowwick.ErrBroken, "read answer head: "+err.Error())
 	}
 	return &Answer{
 		Status: response.StatusCode, Header: response.Header, Length: response.ContentLength,
-		body: response.Body, conn: c, closing: response.Close, deadline: deadline,
-		// The header may have lost it by the end of the answer: it concerns this connection alone.
-		keep: response.Header.Get("Keep-Alive"),
+		body: response.Body, conn: c, closesConn: response.Close, deadline: deadline,
+		// Read it now: the header may be stripped before the answer ends, since it concerns this connection only.
+		keepAlive: response.Header.Get("Keep-Alive"),
 	}, nil
 }
 
@@ -187,37 +190,37 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// Read implements io.Reader over the body; io.EOF says that the answer is whole.
+// Read implements io.Reader over the body; it returns io.EOF after the complete body.
 func (a *Answer) Read(p []byte) (int, error) {
 	n, err := a.body.Read(p)
-	a.read += int64(n)
+	a.bodyRead += int64(n)
 	if err == io.EOF {
-		a.ended = true
+		a.isComplete = true
 	}
 	return n, err
 }
 
-// Await waits for bytes of the body; ErrSilent says that none came by the given time.
+// Await waits for bytes of the body; it returns ErrSilent if none was received before the given time.
 func (a *Answer) Await(until time.Time) error {
-	if a.conn.reader.Buffered() > 0 || a.Length >= 0 && a.read >= a.Length {
+	if a.conn.reader.Buffered() > 0 || a.Length >= 0 && a.bodyRead >= a.Length {
 		return nil
 	}
-	if err := a.conn.conn.SetReadDeadline(clock.System(until)); err != nil {
+	if err := a.conn.conn.SetReadDeadline(clock.SystemTime(until)); err != nil {
 		return errors.Wrap(willowwick.ErrBroken, err.Error())
 	}
 	_, err := a.conn.reader.Peek(1)
 	if isTimeout(err) {
 		return ErrSilent
 	}
-	// Any other error, the end of the connection among them, is the body's to tell.
-	return errors.Wrap(a.conn.conn.SetReadDeadline(clock.System(a.deadline)), "read deadline")
+	// Read reports any other error, including the end of the connection.
+	return errors.Wrap(a.conn.conn.SetReadDeadline(clock.SystemTime(a.deadline)), "set read deadline")
 }
 
-// Done gives the connection back after a whole answer, and closes it otherwise.
+// Done returns the connection to the pool after a complete answer, and closes it otherwise.
 func (a *Answer) Done() {
-	if !a.ended || a.closing {
+	if !a.isComplete || a.closesConn {
 		a.conn.Close()
 		return
 	}
-	a.conn.Release(a.keep)
+	a.conn.Release(a.keepAlive)
 }
--- a/wire/pool.go
+++ b/wire/pool.go
@@ -18,36 +18,37 @@
 )
 
 const (
-	// readBuffer holds a head and some events; larger answers take more reads.
-	readBuffer = 4 << 10
-	// quietIdle is how long a connection is kept if the endpoint does not say how long it keeps it.
-	quietIdle = 500 * time.Millisecond
-	// idleMargin is given up of the time that the endpoint names, for the way there.
+	// readBufferSize is enough for a head and some events; larger answers take more reads.
+	readBufferSize = 4 << 10
+	// defaultIdleTimeout is how long an idle connection is kept if the endpoint doesn't announce its own timeout.
+	defaultIdleTimeout = 500 * time.Millisecond
+	// idleMargin is subtracted from the timeout that the endpoint announces, to allow for the transfer time.
 	idleMargin = 400 * time.Millisecond
-	// maxIdle bounds the idle connections to one endpoint: twice the usual requests of a box at one.
-	maxIdle = 32
-	// probeIdle, probeGap and probeCount find a silent machine within two seconds.
-	probeIdle  = time.Second
-	probeGap   = 500 * time.Millisecond
-	probeCount = 2
+	// maxIdlePerAddress bounds the idle connections to one endpoint: twice the usual number of concurrent requests of
+	// a box to an endpoint.
+	maxIdlePerAddress = 32
+	// keepAliveIdle, keepAliveInterval and keepAliveCount detect an unreachable machine within 2 s.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = 500 * time.Millisecond
+	keepAliveCount    = 2
 )
 
 type (
-	// Settings bound what connections may take.
+	// Settings holds the timeouts of connections.
 	Settings struct {
-		DialLimit time.Duration // setting: how long a connection may take to come up
-		Silence   time.Duration // setting: how long sent bytes may stay unacknowledged
+		DialTimeout time.Duration // setting: maximum time to establish a connection
+		AckTimeout  time.Duration // setting: maximum time that sent bytes may stay unacknowledged
 	}
 
-	// Stats count what the pool did.
+	// Stats counts the connections and skipped answers of a pool.
 	Stats struct {
 		Dialed  uint64
 		Reused  uint64
-		Stale   uint64 // kept connections that turned out to be closed or to hold surplus bytes
-		Surplus uint64 // answers of earlier requests that were skipped
+		Stale   uint64 // idle connections that were found closed or with unexpected bytes
+		Surplus uint64 // answers to earlier requests that were skipped
 	}
 
-	// Pool keeps connections to endpoints.
+	// Pool is a pool of connections to endpoints.
 	Pool struct {
 		settings Settings
 		dialer   net.Dialer
@@ -58,16 +59,16 @@
 		stats  Stats
 	}
 
-	// Conn is one connection; it carries one request at a time.
+	// Conn is a connection that carries one request at a time.
 	Conn struct {
-		pool    *Pool
-		conn    net.Conn
-		raw     syscall.RawConn
-		reader  *bufio.Reader
-		address string
-		until   time.Time // when the endpoint may close it while idle
-		rested  time.Time // when its last answer was whole
-		writing chan error
+		pool         *Pool
+		conn         net.Conn
+		raw          syscall.RawConn
+		reader       *bufio.Reader
+		address      string
+		idleDeadline time.Time // when the endpoint may close the idle connection
+		idleSince    time.Time // when its last answer was complete
+		writeResult  chan error
 	}
 )
 
@@ -75,20 +76,20 @@
 func NewPool(settings Settings) (*Pool, func()) {
 	p := &Pool{settings: settings, idle: map[string][]*Conn{}}
 	p.dialer = net.Dialer{
-		Timeout: settings.DialLimit,
-		Control: p.setSocket,
+		Timeout: settings.DialTimeout,
+		Control: p.setUserTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: probeIdle, Interval: probeGap, Count: probeCount,
+			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
 		},
 	}
 	return p, p.close
 }
 
-// setSocket bounds how long sent bytes may stay unacknowledged before the connection fails.
-func (p *Pool) setSocket(_, _ string, raw syscall.RawConn) error {
+// setUserTimeout limits how long sent bytes may stay unacknowledged before the connection fails.
+func (p *Pool) setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(p.settings.Silence.Milliseconds()))
+		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(p.settings.AckTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
@@ -96,7 +97,7 @@
 	return failed
 }
 
-// Open returns a connection to the address, a kept one if there is one in good state.
+// Open returns a connection to the address, an idle one if there is a usable one.
 //
 // An error wraps willowwick.ErrNotSent and its cause.
 func (p *Pool) Open(ctx context.Context, address string) (*Conn, error) {
@@ -105,11 +106,11 @@
 		if c == nil {
 			break
 		}
-		if c.isQuiet(clock.Now()) {
-			p.count(func(s *Stats) { s.Reused++ })
+		if c.isReusable(clock.Now()) {
+			p.updateStats(func(s *Stats) { s.Reused++ })
 			return c, nil
 		}
-		p.count(func(s *Stats) { s.Stale++ })
+		p.updateStats(func(s *Stats) { s.Stale++ })
 		c.Close()
 	}
 	c, err := p.dial(ctx, address)
@@ -125,8 +126,8 @@
 	if err != nil {
 		return nil, err
 	}
-	p.count(func(s *Stats) { s.Dialed++ })
-	c := &Conn{pool: p, conn: conn, reader: bufio.NewReaderSize(conn, readBuffer), address: address}
+	p.updateStats(func(s *Stats) { s.Dialed++ })
+	c := &Conn{pool: p, conn: conn, reader: bufio.NewReaderSize(conn, readBufferSize), address: address}
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		if c.raw, err = tcp.SyscallConn(); err != nil {
 			_ = conn.Close()
@@ -136,8 +137,8 @@
 	return c, nil
 }
 
-// IsListening finds out by a new connection whether anything still listens at the address; known is false if that did not show
-// in time. A connection that comes up is kept for the next request.
+// IsListening dials the address to check whether anything still listens there; known is false if that couldn't be
+// determined. A connection that is established is kept for the next request.
 func (p *Pool) IsListening(ctx context.Context, address string) (listens, known bool) {
 	c, err := p.dial(ctx, address)
 	switch {
@@ -150,61 +151,62 @@
 	return true, true
 }
 
-func (p *Pool) count(change func(*Stats)) {
+func (p *Pool) updateStats(change func(*Stats)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	change(&p.stats)
 }
 
-// Stats returns the counts so far.
+// Stats returns the current counts.
 func (p *Pool) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.stats
 }
 
-// takeIdle takes the connection that was used last: it is the least likely to be closed.
+// takeIdle removes and returns the most recently used idle connection, which is the least likely to be closed.
 func (p *Pool) takeIdle(address string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	row := p.idle[address]
-	if len(row) == 0 {
+	conns := p.idle[address]
+	if len(conns) == 0 {
 		return nil
 	}
-	c := row[len(row)-1]
-	p.idle[address] = row[:len(row)-1]
+	c := conns[len(conns)-1]
+	p.idle[address] = conns[:len(conns)-1]
 	return c
 }
 
-// Drop closes the idle connections to an address whose endpoint is gone.
-func (p *Pool) Drop(address string) {
+// CloseIdle closes the idle connections to an address whose endpoint is gone.
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
-	row := p.idle[address]
+	conns := p.idle[address]
 	delete(p.idle, address)
 	p.mu.Unlock()
-	closeAll(row)
+	closeAll(conns)
 }
 
-// Suspect closes the idle connections to an address that have answered nothing since a request was sent there that got no
-// answer: they may have fallen silent with that request's. Otherwise each of them would cost a request of its own.
-func (p *Pool) Suspect(address string, sent time.Time) {
-	p.closeWhere(func(at string, c *Conn) bool { return at == address && c.rested.Before(sent) })
+// CloseIdleBefore closes the idle connections to an address that have had no answer since the given time, when a
+// request was sent that got no answer: they may have stalled together with its connection. Otherwise each of them
+// could cost another request.
+func (p *Pool) CloseIdleBefore(address string, sent time.Time) {
+	p.closeIdleWhere(func(at string, c *Conn) bool { return at == address && c.idleSince.Before(sent) })
 }
 
-// Sweep closes the idle connections that their endpoints are about to close.
-func (p *Pool) Sweep(now time.Time) {
-	p.closeWhere(func(_ string, c *Conn) bool { return !now.Before(c.until) })
+// CloseExpired closes the idle connections that their endpoints are about to close.
+func (p *Pool) CloseExpired(now time.Time) {
+	p.closeIdleWhere(func(_ string, c *Conn) bool { return !now.Before(c.idleDeadline) })
 }
 
-// closeWhere closes the idle connections that are to be closed.
-func (p *Pool) closeWhere(isOver func(address string, c *Conn) bool) {
-	var over []*Conn
+// closeIdleWhere closes the idle connections for which shouldClose returns true.
+func (p *Pool) closeIdleWhere(shouldClose func(address string, c *Conn) bool) {
+	var closing []*Conn
 	p.mu.Lock()
-	for address, row := range p.idle {
-		kept := row[:0]
-		for _, c := range row {
-			if isOver(address, c) {
-				over = append(over, c)
+	for address, conns := range p.idle {
+		kept := conns[:0]
+		for _, c := range conns {
+			if shouldClose(address, c) {
+				closing = append(closing, c)
 				continue
 			}
 			kept = append(kept, c)
@@ -214,7 +216,7 @@
 		}
 	}
 	p.mu.Unlock()
-	closeAll(over)
+	closeAll(closing)
 }
 
 func (p *Pool) close() {
@@ -223,8 +225,8 @@
 	idle := p.idle
 	p.idle = map[string][]*Conn{}
 	p.mu.Unlock()
-	for _, row := range idle {
-		closeAll(row)
+	for _, conns := range idle {
+		closeAll(conns)
 	}
 }
 
@@ -234,9 +236,9 @@
 	}
 }
 
-// isQuiet reports whether the connection is open and holds no bytes that nobody asked for.
-func (c *Conn) isQuiet(now time.Time) bool {
-	if !now.Before(c.until) || c.reader.Buffered() > 0 {
+// isReusable reports whether the connection is open and has no unread bytes.
+func (c *Conn) isReusable(now time.Time) bool {
+	if !now.Before(c.idleDeadline) || c.reader.Buffered() > 0 {
 		return false
 	}
 	if c.raw == nil {
@@ -252,32 +254,33 @@
 	return err == nil && quiet
 }
 
-// Release gives the connection back after a whole answer, or closes it if it may not be used again.
+// Release returns the connection to the pool after a complete answer, or closes it if it can't be reused.
 func (c *Conn) Release(keepAlive string) {
-	c.rested = clock.Now()
-	c.until = c.rested.Add(idleTime(keepAlive))
+	c.idleSince = clock.Now()
+	c.idleDeadline = c.idleSince.Add(parseIdleTime(keepAlive))
 	if err := c.conn.SetDeadline(time.Time{}); err != nil || c.reader.Buffered() > 0 || !c.wasWritten() {
 		c.Close()
 		return
 	}
 	c.pool.mu.Lock()
-	row := c.pool.idle[c.address]
-	if c.pool.closed || len(row) >= maxIdle {
+	conns := c.pool.idle[c.address]
+	if c.pool.closed || len(conns) >= maxIdlePerAddress {
 		c.pool.mu.Unlock()
 		c.Close()
 		return
 	}
-	c.pool.idle[c.address] = append(row, c)
+	c.pool.idle[c.address] = append(conns, c)
 	c.pool.mu.Unlock()
 }
 
-// Close ends the connection, and with it whatever the endpoint still does for the request.
+// Close closes the connection, which also cancels whatever the endpoint still does for the request.
 func (c *Conn) Close() {
 	_ = c.conn.Close()
 }
 
-// idleTime reads the value of Keep-Alive; without one the endpoint may close the connection soon.
-func idleTime(keepAlive string) time.Duration {
+// parseIdleTime returns how long a connection may stay idle, given the value of its Keep-Alive header; without a
+// timeout there the endpoint may close it soon.
+func parseIdleTime(keepAlive string) time.Duration {
 	for _, item := range strings.Split(keepAlive, ",") {
 		name, value, found := strings.Cut(strings.TrimSpace(item), "=")
 		if !found || !strings.EqualFold(name, "timeout") {
@@ -287,5 +290,5 @@
 			return time.Duration(seconds)*time.Second - idleMargin
 		}
 	}
-	return quietIdle
+	return defaultIdleTimeout
 }
