--- a/cmd/willowwickd/node.go
+++ b/cmd/willowwickd/node.go
@@ -43,11 +43,11 @@
 	set.NewGauge("willowwick_log_lines_dropped", func() float64 { return float64(logs.Dropped()) })
 	control, closeControl := platform.NewControl(settings, set)
 	defer closeControl()
-	listeners, err := listenAll(settings.Callers, settings.Ready, settings.Peers, settings.Metrics)
+	listeners, err := listenAll(settings.CallerAddress, settings.ReadinessAddress, settings.PeerAddress, settings.MetricsAddress)
 	if err != nil {
 		return err
 	}
-	hints, err := net.ListenPacket("udp", settings.Peers)
+	hints, err := net.ListenPacket("udp", settings.PeerAddress)
 	if err != nil {
 		return errors.Wrap(err, "listen")
 	}
@@ -58,8 +58,8 @@
 	defer closeDaemon()
 	stop := daemon.Start()
 	defer stop()
-	slog.Info("daemon started", "hall", settings.Hall, "callers", settings.Callers, "peers", settings.Peers,
-		"metrics", settings.Metrics, "store", settings.Store, "confidence", o.confidence)
+	slog.Info("daemon started", "hall", settings.Hall, "callers", settings.CallerAddress, "peers", settings.PeerAddress,
+		"metrics", settings.MetricsAddress, "store", settings.StoreAddress, "confidence", o.confidence)
 	awaitStop(signals, o.nodeFile)
 	daemon.Drain()
 	return nil
@@ -86,7 +86,7 @@
 // reload reads the settings file again; addresses and bounds of a running process stay.
 func reload(path string) {
 	settings, err := platform.ReadSettings(path)
-	slog.Info("settings file read again; what it changes takes effect at the next start", "callers", settings.Callers, "error", err)
+	slog.Info("settings file read again; what it changes takes effect at the next start", "callers", settings.CallerAddress, "error", err)
 }
 
 func listenAll(addresses ...string) ([]net.Listener, error) {
@@ -105,10 +105,10 @@
 	seed := sha256.Sum256([]byte(settings.Box))
 	bounds := settings.Bounds
 	return exchange.Settings{
-		Box: settings.Box, Hall: settings.Hall, Boot: newBoot(), Peers: settings.Peers, LinkMbps: settings.LinkMbps, Key: []byte(o.key),
+		Box: settings.Box, Hall: settings.Hall, Boot: newBoot(), Peers: settings.PeerAddress, LinkMbps: settings.LinkMbps, Key: []byte(o.key),
 		Seeds: settings.Seeds, Seed: binary.BigEndian.Uint64(seed[:]), Confidence: o.confidence, LateConfidence: o.lateConfidence,
-		RetryBudget: route.RetryLimits{Ratio: bounds.RepeatRatio, Slack: bounds.RepeatSlack, Window: bounds.RepeatWindow},
-		Releases:    exchange.ReleaseSettings{Session: bounds.Session, Exposure: bounds.ExposeShare},
-		Grace:       bounds.Grace, Drain: bounds.Drain, ConfigApplyLimit: bounds.InForce, UnreadyDelay: exchange.DefaultTurnAway,
+		RetryBudget: route.RetryLimits{Ratio: bounds.RetryRatio, Slack: bounds.RetrySlack, Window: bounds.RetryWindow},
+		Releases:    exchange.ReleaseSettings{Session: bounds.SessionGap, Exposure: bounds.ExposureShare},
+		Grace:       bounds.Grace, Drain: bounds.Drain, ConfigApplyLimit: bounds.ConfigApply, UnreadyDelay: exchange.DefaultTurnAway,
 	}
 }
