--- a/cmd/willowctl/declare.go
+++ b/cmd/willowctl/declare.go
@@ -231,7 +231,7 @@
 		_, appendErr = client.Append(ctx, willowwick.StreamConfig, data)
 		state, err := readState(ctx, client)
 		if err == nil {
-			if entry, found := state.Find(id); found {
+			if entry, found := state.FindAuditEntry(id); found {
 				return entry, nil
 			}
 		}
--- a/config/check.go
+++ b/config/check.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	keyHashBytes = 32
-	wholeShare   = 100
-	reservedName = willowwick.TargetAuto
+	keyHashBytes     = 32
+	fullSharePercent = 100
+	reservedName     = willowwick.TargetAuto
 )
 
 // checkAll returns the problems of a whole set of objects, in a fixed order.
@@ -25,7 +25,7 @@
 			problems = append(problems, Problem{Key: key, Path: path, Message: fmt.Sprintf(format, args...)})
 		})
 	}
-	return append(problems, checkShared(set)...)
+	return append(problems, checkUniqueness(set)...)
 }
 
 func sortedKeys(set objectSet) []Key {
@@ -42,8 +42,8 @@
 	return keys
 }
 
-// checkShared finds what two objects may not both have.
-func checkShared(set objectSet) []Problem {
+// checkUniqueness finds what two objects may not both have.
+func checkUniqueness(set objectSet) []Problem {
 	var problems []Problem
 	keyOwner := map[string]Key{}
 	rolloutOf := map[willowwick.ModelID]Key{}
@@ -75,7 +75,7 @@
 	return found, ok
 }
 
-func mustExist(set objectSet, report reporter, path string, kind Kind, name string) bool {
+func checkExists(set objectSet, report reportFunc, path string, kind Kind, name string) bool {
 	if _, ok := set[Key{kind, name}]; ok {
 		return true
 	}
@@ -103,7 +103,7 @@
 	return "; there are " + strings.Join(names, ", ")
 }
 
-func (a *ClientAccount) check(set objectSet, report reporter) {
+func (a *ClientAccount) check(set objectSet, report reportFunc) {
 	if len(a.Keys) == 0 {
 		report("spec.keys", "needs at least one key hash; make one with 'willowctl key'")
 	}
@@ -120,13 +120,13 @@
 		}
 	}
 	for i, id := range a.Services {
-		mustExist(set, report, fmt.Sprintf("spec.services[%d]", i), KindService, string(id))
+		checkExists(set, report, fmt.Sprintf("spec.services[%d]", i), KindService, string(id))
 	}
 	if len(a.Allow) > 0 || a.Default != "" {
-		mustExist(set, report, "spec.default", KindCascade, string(a.Default))
+		checkExists(set, report, "spec.default", KindCascade, string(a.Default))
 	}
 	if a.Policy != "" {
-		mustExist(set, report, "spec.policy", KindPolicy, string(a.Policy))
+		checkExists(set, report, "spec.policy", KindPolicy, string(a.Policy))
 	}
 	if a.Weight < 0 {
 		report("spec.weight", "must be 1 or more, is %d", a.Weight)
@@ -136,19 +136,19 @@
 	}
 }
 
-func (m *Model) check(set objectSet, report reporter) {
-	if mustExist(set, report, "spec.settled", KindVersion, string(m.Settled)) {
-		m.checkBelongs(set, report, "spec.settled", m.Settled)
+func (m *Model) check(set objectSet, report reportFunc) {
+	if checkExists(set, report, "spec.settled", KindVersion, string(m.Settled)) {
+		m.checkVersionBelongs(set, report, "spec.settled", m.Settled)
 	}
 	for i, id := range m.Fallback {
 		path := fmt.Sprintf("spec.fallback[%d]", i)
-		if mustExist(set, report, path, KindVersion, string(id)) {
-			m.checkBelongs(set, report, path, id)
+		if checkExists(set, report, path, KindVersion, string(id)) {
+			m.checkVersionBelongs(set, report, path, id)
 		}
 	}
 }
 
-func (m *Model) checkBelongs(set objectSet, report reporter, path string, id willowwick.VersionID) {
+func (m *Model) checkVersionBelongs(set objectSet, report reportFunc, path string, id willowwick.VersionID) {
 	version, ok := lookup[Version](set, KindVersion, string(id))
 	if !ok {
 		return
@@ -158,20 +158,20 @@
 	}
 }
 
-func (v *Version) check(set objectSet, report reporter) {
-	mustExist(set, report, "spec.model", KindModel, string(v.Model))
+func (v *Version) check(set objectSet, report reportFunc) {
+	checkExists(set, report, "spec.model", KindModel, string(v.Model))
 	if v.Price.Prompt < 0 || v.Price.Output < 0 {
 		report("spec.price", "must not be negative")
 	}
 }
 
-func (c *Cascade) check(set objectSet, report reporter) {
+func (c *Cascade) check(set objectSet, report reportFunc) {
 	if len(c.Stages) == 0 {
 		report("spec.stages", "needs at least one model")
 	}
 	for i, id := range c.Stages {
 		path := fmt.Sprintf("spec.stages[%d]", i)
-		mustExist(set, report, path, KindModel, string(id))
+		checkExists(set, report, path, KindModel, string(id))
 		if slices.Index(c.Stages, id) != i {
 			report(path, "model %q stands twice", id)
 		}
@@ -187,36 +187,36 @@
 	}
 }
 
-func (p *Policy) check(set objectSet, report reporter) {
+func (p *Policy) check(set objectSet, report reportFunc) {
 	for _, problem := range p.problems {
 		report("spec."+problem.Path, "%s", problem.Message)
 	}
 	for i, rule := range p.Rules {
 		path := fmt.Sprintf("spec.rules[%d].then", i)
 		if rule.Then.Cascade != "" {
-			mustExist(set, report, path+".cascade", KindCascade, string(rule.Then.Cascade))
+			checkExists(set, report, path+".cascade", KindCascade, string(rule.Then.Cascade))
 		}
 		if rule.Then.Model != "" {
-			mustExist(set, report, path+".model", KindModel, string(rule.Then.Model))
+			checkExists(set, report, path+".model", KindModel, string(rule.Then.Model))
 		}
 		for j, id := range rule.Then.Exclude {
-			mustExist(set, report, fmt.Sprintf("%s.exclude[%d]", path, j), KindVersion, string(id))
+			checkExists(set, report, fmt.Sprintf("%s.exclude[%d]", path, j), KindVersion, string(id))
 		}
 	}
 }
 
-func (r *Rollout) check(set objectSet, report reporter) {
-	mustExist(set, report, "spec.model", KindModel, string(r.Model))
+func (r *Rollout) check(set objectSet, report reportFunc) {
+	checkExists(set, report, "spec.model", KindModel, string(r.Model))
 	r.checkVersion(set, report, "spec.from", r.From)
 	r.checkVersion(set, report, "spec.to", r.To)
 	if r.From == r.To {
 		report("spec.to", "must differ from spec.from")
 	}
-	if len(r.Steps) == 0 || r.Steps[len(r.Steps)-1] != wholeShare {
+	if len(r.Steps) == 0 || r.Steps[len(r.Steps)-1] != fullSharePercent {
 		report("spec.steps", "must end with 100")
 	}
 	for i, share := range r.Steps {
-		if share <= 0 || share > wholeShare || (i > 0 && share <= r.Steps[i-1]) {
+		if share <= 0 || share > fullSharePercent || (i > 0 && share <= r.Steps[i-1]) {
 			report(fmt.Sprintf("spec.steps[%d]", i), "shares must rise from above 0 to 100, is %g", share)
 		}
 	}
@@ -228,10 +228,10 @@
 	}
 }
 
-func (r *Rollout) checkVersion(set objectSet, report reporter, path string, id willowwick.VersionID) {
+func (r *Rollout) checkVersion(set objectSet, report reportFunc, path string, id willowwick.VersionID) {
 	version, ok := lookup[Version](set, KindVersion, string(id))
 	if !ok {
-		mustExist(set, report, path, KindVersion, string(id))
+		checkExists(set, report, path, KindVersion, string(id))
 		return
 	}
 	if version.Model != r.Model {
@@ -239,8 +239,8 @@
 	}
 }
 
-func (l *Limit) check(set objectSet, report reporter) {
-	mustExist(set, report, "spec.account", KindClientAccount, string(l.Account))
+func (l *Limit) check(set objectSet, report reportFunc) {
+	checkExists(set, report, "spec.account", KindClientAccount, string(l.Account))
 	if l.TokensPerSecond <= 0 && l.RequestsPerSecond <= 0 {
 		report("spec.tokensPerSecond", "set tokensPerSecond or requestsPerSecond above 0")
 	}
@@ -249,7 +249,7 @@
 	}
 }
 
-func (s *Service) check(_ objectSet, report reporter) {
+func (s *Service) check(_ objectSet, report reportFunc) {
 	if len(s.Operations) == 0 {
 		report("spec.operations", "needs at least one operation; a call that matches none is taken as not repeatable")
 	}
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -16,7 +16,7 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-const golden = "testdata/problems.golden"
+const goldenFile = "testdata/problems.golden"
 
 // TestProblemsNameFileLineAndRemedy checks the messages on a folder with many faults against a golden file.
 func TestProblemsNameFileLineAndRemedy(t *testing.T) {
@@ -28,14 +28,14 @@
 	}
 	text := strings.Join(lines, "\n") + "\n"
 	if *update {
-		require.NoError(t, os.WriteFile(golden, []byte(text), 0o600))
+		require.NoError(t, os.WriteFile(goldenFile, []byte(text), 0o600))
 	}
-	want, err := os.ReadFile(golden)
+	want, err := os.ReadFile(goldenFile)
 	require.NoError(t, err)
 	require.Equal(t, string(want), text)
 }
 
-func TestExamplesAreRight(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	folder, err := ReadFolder(examples.Declarations)
 	require.NoError(t, err)
 	require.Empty(t, folder.Problems)
@@ -48,7 +48,7 @@
 	require.Positive(t, folder.Problems[0].Line)
 }
 
-func entryOf(t require.TestingT, offset willowwick.Offset, record Record) willowwick.Entry {
+func encodeEntry(t require.TestingT, offset willowwick.Offset, record Record) willowwick.Entry {
 	data, err := record.Encode()
 	require.NoError(t, err)
 	return willowwick.Entry{Offset: offset, Data: data}
@@ -94,9 +94,9 @@
 				}
 				seen[id] = true
 			}
-			next, err := Fold(state, entryOf(rt, offset, record))
+			next, err := Fold(state, encodeEntry(rt, offset, record))
 			require.NoError(rt, err)
-			again, err := Fold(next, entryOf(rt, offset, record))
+			again, err := Fold(next, encodeEntry(rt, offset, record))
 			require.NoError(rt, err)
 			require.Same(rt, next, again, "an entry read twice changes nothing")
 			state = next
@@ -116,7 +116,7 @@
 		require.NoError(rt, err)
 		decoded, err := DecodeState(encoded)
 		require.NoError(rt, err)
-		require.True(rt, sameState(state, decoded), "a snapshot holds the whole state")
+		require.True(rt, equalStates(state, decoded), "a snapshot holds the whole state")
 	})
 }
 
@@ -143,7 +143,7 @@
 	for n := range 10_000 {
 		offset := willowwick.Offset(n + 1)
 		change := &Change{ID: willowwick.ChangeID(fmt.Sprint(n)), Basis: offset - 1, Objects: []Object{serviceObject(b, fmt.Sprint("s", n%200), n)}}
-		entries = append(entries, entryOf(b, offset, Record{Kind: RecordChange, Change: change}))
+		entries = append(entries, encodeEntry(b, offset, Record{Kind: RecordChange, Change: change}))
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/config/files.go
+++ b/config/files.go
@@ -26,12 +26,12 @@
 
 	// Folder is a set of declarations read from files.
 	Folder struct {
-		Objects  map[Key]Object
-		Problems []Located
-		places   map[Key]place
+		Objects   map[Key]Object
+		Problems  []Located
+		locations map[Key]location
 	}
 
-	place struct {
+	location struct {
 		file string
 		node *yaml.Node
 	}
@@ -51,7 +51,7 @@
 
 // ReadFolder reads and checks every .yaml and .yml file; problems are reported all at once.
 func ReadFolder(files fs.FS) (*Folder, error) {
-	folder := &Folder{Objects: map[Key]Object{}, places: map[Key]place{}}
+	folder := &Folder{Objects: map[Key]Object{}, locations: map[Key]location{}}
 	err := fs.WalkDir(files, ".", func(name string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
@@ -71,7 +71,7 @@
 	}
 	if len(folder.Problems) == 0 {
 		for _, problem := range checkAll(folder.Objects) {
-			folder.reportAt(folder.places[problem.Key], problem)
+			folder.reportAt(folder.locations[problem.Key], problem)
 		}
 	}
 	sort.SliceStable(folder.Problems, func(i, j int) bool {
@@ -90,7 +90,7 @@
 			return
 		}
 		if err != nil {
-			f.report(name, yamlLine(err), Problem{Path: "document", Message: err.Error()})
+			f.report(name, lineOfYAMLError(err), Problem{Path: "document", Message: err.Error()})
 			return
 		}
 		f.readDocument(name, node.Content[0])
@@ -104,8 +104,8 @@
 		return
 	}
 	key := Key{Kind: doc.Kind, Name: doc.Name}
-	at := place{file: file, node: node}
-	construct, known := newSpec[doc.Kind]
+	at := location{file: file, node: node}
+	construct, known := specConstructors[doc.Kind]
 	if !known {
 		f.reportAt(at, Problem{key, "kind", fmt.Sprintf("%q is no kind; there are %s", doc.Kind, kindList())})
 		return
@@ -114,15 +114,15 @@
 		f.reportAt(at, Problem{key, "name", "must be a name without slashes and blanks"})
 		return
 	}
-	if other, taken := f.places[key]; taken {
+	if other, taken := f.locations[key]; taken {
 		f.reportAt(at, Problem{key, "name", fmt.Sprintf("is declared already in %s:%d", other.file, other.node.Line)})
 		return
 	}
-	f.places[key] = at
+	f.locations[key] = at
 	typed := construct()
-	f.unknownFields(at, key, &doc.Spec, reflect.TypeOf(typed).Elem(), "spec")
+	f.reportUnknownFields(at, key, &doc.Spec, reflect.TypeOf(typed).Elem(), "spec")
 	if err := doc.Spec.Decode(typed); err != nil {
-		f.report(file, yamlLine(err), Problem{key, "spec", err.Error()})
+		f.report(file, lineOfYAMLError(err), Problem{key, "spec", err.Error()})
 		return
 	}
 	spec, err := json.Marshal(typed)
@@ -143,19 +143,19 @@
 }
 
 // reportAt finds the line of the problem's field.
-func (f *Folder) reportAt(at place, problem Problem) {
+func (f *Folder) reportAt(at location, problem Problem) {
 	f.report(at.file, findLine(at.node, problem.Path), problem)
 }
 
-// unknownFields reports fields of the node that the type does not have.
-func (f *Folder) unknownFields(at place, key Key, node *yaml.Node, t reflect.Type, prefix string) {
+// reportUnknownFields reports fields of the node that the type does not have.
+func (f *Folder) reportUnknownFields(at location, key Key, node *yaml.Node, t reflect.Type, prefix string) {
 	switch {
 	case node.Kind == yaml.SequenceNode && t.Kind() == reflect.Slice:
 		for i, child := range node.Content {
-			f.unknownFields(at, key, child, t.Elem(), fmt.Sprintf("%s[%d]", prefix, i))
+			f.reportUnknownFields(at, key, child, t.Elem(), fmt.Sprintf("%s[%d]", prefix, i))
 		}
 	case node.Kind == yaml.MappingNode && t.Kind() == reflect.Struct:
-		fields := fieldsOf(t)
+		fields := fieldTypes(t)
 		for i := 0; i+1 < len(node.Content); i += 2 {
 			name := node.Content[i].Value
 			field, known := fields[name]
@@ -163,18 +163,18 @@
 				f.report(at.file, node.Content[i].Line, Problem{key, prefix + "." + name, "no such field; there are " + fieldList(fields)})
 				continue
 			}
-			f.unknownFields(at, key, node.Content[i+1], field, prefix+"."+name)
+			f.reportUnknownFields(at, key, node.Content[i+1], field, prefix+"."+name)
 		}
 	}
 }
 
-func fieldsOf(t reflect.Type) map[string]reflect.Type {
+func fieldTypes(t reflect.Type) map[string]reflect.Type {
 	fields := map[string]reflect.Type{}
 	for i := range t.NumField() {
 		field := t.Field(i)
 		tag := field.Tag.Get("yaml")
 		if tag == ",inline" {
-			for name, inner := range fieldsOf(field.Type) {
+			for name, inner := range fieldTypes(field.Type) {
 				fields[name] = inner
 			}
 		} else if field.IsExported() {
@@ -205,7 +205,7 @@
 func findLine(node *yaml.Node, fieldPath string) int {
 	line := node.Line
 	for _, step := range strings.FieldsFunc(fieldPath, func(r rune) bool { return r == '.' || r == '[' || r == ']' }) {
-		child := descend(node, step)
+		child := childNode(node, step)
 		if child == nil {
 			return line
 		}
@@ -214,7 +214,7 @@
 	return line
 }
 
-func descend(node *yaml.Node, step string) *yaml.Node {
+func childNode(node *yaml.Node, step string) *yaml.Node {
 	if node.Kind == yaml.SequenceNode {
 		index, err := strconv.Atoi(step)
 		if err != nil || index >= len(node.Content) {
@@ -230,8 +230,8 @@
 	return nil
 }
 
-// yamlLine takes the line out of a message of the YAML library.
-func yamlLine(err error) int {
+// lineOfYAMLError takes the line out of a message of the YAML library.
+func lineOfYAMLError(err error) int {
 	_, rest, found := strings.Cut(err.Error(), "line ")
 	if !found {
 		return 1
@@ -248,7 +248,7 @@
 func (f *Folder) Difference(s *State) Change {
 	change := Change{Basis: s.Offset}
 	for _, key := range sortedKeys(f.Objects) {
-		if !f.Objects[key].Same(s.Objects[key]) {
+		if !f.Objects[key].Equal(s.Objects[key]) {
 			change.Objects = append(change.Objects, f.Objects[key])
 		}
 	}
--- a/config/fold.go
+++ b/config/fold.go
@@ -25,24 +25,24 @@
 	next := s.clone()
 	next.Offset = entry.Offset
 	if err != nil {
-		next.remember(AuditEntry{Offset: entry.Offset, Why: "malformed record"})
+		next.addAuditEntry(AuditEntry{Offset: entry.Offset, Why: "malformed record"})
 		return next, nil
 	}
 	switch {
 	case record.Change != nil:
-		next.change(record.Change)
+		next.applyChange(record.Change)
 	case record.Withdraw != nil:
-		next.withdraw(record.Withdraw)
+		next.applyWithdraw(record.Withdraw)
 	case record.Rollout != nil:
-		next.rolloutStep(record.Rollout)
+		next.applyRolloutStep(record.Rollout)
 	case record.Lease != nil:
-		next.lease(record.Lease)
+		next.applyLeaseClaim(record.Lease)
 	case record.Roster != nil:
-		next.roster(record.Roster)
+		next.applyRoster(record.Roster)
 	case record.Snapshot != nil:
-		next.snapshot(s, *record.Snapshot)
+		next.checkSnapshot(s, *record.Snapshot)
 	default:
-		next.remember(AuditEntry{Offset: entry.Offset, Kind: record.Kind, Why: "empty record"})
+		next.addAuditEntry(AuditEntry{Offset: entry.Offset, Kind: record.Kind, Why: "empty record"})
 	}
 	return next, nil
 }
@@ -59,7 +59,7 @@
 	return s, nil
 }
 
-func (s *State) change(c *Change) {
+func (s *State) applyChange(c *Change) {
 	if s.isSeen(c.ID) {
 		return
 	}
@@ -72,18 +72,18 @@
 	}
 	entry.Why = s.tryChange(c)
 	entry.Accepted = entry.Why == ""
-	s.remember(entry)
+	s.addAuditEntry(entry)
 }
 
 // tryChange applies the change if it may stand, and otherwise says why not.
 func (s *State) tryChange(c *Change) string {
 	for _, object := range c.Objects {
-		if why := s.conflict(object.Key, c.Basis); why != "" {
+		if why := s.conflictReason(object.Key, c.Basis); why != "" {
 			return why
 		}
 	}
 	for _, key := range c.Deleted {
-		if why := s.conflict(key, c.Basis); why != "" {
+		if why := s.conflictReason(key, c.Basis); why != "" {
 			return why
 		}
 	}
@@ -105,12 +105,12 @@
 		return problems[0].Error()
 	}
 	s.Objects = trial
-	s.dropProgress()
+	s.dropStaleProgress()
 	return ""
 }
 
-// conflict says what happened to an object since the author read it.
-func (s *State) conflict(key Key, basis willowwick.Offset) string {
+// conflictReason says what happened to an object since the author read it.
+func (s *State) conflictReason(key Key, basis willowwick.Offset) string {
 	if modified := s.lastModified(key); modified > basis {
 		return fmt.Sprintf("conflict: %s was changed at offset %d, after offset %d that this change was made against", key, modified, basis)
 	}
@@ -131,8 +131,8 @@
 	return 0
 }
 
-// dropProgress forgets the progress of roll-outs whose declaration is gone or new.
-func (s *State) dropProgress() {
+// dropStaleProgress forgets the progress of roll-outs whose declaration is gone or new.
+func (s *State) dropStaleProgress() {
 	for id, progress := range s.Progress {
 		object, ok := s.Objects[Key{KindRollout, string(id)}]
 		if !ok || object.Modified != progress.Declared {
@@ -143,7 +143,7 @@
 	}
 }
 
-func (s *State) withdraw(w *Withdraw) {
+func (s *State) applyWithdraw(w *Withdraw) {
 	if s.isSeen(w.ID) {
 		return
 	}
@@ -156,10 +156,10 @@
 	} else if _, already := s.Withdrawn[w.Version]; !already {
 		s.Withdrawn[w.Version] = Withdrawn{At: s.Offset, Author: w.Author, Reason: w.Reason}
 	}
-	s.remember(entry)
+	s.addAuditEntry(entry)
 }
 
-func (s *State) rolloutStep(step *RolloutStep) {
+func (s *State) applyRolloutStep(step *RolloutStep) {
 	if s.isSeen(step.ID) {
 		return
 	}
@@ -169,7 +169,7 @@
 	}
 	entry.Why = s.tryStep(step)
 	entry.Accepted = entry.Why == ""
-	s.remember(entry)
+	s.addAuditEntry(entry)
 }
 
 func (s *State) tryStep(step *RolloutStep) string {
@@ -201,8 +201,8 @@
 	return ""
 }
 
-// lease grants a claim if the lease was not touched since the claimant last saw it.
-func (s *State) lease(claim *LeaseClaim) {
+// applyLeaseClaim grants a claim if the applyLeaseClaim was not touched since the claimant last saw it.
+func (s *State) applyLeaseClaim(claim *LeaseClaim) {
 	if claim.After != s.Lease.Renewed {
 		return
 	}
@@ -220,13 +220,13 @@
 		Boot: claim.Boot, Box: claim.Box,
 		Fence: willowwick.Fence(s.Offset), Renewed: s.Offset, Ask: claim.Ask,
 	}
-	s.remember(AuditEntry{
+	s.addAuditEntry(AuditEntry{
 		Offset: s.Offset, Kind: RecordLease, Author: systemAuthor, Accepted: true,
 		Reason: fmt.Sprintf("lease granted to box %s", claim.Box),
 	})
 }
 
-func (s *State) roster(proposal *RosterProposal) {
+func (s *State) applyRoster(proposal *RosterProposal) {
 	entry := AuditEntry{
 		Offset: s.Offset, Kind: RecordRoster, Author: systemAuthor,
 		Reason: fmt.Sprintf("roster of %d members", len(proposal.Members)),
@@ -238,11 +238,11 @@
 		s.Roster = Roster{Epoch: willowwick.Epoch(s.Offset), Members: proposal.Members}
 		entry.Accepted = true
 	}
-	s.remember(entry)
+	s.addAuditEntry(entry)
 }
 
-// snapshot compares a snapshot with the own fold; it changes nothing else.
-func (s *State) snapshot(before *State, data json.RawMessage) {
+// checkSnapshot compares a checkSnapshot with the own fold; it changes nothing else.
+func (s *State) checkSnapshot(before *State, data json.RawMessage) {
 	entry := AuditEntry{Offset: s.Offset, Kind: RecordSnapshot, Author: systemAuthor, Accepted: true}
 	taken, err := DecodeState(data)
 	switch {
@@ -250,23 +250,23 @@
 		entry.Accepted, entry.Why = false, "malformed snapshot"
 	case taken.Offset != before.Offset:
 		entry.Accepted, entry.Why = false, fmt.Sprintf("snapshot of offset %d came after offset %d", taken.Offset, before.Offset)
-	case !sameState(taken, before):
+	case !equalStates(taken, before):
 		entry.Accepted, entry.Why = false, "snapshot differs from the fold"
 	}
-	s.remember(entry)
+	s.addAuditEntry(entry)
 }
 
-func sameState(a, b *State) bool {
+func equalStates(a, b *State) bool {
 	hashA, errA := a.Hash()
 	hashB, errB := b.Hash()
 	return errA == nil && errB == nil && hashA == hashB
 }
 
-// Join returns the state at the end of a stream of which entries may be all that is left.
+// Restore returns the state at the end of a stream of which entries may be all that is left.
 //
 // It starts from the newest snapshot if the head of the stream is gone, and
 // reports false if there is none to start from.
-func Join(first willowwick.Offset, entries []willowwick.Entry) (*State, bool, error) {
+func Restore(first willowwick.Offset, entries []willowwick.Entry) (*State, bool, error) {
 	if first <= 1 {
 		s, err := FoldAll(NewState(), entries)
 		return s, err == nil, err
--- a/config/object.go
+++ b/config/object.go
@@ -35,15 +35,15 @@
 
 	// spec is the typed form of a specification.
 	spec interface {
-		check(set objectSet, report reporter)
+		check(set objectSet, report reportFunc)
 	}
 
-	reporter func(path, format string, args ...any)
+	reportFunc func(path, format string, args ...any)
 
 	objectSet map[Key]Object
 )
 
-var newSpec = map[Kind]func() spec{
+var specConstructors = map[Kind]func() spec{
 	KindClientAccount: func() spec { return &ClientAccount{} },
 	KindModel:         func() spec { return &Model{} },
 	KindVersion:       func() spec { return &Version{} },
@@ -98,14 +98,14 @@
 	return object, nil
 }
 
-// Same reports whether two objects declare the same thing.
-func (o Object) Same(other Object) bool {
+// Equal reports whether two objects declare the same thing.
+func (o Object) Equal(other Object) bool {
 	return o.Key == other.Key && bytes.Equal(o.Spec, other.Spec)
 }
 
 // decode fills the typed form from the specification and makes the latter canonical.
 func (o *Object) decode() error {
-	construct, known := newSpec[o.Key.Kind]
+	construct, known := specConstructors[o.Key.Kind]
 	if !known {
 		return errors.Errorf("unknown kind %q", o.Key.Kind)
 	}
--- a/config/revision.go
+++ b/config/revision.go
@@ -12,10 +12,10 @@
 	// Revision is a state with the indexes that requests need; it is never changed.
 	Revision struct {
 		*State
-		accountOfKey map[string]willowwick.AccountID
-		limits       map[willowwick.AccountID]Limit
-		rollouts     map[willowwick.ModelID]ActiveRollout
-		finished     map[willowwick.ModelID][]willowwick.VersionID // newest first
+		accountByKeyHash map[string]willowwick.AccountID
+		limits           map[willowwick.AccountID]Limit
+		rollouts         map[willowwick.ModelID]ActiveRollout
+		finishedVersions map[willowwick.ModelID][]willowwick.VersionID // newest first
 	}
 
 	// ActiveRollout is a roll-out under way with its present share of sessions.
@@ -36,18 +36,18 @@
 // NewRevision indexes a state.
 func NewRevision(s *State) *Revision {
 	r := &Revision{
-		State:        s,
-		accountOfKey: map[string]willowwick.AccountID{},
-		limits:       map[willowwick.AccountID]Limit{},
-		rollouts:     map[willowwick.ModelID]ActiveRollout{},
-		finished:     map[willowwick.ModelID][]willowwick.VersionID{},
+		State:            s,
+		accountByKeyHash: map[string]willowwick.AccountID{},
+		limits:           map[willowwick.AccountID]Limit{},
+		rollouts:         map[willowwick.ModelID]ActiveRollout{},
+		finishedVersions: map[willowwick.ModelID][]willowwick.VersionID{},
 	}
 	finishedAt := map[willowwick.VersionID]willowwick.Offset{}
 	for key, object := range s.Objects {
 		switch typed := object.decoded.(type) {
 		case *ClientAccount:
 			for _, hash := range typed.Keys {
-				r.accountOfKey[hash] = willowwick.AccountID(key.Name)
+				r.accountByKeyHash[hash] = willowwick.AccountID(key.Name)
 			}
 		case *Limit:
 			r.limits[typed.Account] = *typed
@@ -55,7 +55,7 @@
 			r.indexRollout(willowwick.RolloutID(key.Name), typed, object.Modified, finishedAt)
 		}
 	}
-	for _, versions := range r.finished {
+	for _, versions := range r.finishedVersions {
 		sort.Slice(versions, func(i, j int) bool {
 			return finishedAt[versions[i]] > finishedAt[versions[j]]
 		})
@@ -72,7 +72,7 @@
 		model, ok := r.Model(rollout.Model)
 		if ok && r.Objects[Key{KindModel, string(rollout.Model)}].Modified < progress.At && model.Settled != rollout.To {
 			finishedAt[rollout.To] = progress.At
-			r.finished[rollout.Model] = append(r.finished[rollout.Model], rollout.To)
+			r.finishedVersions[rollout.Model] = append(r.finishedVersions[rollout.Model], rollout.To)
 		}
 		return
 	}
@@ -84,7 +84,7 @@
 
 // Authenticate returns the client account that a bearer key belongs to.
 func (r *Revision) Authenticate(key string) (willowwick.AccountID, *ClientAccount, bool) {
-	id, ok := r.accountOfKey[HashKey(key)]
+	id, ok := r.accountByKeyHash[HashKey(key)]
 	if !ok {
 		return "", nil, false
 	}
@@ -188,7 +188,7 @@
 	if !ok {
 		return "", false
 	}
-	for _, version := range r.finished[model] {
+	for _, version := range r.finishedVersions[model] {
 		if !r.IsWithdrawn(version) {
 			return version, true
 		}
@@ -204,8 +204,8 @@
 	return "", false
 }
 
-// Usable reports whether a client account may be given a version now.
-func (r *Revision) Usable(account willowwick.AccountID, version willowwick.VersionID) bool {
+// IsUsable reports whether a client account may be given a version now.
+func (r *Revision) IsUsable(account willowwick.AccountID, version willowwick.VersionID) bool {
 	declared, ok := r.Version(version)
 	if !ok || r.IsWithdrawn(version) {
 		return false
--- a/config/specs.go
+++ b/config/specs.go
@@ -105,9 +105,9 @@
 )
 
 const (
-	defaultDeadline = 2 * time.Minute
-	defaultBurst    = 2
-	anyMethod       = "*"
+	defaultDeadline     = 2 * time.Minute
+	defaultBurstSeconds = 2
+	anyMethod           = "*"
 )
 
 // Deadline returns when an answer to a request that arrived then is no longer of use.
@@ -153,5 +153,5 @@
 	if l.BurstSeconds > 0 {
 		return float64(l.BurstSeconds)
 	}
-	return defaultBurst
+	return defaultBurstSeconds
 }
--- a/config/state.go
+++ b/config/state.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	auditLength = 512
-	seenLength  = 4096
+	maxAuditEntries = 512
+	maxSeenChanges  = 4096
 )
 
 type (
@@ -118,8 +118,8 @@
 	return xxhash.Sum64(data), nil
 }
 
-// Find returns the audit entry of a change.
-func (s *State) Find(id willowwick.ChangeID) (AuditEntry, bool) {
+// FindAuditEntry returns the audit entry of a change.
+func (s *State) FindAuditEntry(id willowwick.ChangeID) (AuditEntry, bool) {
 	for i := len(s.Audit) - 1; i >= 0; i-- {
 		if s.Audit[i].ID == id {
 			return s.Audit[i], true
@@ -166,11 +166,11 @@
 	return false
 }
 
-// remember notes the change id and the audit entry.
-func (s *State) remember(entry AuditEntry) {
-	s.Audit = appendBounded(s.Audit, entry, auditLength)
+// addAuditEntry notes the change id and the audit entry.
+func (s *State) addAuditEntry(entry AuditEntry) {
+	s.Audit = appendBounded(s.Audit, entry, maxAuditEntries)
 	if entry.ID != "" {
-		s.Seen = appendBounded(s.Seen, SeenChange{ID: entry.ID, At: entry.Offset}, seenLength)
+		s.Seen = appendBounded(s.Seen, SeenChange{ID: entry.ID, At: entry.Offset}, maxSeenChanges)
 	}
 }
 
--- a/fleet/follower.go
+++ b/fleet/follower.go
@@ -134,7 +134,7 @@
 		}
 		from = page.Entries[len(page.Entries)-1].Offset + 1
 	}
-	state, ok, err := config.Join(first, entries)
+	state, ok, err := config.Restore(first, entries)
 	if err != nil {
 		return err
 	}
--- a/lab/fleet_promises_test.go
+++ b/lab/fleet_promises_test.go
@@ -202,7 +202,7 @@
 			cascade, ok := r.Cascade("extra")
 			require.True(t, ok)
 			require.Equal(t, willowwick.Score(0.5), cascade.Quality)
-			entry, ok := r.Find("race-0.6")
+			entry, ok := r.FindAuditEntry("race-0.6")
 			require.True(t, ok)
 			require.False(t, entry.Accepted)
 			require.Contains(t, entry.Why, "conflict")
@@ -231,7 +231,7 @@
 // hashOf sums the declared objects and the verdict of a change; offsets differ while boxes catch up.
 func hashOf(t *testing.T, r *config.Revision, id willowwick.ChangeID) uint64 {
 	t.Helper()
-	entry, ok := r.Find(id)
+	entry, ok := r.FindAuditEntry(id)
 	require.True(t, ok)
 	part := config.NewState()
 	part.Objects = r.Objects
--- a/route/version.go
+++ b/route/version.go
@@ -65,7 +65,7 @@
 }
 
 func (q VersionQuery) mayUse(r *config.Revision, version willowwick.VersionID) bool {
-	if slices.Contains(q.Exclude, version) || !r.Usable(q.Account, version) {
+	if slices.Contains(q.Exclude, version) || !r.IsUsable(q.Account, version) {
 		return false
 	}
 	return q.Stopped == nil || !q.Stopped(version)
--- a/serve/call.go
+++ b/serve/call.go
@@ -105,7 +105,7 @@
 // checkAllowed looks once more, at the newest configuration, whether the account may be given the version.
 func (c *call) checkAllowed() *willowwick.Refusal {
 	revision := c.run.daemon.node.Follower.Revision()
-	if revision.Usable(c.run.request.Account, c.version) {
+	if revision.IsUsable(c.run.request.Account, c.version) {
 		return nil
 	}
 	if c.position > 0 {
@@ -129,7 +129,7 @@
 func (c *call) openAt(entered *gate.Ticket) error {
 	r := c.run
 	// A version may have been withdrawn while the request waited for its turn.
-	if !r.daemon.node.Follower.Revision().Usable(r.request.Account, c.version) {
+	if !r.daemon.node.Follower.Revision().IsUsable(r.request.Account, c.version) {
 		return errNotAllowed
 	}
 	r.calls++
