--- a/config/check.go
+++ b/config/check.go
@@ -16,7 +16,9 @@
 	reservedName     = willowwick.TargetAuto
 )
 
-// checkAll returns the problems of a whole set of objects, in a fixed order.
+// checkAll validates a whole set of objects and returns the problems in a deterministic order.
+//
+// The fold stores the first problem as the reason of a rejection, so its text must be the same on all boxes.
 func checkAll(set objectSet) []Problem {
 	var problems []Problem
 	for _, key := range sortedKeys(set) {
@@ -42,7 +44,7 @@
 	return keys
 }
 
-// checkUniqueness finds what two objects may not both have.
+// checkUniqueness reports keys and roll-outs that two objects have in common, and reserved names.
 func checkUniqueness(set objectSet) []Problem {
 	var problems []Problem
 	keyOwner := map[string]Key{}
@@ -83,7 +85,7 @@
 	return false
 }
 
-// suggestion names the declared object that the name may have meant.
+// suggestion returns a similar declared name or, if there is none, all declared names of the kind.
 func suggestion(set objectSet, kind Kind, name string) string {
 	var names []string
 	for key := range set {
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -14,11 +14,11 @@
 	"pgregory.net/rapid"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 const goldenFile = "testdata/problems.golden"
 
-// TestProblemsNameFileLineAndRemedy checks the messages on a folder with many faults against a golden file.
+// TestProblemsNameFileLineAndRemedy compares the problems of a folder with many errors with a golden file.
 func TestProblemsNameFileLineAndRemedy(t *testing.T) {
 	folder, err := ReadFolder(os.DirFS("testdata/broken"))
 	require.NoError(t, err)
@@ -60,8 +60,9 @@
 	return object
 }
 
-// TestFoldAgainstModel compares the fold of random records with a simple model: change ids count once, a change
-// stands only if nothing it touches changed after its basis, withdrawals stay, leases pass by their last record.
+// TestFoldAgainstModel compares the fold of random records with a simple model: a change ID applies once, a change
+// is rejected if an object that it touches changed after its basis, withdrawals are permanent, and a lease claim
+// is granted only if it refers to the last record of the lease.
 func TestFoldAgainstModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		state := NewState()
@@ -98,7 +99,7 @@
 			require.NoError(rt, err)
 			again, err := Fold(next, encodeEntry(rt, offset, record))
 			require.NoError(rt, err)
-			require.Same(rt, next, again, "an entry read twice changes nothing")
+			require.Same(rt, next, again, "folding an entry twice changes nothing")
 			state = next
 		}
 		revision := NewRevision(state)
@@ -120,7 +121,7 @@
 	})
 }
 
-// FuzzFold feeds the fold whatever bytes a log may hold.
+// FuzzFold folds arbitrary bytes of a log entry.
 func FuzzFold(f *testing.F) {
 	f.Add([]byte(`{"schema":1,"kind":"change","change":{"id":"a","objects":[{"key":"Model/x","spec":{}}]}}`))
 	f.Add([]byte(`{"schema":1,"kind":"snapshot","snapshot":{"offset":0}}`))
@@ -137,7 +138,7 @@
 	})
 }
 
-// BenchmarkFold folds 10,000 changes on a state of 200 objects.
+// BenchmarkFold folds 10,000 changes over 200 objects.
 func BenchmarkFold(b *testing.B) {
 	var entries []willowwick.Entry
 	for n := range 10_000 {
--- a/config/doc.go
+++ b/config/doc.go
@@ -1,4 +1,4 @@
-// Package config holds the operators' declarations: their form in files, the
-// checks on them, and the fold that turns the records of the log into one
-// state, the same on every box. It does no I/O but reading declaration files.
+// Package config defines the operators' declarations: their format in files,
+// their validation, and the fold that computes the same state on every box from
+// the records of the log. Its only I/O is reading declaration files.
 package config
--- a/config/files.go
+++ b/config/files.go
@@ -17,14 +17,14 @@
 )
 
 type (
-	// Located is a problem with the place in a file where it stands.
+	// Located is a problem and its position in a file.
 	Located struct {
 		File string `json:"file"`
 		Line int    `json:"line"`
 		Problem
 	}
 
-	// Folder is a set of declarations read from files.
+	// Folder holds the declarations read from a folder of files, and the problems found in them.
 	Folder struct {
 		Objects   map[Key]Object
 		Problems  []Located
@@ -36,7 +36,7 @@
 		node *yaml.Node
 	}
 
-	// document is a file's form of an object.
+	// document is a YAML document that declares an object.
 	document struct {
 		Kind Kind      `yaml:"kind"`
 		Name string    `yaml:"name"`
@@ -44,12 +44,13 @@
 	}
 )
 
-// Error returns the problem as file:line: object: field: message.
+// Error returns the problem as "file:line: object: field: message".
 func (l Located) Error() string {
 	return fmt.Sprintf("%s:%d: %s", l.File, l.Line, l.Problem.Error())
 }
 
-// ReadFolder reads and checks every .yaml and .yml file; problems are reported all at once.
+// ReadFolder reads and validates every .yaml and .yml file. It returns all problems in Folder.Problems, sorted by file and
+// line; the error is about reading the files.
 func ReadFolder(files fs.FS) (*Folder, error) {
 	folder := &Folder{Objects: map[Key]Object{}, locations: map[Key]location{}}
 	err := fs.WalkDir(files, ".", func(name string, entry fs.DirEntry, err error) error {
@@ -107,15 +108,15 @@
 	at := location{file: file, node: node}
 	construct, known := specConstructors[doc.Kind]
 	if !known {
-		f.reportAt(at, Problem{key, "kind", fmt.Sprintf("%q is no kind; there are %s", doc.Kind, kindList())})
+		f.reportAt(at, Problem{key, "kind", fmt.Sprintf("unknown kind %q; known kinds are %s", doc.Kind, kindList())})
 		return
 	}
 	if doc.Name == "" || strings.ContainsAny(doc.Name, "/ \t") {
-		f.reportAt(at, Problem{key, "name", "must be a name without slashes and blanks"})
+		f.reportAt(at, Problem{key, "name", "must not be empty or contain slashes, spaces or tabs"})
 		return
 	}
 	if other, taken := f.locations[key]; taken {
-		f.reportAt(at, Problem{key, "name", fmt.Sprintf("is declared already in %s:%d", other.file, other.node.Line)})
+		f.reportAt(at, Problem{key, "name", fmt.Sprintf("is already declared at %s:%d", other.file, other.node.Line)})
 		return
 	}
 	f.locations[key] = at
@@ -142,12 +143,12 @@
 	f.Problems = append(f.Problems, Located{File: file, Line: line, Problem: problem})
 }
 
-// reportAt finds the line of the problem's field.
+// reportAt reports a problem at the line of its field.
 func (f *Folder) reportAt(at location, problem Problem) {
 	f.report(at.file, findLine(at.node, problem.Path), problem)
 }
 
-// reportUnknownFields reports fields of the node that the type does not have.
+// reportUnknownFields reports the fields of a YAML node that the Go type lacks, recursively.
 func (f *Folder) reportUnknownFields(at location, key Key, node *yaml.Node, t reflect.Type, prefix string) {
 	switch {
 	case node.Kind == yaml.SequenceNode && t.Kind() == reflect.Slice:
@@ -160,7 +161,7 @@
 			name := node.Content[i].Value
 			field, known := fields[name]
 			if !known {
-				f.report(at.file, node.Content[i].Line, Problem{key, prefix + "." + name, "no such field; there are " + fieldList(fields)})
+				f.report(at.file, node.Content[i].Line, Problem{key, prefix + "." + name, "unknown field; known fields are " + fieldList(fields)})
 				continue
 			}
 			f.reportUnknownFields(at, key, node.Content[i+1], field, prefix+"."+name)
@@ -201,7 +202,7 @@
 	return strings.Join(names, ", ")
 }
 
-// findLine returns the line of a field such as spec.stages[0], or of its nearest parent that is there.
+// findLine returns the line of a field such as spec.stages[0], or of its nearest existing parent.
 func findLine(node *yaml.Node, fieldPath string) int {
 	line := node.Line
 	for _, step := range strings.FieldsFunc(fieldPath, func(r rune) bool { return r == '.' || r == '[' || r == ']' }) {
@@ -230,7 +231,7 @@
 	return nil
 }
 
-// lineOfYAMLError takes the line out of a message of the YAML library.
+// lineOfYAMLError parses the line number out of an error of the YAML library, and returns 1 if it has none.
 func lineOfYAMLError(err error) int {
 	_, rest, found := strings.Cut(err.Error(), "line ")
 	if !found {
@@ -244,7 +245,7 @@
 	return line
 }
 
-// Difference returns the change that makes the declared objects of the state equal to the folder's.
+// Difference returns the change that turns the objects of the state into those of the folder.
 func (f *Folder) Difference(s *State) Change {
 	change := Change{Basis: s.Offset}
 	for _, key := range sortedKeys(f.Objects) {
--- a/config/fold.go
+++ b/config/fold.go
@@ -9,11 +9,11 @@
 
 const systemAuthor = "willowwick"
 
-// Fold applies one entry and returns the state after it.
+// Fold applies one log entry and returns the new state; it doesn't modify s.
 //
-// It is a pure function of its arguments: every daemon that folds the same
-// entries has the same state. Entries up to the state's offset change nothing.
-// ErrNewerSchema leaves the state as it was.
+// It is a pure function: every daemon that folds the same entries gets the same
+// state, including the reasons in its audit entries. Entries up to the state's
+// offset are ignored. With ErrNewerSchema it returns s.
 func Fold(s *State, entry willowwick.Entry) (*State, error) {
 	if entry.Offset <= s.Offset {
 		return s, nil
@@ -47,7 +47,7 @@
 	return next, nil
 }
 
-// FoldAll applies entries in order and stops at the first that cannot be folded.
+// FoldAll applies entries in order and stops at the first error.
 func FoldAll(s *State, entries []willowwick.Entry) (*State, error) {
 	for _, entry := range entries {
 		next, err := Fold(s, entry)
@@ -75,7 +75,7 @@
 	s.addAuditEntry(entry)
 }
 
-// tryChange applies the change if it may stand, and otherwise says why not.
+// tryChange applies the change if it is valid, and otherwise returns the reason for its rejection.
 func (s *State) tryChange(c *Change) string {
 	for _, object := range c.Objects {
 		if why := s.conflictReason(object.Key, c.Basis); why != "" {
@@ -109,7 +109,7 @@
 	return ""
 }
 
-// conflictReason says what happened to an object since the author read it.
+// conflictReason returns why a change based on an offset conflicts with the object, or "" if it doesn't.
 func (s *State) conflictReason(key Key, basis willowwick.Offset) string {
 	if modified := s.lastModified(key); modified > basis {
 		return fmt.Sprintf("conflict: %s was changed at offset %d, after offset %d that this change was made against", key, modified, basis)
@@ -131,7 +131,7 @@
 	return 0
 }
 
-// dropStaleProgress forgets the progress of roll-outs whose declaration is gone or new.
+// dropStaleProgress deletes the progress of unfinished roll-outs whose declaration was deleted or changed.
 func (s *State) dropStaleProgress() {
 	for id, progress := range s.Progress {
 		object, ok := s.Objects[Key{KindRollout, string(id)}]
@@ -201,7 +201,7 @@
 	return ""
 }
 
-// applyLeaseClaim grants a claim if the applyLeaseClaim was not touched since the claimant last saw it.
+// applyLeaseClaim grants a claim if the lease has not changed since the claimant last read it.
 func (s *State) applyLeaseClaim(claim *LeaseClaim) {
 	if claim.After != s.Lease.Renewed {
 		return
@@ -241,7 +241,7 @@
 	s.addAuditEntry(entry)
 }
 
-// checkSnapshot compares a checkSnapshot with the own fold; it changes nothing else.
+// checkSnapshot compares a snapshot with the local state before it, and only records the result.
 func (s *State) checkSnapshot(before *State, data json.RawMessage) {
 	entry := AuditEntry{Offset: s.Offset, Kind: RecordSnapshot, Author: systemAuthor, Accepted: true}
 	taken, err := DecodeState(data)
@@ -262,10 +262,10 @@
 	return errA == nil && errB == nil && hashA == hashB
 }
 
-// Restore returns the state at the end of a stream of which entries may be all that is left.
+// Restore returns the state at the end of a stream whose first retained offset is first.
 //
-// It starts from the newest snapshot if the head of the stream is gone, and
-// reports false if there is none to start from.
+// If the head of the stream was trimmed, it starts from the newest usable
+// snapshot, and returns false if there is none.
 func Restore(first willowwick.Offset, entries []willowwick.Entry) (*State, bool, error) {
 	if first <= 1 {
 		s, err := FoldAll(NewState(), entries)
--- a/config/object.go
+++ b/config/object.go
@@ -11,13 +11,13 @@
 )
 
 type (
-	// Key names a declared object.
+	// Key identifies a declared object.
 	Key struct {
 		Kind Kind   `json:"kind"`
 		Name string `json:"name"`
 	}
 
-	// Object is a declared object with its specification in both forms.
+	// Object is a declared object with its specification as canonical JSON and in decoded form.
 	Object struct {
 		Key      Key               `json:"key"`
 		Spec     json.RawMessage   `json:"spec,omitempty"`
@@ -26,14 +26,14 @@
 		decoded spec
 	}
 
-	// Problem is a fault in a declaration.
+	// Problem is an error in a declaration.
 	Problem struct {
 		Key     Key
 		Path    string // field within the object, such as spec.stages[0]
 		Message string
 	}
 
-	// spec is the typed form of a specification.
+	// spec is a decoded specification.
 	spec interface {
 		check(set objectSet, report reportFunc)
 	}
@@ -60,12 +60,12 @@
 	KindPolicy, KindRollout, KindLimit, KindService,
 }
 
-// String returns the key as kind/name.
+// String returns the key as "kind/name".
 func (k Key) String() string {
 	return string(k.Kind) + "/" + k.Name
 }
 
-// MarshalText implements encoding.TextMarshaler, so that keys can name fields.
+// MarshalText implements encoding.TextMarshaler, so that a Key can be a JSON map key.
 func (k Key) MarshalText() ([]byte, error) {
 	return []byte(k.String()), nil
 }
@@ -85,7 +85,7 @@
 	return fmt.Sprintf("%s: %s: %s", p.Key, p.Path, p.Message)
 }
 
-// NewObject makes an object of a typed specification.
+// NewObject returns an object with the given specification, which must have the type of its kind.
 func NewObject(kind Kind, name string, typed any) (Object, error) {
 	data, err := json.Marshal(typed)
 	if err != nil {
@@ -98,12 +98,12 @@
 	return object, nil
 }
 
-// Equal reports whether two objects declare the same thing.
+// Equal reports whether two objects have the same key and specification.
 func (o Object) Equal(other Object) bool {
 	return o.Key == other.Key && bytes.Equal(o.Spec, other.Spec)
 }
 
-// decode fills the typed form from the specification and makes the latter canonical.
+// decode sets the decoded form from Spec and replaces Spec by its canonical JSON.
 func (o *Object) decode() error {
 	construct, known := specConstructors[o.Key.Kind]
 	if !known {
--- a/config/record.go
+++ b/config/record.go
@@ -7,10 +7,10 @@
 	"github.com/willowwick/willowwick"
 )
 
-// SchemaVersion is the newest form of record that this build can fold.
+// SchemaVersion is the newest record schema that this build can fold.
 const SchemaVersion = 1
 
-// RecordKind names the kinds of record on the configuration stream.
+// RecordKind is the kind of a record in the configuration stream.
 type RecordKind string
 
 // Kinds of record.
@@ -24,7 +24,7 @@
 )
 
 type (
-	// Record is one entry of the configuration stream; the part named by Kind is set.
+	// Record is one entry of the configuration stream; the field named by Kind is set.
 	Record struct {
 		Schema   int              `json:"schema"`
 		Kind     RecordKind       `json:"kind"`
@@ -36,17 +36,17 @@
 		Snapshot *json.RawMessage `json:"snapshot,omitempty"`
 	}
 
-	// Change replaces or deletes objects, all or none.
+	// Change replaces or deletes objects atomically.
 	Change struct {
 		ID      willowwick.ChangeID `json:"id"`
 		Author  string              `json:"author"`
 		Reason  string              `json:"reason"`
-		Basis   willowwick.Offset   `json:"basis"` // state that the author had read
+		Basis   willowwick.Offset   `json:"basis"` // offset of the state that the author read
 		Objects []Object            `json:"objects,omitempty"`
 		Deleted []Key               `json:"deleted,omitempty"`
 	}
 
-	// Withdraw takes a version out of use for good; it never conflicts.
+	// Withdraw permanently takes a version out of use; it never conflicts with other records.
 	Withdraw struct {
 		ID      willowwick.ChangeID  `json:"id"`
 		Author  string               `json:"author"`
@@ -54,32 +54,32 @@
 		Version willowwick.VersionID `json:"version"`
 	}
 
-	// RolloutStep moves a roll-out from one step to the next; only the lease holder may.
+	// RolloutStep moves a roll-out to its next step; the fold rejects it unless Fence is that of the current lease.
 	RolloutStep struct {
 		ID      willowwick.ChangeID  `json:"id"`
 		Rollout willowwick.RolloutID `json:"rollout"`
-		Step    int                  `json:"step"` // index of the step that begins; len(Steps) ends the roll-out
+		Step    int                  `json:"step"` // index of the step that starts; len(Steps) completes the roll-out
 		Fence   willowwick.Fence     `json:"fence"`
 		Reason  string               `json:"reason"`
 	}
 
-	// LeaseClaim takes or renews the lease if nothing happened to it since After.
+	// LeaseClaim acquires, renews or releases the lease, if the lease has not changed since offset After.
 	LeaseClaim struct {
 		Boot  willowwick.BootID `json:"boot"`
 		Box   willowwick.BoxID  `json:"box"`
 		After willowwick.Offset `json:"after"`
-		Ask   uint64            `json:"ask,omitempty"` // the claimant's own number of the claim
+		Ask   uint64            `json:"ask,omitempty"` // number that the claimant gave this claim
 
-		Release bool `json:"release,omitempty"` // the holder gives it up
+		Release bool `json:"release,omitempty"` // the holder releases the lease
 	}
 
-	// RosterProposal names the members of the fleet; only the lease holder may write it.
+	// RosterProposal replaces the roster; the fold rejects it unless Fence is that of the current lease.
 	RosterProposal struct {
 		Fence   willowwick.Fence `json:"fence"`
 		Members []Member         `json:"members"`
 	}
 
-	// Member is one daemon of the fleet.
+	// Member is a daemon on the roster.
 	Member struct {
 		Boot willowwick.BootID `json:"boot"`
 		Box  willowwick.BoxID  `json:"box"`
@@ -88,10 +88,10 @@
 	}
 )
 
-// ErrNewerSchema says that a record was written by a newer build; the state before it stays in force.
+// ErrNewerSchema means that a newer build wrote the record; the state before it stays in force.
 var ErrNewerSchema = errors.New("record is of a newer schema than this build can fold")
 
-// Encode returns the record as it goes onto the log.
+// Encode returns the record as it is appended to the log.
 func (r Record) Encode() ([]byte, error) {
 	r.Schema = SchemaVersion
 	data, err := json.Marshal(r)
--- a/config/revision.go
+++ b/config/revision.go
@@ -9,7 +9,7 @@
 )
 
 type (
-	// Revision is a state with the indexes that requests need; it is never changed.
+	// Revision is an immutable state with indexes for handling requests.
 	Revision struct {
 		*State
 		accountByKeyHash map[string]willowwick.AccountID
@@ -18,7 +18,7 @@
 		finishedVersions map[willowwick.ModelID][]willowwick.VersionID // newest first
 	}
 
-	// ActiveRollout is a roll-out under way with its present share of sessions.
+	// ActiveRollout is a roll-out in progress and its current share of sessions.
 	ActiveRollout struct {
 		ID willowwick.RolloutID
 		Rollout
@@ -27,13 +27,13 @@
 	}
 )
 
-// HashKey returns the form in which a bearer key is declared.
+// HashKey returns the SHA-256 of a bearer key in hex, as it is declared.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// NewRevision indexes a state.
+// NewRevision returns a state with its indexes.
 func NewRevision(s *State) *Revision {
 	r := &Revision{
 		State:            s,
@@ -82,7 +82,7 @@
 	r.rollouts[rollout.Model] = ActiveRollout{ID: id, Rollout: *rollout, Progress: progress, Share: rollout.Steps[progress.Step]}
 }
 
-// Authenticate returns the client account that a bearer key belongs to.
+// Authenticate returns the client account of a bearer key, and false if no account has the key.
 func (r *Revision) Authenticate(key string) (willowwick.AccountID, *ClientAccount, bool) {
 	id, ok := r.accountByKeyHash[HashKey(key)]
 	if !ok {
@@ -92,42 +92,42 @@
 	return id, account, ok
 }
 
-// Account returns a client account.
+// Account returns a client account, and false if it is not declared.
 func (r *Revision) Account(id willowwick.AccountID) (*ClientAccount, bool) {
 	return lookup[ClientAccount](r.Objects, KindClientAccount, string(id))
 }
 
-// Model returns a model.
+// Model returns a model, and false if it is not declared.
 func (r *Revision) Model(id willowwick.ModelID) (*Model, bool) {
 	return lookup[Model](r.Objects, KindModel, string(id))
 }
 
-// Version returns a version.
+// Version returns a version, and false if it is not declared.
 func (r *Revision) Version(id willowwick.VersionID) (*Version, bool) {
 	return lookup[Version](r.Objects, KindVersion, string(id))
 }
 
-// Cascade returns a cascade.
+// Cascade returns a cascade, and false if it is not declared.
 func (r *Revision) Cascade(id willowwick.CascadeID) (*Cascade, bool) {
 	return lookup[Cascade](r.Objects, KindCascade, string(id))
 }
 
-// Policy returns a policy.
+// Policy returns a policy, and false if it is not declared.
 func (r *Revision) Policy(id willowwick.PolicyID) (*Policy, bool) {
 	return lookup[Policy](r.Objects, KindPolicy, string(id))
 }
 
-// Service returns a plain service.
+// Service returns a plain service, and false if it is not declared.
 func (r *Revision) Service(id willowwick.ServiceID) (*Service, bool) {
 	return lookup[Service](r.Objects, KindService, string(id))
 }
 
-// Versions lists the declared versions, in no fixed order.
+// Versions returns the declared versions in no particular order.
 func (r *Revision) Versions() []willowwick.VersionID {
 	return namesOf[willowwick.VersionID](r, KindVersion)
 }
 
-// Accounts lists the client accounts, in no fixed order.
+// Accounts returns the declared client accounts in no particular order.
 func (r *Revision) Accounts() []willowwick.AccountID {
 	return namesOf[willowwick.AccountID](r, KindClientAccount)
 }
@@ -148,13 +148,13 @@
 	return limit, ok
 }
 
-// Rollout returns the roll-out under way for a model.
+// Rollout returns the roll-out of a model that is in progress, and false if there is none.
 func (r *Revision) Rollout(model willowwick.ModelID) (ActiveRollout, bool) {
 	rollout, ok := r.rollouts[model]
 	return rollout, ok
 }
 
-// Rollouts returns the roll-outs under way, by id.
+// Rollouts returns the roll-outs in progress, sorted by ID.
 func (r *Revision) Rollouts() []ActiveRollout {
 	list := make([]ActiveRollout, 0, len(r.rollouts))
 	for _, rollout := range r.rollouts {
@@ -164,13 +164,13 @@
 	return list
 }
 
-// IsWithdrawn reports whether a version was taken out of use.
+// IsWithdrawn reports whether a version was permanently taken out of use.
 func (r *Revision) IsWithdrawn(version willowwick.VersionID) bool {
 	_, gone := r.Withdrawn[version]
 	return gone
 }
 
-// IsRollingOut reports whether a version is the new one of a roll-out under way.
+// IsRollingOut reports whether a version is the target of a roll-out in progress.
 func (r *Revision) IsRollingOut(version willowwick.VersionID) bool {
 	v, ok := r.Version(version)
 	if !ok {
@@ -180,9 +180,9 @@
 	return ok && rollout.To == version
 }
 
-// Settled returns the version that answers for a model outside of roll-outs:
-// the newest that finished its roll-out, then the declared one, then the
-// fallbacks, leaving out what is withdrawn.
+// Settled returns the version that serves a model outside of roll-outs. This is
+// the first that is not withdrawn of the versions whose roll-outs finished since
+// the model was declared, newest first, then the declared version, then its fallbacks.
 func (r *Revision) Settled(model willowwick.ModelID) (willowwick.VersionID, bool) {
 	declared, ok := r.Model(model)
 	if !ok {
@@ -204,7 +204,7 @@
 	return "", false
 }
 
-// IsUsable reports whether a client account may be given a version now.
+// IsUsable reports whether a version is declared, not withdrawn, and allowed to the client account.
 func (r *Revision) IsUsable(account willowwick.AccountID, version willowwick.VersionID) bool {
 	declared, ok := r.Version(version)
 	if !ok || r.IsWithdrawn(version) {
@@ -214,7 +214,7 @@
 	return ok && client.Allows(declared.Model, version)
 }
 
-// Targets lists the models and cascades of which the account may use something.
+// Targets returns the models that the account may use and the cascades with at least one such model, in a fixed order.
 func (r *Revision) Targets(account willowwick.AccountID) []string {
 	client, ok := r.Account(account)
 	if !ok {
@@ -244,7 +244,7 @@
 	return ok && client.Allows(model, version)
 }
 
-// IsRepeatable reports whether a call of a service may be sent twice; one that matches no operation may not.
+// IsRepeatable reports whether a call of the service may be retried; a call that matches no operation may not.
 func (s *Service) IsRepeatable(method, path string) bool {
 	for _, operation := range s.Operations {
 		methodFits := operation.Method == anyMethod || operation.Method == method
--- a/config/specs.go
+++ b/config/specs.go
@@ -7,7 +7,7 @@
 	"github.com/willowwick/willowwick/policy"
 )
 
-// Kind names a kind of declared object.
+// Kind is the kind of a declared object.
 type Kind string
 
 // Kinds of declared objects.
@@ -22,19 +22,19 @@
 	KindService       Kind = "Service"
 )
 
-// JudgeKind says who decides whether a cheap answer passes.
+// JudgeKind says how a cascade decides whether the answer of a stage passes.
 type JudgeKind string
 
 // Kinds of judge.
 const (
-	// JudgeRater asks the rater while there is time, and falls back to what was learnt.
+	// JudgeRater asks the rater while there is time, and otherwise uses the learned pass rate.
 	JudgeRater JudgeKind = "rater"
-	// JudgeLearned goes by the learnt pass rate alone.
+	// JudgeLearned uses the learned pass rate only.
 	JudgeLearned JudgeKind = "learned"
 )
 
 type (
-	// ClientAccount is a customer's account: who may call, and what.
+	// ClientAccount declares the keys of a customer and the models, versions and services that it may use.
 	ClientAccount struct {
 		Keys            []string               `json:"keys" yaml:"keys"`   // SHA-256 of each bearer key, in hex
 		Allow           []string               `json:"allow" yaml:"allow"` // names of models and versions
@@ -45,23 +45,23 @@
 		DeadlineSeconds int                    `json:"deadlineSeconds,omitempty" yaml:"deadlineSeconds"`
 	}
 
-	// Model is a family of versions; Settled answers where no roll-out says otherwise.
+	// Model is a family of versions; Settled serves it unless a roll-out changes that.
 	Model struct {
 		Settled  willowwick.VersionID   `json:"settled" yaml:"settled"`
 		Fallback []willowwick.VersionID `json:"fallback,omitempty" yaml:"fallback"`
 	}
 
-	// Version is one trained state of a model, as runners load it.
+	// Version is one set of trained weights of a model, as runners load it.
 	Version struct {
 		Model willowwick.ModelID `json:"model" yaml:"model"`
 		Price willowwick.Price   `json:"price" yaml:"price"`
 	}
 
-	// Cascade is a row of models, cheap to strong.
+	// Cascade is a sequence of models, from cheap to strong: a request moves on to the next if an answer doesn't pass.
 	Cascade struct {
 		Stages  []willowwick.ModelID `json:"stages" yaml:"stages"`
-		Quality willowwick.Score     `json:"quality" yaml:"quality"` // share of answers that must pass
-		Pass    willowwick.Score     `json:"pass" yaml:"pass"`       // rating from which an answer passes
+		Quality willowwick.Score     `json:"quality" yaml:"quality"` // required share of answers that pass
+		Pass    willowwick.Score     `json:"pass" yaml:"pass"`       // lowest rating of an answer that passes
 		Judge   JudgeKind            `json:"judge" yaml:"judge"`
 	}
 
@@ -73,17 +73,17 @@
 		problems []policy.Problem
 	}
 
-	// Rollout moves a model from one version to another by steps of evidence.
+	// Rollout moves a model from one version to another in steps; evidence of each step decides on the next.
 	Rollout struct {
 		Model       willowwick.ModelID   `json:"model" yaml:"model"`
 		From        willowwick.VersionID `json:"from" yaml:"from"`
 		To          willowwick.VersionID `json:"to" yaml:"to"`
 		Steps       []float64            `json:"steps" yaml:"steps"` // shares of sessions, in per cent
 		MinRequests int                  `json:"minRequests" yaml:"minRequests"`
-		MaxExposure int                  `json:"maxExposure,omitempty" yaml:"maxExposure"` // requests on one step before it is judged
+		MaxExposure int                  `json:"maxExposure,omitempty" yaml:"maxExposure"` // most requests on one step before its evidence is evaluated
 	}
 
-	// Limit bounds what the fleet as a whole takes from a client account.
+	// Limit is a rate limit of a client account over the whole fleet.
 	Limit struct {
 		Account           willowwick.AccountID `json:"account" yaml:"account"`
 		TokensPerSecond   float64              `json:"tokensPerSecond" yaml:"tokensPerSecond"`
@@ -91,12 +91,12 @@
 		RequestsPerSecond float64              `json:"requestsPerSecond,omitempty" yaml:"requestsPerSecond"`
 	}
 
-	// Service is a plain service and what its calls may be repeated.
+	// Service is a plain service; its operations say which calls may be retried.
 	Service struct {
 		Operations []Operation `json:"operations" yaml:"operations"`
 	}
 
-	// Operation is a set of calls of a service; the first that matches counts.
+	// Operation matches calls by method and path prefix; the first match of a service applies.
 	Operation struct {
 		Method     string `json:"method" yaml:"method"` // or * for any
 		Prefix     string `json:"prefix" yaml:"prefix"`
@@ -110,7 +110,7 @@
 	anyMethod           = "*"
 )
 
-// Deadline returns when an answer to a request that arrived then is no longer of use.
+// Deadline returns the deadline of a request that arrived at the given time.
 func (a *ClientAccount) Deadline(arrived time.Time) time.Time {
 	if a.DeadlineSeconds > 0 {
 		return arrived.Add(time.Duration(a.DeadlineSeconds) * time.Second)
@@ -118,7 +118,7 @@
 	return arrived.Add(defaultDeadline)
 }
 
-// FairWeight returns the account's share in fair queueing.
+// FairWeight returns the weight of the account in fair queueing, at least 1.
 func (a *ClientAccount) FairWeight() int {
 	return max(a.Weight, 1)
 }
@@ -133,7 +133,7 @@
 	return false
 }
 
-// AllowsService reports whether the account may call a service.
+// AllowsService reports whether the account may call a plain service.
 func (a *ClientAccount) AllowsService(id willowwick.ServiceID) bool {
 	for _, name := range a.Services {
 		if name == id {
@@ -148,7 +148,7 @@
 	return p.program
 }
 
-// Burst returns how many seconds of its rate an account may take at once.
+// Burst returns the burst size of the limit in seconds of its rate.
 func (l *Limit) Burst() float64 {
 	if l.BurstSeconds > 0 {
 		return float64(l.BurstSeconds)
--- a/config/state.go
+++ b/config/state.go
@@ -15,7 +15,7 @@
 )
 
 type (
-	// State is the fold of the configuration stream up to Offset; it is never changed in place.
+	// State is the result of folding the configuration stream up to Offset. It is immutable.
 	State struct {
 		Offset    willowwick.Offset                  `json:"offset"`
 		Objects   map[Key]Object                     `json:"objects"`
@@ -23,42 +23,43 @@
 		Progress  map[willowwick.RolloutID]Progress  `json:"progress"`
 		Lease     Lease                              `json:"lease"`
 		Roster    Roster                             `json:"roster"`
-		Former    Roster                             `json:"former"` // the roster before
+		Former    Roster                             `json:"former"` // previous roster
 		Audit     []AuditEntry                       `json:"audit"`
 		Seen      []SeenChange                       `json:"seen"`
 	}
 
-	// Withdrawn says when and why a version was taken out of use.
+	// Withdrawn records the withdrawal of a version: it is permanently out of use.
 	Withdrawn struct {
 		At     willowwick.Offset `json:"at"`
 		Author string            `json:"author"`
 		Reason string            `json:"reason"`
 	}
 
-	// Progress is how far a roll-out has come.
+	// Progress is the progress of a roll-out.
 	Progress struct {
 		Step     int               `json:"step"`
 		Done     bool              `json:"done"`
-		Declared willowwick.Offset `json:"declared"` // of the declaration that the progress belongs to
+		Declared willowwick.Offset `json:"declared"` // offset of the declaration that the progress belongs to
 		At       willowwick.Offset `json:"at"`
 	}
 
-	// Lease names the daemon that may order and advance.
+	// Lease names the daemon that may write the roster and advance roll-outs. Fence rises with each new holder, so that the
+	// fold rejects records of former holders.
 	Lease struct {
 		Boot    willowwick.BootID `json:"boot,omitempty"`
 		Box     willowwick.BoxID  `json:"box,omitempty"`
 		Fence   willowwick.Fence  `json:"fence,omitempty"`
 		Renewed willowwick.Offset `json:"renewed,omitempty"`
-		Ask     uint64            `json:"ask,omitempty"` // of the claim that was granted last
+		Ask     uint64            `json:"ask,omitempty"` // number of the claim that was granted last
 	}
 
-	// Roster names the members of the fleet at an epoch.
+	// Roster is the list of the fleet's members at an epoch.
 	Roster struct {
 		Epoch   willowwick.Epoch `json:"epoch"`
 		Members []Member         `json:"members,omitempty"`
 	}
 
-	// AuditEntry says who asked for what, and what came of it.
+	// AuditEntry records the author of a record and whether the fold accepted it.
 	AuditEntry struct {
 		Offset   willowwick.Offset   `json:"offset"`
 		ID       willowwick.ChangeID `json:"id,omitempty"`
@@ -67,17 +68,17 @@
 		Reason   string              `json:"reason"`
 		Objects  []string            `json:"objects,omitempty"`
 		Accepted bool                `json:"accepted"`
-		Why      string              `json:"why,omitempty"` // of a rejection
+		Why      string              `json:"why,omitempty"` // reason of a rejection
 	}
 
-	// SeenChange remembers a change id, so that a repeated append changes nothing.
+	// SeenChange is the ID of a folded change, kept so that the fold ignores a retried append.
 	SeenChange struct {
 		ID willowwick.ChangeID `json:"id"`
 		At willowwick.Offset   `json:"at"`
 	}
 )
 
-// NewState returns the state before the first record.
+// NewState returns the empty state before the first record.
 func NewState() *State {
 	return &State{
 		Objects:   map[Key]Object{},
@@ -86,13 +87,13 @@
 	}
 }
 
-// Encode returns the whole state, as it stands in snapshots and joins.
+// Encode returns the state as JSON, as used in snapshots and sent to joining boxes.
 func (s *State) Encode() (json.RawMessage, error) {
 	data, err := json.Marshal(s)
 	return data, errors.Wrap(err, "encode state")
 }
 
-// DecodeState reads a state that Encode wrote.
+// DecodeState decodes the output of Encode.
 func DecodeState(data []byte) (*State, error) {
 	s := NewState()
 	if err := json.Unmarshal(data, s); err != nil {
@@ -107,7 +108,7 @@
 	return s, nil
 }
 
-// Hash sums the whole state but for its offset, to compare boxes.
+// Hash returns a hash of the state without its offset, to compare the states of boxes.
 func (s *State) Hash() (uint64, error) {
 	plain := *s
 	plain.Offset = 0
@@ -118,7 +119,7 @@
 	return xxhash.Sum64(data), nil
 }
 
-// FindAuditEntry returns the audit entry of a change.
+// FindAuditEntry returns the newest audit entry of a change, and false if none is kept.
 func (s *State) FindAuditEntry(id willowwick.ChangeID) (AuditEntry, bool) {
 	for i := len(s.Audit) - 1; i >= 0; i-- {
 		if s.Audit[i].ID == id {
@@ -128,7 +129,7 @@
 	return AuditEntry{}, false
 }
 
-// IsMember reports whether a daemon is on the roster.
+// IsMember reports whether the roster lists a daemon.
 func (r Roster) IsMember(boot willowwick.BootID) bool {
 	for _, m := range r.Members {
 		if m.Boot == boot {
@@ -138,7 +139,7 @@
 	return false
 }
 
-// HasBox reports whether some start of a box is on the roster.
+// HasBox reports whether the roster lists any daemon of a box.
 func (r Roster) HasBox(box willowwick.BoxID) bool {
 	for _, m := range r.Members {
 		if m.Box == box {
@@ -148,7 +149,7 @@
 	return false
 }
 
-// clone copies the parts that a record may change; slices are only ever appended to through cut copies.
+// clone copies the maps that a record may change. Slices stay shared, because appendBounded never writes to a shared array.
 func (s *State) clone() *State {
 	next := *s
 	next.Objects = maps.Clone(s.Objects)
@@ -166,7 +167,7 @@
 	return false
 }
 
-// addAuditEntry notes the change id and the audit entry.
+// addAuditEntry appends an audit entry and marks its change ID as seen.
 func (s *State) addAuditEntry(entry AuditEntry) {
 	s.Audit = appendBounded(s.Audit, entry, maxAuditEntries)
 	if entry.ID != "" {
@@ -174,7 +175,7 @@
 	}
 }
 
-// appendBounded appends to a slice that older states share, keeping at most limit elements.
+// appendBounded appends to a copy of a slice that older states share, keeping the newest limit elements.
 func appendBounded[T any](list []T, element T, limit int) []T {
 	if len(list) >= limit {
 		kept := make([]T, 0, limit+limit/4)
