--- a/config/check.go
+++ b/config/check.go
@@ -47,22 +47,22 @@
 // checkUniqueness reports keys and roll-outs that two objects have in common, and reserved names.
 func checkUniqueness(set objectSet) []Problem {
 	var problems []Problem
-	keyOwner := map[string]Key{}
-	rolloutOf := map[willowwick.ModelID]Key{}
+	ownerByKeyHash := map[string]Key{}
+	rolloutByModel := map[willowwick.ModelID]Key{}
 	for _, key := range sortedKeys(set) {
 		switch typed := set[key].decoded.(type) {
 		case *ClientAccount:
 			for i, hash := range typed.Keys {
-				if owner, taken := keyOwner[hash]; taken {
+				if owner, taken := ownerByKeyHash[hash]; taken {
 					problems = append(problems, Problem{key, fmt.Sprintf("spec.keys[%d]", i), "the same key belongs to " + owner.String()})
 				}
-				keyOwner[hash] = key
+				ownerByKeyHash[hash] = key
 			}
 		case *Rollout:
-			if other, taken := rolloutOf[typed.Model]; taken {
+			if other, taken := rolloutByModel[typed.Model]; taken {
 				problems = append(problems, Problem{key, "spec.model", "is already being rolled out by " + other.String() + "; delete that declaration first"})
 			}
-			rolloutOf[typed.Model] = key
+			rolloutByModel[typed.Model] = key
 		case *Model, *Cascade:
 			if key.Name == reservedName {
 				problems = append(problems, Problem{key, "name", "auto is reserved for callers"})
--- a/config/fold.go
+++ b/config/fold.go
@@ -78,33 +78,33 @@
 // tryChange applies the change if it is valid, and otherwise returns the reason for its rejection.
 func (s *State) tryChange(c *Change) string {
 	for _, object := range c.Objects {
-		if why := s.conflictReason(object.Key, c.Basis); why != "" {
-			return why
+		if reason := s.conflictReason(object.Key, c.Basis); reason != "" {
+			return reason
 		}
 	}
 	for _, key := range c.Deleted {
-		if why := s.conflictReason(key, c.Basis); why != "" {
-			return why
+		if reason := s.conflictReason(key, c.Basis); reason != "" {
+			return reason
 		}
 	}
-	trial := make(objectSet, len(s.Objects)+len(c.Objects))
+	candidate := make(objectSet, len(s.Objects)+len(c.Objects))
 	for key, object := range s.Objects {
-		trial[key] = object
+		candidate[key] = object
 	}
 	for _, object := range c.Objects {
 		if err := object.decode(); err != nil {
 			return err.Error()
 		}
 		object.Modified = s.Offset
-		trial[object.Key] = object
+		candidate[object.Key] = object
 	}
 	for _, key := range c.Deleted {
-		delete(trial, key)
+		delete(candidate, key)
 	}
-	if problems := checkAll(trial); len(problems) > 0 {
+	if problems := checkAll(candidate); len(problems) > 0 {
 		return problems[0].Error()
 	}
-	s.Objects = trial
+	s.Objects = candidate
 	s.dropStaleProgress()
 	return ""
 }
@@ -167,12 +167,12 @@
 		Offset: s.Offset, ID: step.ID, Kind: RecordRollout, Author: systemAuthor, Reason: step.Reason,
 		Objects: []string{Key{KindRollout, string(step.Rollout)}.String()},
 	}
-	entry.Why = s.tryStep(step)
+	entry.Why = s.tryRolloutStep(step)
 	entry.Accepted = entry.Why == ""
 	s.addAuditEntry(entry)
 }
 
-func (s *State) tryStep(step *RolloutStep) string {
+func (s *State) tryRolloutStep(step *RolloutStep) string {
 	if step.Fence != s.Lease.Fence {
 		return fmt.Sprintf("fenced off: the lease has fence %d, the step was written under %d", s.Lease.Fence, step.Fence)
 	}
@@ -184,7 +184,7 @@
 	if !ok {
 		return "no such roll-out is declared"
 	}
-	if _, gone := s.Withdrawn[rollout.To]; gone {
+	if _, withdrawn := s.Withdrawn[rollout.To]; withdrawn {
 		return fmt.Sprintf("version %s is withdrawn", rollout.To)
 	}
 	progress := s.Progress[step.Rollout]
@@ -244,13 +244,13 @@
 // checkSnapshot compares a snapshot with the local state before it, and only records the result.
 func (s *State) checkSnapshot(before *State, data json.RawMessage) {
 	entry := AuditEntry{Offset: s.Offset, Kind: RecordSnapshot, Author: systemAuthor, Accepted: true}
-	taken, err := DecodeState(data)
+	snapshot, err := DecodeState(data)
 	switch {
 	case err != nil:
 		entry.Accepted, entry.Why = false, "malformed snapshot"
-	case taken.Offset != before.Offset:
-		entry.Accepted, entry.Why = false, fmt.Sprintf("snapshot of offset %d came after offset %d", taken.Offset, before.Offset)
-	case !equalStates(taken, before):
+	case snapshot.Offset != before.Offset:
+		entry.Accepted, entry.Why = false, fmt.Sprintf("snapshot of offset %d came after offset %d", snapshot.Offset, before.Offset)
+	case !equalStates(snapshot, before):
 		entry.Accepted, entry.Why = false, "snapshot differs from the fold"
 	}
 	s.addAuditEntry(entry)
--- a/config/revision.go
+++ b/config/revision.go
@@ -13,8 +13,8 @@
 	Revision struct {
 		*State
 		accountByKeyHash map[string]willowwick.AccountID
-		limits           map[willowwick.AccountID]Limit
-		rollouts         map[willowwick.ModelID]ActiveRollout
+		limitByAccount   map[willowwick.AccountID]Limit
+		rolloutByModel   map[willowwick.ModelID]ActiveRollout
 		finishedVersions map[willowwick.ModelID][]willowwick.VersionID // newest first
 	}
 
@@ -38,8 +38,8 @@
 	r := &Revision{
 		State:            s,
 		accountByKeyHash: map[string]willowwick.AccountID{},
-		limits:           map[willowwick.AccountID]Limit{},
-		rollouts:         map[willowwick.ModelID]ActiveRollout{},
+		limitByAccount:   map[willowwick.AccountID]Limit{},
+		rolloutByModel:   map[willowwick.ModelID]ActiveRollout{},
 		finishedVersions: map[willowwick.ModelID][]willowwick.VersionID{},
 	}
 	finishedAt := map[willowwick.VersionID]willowwick.Offset{}
@@ -50,7 +50,7 @@
 				r.accountByKeyHash[hash] = willowwick.AccountID(key.Name)
 			}
 		case *Limit:
-			r.limits[typed.Account] = *typed
+			r.limitByAccount[typed.Account] = *typed
 		case *Rollout:
 			r.indexRollout(willowwick.RolloutID(key.Name), typed, object.Modified, finishedAt)
 		}
@@ -79,7 +79,7 @@
 	if _, withdrawn := r.Withdrawn[rollout.To]; withdrawn {
 		return
 	}
-	r.rollouts[rollout.Model] = ActiveRollout{ID: id, Rollout: *rollout, Progress: progress, Share: rollout.Steps[progress.Step]}
+	r.rolloutByModel[rollout.Model] = ActiveRollout{ID: id, Rollout: *rollout, Progress: progress, Share: rollout.Steps[progress.Step]}
 }
 
 // Authenticate returns the client account of a bearer key, and false if no account has the key.
@@ -124,15 +124,15 @@
 
 // Versions returns the declared versions in no particular order.
 func (r *Revision) Versions() []willowwick.VersionID {
-	return namesOf[willowwick.VersionID](r, KindVersion)
+	return objectNames[willowwick.VersionID](r, KindVersion)
 }
 
 // Accounts returns the declared client accounts in no particular order.
 func (r *Revision) Accounts() []willowwick.AccountID {
-	return namesOf[willowwick.AccountID](r, KindClientAccount)
+	return objectNames[willowwick.AccountID](r, KindClientAccount)
 }
 
-func namesOf[T ~string](r *Revision, kind Kind) []T {
+func objectNames[T ~string](r *Revision, kind Kind) []T {
 	var names []T
 	for key := range r.Objects {
 		if key.Kind == kind {
@@ -144,20 +144,20 @@
 
 // Limit returns the limit on a client account, if one is declared.
 func (r *Revision) Limit(id willowwick.AccountID) (Limit, bool) {
-	limit, ok := r.limits[id]
+	limit, ok := r.limitByAccount[id]
 	return limit, ok
 }
 
 // Rollout returns the roll-out of a model that is in progress, and false if there is none.
 func (r *Revision) Rollout(model willowwick.ModelID) (ActiveRollout, bool) {
-	rollout, ok := r.rollouts[model]
+	rollout, ok := r.rolloutByModel[model]
 	return rollout, ok
 }
 
 // Rollouts returns the roll-outs in progress, sorted by ID.
 func (r *Revision) Rollouts() []ActiveRollout {
-	list := make([]ActiveRollout, 0, len(r.rollouts))
-	for _, rollout := range r.rollouts {
+	list := make([]ActiveRollout, 0, len(r.rolloutByModel))
+	for _, rollout := range r.rolloutByModel {
 		list = append(list, rollout)
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
@@ -176,7 +176,7 @@
 	if !ok {
 		return false
 	}
-	rollout, ok := r.rollouts[v.Model]
+	rollout, ok := r.rolloutByModel[v.Model]
 	return ok && rollout.To == version
 }
 
