--- a/config/fold.go
+++ b/config/fold.go
@@ -213,12 +213,12 @@
 		return
 	}
 	if claim.Boot == s.Lease.Boot {
-		s.Lease.Renewed, s.Lease.Ask = s.Offset, claim.Ask
+		s.Lease.Renewed, s.Lease.ClaimNumber = s.Offset, claim.ClaimNumber
 		return
 	}
 	s.Lease = Lease{
 		Boot: claim.Boot, Box: claim.Box,
-		Fence: willowwick.Fence(s.Offset), Renewed: s.Offset, Ask: claim.Ask,
+		Fence: willowwick.Fence(s.Offset), Renewed: s.Offset, ClaimNumber: claim.ClaimNumber,
 	}
 	s.addAuditEntry(AuditEntry{
 		Offset: s.Offset, Kind: RecordLease, Author: systemAuthor, Accepted: true,
@@ -234,7 +234,7 @@
 	if proposal.Fence != s.Lease.Fence {
 		entry.Why = fmt.Sprintf("fenced off: the lease has fence %d, the roster was written under %d", s.Lease.Fence, proposal.Fence)
 	} else {
-		s.Former = s.Roster
+		s.PreviousRoster = s.Roster
 		s.Roster = Roster{Epoch: willowwick.Epoch(s.Offset), Members: proposal.Members}
 		entry.Accepted = true
 	}
--- a/config/record.go
+++ b/config/record.go
@@ -65,10 +65,10 @@
 
 	// LeaseClaim acquires, renews or releases the lease, if the lease has not changed since offset After.
 	LeaseClaim struct {
-		Boot  willowwick.BootID `json:"boot"`
-		Box   willowwick.BoxID  `json:"box"`
-		After willowwick.Offset `json:"after"`
-		Ask   uint64            `json:"ask,omitempty"` // number that the claimant gave this claim
+		Boot        willowwick.BootID `json:"boot"`
+		Box         willowwick.BoxID  `json:"box"`
+		After       willowwick.Offset `json:"after"`
+		ClaimNumber uint64            `json:"ask,omitempty"` // number that the claimant gave this claim
 
 		Release bool `json:"release,omitempty"` // the holder releases the lease
 	}
--- a/config/state.go
+++ b/config/state.go
@@ -17,15 +17,15 @@
 type (
 	// State is the result of folding the configuration stream up to Offset. It is immutable.
 	State struct {
-		Offset    willowwick.Offset                  `json:"offset"`
-		Objects   map[Key]Object                     `json:"objects"`
-		Withdrawn map[willowwick.VersionID]Withdrawn `json:"withdrawn"`
-		Progress  map[willowwick.RolloutID]Progress  `json:"progress"`
-		Lease     Lease                              `json:"lease"`
-		Roster    Roster                             `json:"roster"`
-		Former    Roster                             `json:"former"` // previous roster
-		Audit     []AuditEntry                       `json:"audit"`
-		Seen      []SeenChange                       `json:"seen"`
+		Offset         willowwick.Offset                  `json:"offset"`
+		Objects        map[Key]Object                     `json:"objects"`
+		Withdrawn      map[willowwick.VersionID]Withdrawn `json:"withdrawn"`
+		Progress       map[willowwick.RolloutID]Progress  `json:"progress"`
+		Lease          Lease                              `json:"lease"`
+		Roster         Roster                             `json:"roster"`
+		PreviousRoster Roster                             `json:"former"` // previous roster
+		Audit          []AuditEntry                       `json:"audit"`
+		Seen           []SeenChange                       `json:"seen"`
 	}
 
 	// Withdrawn records the withdrawal of a version: it is permanently out of use.
@@ -46,11 +46,11 @@
 	// Lease names the daemon that may write the roster and advance roll-outs. Fence rises with each new holder, so that the
 	// fold rejects records of former holders.
 	Lease struct {
-		Boot    willowwick.BootID `json:"boot,omitempty"`
-		Box     willowwick.BoxID  `json:"box,omitempty"`
-		Fence   willowwick.Fence  `json:"fence,omitempty"`
-		Renewed willowwick.Offset `json:"renewed,omitempty"`
-		Ask     uint64            `json:"ask,omitempty"` // number of the claim that was granted last
+		Boot        willowwick.BootID `json:"boot,omitempty"`
+		Box         willowwick.BoxID  `json:"box,omitempty"`
+		Fence       willowwick.Fence  `json:"fence,omitempty"`
+		Renewed     willowwick.Offset `json:"renewed,omitempty"`
+		ClaimNumber uint64            `json:"ask,omitempty"` // number of the claim that was granted last
 	}
 
 	// Roster is the list of the fleet's members at an epoch.
--- a/fleet/lease.go
+++ b/fleet/lease.go
@@ -47,7 +47,7 @@
 		return
 	}
 	l.seen, l.seenAt = folded, now
-	if begun, ours := l.begun[folded.Ask]; ours && folded.Boot == l.self.Boot {
+	if begun, ours := l.begun[folded.ClaimNumber]; ours && folded.Boot == l.self.Boot {
 		l.validUntil = begun.Add(leaseFor)
 	}
 	l.asked = time.Time{}
@@ -92,7 +92,7 @@
 	}
 	l.ask++
 	l.asked, l.begun[l.ask] = now, now
-	claim := &config.LeaseClaim{Boot: l.self.Boot, Box: l.self.Box, After: l.seen.Renewed, Ask: l.ask}
+	claim := &config.LeaseClaim{Boot: l.self.Boot, Box: l.self.Box, After: l.seen.Renewed, ClaimNumber: l.ask}
 	return config.Record{Kind: config.RecordLease, Lease: claim}, true
 }
 
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -290,7 +290,7 @@
 	n.Lease.Observe(now, r.Lease)
 	if r.Roster.Epoch > n.Registry.Epoch() {
 		n.noteRoster(now)
-		sources := n.Registry.Adopt(now, r.Roster, r.Former)
+		sources := n.Registry.Adopt(now, r.Roster, r.PreviousRoster)
 		for _, member := range sources {
 			n.workers.Go(func() { n.importFrom(r.Roster.Epoch, member) })
 		}
