--- a/config/config_test.go
+++ b/config/config_test.go
@@ -14,11 +14,11 @@
 	"pgregory.net/rapid"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-const golden = "testdata/problems.golden"
+const goldenFile = "testdata/problems.golden"
 
-// TestProblemsNameFileLineAndRemedy checks the messages on a folder with many faults against a golden file.
+// TestProblemsNameFileLineAndRemedy compares the problems of a folder with many errors with a golden file.
 func TestProblemsNameFileLineAndRemedy(t *testing.T) {
 	folder, err := ReadFolder(os.DirFS("testdata/broken"))
 	require.NoError(t, err)
@@ -28,14 +28,14 @@
 	}
 	text := strings.Join(lines, "\n") + "\n"
 	if *update {
-		require.NoError(t, os.WriteFile(golden, []byte(text), 0o600))
+		require.NoError(t, os.WriteFile(goldenFile, []byte(text), 0o600))
 	}
-	want, err := os.ReadFile(golden)
+	want, err := os.ReadFile(goldenFile)
 	require.NoError(t, err)
 	require.Equal(t, string(want), text)
 }
 
-func TestExamplesAreRight(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	folder, err := ReadFolder(examples.Declarations)
 	require.NoError(t, err)
 	require.Empty(t, folder.Problems)
@@ -48,7 +48,7 @@
 	require.Positive(t, folder.Problems[0].Line)
 }
 
-func entryOf(t require.TestingT, offset willowwick.Offset, record Record) willowwick.Entry {
+func encodeEntry(t require.TestingT, offset willowwick.Offset, record Record) willowwick.Entry {
 	data, err := record.Encode()
 	require.NoError(t, err)
 	return willowwick.Entry{Offset: offset, Data: data}
@@ -60,8 +60,9 @@
 	return object
 }
 
-// TestFoldAgainstModel compares the fold of random records with a simple model: change ids count once, a change
-// stands only if nothing it touches changed after its basis, withdrawals stay, leases pass by their last record.
+// TestFoldAgainstModel compares the fold of random records with a simple model: a change ID applies once, a change
+// is rejected if an object that it touches changed after its basis, withdrawals are permanent, and a lease claim
+// is granted only if it refers to the last record of the lease.
 func TestFoldAgainstModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		state := NewState()
@@ -94,11 +95,11 @@
 				}
 				seen[id] = true
 			}
-			next, err := Fold(state, entryOf(rt, offset, record))
+			next, err := Fold(state, encodeEntry(rt, offset, record))
 			require.NoError(rt, err)
-			again, err := Fold(next, entryOf(rt, offset, record))
+			again, err := Fold(next, encodeEntry(rt, offset, record))
 			require.NoError(rt, err)
-			require.Same(rt, next, again, "an entry read twice changes nothing")
+			require.Same(rt, next, again, "folding an entry twice changes nothing")
 			state = next
 		}
 		revision := NewRevision(state)
@@ -116,11 +117,11 @@
 		require.NoError(rt, err)
 		decoded, err := DecodeState(encoded)
 		require.NoError(rt, err)
-		require.True(rt, sameState(state, decoded), "a snapshot holds the whole state")
+		require.True(rt, equalStates(state, decoded), "a snapshot holds the whole state")
 	})
 }
 
-// FuzzFold feeds the fold whatever bytes a log may hold.
+// FuzzFold folds arbitrary bytes of a log entry.
 func FuzzFold(f *testing.F) {
 	f.Add([]byte(`{"schema":1,"kind":"change","change":{"id":"a","objects":[{"key":"Model/x","spec":{}}]}}`))
 	f.Add([]byte(`{"schema":1,"kind":"snapshot","snapshot":{"offset":0}}`))
@@ -137,13 +138,13 @@
 	})
 }
 
-// BenchmarkFold folds 10,000 changes on a state of 200 objects.
+// BenchmarkFold folds 10,000 changes over 200 objects.
 func BenchmarkFold(b *testing.B) {
 	var entries []willowwick.Entry
 	for n := range 10_000 {
 		offset := willowwick.Offset(n + 1)
 		change := &Change{ID: willowwick.ChangeID(fmt.Sprint(n)), Basis: offset - 1, Objects: []Object{serviceObject(b, fmt.Sprint("s", n%200), n)}}
-		entries = append(entries, entryOf(b, offset, Record{Kind: RecordChange, Change: change}))
+		entries = append(entries, encodeEntry(b, offset, Record{Kind: RecordChange, Change: change}))
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/config/files.go
+++ b/config/files.go
@@ -17,26 +17,26 @@
 )
 
 type (
-	// Located is a problem with the place in a file where it stands.
+	// Located is a problem and its position in a file.
 	Located struct {
 		File string `json:"file"`
 		Line int    `json:"line"`
 		Problem
 	}
 
-	// Folder is a set of declarations read from files.
+	// Folder holds the declarations read from a folder of files, and the problems found in them.
 	Folder struct {
-		Objects  map[Key]Object
-		Problems []Located
-		places   map[Key]place
+		Objects   map[Key]Object
+		Problems  []Located
+		locations map[Key]location
 	}
 
-	place struct {
+	location struct {
 		file string
 		node *yaml.Node
 	}
 
-	// document is a file's form of an object.
+	// document is a YAML document that declares an object.
 	document struct {
 		Kind Kind      `yaml:"kind"`
 		Name string    `yaml:"name"`
@@ -44,14 +44,15 @@
 	}
 )
 
-// Error returns the problem as file:line: object: field: message.
+// Error returns the problem as "file:line: object: field: message".
 func (l Located) Error() string {
 	return fmt.Sprintf("%s:%d: %s", l.File, l.Line, l.Problem.Error())
 }
 
-// ReadFolder reads and checks every .yaml and .yml file; problems are reported all at once.
+// ReadFolder reads and validates every .yaml and .yml file. It returns all problems in Folder.Problems, sorted by file and
+// line; the error is about reading the files.
 func ReadFolder(files fs.FS) (*Folder, error) {
-	folder := &Folder{Objects: map[Key]Object{}, places: map[Key]place{}}
+	folder := &Folder{Objects: map[Key]Object{}, locations: map[Key]location{}}
 	err := fs.WalkDir(files, ".", func(name string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
@@ -71,7 +72,7 @@
 	}
 	if len(folder.Problems) == 0 {
 		for _, problem := range checkAll(folder.Objects) {
-			folder.reportAt(folder.places[problem.Key], problem)
+			folder.reportAt(folder.locations[problem.Key], problem)
 		}
 	}
 	sort.SliceStable(folder.Problems, func(i, j int) bool {
@@ -90,7 +91,7 @@
 			return
 		}
 		if err != nil {
-			f.report(name, yamlLine(err), Problem{Path: "document", Message: err.Error()})
+			f.report(name, lineOfYAMLError(err), Problem{Path: "document", Message: err.Error()})
 			return
 		}
 		f.readDocument(name, node.Content[0])
@@ -104,25 +105,25 @@
 		return
 	}
 	key := Key{Kind: doc.Kind, Name: doc.Name}
-	at := place{file: file, node: node}
-	construct, known := newSpec[doc.Kind]
+	at := location{file: file, node: node}
+	construct, known := specConstructors[doc.Kind]
 	if !known {
-		f.reportAt(at, Problem{key, "kind", fmt.Sprintf("%q is no kind; there are %s", doc.Kind, kindList())})
+		f.reportAt(at, Problem{key, "kind", fmt.Sprintf("unknown kind %q; known kinds are %s", doc.Kind, kindList())})
 		return
 	}
 	if doc.Name == "" || strings.ContainsAny(doc.Name, "/ \t") {
-		f.reportAt(at, Problem{key, "name", "must be a name without slashes and blanks"})
+		f.reportAt(at, Problem{key, "name", "must not be empty or contain slashes, spaces or tabs"})
 		return
 	}
-	if other, taken := f.places[key]; taken {
-		f.reportAt(at, Problem{key, "name", fmt.Sprintf("is declared already in %s:%d", other.file, other.node.Line)})
+	if other, taken := f.locations[key]; taken {
+		f.reportAt(at, Problem{key, "name", fmt.Sprintf("is already declared at %s:%d", other.file, other.node.Line)})
 		return
 	}
-	f.places[key] = at
+	f.locations[key] = at
 	typed := construct()
-	f.unknownFields(at, key, &doc.Spec, reflect.TypeOf(typed).Elem(), "spec")
+	f.reportUnknownFields(at, key, &doc.Spec, reflect.TypeOf(typed).Elem(), "spec")
 	if err := doc.Spec.Decode(typed); err != nil {
-		f.report(file, yamlLine(err), Problem{key, "spec", err.Error()})
+		f.report(file, lineOfYAMLError(err), Problem{key, "spec", err.Error()})
 		return
 	}
 	spec, err := json.Marshal(typed)
@@ -142,39 +143,39 @@
 	f.Problems = append(f.Problems, Located{File: file, Line: line, Problem: problem})
 }
 
-// reportAt finds the line of the problem's field.
-func (f *Folder) reportAt(at place, problem Problem) {
+// reportAt reports a problem at the line of its field.
+func (f *Folder) reportAt(at location, problem Problem) {
 	f.report(at.file, findLine(at.node, problem.Path), problem)
 }
 
-// unknownFields reports fields of the node that the type does not have.
-func (f *Folder) unknownFields(at place, key Key, node *yaml.Node, t reflect.Type, prefix string) {
+// reportUnknownFields reports the fields of a YAML node that the Go type lacks, recursively.
+func (f *Folder) reportUnknownFields(at location, key Key, node *yaml.Node, t reflect.Type, prefix string) {
 	switch {
 	case node.Kind == yaml.SequenceNode && t.Kind() == reflect.Slice:
 		for i, child := range node.Content {
-			f.unknownFields(at, key, child, t.Elem(), fmt.Sprintf("%s[%d]", prefix, i))
+			f.reportUnknownFields(at, key, child, t.Elem(), fmt.Sprintf("%s[%d]", prefix, i))
 		}
 	case node.Kind == yaml.MappingNode && t.Kind() == reflect.Struct:
-		fields := fieldsOf(t)
+		fields := fieldTypes(t)
 		for i := 0; i+1 < len(node.Content); i += 2 {
 			name := node.Content[i].Value
 			field, known := fields[name]
 			if !known {
-				f.report(at.file, node.Content[i].Line, Problem{key, prefix + "." + name, "no such field; there are " + fieldList(fields)})
+				f.report(at.file, node.Content[i].Line, Problem{key, prefix + "." + name, "unknown field; known fields are " + fieldList(fields)})
 				continue
 			}
-			f.unknownFields(at, key, node.Content[i+1], field, prefix+"."+name)
+			f.reportUnknownFields(at, key, node.Content[i+1], field, prefix+"."+name)
 		}
 	}
 }
 
-func fieldsOf(t reflect.Type) map[string]reflect.Type {
+func fieldTypes(t reflect.Type) map[string]reflect.Type {
 	fields := map[string]reflect.Type{}
 	for i := range t.NumField() {
 		field := t.Field(i)
 		tag := field.Tag.Get("yaml")
 		if tag == ",inline" {
-			for name, inner := range fieldsOf(field.Type) {
+			for name, inner := range fieldTypes(field.Type) {
 				fields[name] = inner
 			}
 		} else if field.IsExported() {
@@ -201,11 +202,11 @@
 	return strings.Join(names, ", ")
 }
 
-// findLine returns the line of a field such as spec.stages[0], or of its nearest parent that is there.
+// findLine returns the line of a field such as spec.stages[0], or of its nearest existing parent.
 func findLine(node *yaml.Node, fieldPath string) int {
 	line := node.Line
 	for _, step := range strings.FieldsFunc(fieldPath, func(r rune) bool { return r == '.' || r == '[' || r == ']' }) {
-		child := descend(node, step)
+		child := childNode(node, step)
 		if child == nil {
 			return line
 		}
@@ -214,7 +215,7 @@
 	return line
 }
 
-func descend(node *yaml.Node, step string) *yaml.Node {
+func childNode(node *yaml.Node, step string) *yaml.Node {
 	if node.Kind == yaml.SequenceNode {
 		index, err := strconv.Atoi(step)
 		if err != nil || index >= len(node.Content) {
@@ -230,8 +231,8 @@
 	return nil
 }
 
-// yamlLine takes the line out of a message of the YAML library.
-func yamlLine(err error) int {
+// lineOfYAMLError parses the line number out of an error of the YAML library, and returns 1 if it has none.
+func lineOfYAMLError(err error) int {
 	_, rest, found := strings.Cut(err.Error(), "line ")
 	if !found {
 		return 1
@@ -244,11 +245,11 @@
 	return line
 }
 
-// Difference returns the change that makes the declared objects of the state equal to the folder's.
+// Difference returns the change that turns the objects of the state into those of the folder.
 func (f *Folder) Difference(s *State) Change {
 	change := Change{Basis: s.Offset}
 	for _, key := range sortedKeys(f.Objects) {
-		if !f.Objects[key].Same(s.Objects[key]) {
+		if !f.Objects[key].Equal(s.Objects[key]) {
 			change.Objects = append(change.Objects, f.Objects[key])
 		}
 	}
--- a/config/fold.go
+++ b/config/fold.go
@@ -9,11 +9,11 @@
 
 const systemAuthor = "willowwick"
 
-// Fold applies one entry and returns the state after it.
+// Fold applies one log entry and returns the new state; it doesn't modify s.
 //
-// It is a pure function of its arguments: every daemon that folds the same
-// entries has the same state. Entries up to the state's offset change nothing.
-// ErrNewerSchema leaves the state as it was.
+// It is a pure function: every daemon that folds the same entries gets the same
+// state, including the reasons in its audit entries. Entries up to the state's
+// offset are ignored. With ErrNewerSchema it returns s.
 func Fold(s *State, entry willowwick.Entry) (*State, error) {
 	if entry.Offset <= s.Offset {
 		return s, nil
@@ -25,29 +25,29 @@
 	next := s.clone()
 	next.Offset = entry.Offset
 	if err != nil {
-		next.remember(AuditEntry{Offset: entry.Offset, Why: "malformed record"})
+		next.addAuditEntry(AuditEntry{Offset: entry.Offset, Why: "malformed record"})
 		return next, nil
 	}
 	switch {
 	case record.Change != nil:
-		next.change(record.Change)
+		next.applyChange(record.Change)
 	case record.Withdraw != nil:
-		next.withdraw(record.Withdraw)
+		next.applyWithdraw(record.Withdraw)
 	case record.Rollout != nil:
-		next.rolloutStep(record.Rollout)
+		next.applyRolloutStep(record.Rollout)
 	case record.Lease != nil:
-		next.lease(record.Lease)
+		next.applyLeaseClaim(record.Lease)
 	case record.Roster != nil:
-		next.roster(record.Roster)
+		next.applyRoster(record.Roster)
 	case record.Snapshot != nil:
-		next.snapshot(s, *record.Snapshot)
+		next.checkSnapshot(s, *record.Snapshot)
 	default:
-		next.remember(AuditEntry{Offset: entry.Offset, Kind: record.Kind, Why: "empty record"})
+		next.addAuditEntry(AuditEntry{Offset: entry.Offset, Kind: record.Kind, Why: "empty record"})
 	}
 	return next, nil
 }
 
-// FoldAll applies entries in order and stops at the first that cannot be folded.
+// FoldAll applies entries in order and stops at the first error.
 func FoldAll(s *State, entries []willowwick.Entry) (*State, error) {
 	for _, entry := range entries {
 		next, err := Fold(s, entry)
@@ -59,7 +59,7 @@
 	return s, nil
 }
 
-func (s *State) change(c *Change) {
+func (s *State) applyChange(c *Change) {
 	if s.isSeen(c.ID) {
 		return
 	}
@@ -72,45 +72,45 @@
 	}
 	entry.Why = s.tryChange(c)
 	entry.Accepted = entry.Why == ""
-	s.remember(entry)
+	s.addAuditEntry(entry)
 }
 
-// tryChange applies the change if it may stand, and otherwise says why not.
+// tryChange applies the change if it is valid, and otherwise returns the reason for its rejection.
 func (s *State) tryChange(c *Change) string {
 	for _, object := range c.Objects {
-		if why := s.conflict(object.Key, c.Basis); why != "" {
-			return why
+		if reason := s.conflictReason(object.Key, c.Basis); reason != "" {
+			return reason
 		}
 	}
 	for _, key := range c.Deleted {
-		if why := s.conflict(key, c.Basis); why != "" {
-			return why
+		if reason := s.conflictReason(key, c.Basis); reason != "" {
+			return reason
 		}
 	}
-	trial := make(objectSet, len(s.Objects)+len(c.Objects))
+	candidate := make(objectSet, len(s.Objects)+len(c.Objects))
 	for key, object := range s.Objects {
-		trial[key] = object
+		candidate[key] = object
 	}
 	for _, object := range c.Objects {
 		if err := object.decode(); err != nil {
 			return err.Error()
 		}
 		object.Modified = s.Offset
-		trial[object.Key] = object
+		candidate[object.Key] = object
 	}
 	for _, key := range c.Deleted {
-		delete(trial, key)
+		delete(candidate, key)
 	}
-	if problems := checkAll(trial); len(problems) > 0 {
+	if problems := checkAll(candidate); len(problems) > 0 {
 		return problems[0].Error()
 	}
-	s.Objects = trial
-	s.dropProgress()
+	s.Objects = candidate
+	s.dropStaleProgress()
 	return ""
 }
 
-// conflict says what happened to an object since the author read it.
-func (s *State) conflict(key Key, basis willowwick.Offset) string {
+// conflictReason returns why a change based on an offset conflicts with the object, or "" if it doesn't.
+func (s *State) conflictReason(key Key, basis willowwick.Offset) string {
 	if modified := s.lastModified(key); modified > basis {
 		return fmt.Sprintf("conflict: %s was changed at offset %d, after offset %d that this change was made against", key, modified, basis)
 	}
@@ -131,8 +131,8 @@
 	return 0
 }
 
-// dropProgress forgets the progress of roll-outs whose declaration is gone or new.
-func (s *State) dropProgress() {
+// dropStaleProgress deletes the progress of unfinished roll-outs whose declaration was deleted or changed.
+func (s *State) dropStaleProgress() {
 	for id, progress := range s.Progress {
 		object, ok := s.Objects[Key{KindRollout, string(id)}]
 		if !ok || object.Modified != progress.Declared {
@@ -143,7 +143,7 @@
 	}
 }
 
-func (s *State) withdraw(w *Withdraw) {
+func (s *State) applyWithdraw(w *Withdraw) {
 	if s.isSeen(w.ID) {
 		return
 	}
@@ -156,10 +156,10 @@
 	} else if _, already := s.Withdrawn[w.Version]; !already {
 		s.Withdrawn[w.Version] = Withdrawn{At: s.Offset, Author: w.Author, Reason: w.Reason}
 	}
-	s.remember(entry)
+	s.addAuditEntry(entry)
 }
 
-func (s *State) rolloutStep(step *RolloutStep) {
+func (s *State) applyRolloutStep(step *RolloutStep) {
 	if s.isSeen(step.ID) {
 		return
 	}
@@ -167,12 +167,12 @@
 		Offset: s.Offset, ID: step.ID, Kind: RecordRollout, Author: systemAuthor, Reason: step.Reason,
 		Objects: []string{Key{KindRollout, string(step.Rollout)}.String()},
 	}
-	entry.Why = s.tryStep(step)
+	entry.Why = s.tryRolloutStep(step)
 	entry.Accepted = entry.Why == ""
-	s.remember(entry)
+	s.addAuditEntry(entry)
 }
 
-func (s *State) tryStep(step *RolloutStep) string {
+func (s *State) tryRolloutStep(step *RolloutStep) string {
 	if step.Fence != s.Lease.Fence {
 		return fmt.Sprintf("fenced off: the lease has fence %d, the step was written under %d", s.Lease.Fence, step.Fence)
 	}
@@ -184,7 +184,7 @@
 	if !ok {
 		return "no such roll-out is declared"
 	}
-	if _, gone := s.Withdrawn[rollout.To]; gone {
+	if _, withdrawn := s.Withdrawn[rollout.To]; withdrawn {
 		return fmt.Sprintf("version %s is withdrawn", rollout.To)
 	}
 	progress := s.Progress[step.Rollout]
@@ -201,8 +201,8 @@
 	return ""
 }
 
-// lease grants a claim if the lease was not touched since the claimant last saw it.
-func (s *State) lease(claim *LeaseClaim) {
+// applyLeaseClaim grants a claim if the lease has not changed since the claimant last read it.
+func (s *State) applyLeaseClaim(claim *LeaseClaim) {
 	if claim.After != s.Lease.Renewed {
 		return
 	}
@@ -213,20 +213,20 @@
 		return
 	}
 	if claim.Boot == s.Lease.Boot {
-		s.Lease.Renewed, s.Lease.Ask = s.Offset, claim.Ask
+		s.Lease.Renewed, s.Lease.ClaimNumber = s.Offset, claim.ClaimNumber
 		return
 	}
 	s.Lease = Lease{
 		Boot: claim.Boot, Box: claim.Box,
-		Fence: willowwick.Fence(s.Offset), Renewed: s.Offset, Ask: claim.Ask,
+		Fence: willowwick.Fence(s.Offset), Renewed: s.Offset, ClaimNumber: claim.ClaimNumber,
 	}
-	s.remember(AuditEntry{
+	s.addAuditEntry(AuditEntry{
 		Offset: s.Offset, Kind: RecordLease, Author: systemAuthor, Accepted: true,
 		Reason: fmt.Sprintf("lease granted to box %s", claim.Box),
 	})
 }
 
-func (s *State) roster(proposal *RosterProposal) {
+func (s *State) applyRoster(proposal *RosterProposal) {
 	entry := AuditEntry{
 		Offset: s.Offset, Kind: RecordRoster, Author: systemAuthor,
 		Reason: fmt.Sprintf("roster of %d members", len(proposal.Members)),
@@ -234,39 +234,39 @@
 	if proposal.Fence != s.Lease.Fence {
 		entry.Why = fmt.Sprintf("fenced off: the lease has fence %d, the roster was written under %d", s.Lease.Fence, proposal.Fence)
 	} else {
-		s.Former = s.Roster
+		s.PreviousRoster = s.Roster
 		s.Roster = Roster{Epoch: willowwick.Epoch(s.Offset), Members: proposal.Members}
 		entry.Accepted = true
 	}
-	s.remember(entry)
+	s.addAuditEntry(entry)
 }
 
-// snapshot compares a snapshot with the own fold; it changes nothing else.
-func (s *State) snapshot(before *State, data json.RawMessage) {
+// checkSnapshot compares a snapshot with the local state before it, and only records the result.
+func (s *State) checkSnapshot(before *State, data json.RawMessage) {
 	entry := AuditEntry{Offset: s.Offset, Kind: RecordSnapshot, Author: systemAuthor, Accepted: true}
-	taken, err := DecodeState(data)
+	snapshot, err := DecodeState(data)
 	switch {
 	case err != nil:
 		entry.Accepted, entry.Why = false, "malformed snapshot"
-	case taken.Offset != before.Offset:
-		entry.Accepted, entry.Why = false, fmt.Sprintf("snapshot of offset %d came after offset %d", taken.Offset, before.Offset)
-	case !sameState(taken, before):
+	case snapshot.Offset != before.Offset:
+		entry.Accepted, entry.Why = false, fmt.Sprintf("snapshot of offset %d came after offset %d", snapshot.Offset, before.Offset)
+	case !equalStates(snapshot, before):
 		entry.Accepted, entry.Why = false, "snapshot differs from the fold"
 	}
-	s.remember(entry)
+	s.addAuditEntry(entry)
 }
 
-func sameState(a, b *State) bool {
+func equalStates(a, b *State) bool {
 	hashA, errA := a.Hash()
 	hashB, errB := b.Hash()
 	return errA == nil && errB == nil && hashA == hashB
 }
 
-// Join returns the state at the end of a stream of which entries may be all that is left.
+// Restore returns the state at the end of a stream whose first retained offset is first.
 //
-// It starts from the newest snapshot if the head of the stream is gone, and
-// reports false if there is none to start from.
-func Join(first willowwick.Offset, entries []willowwick.Entry) (*State, bool, error) {
+// If the head of the stream was trimmed, it starts from the newest usable
+// snapshot, and returns false if there is none.
+func Restore(first willowwick.Offset, entries []willowwick.Entry) (*State, bool, error) {
 	if first <= 1 {
 		s, err := FoldAll(NewState(), entries)
 		return s, err == nil, err
--- a/config/revision.go
+++ b/config/revision.go
@@ -9,16 +9,16 @@
 )
 
 type (
-	// Revision is a state with the indexes that requests need; it is never changed.
+	// Revision is an immutable state with indexes for handling requests.
 	Revision struct {
 		*State
-		accountOfKey map[string]willowwick.AccountID
-		limits       map[willowwick.AccountID]Limit
-		rollouts     map[willowwick.ModelID]ActiveRollout
-		finished     map[willowwick.ModelID][]willowwick.VersionID // newest first
+		accountByKeyHash map[string]willowwick.AccountID
+		limitByAccount   map[willowwick.AccountID]Limit
+		rolloutByModel   map[willowwick.ModelID]ActiveRollout
+		finishedVersions map[willowwick.ModelID][]willowwick.VersionID // newest first
 	}
 
-	// ActiveRollout is a roll-out under way with its present share of sessions.
+	// ActiveRollout is a roll-out in progress and its current share of sessions.
 	ActiveRollout struct {
 		ID willowwick.RolloutID
 		Rollout
@@ -27,35 +27,35 @@
 	}
 )
 
-// HashKey returns the form in which a bearer key is declared.
+// HashKey returns the SHA-256 of a bearer key in hex, as it is declared.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// NewRevision indexes a state.
+// NewRevision returns a state with its indexes.
 func NewRevision(s *State) *Revision {
 	r := &Revision{
-		State:        s,
-		accountOfKey: map[string]willowwick.AccountID{},
-		limits:       map[willowwick.AccountID]Limit{},
-		rollouts:     map[willowwick.ModelID]ActiveRollout{},
-		finished:     map[willowwick.ModelID][]willowwick.VersionID{},
+		State:            s,
+		accountByKeyHash: map[string]willowwick.AccountID{},
+		limitByAccount:   map[willowwick.AccountID]Limit{},
+		rolloutByModel:   map[willowwick.ModelID]ActiveRollout{},
+		finishedVersions: map[willowwick.ModelID][]willowwick.VersionID{},
 	}
 	finishedAt := map[willowwick.VersionID]willowwick.Offset{}
 	for key, object := range s.Objects {
 		switch typed := object.decoded.(type) {
 		case *ClientAccount:
 			for _, hash := range typed.Keys {
-				r.accountOfKey[hash] = willowwick.AccountID(key.Name)
+				r.accountByKeyHash[hash] = willowwick.AccountID(key.Name)
 			}
 		case *Limit:
-			r.limits[typed.Account] = *typed
+			r.limitByAccount[typed.Account] = *typed
 		case *Rollout:
 			r.indexRollout(willowwick.RolloutID(key.Name), typed, object.Modified, finishedAt)
 		}
 	}
-	for _, versions := range r.finished {
+	for _, versions := range r.finishedVersions {
 		sort.Slice(versions, func(i, j int) bool {
 			return finishedAt[versions[i]] > finishedAt[versions[j]]
 		})
@@ -72,19 +72,19 @@
 		model, ok := r.Model(rollout.Model)
 		if ok && r.Objects[Key{KindModel, string(rollout.Model)}].Modified < progress.At && model.Settled != rollout.To {
 			finishedAt[rollout.To] = progress.At
-			r.finished[rollout.Model] = append(r.finished[rollout.Model], rollout.To)
+			r.finishedVersions[rollout.Model] = append(r.finishedVersions[rollout.Model], rollout.To)
 		}
 		return
 	}
 	if _, withdrawn := r.Withdrawn[rollout.To]; withdrawn {
 		return
 	}
-	r.rollouts[rollout.Model] = ActiveRollout{ID: id, Rollout: *rollout, Progress: progress, Share: rollout.Steps[progress.Step]}
+	r.rolloutByModel[rollout.Model] = ActiveRollout{ID: id, Rollout: *rollout, Progress: progress, Share: rollout.Steps[progress.Step]}
 }
 
-// Authenticate returns the client account that a bearer key belongs to.
+// Authenticate returns the client account of a bearer key, and false if no account has the key.
 func (r *Revision) Authenticate(key string) (willowwick.AccountID, *ClientAccount, bool) {
-	id, ok := r.accountOfKey[HashKey(key)]
+	id, ok := r.accountByKeyHash[HashKey(key)]
 	if !ok {
 		return "", nil, false
 	}
@@ -92,47 +92,47 @@
 	return id, account, ok
 }
 
-// Account returns a client account.
+// Account returns a client account, and false if it is not declared.
 func (r *Revision) Account(id willowwick.AccountID) (*ClientAccount, bool) {
 	return lookup[ClientAccount](r.Objects, KindClientAccount, string(id))
 }
 
-// Model returns a model.
+// Model returns a model, and false if it is not declared.
 func (r *Revision) Model(id willowwick.ModelID) (*Model, bool) {
 	return lookup[Model](r.Objects, KindModel, string(id))
 }
 
-// Version returns a version.
+// Version returns a version, and false if it is not declared.
 func (r *Revision) Version(id willowwick.VersionID) (*Version, bool) {
 	return lookup[Version](r.Objects, KindVersion, string(id))
 }
 
-// Cascade returns a cascade.
+// Cascade returns a cascade, and false if it is not declared.
 func (r *Revision) Cascade(id willowwick.CascadeID) (*Cascade, bool) {
 	return lookup[Cascade](r.Objects, KindCascade, string(id))
 }
 
-// Policy returns a policy.
+// Policy returns a policy, and false if it is not declared.
 func (r *Revision) Policy(id willowwick.PolicyID) (*Policy, bool) {
 	return lookup[Policy](r.Objects, KindPolicy, string(id))
 }
 
-// Service returns a plain service.
+// Service returns a plain service, and false if it is not declared.
 func (r *Revision) Service(id willowwick.ServiceID) (*Service, bool) {
 	return lookup[Service](r.Objects, KindService, string(id))
 }
 
-// Versions lists the declared versions, in no fixed order.
+// Versions returns the declared versions in no particular order.
 func (r *Revision) Versions() []willowwick.VersionID {
-	return namesOf[willowwick.VersionID](r, KindVersion)
+	return objectNames[willowwick.VersionID](r, KindVersion)
 }
 
-// Accounts lists the client accounts, in no fixed order.
+// Accounts returns the declared client accounts in no particular order.
 func (r *Revision) Accounts() []willowwick.AccountID {
-	return namesOf[willowwick.AccountID](r, KindClientAccount)
+	return objectNames[willowwick.AccountID](r, KindClientAccount)
 }
 
-func namesOf[T ~string](r *Revision, kind Kind) []T {
+func objectNames[T ~string](r *Revision, kind Kind) []T {
 	var names []T
 	for key := range r.Objects {
 		if key.Kind == kind {
@@ -144,51 +144,51 @@
 
 // Limit returns the limit on a client account, if one is declared.
 func (r *Revision) Limit(id willowwick.AccountID) (Limit, bool) {
-	limit, ok := r.limits[id]
+	limit, ok := r.limitByAccount[id]
 	return limit, ok
 }
 
-// Rollout returns the roll-out under way for a model.
+// Rollout returns the roll-out of a model that is in progress, and false if there is none.
 func (r *Revision) Rollout(model willowwick.ModelID) (ActiveRollout, bool) {
-	rollout, ok := r.rollouts[model]
+	rollout, ok := r.rolloutByModel[model]
 	return rollout, ok
 }
 
-// Rollouts returns the roll-outs under way, by id.
+// Rollouts returns the roll-outs in progress, sorted by ID.
 func (r *Revision) Rollouts() []ActiveRollout {
-	list := make([]ActiveRollout, 0, len(r.rollouts))
-	for _, rollout := range r.rollouts {
+	list := make([]ActiveRollout, 0, len(r.rolloutByModel))
+	for _, rollout := range r.rolloutByModel {
 		list = append(list, rollout)
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
 	return list
 }
 
-// IsWithdrawn reports whether a version was taken out of use.
+// IsWithdrawn reports whether a version was permanently taken out of use.
 func (r *Revision) IsWithdrawn(version willowwick.VersionID) bool {
 	_, gone := r.Withdrawn[version]
 	return gone
 }
 
-// IsRollingOut reports whether a version is the new one of a roll-out under way.
+// IsRollingOut reports whether a version is the target of a roll-out in progress.
 func (r *Revision) IsRollingOut(version willowwick.VersionID) bool {
 	v, ok := r.Version(version)
 	if !ok {
 		return false
 	}
-	rollout, ok := r.rollouts[v.Model]
+	rollout, ok := r.rolloutByModel[v.Model]
 	return ok && rollout.To == version
 }
 
-// Settled returns the version that answers for a model outside of roll-outs:
-// the newest that finished its roll-out, then the declared one, then the
-// fallbacks, leaving out what is withdrawn.
+// Settled returns the version that serves a model outside of roll-outs. This is
+// the first that is not withdrawn of the versions whose roll-outs finished since
+// the model was declared, newest first, then the declared version, then its fallbacks.
 func (r *Revision) Settled(model willowwick.ModelID) (willowwick.VersionID, bool) {
 	declared, ok := r.Model(model)
 	if !ok {
 		return "", false
 	}
-	for _, version := range r.finished[model] {
+	for _, version := range r.finishedVersions[model] {
 		if !r.IsWithdrawn(version) {
 			return version, true
 		}
@@ -204,8 +204,8 @@
 	return "", false
 }
 
-// Usable reports whether a client account may be given a version now.
-func (r *Revision) Usable(account willowwick.AccountID, version willowwick.VersionID) bool {
+// IsUsable reports whether a version is declared, not withdrawn, and allowed to the client account.
+func (r *Revision) IsUsable(account willowwick.AccountID, version willowwick.VersionID) bool {
 	declared, ok := r.Version(version)
 	if !ok || r.IsWithdrawn(version) {
 		return false
@@ -214,7 +214,7 @@
 	return ok && client.Allows(declared.Model, version)
 }
 
-// Targets lists the models and cascades of which the account may use something.
+// Targets returns the models that the account may use and the cascades with at least one such model, in a fixed order.
 func (r *Revision) Targets(account willowwick.AccountID) []string {
 	client, ok := r.Account(account)
 	if !ok {
@@ -244,7 +244,7 @@
 	return ok && client.Allows(model, version)
 }
 
-// IsRepeatable reports whether a call of a service may be sent twice; one that matches no operation may not.
+// IsRepeatable reports whether a call of the service may be retried; a call that matches no operation may not.
 func (s *Service) IsRepeatable(method, path string) bool {
 	for _, operation := range s.Operations {
 		methodFits := operation.Method == anyMethod || operation.Method == method
--- a/fleet/follower.go
+++ b/fleet/follower.go
@@ -136,7 +136,7 @@
 		}
 		from = page.Entries[len(page.Entries)-1].Offset + 1
 	}
-	state, ok, err := config.Join(first, entries)
+	state, ok, err := config.Restore(first, entries)
 	if err != nil {
 		return err
 	}
--- a/fleet/lease.go
+++ b/fleet/lease.go
@@ -48,7 +48,7 @@
 		return
 	}
 	l.observed, l.observedAt = folded, now
-	if begun, ours := l.begunAt[folded.Ask]; ours && folded.Boot == l.self.Boot {
+	if begun, ours := l.begunAt[folded.ClaimNumber]; ours && folded.Boot == l.self.Boot {
 		l.validUntil = begun.Add(leaseDuration)
 	}
 	l.pendingSince = time.Time{}
@@ -93,7 +93,7 @@
 	}
 	l.claimNumber++
 	l.pendingSince, l.begunAt[l.claimNumber] = now, now
-	claim := &config.LeaseClaim{Boot: l.self.Boot, Box: l.self.Box, After: l.observed.Renewed, Ask: l.claimNumber}
+	claim := &config.LeaseClaim{Boot: l.self.Boot, Box: l.self.Box, After: l.observed.Renewed, ClaimNumber: l.claimNumber}
 	return config.Record{Kind: config.RecordLease, Lease: claim}, true
 }
 
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -293,7 +293,7 @@
 	n.Lease.Observe(now, r.Lease)
 	if r.Roster.Epoch > n.Registry.Epoch() {
 		n.recordRosterChange(now)
-		sources := n.Registry.Adopt(now, r.Roster, r.Former)
+		sources := n.Registry.Adopt(now, r.Roster, r.PreviousRoster)
 		for _, member := range sources {
 			n.workers.Go(func() { n.importFrom(r.Roster.Epoch, member) })
 		}
--- a/lab/fleet_promises_test.go
+++ b/lab/fleet_promises_test.go
@@ -203,7 +203,7 @@
 			cascade, ok := r.Cascade("extra")
 			require.True(t, ok)
 			require.Equal(t, willowwick.Score(0.5), cascade.Quality)
-			entry, ok := r.Find("race-0.6")
+			entry, ok := r.FindAuditEntry("race-0.6")
 			require.True(t, ok)
 			require.False(t, entry.Accepted)
 			require.Contains(t, entry.Why, "conflict")
@@ -232,7 +232,7 @@
 // hashOf hashes the declared objects and the verdict on a change, without offsets, which differ while boxes catch up.
 func hashOf(t *testing.T, r *config.Revision, id willowwick.ChangeID) uint64 {
 	t.Helper()
-	entry, ok := r.Find(id)
+	entry, ok := r.FindAuditEntry(id)
 	require.True(t, ok)
 	state := config.NewState()
 	state.Objects = r.Objects
--- a/serve/call.go
+++ b/serve/call.go
@@ -105,7 +105,7 @@
 // checkAllowed checks with the newest configuration whether the account may still use the version.
 func (c *resumableCall) checkAllowed() *willowwick.Refusal {
 	revision := c.run.daemon.node.Follower.Revision()
-	if revision.Usable(c.run.request.Account, c.version) {
+	if revision.IsUsable(c.run.request.Account, c.version) {
 		return nil
 	}
 	if c.position > 0 {
@@ -129,7 +129,7 @@
 func (c *resumableCall) openAt(acquired *gate.Ticket) error {
 	r := c.run
 	// The version may have been withdrawn while the request waited in the queue.
-	if !r.daemon.node.Follower.Revision().Usable(r.request.Account, c.version) {
+	if !r.daemon.node.Follower.Revision().IsUsable(r.request.Account, c.version) {
 		return errVersionNotAllowed
 	}
 	r.calls++
