--- a/cmd/willowwickd/main.go
+++ b/cmd/willowwickd/main.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	exitFailed   = 1
-	exitSettings = 2
-	bootBytes    = 6
+	exitFailed          = 1
+	exitInvalidSettings = 2
+	bootIDBytes         = 6
 )
 
 func main() {
@@ -32,13 +32,13 @@
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		os.Exit(exitSettings)
+		os.Exit(exitInvalidSettings)
 	}
 	if problems := options.check(); len(problems) > 0 {
 		for _, problem := range problems {
 			fmt.Fprintln(os.Stderr, "willowwickd:", problem)
 		}
-		os.Exit(exitSettings)
+		os.Exit(exitInvalidSettings)
 	}
 	if options.checkOnly {
 		fmt.Println("settings are right")
@@ -68,7 +68,7 @@
 func run(o *options) error {
 	signals, stopSignals := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stopSignals()
-	daemon, closeDaemon, err := build(o)
+	daemon, closeDaemon, err := buildDaemon(o)
 	if err != nil {
 		return err
 	}
@@ -86,8 +86,8 @@
 	return daemon.Drain(again)
 }
 
-// build opens the listeners and joins the parts.
-func build(o *options) (*serve.Daemon, func(), error) {
+// buildDaemon opens the listeners and joins the parts.
+func buildDaemon(o *options) (*serve.Daemon, func(), error) {
 	var listeners [3]net.Listener
 	for i, address := range []string{o.listen, o.peerListen, o.adminListen} {
 		listener, err := net.Listen("tcp", address)
@@ -104,7 +104,7 @@
 	platformClient, closePlatform := remote.NewClient(o.platform, dialer.DialContext)
 	engines, closeEngines := remote.NewEngineClient(dialer.DialContext)
 	services, closeServices := remote.NewServiceClient(dialer.DialContext)
-	daemon, closeDaemon := serve.New(o.settings(newBoot(), callerTLS, peerTLS), serve.Dependencies{
+	daemon, closeDaemon := serve.New(o.serveSettings(newBootID(), callerTLS, peerTLS), serve.Dependencies{
 		Log: platformClient, Live: platformClient, Rater: platformClient, Engine: engines, Services: services,
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			return dialer.DialContext(ctx, "tcp", address)
@@ -119,9 +119,9 @@
 	}, nil
 }
 
-// newBoot names this start of the daemon.
-func newBoot() willowwick.BootID {
-	raw := make([]byte, bootBytes)
+// newBootID names this start of the daemon.
+func newBootID() willowwick.BootID {
+	raw := make([]byte, bootIDBytes)
 	_, _ = rand.Read(raw)
 	return willowwick.BootID(hex.EncodeToString(raw))
 }
--- a/cmd/willowwickd/node.go
+++ b/cmd/willowwickd/node.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	// memoryShare is the part of the memory limit at which the collector works harder: bytes that have
+	// memoryLimitShare is the part of the memory limit at which the collector works harder: bytes that have
 	// arrived but are not read yet count too.
-	memoryShare = 0.7
-	bytesPerMB  = 1 << 20
+	memoryLimitShare = 0.7
+	bytesPerMB       = 1 << 20
 )
 
 // runNode serves opaque requests on the users' platform until a signal asks for a planned stop.
@@ -36,7 +36,7 @@
 	logs, flushLogs := exchange.NewLogQueue(os.Stdout, loggerTo)
 	defer flushLogs()
 	slog.SetDefault(loggerTo(logs))
-	boundResources(settings)
+	limitResources(settings)
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	set := metrics.NewSet()
@@ -60,31 +60,31 @@
 	defer stop()
 	slog.Info("daemon started", "hall", settings.Hall, "callers", settings.Callers, "peers", settings.Peers,
 		"metrics", settings.Metrics, "store", settings.Store, "confidence", o.confidence)
-	awaitStop(signals, o.nodeFile)
+	waitForStop(signals, o.nodeFile)
 	daemon.Drain()
 	return nil
 }
 
-// boundResources keeps the process within what the platform gives it.
-func boundResources(settings platform.Settings) {
+// limitResources keeps the process within what the platform gives it.
+func limitResources(settings platform.Settings) {
 	runtime.GOMAXPROCS(1) // the platform gives one core, and a part of it
 	if settings.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(settings.MemoryMB*bytesPerMB)))
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(settings.MemoryMB*bytesPerMB)))
 	}
 }
 
-// awaitStop returns at the first signal that asks for a stop.
-func awaitStop(signals <-chan os.Signal, path string) {
+// waitForStop returns at the first signal that asks for a stop.
+func waitForStop(signals <-chan os.Signal, path string) {
 	for received := range signals {
 		if received != syscall.SIGHUP {
 			return
 		}
-		reload(path)
+		rereadSettings(path)
 	}
 }
 
-// reload reads the settings file again; addresses and bounds of a running process stay.
-func reload(path string) {
+// rereadSettings reads the settings file again; addresses and bounds of a running process stay.
+func rereadSettings(path string) {
 	settings, err := platform.ReadSettings(path)
 	slog.Info("settings file read again; what it changes takes effect at the next start", "callers", settings.Callers, "error", err)
 }
@@ -105,7 +105,7 @@
 	seed := sha256.Sum256([]byte(settings.Box))
 	bounds := settings.Bounds
 	return exchange.Settings{
-		Box: settings.Box, Hall: settings.Hall, Boot: newBoot(), Peers: settings.Peers, LinkMbps: settings.LinkMbps, Key: []byte(o.key),
+		Box: settings.Box, Hall: settings.Hall, Boot: newBootID(), Peers: settings.Peers, LinkMbps: settings.LinkMbps, Key: []byte(o.key),
 		Seeds: settings.Seeds, Seed: binary.BigEndian.Uint64(seed[:]), Confidence: o.confidence, LateConfidence: o.lateConfidence,
 		RetryBudget: route.RetryLimits{Ratio: bounds.RepeatRatio, Slack: bounds.RepeatSlack, Window: bounds.RepeatWindow},
 		Releases:    exchange.ReleaseSettings{Session: bounds.Session, Exposure: bounds.ExposeShare},
--- a/cmd/willowwickd/options.go
+++ b/cmd/willowwickd/options.go
@@ -25,28 +25,28 @@
 	formatJSON   = "json"
 	// defaultConfidence is where the price of a larger model's run meets what its answers are worth.
 	defaultConfidence = 50
-	highestConfidence = 100
+	maxConfidence     = 100
 	// defaultLateConfidence is where an answer that comes late is worth no more than a doubtful one in time.
 	defaultLateConfidence = 15
 )
 
 // options are the settings as flags and environment variables give them.
 type options struct {
-	box, hall                       string
-	listen, peerListen, adminListen string
-	peerAddress                     string
-	platform                        string
-	key                             string
-	tlsCert, tlsKey                 string
-	peerCert, peerKey, peerCA       string
-	maxBody                         int64
-	maxRequests                     int
-	drainWait, drainLimit           time.Duration
-	slowFirst, slowBetween, stall   time.Duration
-	logLevel, logFormat             string
-	checkOnly                       bool
-	nodeFile                        string
-	confidence, lateConfidence      int
+	box, hall                                  string
+	listen, peerListen, adminListen            string
+	peerAddress                                string
+	platform                                   string
+	key                                        string
+	tlsCert, tlsKey                            string
+	peerCert, peerKey, peerCA                  string
+	maxBody                                    int64
+	maxRequests                                int
+	drainDelay, drainTimeout                   time.Duration
+	slowFirstToken, slowTokenGap, stallTimeout time.Duration
+	logLevel, logFormat                        string
+	checkOnly                                  bool
+	nodeFile                                   string
+	confidence, lateConfidence                 int
 }
 
 func (o *options) register(flags *flag.FlagSet) {
@@ -65,11 +65,11 @@
 	flags.StringVar(&o.peerCA, "peer-ca", "", "file of the authority that signed the daemons' certificates")
 	flags.Int64Var(&o.maxBody, "max-body", serve.DefaultMaxBody, "largest request body in bytes")
 	flags.IntVar(&o.maxRequests, "max-requests", serve.DefaultMaxRequests, "most requests at once")
-	flags.DurationVar(&o.drainWait, "drain-wait", serve.DefaultDrainDelay, "how long a planned stop goes on serving new requests")
-	flags.DurationVar(&o.drainLimit, "drain-limit", serve.DefaultDrainTimeout, "how long a planned stop waits for answers")
-	flags.DurationVar(&o.slowFirst, "slow-first", serve.DefaultSlowFirstToken, "a first token later than this counts as slow")
-	flags.DurationVar(&o.slowBetween, "slow-between", serve.DefaultSlowTokenGap, "tokens further apart than this count as slow")
-	flags.DurationVar(&o.stall, "stall", serve.DefaultStallTimeout, "a stream silent for this long is resumed elsewhere")
+	flags.DurationVar(&o.drainDelay, "drain-wait", serve.DefaultDrainDelay, "how long a planned stop goes on serving new requests")
+	flags.DurationVar(&o.drainTimeout, "drain-limit", serve.DefaultDrainTimeout, "how long a planned stop waits for answers")
+	flags.DurationVar(&o.slowFirstToken, "slow-first", serve.DefaultSlowFirstToken, "a first token later than this counts as slow")
+	flags.DurationVar(&o.slowTokenGap, "slow-between", serve.DefaultSlowTokenGap, "tokens further apart than this count as slow")
+	flags.DurationVar(&o.stallTimeout, "stall", serve.DefaultStallTimeout, "a stream silent for this long is resumed elsewhere")
 	flags.StringVar(&o.logLevel, "log-level", "info", "debug, info, warn or error")
 	flags.StringVar(&o.logFormat, "log-format", formatText, "text or json")
 	flags.StringVar(&o.nodeFile, "node-file", "", "settings file of the users' platform; serves opaque requests there")
@@ -97,8 +97,8 @@
 		required("platform", o.platform, "http://10.0.0.1:9000")
 	}
 	for name, value := range map[string]int{"confidence": o.confidence, "late-confidence": o.lateConfidence} {
-		if value < 0 || value > highestConfidence {
-			report("-%s must be from 0 to %d, is %d", name, highestConfidence, value)
+		if value < 0 || value > maxConfidence {
+			report("-%s must be from 0 to %d, is %d", name, maxConfidence, value)
 		}
 	}
 	for name, address := range map[string]string{
@@ -123,7 +123,7 @@
 	if o.maxBody <= 0 || o.maxRequests <= 0 {
 		report("-max-body and -max-requests must be above 0, are %d and %d", o.maxBody, o.maxRequests)
 	}
-	if o.drainWait <= 0 || o.drainLimit <= 0 || o.slowFirst <= 0 || o.slowBetween <= 0 || o.stall <= 0 {
+	if o.drainDelay <= 0 || o.drainTimeout <= 0 || o.slowFirstToken <= 0 || o.slowTokenGap <= 0 || o.stallTimeout <= 0 {
 		report("-drain-wait, -drain-limit, -slow-first, -slow-between and -stall must be above 0")
 	}
 	if _, _, err := o.tlsConfigs(); err != nil {
@@ -152,12 +152,12 @@
 	if o.logFormat == formatJSON {
 		return slog.New(slog.NewJSONHandler(out, handlerOptions))
 	}
-	handlerOptions.ReplaceAttr = leaveOutStack
+	handlerOptions.ReplaceAttr = dropErrorStack
 	return slog.New(slog.NewTextHandler(out, handlerOptions))
 }
 
-// leaveOutStack keeps an error's message alone: text would hold its stack too, 2 KB a line.
-func leaveOutStack(_ []string, attribute slog.Attr) slog.Attr {
+// dropErrorStack keeps an error's message alone: text would hold its stack too, 2 KB a line.
+func dropErrorStack(_ []string, attribute slog.Attr) slog.Attr {
 	if err, isError := attribute.Value.Any().(error); isError {
 		return slog.String(attribute.Key, err.Error())
 	}
@@ -166,10 +166,10 @@
 
 // tlsConfigs loads the certificates that are set.
 func (o *options) tlsConfigs() (callers, peers *tls.Config, err error) {
-	if callers, err = loadPair("tls", o.tlsCert, o.tlsKey); err != nil {
+	if callers, err = loadKeyPair("tls", o.tlsCert, o.tlsKey); err != nil {
 		return nil, nil, err
 	}
-	if peers, err = loadPair("peer", o.peerCert, o.peerKey); err != nil {
+	if peers, err = loadKeyPair("peer", o.peerCert, o.peerKey); err != nil {
 		return nil, nil, err
 	}
 	if (peers == nil) != (o.peerCA == "") {
@@ -191,7 +191,7 @@
 	return callers, peers, nil
 }
 
-func loadPair(name, certificate, key string) (*tls.Config, error) {
+func loadKeyPair(name, certificate, key string) (*tls.Config, error) {
 	if (certificate == "") != (key == "") {
 		return nil, errors.Errorf("-%s-cert and -%s-key go together", name, name)
 	}
@@ -205,11 +205,11 @@
 	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{pair}}, nil
 }
 
-func (o *options) settings(boot willowwick.BootID, callers, peers *tls.Config) serve.Settings {
+func (o *options) serveSettings(boot willowwick.BootID, callers, peers *tls.Config) serve.Settings {
 	return serve.Settings{
 		Box: willowwick.BoxID(o.box), Boot: boot, Hall: willowwick.HallID(o.hall), PeerAddress: o.peerAddress,
 		Key: []byte(o.key), CallerTLS: callers, PeerTLS: peers,
-		MaxBody: o.maxBody, MaxRequests: o.maxRequests, DrainDelay: o.drainWait, DrainTimeout: o.drainLimit,
-		SlowFirstToken: o.slowFirst, SlowTokenGap: o.slowBetween, StallTimeout: o.stall,
+		MaxBody: o.maxBody, MaxRequests: o.maxRequests, DrainDelay: o.drainDelay, DrainTimeout: o.drainTimeout,
+		SlowFirstToken: o.slowFirstToken, SlowTokenGap: o.slowTokenGap, StallTimeout: o.stallTimeout,
 	}
 }
--- a/cmd/willowwickd/options_test.go
+++ b/cmd/willowwickd/options_test.go
@@ -9,7 +9,7 @@
 )
 
 // An error once brought its whole stack into each line of text: 2 KB where a message has 60 bytes.
-func TestLogLinesHoldTheMessageOfAnErrorAlone(t *testing.T) {
+func TestLogLinesOmitErrorStacks(t *testing.T) {
 	for _, format := range []string{formatText, formatJSON} {
 		var out bytes.Buffer
 		o := options{logLevel: "info", logFormat: format}
