--- a/cmd/willowwickd/main.go
+++ b/cmd/willowwickd/main.go
@@ -41,7 +41,7 @@
 		os.Exit(exitInvalidSettings)
 	}
 	if options.checkOnly {
-		fmt.Println("settings are right")
+		fmt.Println("settings are valid")
 		return
 	}
 	slog.SetDefault(options.logger())
@@ -55,7 +55,7 @@
 	}
 }
 
-// parseOptions reads flags, and environment variables for those not given.
+// parseOptions parses the flags; a flag that is not given takes the value of its environment variable.
 func parseOptions(args []string) (*options, error) {
 	o := &options{}
 	flags := flag.NewFlagSet("willowwickd", flag.ContinueOnError)
@@ -64,7 +64,7 @@
 	return o, errors.Wrap(err, "settings")
 }
 
-// run serves until a signal asks for a planned stop, or a second one for a stop at once.
+// run serves until a signal starts a planned stop; a second signal stops the daemon at once.
 func run(o *options) error {
 	signals, stopSignals := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stopSignals()
@@ -86,7 +86,7 @@
 	return daemon.Drain(again)
 }
 
-// buildDaemon opens the listeners and joins the parts.
+// buildDaemon opens the listeners and creates the daemon with its clients; the returned function closes daemon and clients.
 func buildDaemon(o *options) (*serve.Daemon, func(), error) {
 	var listeners [3]net.Listener
 	for i, address := range []string{o.listen, o.peerListen, o.adminListen} {
@@ -119,7 +119,7 @@
 	}, nil
 }
 
-// newBootID names this start of the daemon.
+// newBootID returns a random id for this start of the daemon.
 func newBootID() willowwick.BootID {
 	raw := make([]byte, bootIDBytes)
 	_, _ = rand.Read(raw)
--- a/cmd/willowwickd/node.go
+++ b/cmd/willowwickd/node.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	// memoryLimitShare is the part of the memory limit at which the collector works harder: bytes that have
-	// arrived but are not read yet count too.
+	// memoryLimitShare is the Go memory limit as a share of the platform's limit, which also counts bytes that have
+	// arrived but are not read yet.
 	memoryLimitShare = 0.7
 	bytesPerMB       = 1 << 20
 )
 
-// runNode serves opaque requests on the users' platform until a signal asks for a planned stop.
+// runNode serves opaque requests on the users' platform until a signal starts a planned stop.
 func runNode(o *options) error {
 	settings, err := platform.ReadSettings(o.nodeFile)
 	if err != nil {
@@ -65,15 +65,15 @@
 	return nil
 }
 
-// limitResources keeps the process within what the platform gives it.
+// limitResources keeps the process within the cores and the memory that the platform gives it.
 func limitResources(settings platform.Settings) {
-	runtime.GOMAXPROCS(1) // the platform gives one core, and a part of it
+	runtime.GOMAXPROCS(1) // the platform gives the process a share of one core
 	if settings.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(memoryLimitShare * float64(settings.MemoryMB*bytesPerMB)))
 	}
 }
 
-// waitForStop returns at the first signal that asks for a stop.
+// waitForStop returns at the first signal to stop; SIGHUP rereads the settings file at path instead.
 func waitForStop(signals <-chan os.Signal, path string) {
 	for received := range signals {
 		if received != syscall.SIGHUP {
@@ -83,10 +83,10 @@
 	}
 }
 
-// rereadSettings reads the settings file again; addresses and bounds of a running process stay.
+// rereadSettings reads the settings file again and logs the outcome; the running process keeps its addresses and limits.
 func rereadSettings(path string) {
 	settings, err := platform.ReadSettings(path)
-	slog.Info("settings file read again; what it changes takes effect at the next start", "callers", settings.Callers, "error", err)
+	slog.Info("settings file reread; changes take effect at the next start", "callers", settings.Callers, "error", err)
 }
 
 func listenAll(addresses ...string) ([]net.Listener, error) {
@@ -101,6 +101,7 @@
 	return listeners, nil
 }
 
+// exchangeSettings combines the options with the platform's settings file; the seed is derived from the box's name.
 func (o *options) exchangeSettings(settings platform.Settings) exchange.Settings {
 	seed := sha256.Sum256([]byte(settings.Box))
 	bounds := settings.Bounds
--- a/cmd/willowwickd/options.go
+++ b/cmd/willowwickd/options.go
@@ -23,14 +23,14 @@
 	minKeyLength = 16
 	formatText   = "text"
 	formatJSON   = "json"
-	// defaultConfidence is where the price of a larger model's run meets what its answers are worth.
+	// defaultConfidence is the confidence at which a run of a larger model costs as much as its answer is worth.
 	defaultConfidence = 50
 	maxConfidence     = 100
-	// defaultLateConfidence is where an answer that comes late is worth no more than a doubtful one in time.
+	// defaultLateConfidence is the confidence at which a late answer is worth no more than a doubtful one in time.
 	defaultLateConfidence = 15
 )
 
-// options are the settings as flags and environment variables give them.
+// options holds the settings from flags and environment variables.
 type options struct {
 	box, hall                                  string
 	listen, peerListen, adminListen            string
@@ -51,7 +51,7 @@
 
 func (o *options) register(flags *flag.FlagSet) {
 	flags.StringVar(&o.box, "box", "", "name of this box, as the platform lists it")
-	flags.StringVar(&o.hall, "hall", "", "hall that this box stands in")
+	flags.StringVar(&o.hall, "hall", "", "hall of this box")
 	flags.StringVar(&o.listen, "listen", ":8080", "address for callers")
 	flags.StringVar(&o.peerListen, "peer-listen", ":8081", "address for other daemons")
 	flags.StringVar(&o.adminListen, "admin-listen", "127.0.0.1:8082", "address for operators and metrics")
@@ -62,23 +62,23 @@
 	flags.StringVar(&o.tlsKey, "tls-key", "", "key file of that certificate")
 	flags.StringVar(&o.peerCert, "peer-cert", "", "certificate file between daemons")
 	flags.StringVar(&o.peerKey, "peer-key", "", "key file of that certificate")
-	flags.StringVar(&o.peerCA, "peer-ca", "", "file of the authority that signed the daemons' certificates")
+	flags.StringVar(&o.peerCA, "peer-ca", "", "certificate file of the authority that signed the daemons' certificates")
 	flags.Int64Var(&o.maxBody, "max-body", serve.DefaultMaxBody, "largest request body in bytes")
-	flags.IntVar(&o.maxRequests, "max-requests", serve.DefaultMaxRequests, "most requests at once")
-	flags.DurationVar(&o.drainDelay, "drain-wait", serve.DefaultDrainDelay, "how long a planned stop goes on serving new requests")
-	flags.DurationVar(&o.drainTimeout, "drain-limit", serve.DefaultDrainTimeout, "how long a planned stop waits for answers")
+	flags.IntVar(&o.maxRequests, "max-requests", serve.DefaultMaxRequests, "largest number of concurrent requests")
+	flags.DurationVar(&o.drainDelay, "drain-wait", serve.DefaultDrainDelay, "how long the daemon still serves new requests after a planned stop begins")
+	flags.DurationVar(&o.drainTimeout, "drain-limit", serve.DefaultDrainTimeout, "how long a planned stop waits for requests in flight")
 	flags.DurationVar(&o.slowFirstToken, "slow-first", serve.DefaultSlowFirstToken, "a first token later than this counts as slow")
 	flags.DurationVar(&o.slowTokenGap, "slow-between", serve.DefaultSlowTokenGap, "tokens further apart than this count as slow")
 	flags.DurationVar(&o.stallTimeout, "stall", serve.DefaultStallTimeout, "a stream silent for this long is resumed elsewhere")
 	flags.StringVar(&o.logLevel, "log-level", "info", "debug, info, warn or error")
 	flags.StringVar(&o.logFormat, "log-format", formatText, "text or json")
 	flags.StringVar(&o.nodeFile, "node-file", "", "settings file of the users' platform; serves opaque requests there")
-	flags.IntVar(&o.confidence, "confidence", defaultConfidence, "a small model's answer below this is given up for the largest model's, 0 to 100")
-	flags.IntVar(&o.lateConfidence, "late-confidence", defaultLateConfidence, "the same where the largest model's answer would come after the route's goal")
+	flags.IntVar(&o.confidence, "confidence", defaultConfidence, "confidence below which a small model's answer is replaced by the largest model's, 0 to 100")
+	flags.IntVar(&o.lateConfidence, "late-confidence", defaultLateConfidence, "the same, for requests that the largest model would answer after the route's goal")
 	flags.BoolVar(&o.checkOnly, "check", false, "check the settings and exit")
 }
 
-// check returns everything that is wrong, at once.
+// check returns all problems of the settings.
 func (o *options) check() []string {
 	var problems []string
 	report := func(format string, args ...any) {
@@ -90,7 +90,7 @@
 		}
 	}
 	if o.nodeFile == "" {
-		// The platform's settings file says these.
+		// With -node-file, the platform's settings file provides these.
 		required("box", o.box, "box-a1")
 		required("hall", o.hall, "hall-a")
 		required("peer-address", o.peerAddress, "10.0.0.5:8081")
@@ -156,7 +156,7 @@
 	return slog.New(slog.NewTextHandler(out, handlerOptions))
 }
 
-// dropErrorStack keeps an error's message alone: text would hold its stack too, 2 KB a line.
+// dropErrorStack replaces an error by its message; the text handler would also print its stack, 2 KB a line.
 func dropErrorStack(_ []string, attribute slog.Attr) slog.Attr {
 	if err, isError := attribute.Value.Any().(error); isError {
 		return slog.String(attribute.Key, err.Error())
@@ -164,7 +164,7 @@
 	return attribute
 }
 
-// tlsConfigs loads the certificates that are set.
+// tlsConfigs loads the certificates; a configuration without a certificate is nil.
 func (o *options) tlsConfigs() (callers, peers *tls.Config, err error) {
 	if callers, err = loadKeyPair("tls", o.tlsCert, o.tlsKey); err != nil {
 		return nil, nil, err
@@ -173,7 +173,7 @@
 		return nil, nil, err
 	}
 	if (peers == nil) != (o.peerCA == "") {
-		return nil, nil, errors.New("-peer-cert, -peer-key and -peer-ca go together")
+		return nil, nil, errors.New("-peer-cert, -peer-key and -peer-ca must be set together")
 	}
 	if peers == nil {
 		return callers, nil, nil
@@ -184,16 +184,16 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, nil, errors.Errorf("-peer-ca: %s holds no certificate", o.peerCA)
+		return nil, nil, errors.Errorf("-peer-ca: %s contains no certificate", o.peerCA)
 	}
-	// Daemons are known by the shared key and the authority, not by a name.
+	// Daemons authenticate by the shared key and a certificate of the authority; the name in it is not checked.
 	serve.RequireAuthority(peers, pool)
 	return callers, peers, nil
 }
 
 func loadKeyPair(name, certificate, key string) (*tls.Config, error) {
 	if (certificate == "") != (key == "") {
-		return nil, errors.Errorf("-%s-cert and -%s-key go together", name, name)
+		return nil, errors.Errorf("-%s-cert and -%s-key must be set together", name, name)
 	}
 	if certificate == "" {
 		return nil, nil
--- a/cmd/willowwickd/options_test.go
+++ b/cmd/willowwickd/options_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// An error once brought its whole stack into each line of text: 2 KB where a message has 60 bytes.
+// The text handler prints an error with its whole stack unless it is removed: 2 KB where the message has 60 bytes.
 func TestLogLinesOmitErrorStacks(t *testing.T) {
 	for _, format := range []string{formatText, formatJSON} {
 		var out bytes.Buffer
