--- a/cmd/willowctl/declare.go
+++ b/cmd/willowctl/declare.go
@@ -22,47 +22,47 @@
 )
 
 const (
-	idBytes        = 8
-	keyBytes       = 24
-	appendRetries  = 5
-	appendPause    = time.Second
-	defaultWait    = 16 * time.Second
-	defaultBaseURL = "http://127.0.0.1:9000"
+	changeIDBytes      = 8
+	accountKeyBytes    = 24
+	appendAttempts     = 5
+	appendRetryDelay   = time.Second
+	defaultInForceWait = 16 * time.Second
+	defaultPlatformURL = "http://127.0.0.1:9000"
 )
 
 type (
-	// publisher is what commands that write to the log need.
-	publisher struct {
+	// publishOptions is what commands that write to the log need.
+	publishOptions struct {
 		platform string
 		author   string
 		reason   string
 		wait     time.Duration
 	}
 
-	// published is the outcome of a record.
-	published struct {
-		ID       willowwick.ChangeID `json:"id,omitempty"`
-		Offset   willowwick.Offset   `json:"offset"`
-		Accepted bool                `json:"accepted"`
-		Why      string              `json:"why,omitempty"`
-		Changed  []string            `json:"changed,omitempty"`
-		Missing  []string            `json:"notInForce,omitempty"`
+	// publishResult is the outcome of a record.
+	publishResult struct {
+		ID         willowwick.ChangeID `json:"id,omitempty"`
+		Offset     willowwick.Offset   `json:"offset"`
+		Accepted   bool                `json:"accepted"`
+		Why        string              `json:"why,omitempty"`
+		Changed    []string            `json:"changed,omitempty"`
+		NotInForce []string            `json:"notInForce,omitempty"`
 	}
 )
 
-func (p *publisher) register(set *flag.FlagSet) {
-	registerPlatform(set, &p.platform)
+func (p *publishOptions) registerFlags(set *flag.FlagSet) {
+	registerPlatformFlag(set, &p.platform)
 	name := ""
 	if current, err := user.Current(); err == nil {
 		name = current.Username
 	}
 	set.StringVar(&p.author, "author", name, "who makes the change")
 	set.StringVar(&p.reason, "reason", "", "why; it goes into the audit trail")
-	set.DurationVar(&p.wait, "wait", defaultWait, "how long to wait until the change is in force on every box")
+	set.DurationVar(&p.wait, "wait", defaultInForceWait, "how long to wait until the change is in force on every box")
 }
 
-func registerPlatform(set *flag.FlagSet, value *string) {
-	set.StringVar(value, "platform", defaultBaseURL, "base URL of the platform's services")
+func registerPlatformFlag(set *flag.FlagSet, value *string) {
+	set.StringVar(value, "platform", defaultPlatformURL, "base URL of the platform's services")
 }
 
 func (t *tool) checkCommand() *ffcli.Command {
@@ -98,14 +98,14 @@
 	if err != nil {
 		return nil, err
 	}
-	return nil, exitWith(exitInvalid, "%d problems in %s", len(folder.Problems), name)
+	return nil, exitErrorf(exitInvalid, "%d problems in %s", len(folder.Problems), name)
 }
 
 func (t *tool) diffCommand() *ffcli.Command {
-	var base string
+	var platformURL string
 	var prune bool
 	flags := func(set *flag.FlagSet) {
-		registerPlatform(set, &base)
+		registerPlatformFlag(set, &platformURL)
 		set.BoolVar(&prune, "prune", false, "also show objects that the folder no longer has")
 	}
 	return t.command("diff", "FOLDER", "show what apply would change", flags, func(ctx context.Context, args []string) error {
@@ -113,7 +113,7 @@
 		if err != nil {
 			return err
 		}
-		_, state, closeClient, err := openState(ctx, base)
+		_, state, closeClient, err := openState(ctx, platformURL)
 		if err != nil {
 			return err
 		}
@@ -152,10 +152,10 @@
 }
 
 func (t *tool) applyCommand() *ffcli.Command {
-	p := &publisher{}
+	p := &publishOptions{}
 	var prune bool
 	flags := func(set *flag.FlagSet) {
-		p.register(set)
+		p.registerFlags(set)
 		set.BoolVar(&prune, "prune", false, "delete objects that the folder no longer has")
 	}
 	return t.command("apply", "FOLDER", "publish the declarations in a folder", flags, func(ctx context.Context, args []string) error {
@@ -174,10 +174,10 @@
 }
 
 // publishChange publishes a change unless it is empty.
-func (t *tool) publishChange(ctx context.Context, p *publisher, client *remote.Client, change config.Change, state *config.State) error {
+func (t *tool) publishChange(ctx context.Context, p *publishOptions, client *remote.Client, change config.Change, state *config.State) error {
 	lines := changeLines(change, state)
 	if len(lines) == 0 {
-		return t.print(published{Offset: state.Offset, Accepted: true}, func(w io.Writer) {
+		return t.print(publishResult{Offset: state.Offset, Accepted: true}, func(w io.Writer) {
 			fmt.Fprintln(w, "nothing to change")
 		})
 	}
@@ -186,17 +186,17 @@
 }
 
 // publish appends a record, finds out what came of it, and waits until it is in force.
-func (t *tool) publish(ctx context.Context, p *publisher, client *remote.Client, id willowwick.ChangeID, record config.Record, lines []string) error {
+func (t *tool) publish(ctx context.Context, p *publishOptions, client *remote.Client, id willowwick.ChangeID, record config.Record, lines []string) error {
 	if p.reason == "" {
-		return exitWith(exitInvalid, "say why with -reason; it goes into the audit trail")
+		return exitErrorf(exitInvalid, "say why with -reason; it goes into the audit trail")
 	}
 	entry, err := appendAndFind(ctx, client, id, record)
 	if err != nil {
 		return err
 	}
-	result := published{ID: id, Offset: entry.Offset, Accepted: entry.Accepted, Why: entry.Why, Changed: lines}
+	result := publishResult{ID: id, Offset: entry.Offset, Accepted: entry.Accepted, Why: entry.Why, Changed: lines}
 	if entry.Accepted {
-		result.Missing = waitInForce(ctx, client, entry.Offset, p.wait)
+		result.NotInForce = waitInForce(ctx, client, entry.Offset, p.wait)
 	}
 	err = t.print(result, func(w io.Writer) {
 		for _, line := range lines {
@@ -210,9 +210,9 @@
 	case err != nil:
 		return err
 	case !entry.Accepted:
-		return exitWith(exitRejected, "rejected: %s", entry.Why)
-	case len(result.Missing) > 0:
-		return exitWith(exitNotInForce, "not yet in force on %s", strings.Join(result.Missing, ", "))
+		return exitErrorf(exitRejected, "rejected: %s", entry.Why)
+	case len(result.NotInForce) > 0:
+		return exitErrorf(exitNotInForce, "not yet in force on %s", strings.Join(result.NotInForce, ", "))
 	}
 	return nil
 }
@@ -227,7 +227,7 @@
 		return config.AuditEntry{}, err
 	}
 	var appendErr error
-	for range appendRetries {
+	for range appendAttempts {
 		_, appendErr = client.Append(ctx, willowwick.StreamConfig, data)
 		state, err := readState(ctx, client)
 		if err == nil {
@@ -238,19 +238,19 @@
 		select {
 		case <-ctx.Done():
 			return config.AuditEntry{}, ctx.Err()
-		case <-time.After(appendPause):
+		case <-time.After(appendRetryDelay):
 		}
 	}
 	return config.AuditEntry{}, errors.Wrapf(appendErr, "change %s was not found on the log", id)
 }
 
-func newPlatform(base string) (*remote.Client, func()) {
-	return remote.NewClient(base, nil)
+func newPlatformClient(platformURL string) (*remote.Client, func()) {
+	return remote.NewClient(platformURL, nil)
 }
 
 // openState returns a client of the platform with the state at the log's end.
-func openState(ctx context.Context, base string) (*remote.Client, *config.State, func(), error) {
-	client, closeClient := newPlatform(base)
+func openState(ctx context.Context, platformURL string) (*remote.Client, *config.State, func(), error) {
+	client, closeClient := newPlatformClient(platformURL)
 	state, err := readState(ctx, client)
 	if err != nil {
 		closeClient()
@@ -269,7 +269,7 @@
 }
 
 func newChangeID() willowwick.ChangeID {
-	return willowwick.ChangeID(randomHex(idBytes))
+	return willowwick.ChangeID(randomHex(changeIDBytes))
 }
 
 func randomHex(size int) string {
@@ -279,8 +279,8 @@
 }
 
 func (t *tool) withdrawCommand() *ffcli.Command {
-	p := &publisher{}
-	return t.command("withdraw", "VERSION", "take a version out of use for good", p.register, func(ctx context.Context, args []string) error {
+	p := &publishOptions{}
+	return t.command("withdraw", "VERSION", "take a version out of use for good", p.registerFlags, func(ctx context.Context, args []string) error {
 		version, err := oneArgument(args, "version")
 		if err != nil {
 			return err
@@ -291,7 +291,7 @@
 		}
 		defer closeClient()
 		if _, known := state.Objects[config.Key{Kind: config.KindVersion, Name: version}]; !known {
-			return exitWith(exitInvalid, "no Version is called %q", version)
+			return exitErrorf(exitInvalid, "no Version is called %q", version)
 		}
 		id := newChangeID()
 		record := config.Record{Kind: config.RecordWithdraw, Withdraw: &config.Withdraw{
@@ -302,11 +302,11 @@
 }
 
 func (t *tool) rolloutCommand() *ffcli.Command {
-	p := &publisher{}
+	p := &publishOptions{}
 	var model, from, to, steps string
 	var minRequests, maxExposure int
 	flags := func(set *flag.FlagSet) {
-		p.register(set)
+		p.registerFlags(set)
 		set.StringVar(&model, "model", "", "model whose version changes")
 		set.StringVar(&from, "from", "", "version that answers now")
 		set.StringVar(&to, "to", "", "version to roll out")
@@ -345,7 +345,7 @@
 	for _, part := range strings.Split(text, ",") {
 		share, err := strconv.ParseFloat(strings.TrimSpace(part), 64)
 		if err != nil {
-			return nil, exitWith(exitInvalid, "-steps must be numbers such as 5,25,100, is %q", text)
+			return nil, exitErrorf(exitInvalid, "-steps must be numbers such as 5,25,100, is %q", text)
 		}
 		shares = append(shares, share)
 	}
@@ -354,7 +354,7 @@
 
 func (t *tool) keyCommand() *ffcli.Command {
 	return t.command("key", "", "make a key for a client account", nil, func(context.Context, []string) error {
-		key := randomHex(keyBytes)
+		key := randomHex(accountKeyBytes)
 		made := map[string]string{"key": key, "hash": config.HashKey(key)}
 		return t.print(made, func(w io.Writer) {
 			fmt.Fprintf(w, "key  (for the caller):          %s\nhash (for the ClientAccount):   %s\n", made["key"], made["hash"])
--- a/cmd/willowctl/demo.go
+++ b/cmd/willowctl/demo.go
@@ -24,47 +24,47 @@
 
 // The demo's course, counted from the start of the traffic.
 const (
-	demoRollouts  = 1 * time.Second
-	demoTurnsBad  = 8 * time.Second
-	demoStopsBox  = 13 * time.Second
-	demoEnd       = 20 * time.Second
-	demoReady     = 15 * time.Second
-	demoBillsWait = 6 * time.Second
-	demoBoxes     = 3
-	demoRunners   = 6
-	demoSlots     = 24
-	demoRate      = 120
-	demoBad       = willowwick.VersionID("scan-small-2")
-	demoGood      = willowwick.VersionID("run-small-2")
+	demoRolloutStart      = 1 * time.Second
+	demoFailureStart      = 8 * time.Second
+	demoBoxStop           = 13 * time.Second
+	demoDuration          = 20 * time.Second
+	demoReadyTimeout      = 15 * time.Second
+	demoLedgerTimeout     = 6 * time.Second
+	demoBoxes             = 3
+	demoRunners           = 6
+	demoSlots             = 24
+	demoRequestsPerSecond = 120
+	demoBadVersion        = willowwick.VersionID("scan-small-2")
+	demoGoodVersion       = willowwick.VersionID("run-small-2")
 )
 
 // demoResult is what the demo ends with.
 type demoResult struct {
-	Requests      int                            `json:"requests"`
-	Answered      int                            `json:"answered"`
-	Refused       int                            `json:"refused"`
-	RefusedByKind map[willowwick.RefusalKind]int `json:"refused_by_kind"`
-	Lost          int                            `json:"lost"`
-	Crossed       int                            `json:"crossed"`
-	Doubled       int                            `json:"doubled"`
-	Billed        int                            `json:"billed"`
-	BilledTwice   int                            `json:"billed_twice"`
-	Cost          willowwick.MicroUnits          `json:"cost"`
-	P50           int64                          `json:"first_token_p50_ms"`
-	P95           int64                          `json:"first_token_p95_ms"`
-	P99           int64                          `json:"first_token_p99_ms"`
-	Exposure      int                            `json:"exposure"`
-	Withdrawn     []willowwick.VersionID         `json:"withdrawn"`
-	RolledOut     []willowwick.RolloutID         `json:"rolled_out"`
-	Answers       map[willowwick.VersionID]int   `json:"answers_by_version"`
-	details       map[string]int
+	Requests       int                            `json:"requests"`
+	Answered       int                            `json:"answered"`
+	Refused        int                            `json:"refused"`
+	RefusedByKind  map[willowwick.RefusalKind]int `json:"refused_by_kind"`
+	Lost           int                            `json:"lost"`
+	Crossed        int                            `json:"crossed"`
+	Doubled        int                            `json:"doubled"`
+	Billed         int                            `json:"billed"`
+	BilledTwice    int                            `json:"billed_twice"`
+	Cost           willowwick.MicroUnits          `json:"cost"`
+	P50            int64                          `json:"first_token_p50_ms"`
+	P95            int64                          `json:"first_token_p95_ms"`
+	P99            int64                          `json:"first_token_p99_ms"`
+	Exposure       int                            `json:"exposure"`
+	Withdrawn      []willowwick.VersionID         `json:"withdrawn"`
+	RolledOut      []willowwick.RolloutID         `json:"rolled_out"`
+	Answers        map[willowwick.VersionID]int   `json:"answers_by_version"`
+	refusalDetails map[string]int
 }
 
 func (t *tool) demoCommand() *ffcli.Command {
-	var stay, verbose bool
+	var serveOnly, verbose bool
 	var seed uint64
 	flags := func(set *flag.FlagSet) {
-		set.BoolVar(&stay, "serve", false, "keep everything up for trying with a client")
+		set.BoolVar(&serveOnly, "serve", false, "keep everything up for trying with a client")
 		set.BoolVar(&verbose, "verbose", false, "show the daemons' log lines")
 		set.Uint64Var(&seed, "seed", 1, "seed of the traffic")
 	}
@@ -72,29 +72,29 @@
 		if !verbose {
 			slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError})))
 		}
-		fleetUp, closeFleet, err := startDemo()
+		demoFleet, closeFleet, err := startDemo()
 		if err != nil {
 			return err
 		}
 		defer closeFleet()
-		if stay {
-			return t.stayUp(ctx, fleetUp)
+		if serveOnly {
+			return t.keepServing(ctx, demoFleet)
 		}
-		result, err := playDemo(ctx, fleetUp, seed)
+		result, err := runDemo(ctx, demoFleet, seed)
 		if err != nil {
 			return err
 		}
 		if err := t.print(result, result.write); err != nil {
 			return err
 		}
-		return result.verdict()
+		return result.checkGuarantees()
 	})
 }
 
 func startDemo() (*lab.Fleet, func(), error) {
 	versions := map[willowwick.VersionID]standin.VersionBehaviour{
-		"run-small-1": {Quality: 0.75}, demoGood: {Quality: 0.8}, "run-large-1": {Quality: 0.98},
-		"scan-small-1": {Quality: 0.7}, demoBad: {Quality: 0.75}, "scan-large-1": {Quality: 0.97},
+		"run-small-1": {Quality: 0.75}, demoGoodVersion: {Quality: 0.8}, "run-large-1": {Quality: 0.98},
+		"scan-small-1": {Quality: 0.7}, demoBadVersion: {Quality: 0.75}, "scan-large-1": {Quality: 0.97},
 	}
 	f, closeFleet, err := lab.NewFleet(lab.Options{
 		Network: lab.Loopback{}, Boxes: demoBoxes, Halls: demoBoxes, Runners: demoRunners, Slots: demoSlots,
@@ -108,26 +108,26 @@
 		closeFleet()
 		return nil, nil, err
 	}
-	if err := f.WaitReady(demoReady); err != nil {
+	if err := f.WaitReady(demoReadyTimeout); err != nil {
 		closeFleet()
 		return nil, nil, err
 	}
 	return f, closeFleet, nil
 }
 
-// playDemo runs the traffic and the events, and adds up what came of them.
-func playDemo(ctx context.Context, f *lab.Fleet, seed uint64) (*demoResult, error) {
-	trafficCtx, stopTraffic := context.WithTimeout(ctx, demoEnd)
+// runDemo runs the traffic and the events, and adds up what came of them.
+func runDemo(ctx context.Context, f *lab.Fleet, seed uint64) (*demoResult, error) {
+	trafficCtx, stopTraffic := context.WithTimeout(ctx, demoDuration)
 	defer stopTraffic()
 	balancerCtx, stopBalancer := context.WithCancel(ctx)
 	defer stopBalancer()
 	tally := lab.NewTally()
 	traffic := &lab.Traffic{
-		Fleet: f, Balancer: lab.NewBalancer(balancerCtx, f), Client: f.Client("callers"), Tally: tally, Rate: demoRate, Seed: seed,
+		Fleet: f, Balancer: lab.NewBalancer(balancerCtx, f), Client: f.Client("callers"), Tally: tally, Rate: demoRequestsPerSecond, Seed: seed,
 	}
-	begun := time.Now()
+	start := time.Now()
 	failures := make(chan error, 1)
-	go func() { failures <- demoEvents(trafficCtx, f, begun) }()
+	go func() { failures <- runDemoEvents(trafficCtx, f, start) }()
 	traffic.Run(trafficCtx)
 	if err := <-failures; err != nil {
 		return nil, err
@@ -135,30 +135,30 @@
 	if ctx.Err() != nil {
 		return nil, errors.New("interrupted")
 	}
-	ledger, err := waitBills(ctx, f, tally.Answered)
+	ledger, err := waitForLedger(ctx, f, tally.Answered)
 	if err != nil {
 		return nil, err
 	}
-	return newDemoResult(f, tally, ledger, begun.Add(demoTurnsBad))
+	return newDemoResult(f, tally, ledger, start.Add(demoFailureStart))
 }
 
-// demoEvents makes the roll-outs, the bad version and the planned stop happen.
-func demoEvents(ctx context.Context, f *lab.Fleet, begun time.Time) error {
-	at := func(moment time.Duration) {
+// runDemoEvents makes the roll-outs, the bad version and the planned stop happen.
+func runDemoEvents(ctx context.Context, f *lab.Fleet, start time.Time) error {
+	waitUntil := func(moment time.Duration) {
 		select {
-		case <-time.After(time.Until(begun.Add(moment))):
+		case <-time.After(time.Until(start.Add(moment))):
 		case <-ctx.Done():
 		}
 	}
-	at(demoRollouts)
+	waitUntil(demoRolloutStart)
 	if err := publishRollouts(f); err != nil {
 		return err
 	}
-	at(demoTurnsBad)
+	waitUntil(demoFailureStart)
 	for _, runner := range f.Runners {
-		runner.SetBehaviour(demoBad, standin.VersionBehaviour{Quality: 0.2, Errors: 0.1})
+		runner.SetBehaviour(demoBadVersion, standin.VersionBehaviour{Quality: 0.2, Errors: 0.1})
 	}
-	at(demoStopsBox)
+	waitUntil(demoBoxStop)
 	stopping := f.Boxes[len(f.Boxes)-1]
 	return stopping.Stop(context.Background())
 }
@@ -170,8 +170,8 @@
 	}
 	change := &config.Change{ID: "roll-outs", Author: "demo", Reason: "new small models", Basis: state.Offset}
 	for name, rollout := range map[string]*config.Rollout{
-		"scan": {Model: "scan-small", From: "scan-small-1", To: demoBad, Steps: []float64{10, 30, 100}, MinRequests: 40},
-		"run":  {Model: "run-small", From: "run-small-1", To: demoGood, Steps: []float64{20, 50, 100}, MinRequests: 30},
+		"scan": {Model: "scan-small", From: "scan-small-1", To: demoBadVersion, Steps: []float64{10, 30, 100}, MinRequests: 40},
+		"run":  {Model: "run-small", From: "run-small-1", To: demoGoodVersion, Steps: []float64{20, 50, 100}, MinRequests: 30},
 	} {
 		object, err := config.NewObject(config.KindRollout, name, rollout)
 		if err != nil {
@@ -183,11 +183,11 @@
 	return err
 }
 
-// waitBills reads the ledger until every answer is on it, or for as long as that should take.
-func waitBills(ctx context.Context, f *lab.Fleet, answered int) (*fleet.Ledger, error) {
+// waitForLedger reads the ledger until every answer is on it, or for as long as that should take.
+func waitForLedger(ctx context.Context, f *lab.Fleet, answered int) (*fleet.Ledger, error) {
 	client, closeClient := remote.NewClient(f.PlatformURL(), nil)
 	defer closeClient()
-	limit := time.Now().Add(demoBillsWait)
+	limit := time.Now().Add(demoLedgerTimeout)
 	for {
 		ledger, err := fleet.ReadLedger(ctx, client)
 		if err != nil {
@@ -196,11 +196,11 @@
 		if ledger.TotalCount >= answered || time.Now().After(limit) {
 			return ledger, nil
 		}
-		time.Sleep(forcePause)
+		time.Sleep(pollInterval)
 	}
 }
 
-func newDemoResult(f *lab.Fleet, tally *lab.Tally, ledger *fleet.Ledger, turnedBad time.Time) (*demoResult, error) {
+func newDemoResult(f *lab.Fleet, tally *lab.Tally, ledger *fleet.Ledger, failureStart time.Time) (*demoResult, error) {
 	state, err := f.State()
 	if err != nil {
 		return nil, err
@@ -210,7 +210,7 @@
 		Lost: tally.Lost, Crossed: tally.Crossed, Doubled: f.Doubled(),
 		Billed: ledger.TotalCount, BilledTwice: ledger.BilledTwice(), Cost: ledger.TotalCost,
 		P50: tally.FirstToken(50), P95: tally.FirstToken(95), P99: tally.FirstToken(99),
-		Exposure: f.ServedSince(demoBad, turnedBad), Answers: tally.Versions, details: tally.Details,
+		Exposure: f.ServedSince(demoBadVersion, failureStart), Answers: tally.Versions, refusalDetails: tally.Details,
 	}
 	for _, count := range tally.Refused {
 		result.Refused += count
@@ -226,10 +226,10 @@
 	return result, nil
 }
 
-// verdict is an error if a promise was broken.
-func (r *demoResult) verdict() error {
+// checkGuarantees is an error if a promise was broken.
+func (r *demoResult) checkGuarantees() error {
 	if r.Lost+r.Crossed+r.Doubled+r.BilledTwice > 0 || r.Billed != r.Answered {
-		return exitWith(exitOutcome, "a promise was broken: lost %d, crossed %d, doubled %d, billed twice %d, answered %d and billed %d",
+		return exitErrorf(exitOutcomeMissed, "a promise was broken: lost %d, crossed %d, doubled %d, billed twice %d, answered %d and billed %d",
 			r.Lost, r.Crossed, r.Doubled, r.BilledTwice, r.Answered, r.Billed)
 	}
 	return nil
@@ -263,13 +263,13 @@
 	for _, version := range versions {
 		row("  answers of "+version, r.Answers[willowwick.VersionID(version)])
 	}
-	for detail, count := range r.details {
+	for detail, count := range r.refusalDetails {
 		row("  refusal: "+detail, count)
 	}
 }
 
-// stayUp prints how to try the fleet and waits until it is told to stop.
-func (t *tool) stayUp(ctx context.Context, f *lab.Fleet) error {
+// keepServing prints how to try the fleet and waits until it is told to stop.
+func (t *tool) keepServing(ctx context.Context, f *lab.Fleet) error {
 	fmt.Fprintf(t.out, "platform: %s\n", f.PlatformURL())
 	for _, box := range f.Boxes {
 		fmt.Fprintf(t.out, "%s: callers http://%s, operators http://%s\n", box.ID, box.Callers, box.Admin)
--- a/cmd/willowctl/explain.go
+++ b/cmd/willowctl/explain.go
@@ -27,14 +27,14 @@
 	return t.command("explain", "REQUEST-ID [LOG ...]", "print what the daemons' JSON logs say of a request, in order", nil,
 		func(_ context.Context, args []string) error {
 			if len(args) == 0 {
-				return exitWith(exitInvalid, "give a request's id, and log files unless they come on standard input")
+				return exitErrorf(exitInvalid, "give a request's id, and log files unless they come on standard input")
 			}
 			lines, err := collectLines(args[0], args[1:])
 			if err != nil {
 				return err
 			}
 			if len(lines) == 0 {
-				return exitWith(exitFailed, "no line speaks of request %s", args[0])
+				return exitErrorf(exitFailed, "no line speaks of request %s", args[0])
 			}
 			return t.print(lines, func(w io.Writer) {
 				for _, line := range lines {
@@ -47,7 +47,7 @@
 // collectLines finds the lines about the request, in order of time.
 func collectLines(request string, files []string) ([]logLine, error) {
 	var lines []logLine
-	err := eachLine(files, func(data []byte) error {
+	err := forEachLine(files, func(data []byte) error {
 		var line logLine
 		if !bytes.Contains(data, []byte(request)) || json.Unmarshal(data, &line) != nil || line.Request != request {
 			return nil
--- a/cmd/willowctl/lab.go
+++ b/cmd/willowctl/lab.go
@@ -19,7 +19,7 @@
 
 const (
 	labHeaderTimeout = 5 * time.Second
-	boxFields        = 4
+	boxFieldCount    = 4
 	defaultSlots     = 8
 	defaultQuality   = 0.8
 )
@@ -30,14 +30,14 @@
 		Name: "lab", ShortUsage: "willowctl lab platform|engine|service|slopes [flags]",
 		ShortHelp:   "run a stand-in of the platform, a runner or a plain service",
 		FlagSet:     flag.NewFlagSet("willowctl lab", flag.ContinueOnError),
-		Subcommands: []*ffcli.Command{t.labPlatform(), t.labEngine(), t.labService(), t.labSlopes()},
+		Subcommands: []*ffcli.Command{t.labPlatformCommand(), t.labEngineCommand(), t.labServiceCommand(), t.labSlopesCommand()},
 		Exec: func(context.Context, []string) error {
 			return flag.ErrHelp
 		},
 	}
 }
 
-func (t *tool) labPlatform() *ffcli.Command {
+func (t *tool) labPlatformCommand() *ffcli.Command {
 	var listen, boxes string
 	flags := func(set *flag.FlagSet) {
 		set.StringVar(&listen, "listen", "127.0.0.1:9000", "address to listen on")
@@ -47,8 +47,8 @@
 		platform := standin.NewPlatform()
 		for _, text := range strings.FieldsFunc(boxes, func(r rune) bool { return r == ';' }) {
 			fields := strings.Split(text, ",")
-			if len(fields) != boxFields {
-				return exitWith(exitInvalid, "-boxes: %q is not of the form NAME,HALL,PEER-ADDRESS,ADMIN-ADDRESS", text)
+			if len(fields) != boxFieldCount {
+				return exitErrorf(exitInvalid, "-boxes: %q is not of the form NAME,HALL,PEER-ADDRESS,ADMIN-ADDRESS", text)
 			}
 			platform.SetBox(willowwick.Box{
 				ID: willowwick.BoxID(fields[0]), Hall: willowwick.HallID(fields[1]), Peer: fields[2], Admin: fields[3],
@@ -58,12 +58,12 @@
 	})
 }
 
-func (t *tool) labEngine() *ffcli.Command {
-	var id, hall, listen, base, versions string
+func (t *tool) labEngineCommand() *ffcli.Command {
+	var id, hall, listen, platformURL, versions string
 	var slots int
 	var quality float64
 	flags := func(set *flag.FlagSet) {
-		registerLab(set, &id, &hall, &listen, &base)
+		registerLabFlags(set, &id, &hall, &listen, &platformURL)
 		set.StringVar(&versions, "versions", "", "versions that it serves, separated by commas")
 		set.IntVar(&slots, "slots", defaultSlots, "answers at once")
 		set.Float64Var(&quality, "quality", defaultQuality, "share of good answers")
@@ -76,17 +76,17 @@
 			behaviour[version] = standin.VersionBehaviour{Quality: quality}
 			endpoint.Versions = append(endpoint.Versions, version)
 		}
-		if err := register(ctx, base, endpoint); err != nil {
+		if err := registerEndpoint(ctx, platformURL, endpoint); err != nil {
 			return err
 		}
 		return t.serveLab(ctx, listen, standin.NewEngine(endpoint.ID, slots, behaviour))
 	})
 }
 
-func (t *tool) labService() *ffcli.Command {
-	var id, hall, listen, base, name string
+func (t *tool) labServiceCommand() *ffcli.Command {
+	var id, hall, listen, platformURL, name string
 	flags := func(set *flag.FlagSet) {
-		registerLab(set, &id, &hall, &listen, &base)
+		registerLabFlags(set, &id, &hall, &listen, &platformURL)
 		set.StringVar(&name, "service", "", "name of the service")
 	}
 	return t.command("service", "", "stand in for an instance of a plain service", flags, func(ctx context.Context, _ []string) error {
@@ -94,27 +94,27 @@
 			ID: willowwick.EndpointID(id), Kind: willowwick.KindService, Hall: willowwick.HallID(hall),
 			Address: listen, Service: willowwick.ServiceID(name),
 		}
-		if err := register(ctx, base, endpoint); err != nil {
+		if err := registerEndpoint(ctx, platformURL, endpoint); err != nil {
 			return err
 		}
 		return t.serveLab(ctx, listen, standin.NewService(endpoint.ID))
 	})
 }
 
-func registerLab(set *flag.FlagSet, id, hall, listen, base *string) {
+func registerLabFlags(set *flag.FlagSet, id, hall, listen, platformURL *string) {
 	set.StringVar(id, "id", "endpoint-1", "name of the endpoint")
 	set.StringVar(hall, "hall", "hall-a", "hall that it stands in")
 	set.StringVar(listen, "listen", "127.0.0.1:9100", "address to listen on")
-	registerPlatform(set, base)
+	registerPlatformFlag(set, platformURL)
 }
 
-// register puts an endpoint on the stand-in platform's list.
-func register(ctx context.Context, base string, endpoint willowwick.Endpoint) error {
+// registerEndpoint puts an endpoint on the stand-in platform's list.
+func registerEndpoint(ctx context.Context, platformURL string, endpoint willowwick.Endpoint) error {
 	data, err := json.Marshal(endpoint)
 	if err != nil {
 		return errors.Wrap(err, "register")
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodPut, base+"/live/endpoints", bytes.NewReader(data))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPut, platformURL+"/live/endpoints", bytes.NewReader(data))
 	if err != nil {
 		return errors.Wrap(err, "register")
 	}
--- a/cmd/willowctl/logs.go
+++ b/cmd/willowctl/logs.go
@@ -9,35 +9,35 @@
 	"github.com/pkg/errors"
 )
 
-// maxLogLine bounds a line of a log.
-const maxLogLine = 1 << 20
+// maxLogLineBytes bounds a line of a log.
+const maxLogLineBytes = 1 << 20
 
-// eachLine calls do with the JSON of each line of the logs, or of standard input if none are named; what stands before a
+// forEachLine calls do with the JSON of each line of the logs, or of standard input if none are named; what stands before a
 // line's first brace is a collector's own.
-func eachLine(files []string, do func(data []byte) error) error {
+func forEachLine(files []string, do func(data []byte) error) error {
 	if len(files) == 0 {
-		return eachLineOf(os.Stdin, do)
+		return forEachLineIn(os.Stdin, do)
 	}
 	for _, name := range files {
-		if err := eachLineOfFile(name, do); err != nil {
+		if err := forEachLineInFile(name, do); err != nil {
 			return errors.Wrapf(err, "log %s", name)
 		}
 	}
 	return nil
 }
 
-func eachLineOfFile(name string, do func(data []byte) error) error {
+func forEachLineInFile(name string, do func(data []byte) error) error {
 	file, err := os.Open(name)
 	if err != nil {
 		return errors.Wrap(err, "open")
 	}
 	defer func() { _ = file.Close() }()
-	return eachLineOf(file, do)
+	return forEachLineIn(file, do)
 }
 
-func eachLineOf(r io.Reader, do func(data []byte) error) error {
+func forEachLineIn(r io.Reader, do func(data []byte) error) error {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, maxLogLine)
+	scanner.Buffer(nil, maxLogLineBytes)
 	for scanner.Scan() {
 		data := scanner.Bytes()
 		start := bytes.IndexByte(data, '{')
--- a/cmd/willowctl/main.go
+++ b/cmd/willowctl/main.go
@@ -17,27 +17,27 @@
 
 // Exit codes.
 const (
-	exitDone       = 0
-	exitFailed     = 1
-	exitInvalid    = 2
-	exitRejected   = 3
-	exitNotInForce = 4
-	exitOutcome    = 5
+	exitOK            = 0
+	exitFailed        = 1
+	exitInvalid       = 2
+	exitRejected      = 3
+	exitNotInForce    = 4
+	exitOutcomeMissed = 5
 )
 
 // exitError is an error that ends the program with a code of its own.
 type exitError struct {
-	code int
-	text string
+	code    int
+	message string
 }
 
 // Error implements error.
 func (e *exitError) Error() string {
-	return e.text
+	return e.message
 }
 
-func exitWith(code int, format string, args ...any) error {
-	return &exitError{code: code, text: fmt.Sprintf(format, args...)}
+func exitErrorf(code int, format string, args ...any) error {
+	return &exitError{code: code, message: fmt.Sprintf(format, args...)}
 }
 
 // tool is what all commands share.
@@ -59,11 +59,11 @@
 	var exit *exitError
 	switch {
 	case err == nil:
-		return exitDone
+		return exitOK
 	case errors.Is(err, flag.ErrHelp):
 		return exitInvalid
 	case errors.As(err, &exit):
-		fmt.Fprintln(errOut, "willowctl:", exit.text)
+		fmt.Fprintln(errOut, "willowctl:", exit.message)
 		return exit.code
 	default:
 		fmt.Fprintln(errOut, "willowctl:", err)
@@ -118,7 +118,7 @@
 
 func oneArgument(args []string, what string) (string, error) {
 	if len(args) != 1 {
-		return "", exitWith(exitInvalid, "give one %s; there are %d arguments", what, len(args))
+		return "", exitErrorf(exitInvalid, "give one %s; there are %d arguments", what, len(args))
 	}
 	return args[0], nil
 }
--- a/cmd/willowctl/replay.go
+++ b/cmd/willowctl/replay.go
@@ -13,18 +13,18 @@
 )
 
 func (t *tool) replayCommand() *ffcli.Command {
-	var name, load, how, file, write string
+	var name, load, mode, file, write string
 	var seed uint64
 	flags := func(set *flag.FlagSet) {
 		set.StringVar(&name, "trace", "prairie", "prairie or bitola")
 		set.StringVar(&load, "load", replay.LoadPeak, "light, peak or overload")
-		set.StringVar(&how, "bad", string(replay.BadRatings), "how the new version turns bad: errors, slow, ratings, or none")
+		set.StringVar(&mode, "bad", string(replay.FailureRatings), "how the new version turns bad: errors, slow, ratings, or none")
 		set.StringVar(&file, "file", "", "replay a recorded trace instead")
 		set.StringVar(&write, "write", "", "write the trace to a file and exit")
 		set.Uint64Var(&seed, "seed", 1, "seed of the trace and the samples")
 	}
 	return t.command("replay", "", "replay a trace against baselines and check its stated outcomes", flags, func(context.Context, []string) error {
-		trace, err := openTrace(file, name, load, how, seed)
+		trace, err := openTrace(file, name, load, mode, seed)
 		if err != nil {
 			return err
 		}
@@ -39,18 +39,18 @@
 			return err
 		}
 		if missed := report.Missed(); len(missed) > 0 {
-			return exitWith(exitOutcome, "%d stated outcomes were missed", len(missed))
+			return exitErrorf(exitOutcomeMissed, "%d stated outcomes were missed", len(missed))
 		}
 		return nil
 	})
 }
 
-func openTrace(file, name, load, how string, seed uint64) (*replay.Trace, error) {
+func openTrace(file, name, load, mode string, seed uint64) (*replay.Trace, error) {
 	if file == "" {
-		if how == "none" {
-			how = ""
+		if mode == "none" {
+			mode = ""
 		}
-		return replay.Generate(name, load, replay.BadKind(how), seed)
+		return replay.Generate(name, load, replay.FailureMode(mode), seed)
 	}
 	opened, err := os.Open(file)
 	if err != nil {
--- a/cmd/willowctl/show.go
+++ b/cmd/willowctl/show.go
@@ -21,10 +21,10 @@
 )
 
 const (
-	boxTimeout  = 2 * time.Second
-	forcePause  = 200 * time.Millisecond
-	timeLayout  = time.RFC3339
-	unreachable = "unreachable"
+	statusTimeout = 2 * time.Second
+	pollInterval  = 200 * time.Millisecond
+	timeLayout    = time.RFC3339
+	unreachable   = "unreachable"
 )
 
 // boxStatus is a box's own status, or why there is none.
@@ -58,7 +58,7 @@
 }
 
 func getJSON(ctx context.Context, url string, value any) error {
-	ctx, cancel := context.WithTimeout(ctx, boxTimeout)
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -78,7 +78,7 @@
 
 // waitInForce waits until every listed box reports the offset, and names those that do not.
 func waitInForce(ctx context.Context, client *remote.Client, offset willowwick.Offset, wait time.Duration) []string {
-	limit := time.Now().Add(wait)
+	deadline := time.Now().Add(wait)
 	for {
 		var missing []string
 		statuses, err := boxStatuses(ctx, client)
@@ -90,18 +90,18 @@
 				missing = append(missing, string(status.Box))
 			}
 		}
-		if len(missing) == 0 || time.Now().After(limit) || ctx.Err() != nil {
+		if len(missing) == 0 || time.Now().After(deadline) || ctx.Err() != nil {
 			return missing
 		}
-		time.Sleep(forcePause)
+		time.Sleep(pollInterval)
 	}
 }
 
 func (t *tool) statusCommand() *ffcli.Command {
-	var base string
-	flags := func(set *flag.FlagSet) { registerPlatform(set, &base) }
+	var platformURL string
+	flags := func(set *flag.FlagSet) { registerPlatformFlag(set, &platformURL) }
 	return t.command("status", "", "show the boxes, roll-outs and withdrawals", flags, func(ctx context.Context, _ []string) error {
-		client, closeClient := newPlatform(base)
+		client, closeClient := newPlatformClient(platformURL)
 		defer closeClient()
 		statuses, err := boxStatuses(ctx, client)
 		if err != nil {
@@ -135,10 +135,10 @@
 }
 
 func (t *tool) auditCommand() *ffcli.Command {
-	var base string
-	flags := func(set *flag.FlagSet) { registerPlatform(set, &base) }
+	var platformURL string
+	flags := func(set *flag.FlagSet) { registerPlatformFlag(set, &platformURL) }
 	return t.command("audit", "", "show who changed what, when it was decided, and why", flags, func(ctx context.Context, _ []string) error {
-		client, closeClient := newPlatform(base)
+		client, closeClient := newPlatformClient(platformURL)
 		defer closeClient()
 		state, err := readState(ctx, client)
 		if err != nil {
@@ -146,13 +146,13 @@
 		}
 		return t.print(state.Audit, func(w io.Writer) {
 			for _, entry := range state.Audit {
-				writeAudit(w, entry)
+				writeAuditEntry(w, entry)
 			}
 		})
 	})
 }
 
-func writeAudit(w io.Writer, entry config.AuditEntry) {
+func writeAuditEntry(w io.Writer, entry config.AuditEntry) {
 	verdict := "accepted"
 	if !entry.Accepted {
 		verdict = "REJECTED: " + entry.Why
@@ -161,14 +161,14 @@
 }
 
 func (t *tool) traceCommand() *ffcli.Command {
-	var base string
-	flags := func(set *flag.FlagSet) { registerPlatform(set, &base) }
+	var platformURL string
+	flags := func(set *flag.FlagSet) { registerPlatformFlag(set, &platformURL) }
 	return t.command("trace", "REQUEST-ID", "show why a request went where it went", flags, func(ctx context.Context, args []string) error {
 		id, err := oneArgument(args, "request id")
 		if err != nil {
 			return err
 		}
-		client, closeClient := newPlatform(base)
+		client, closeClient := newPlatformClient(platformURL)
 		defer closeClient()
 		listing, _, err := client.List(ctx, "")
 		if err != nil {
@@ -185,7 +185,7 @@
 			}
 			return t.print(&trace, func(w io.Writer) { writeTrace(w, &trace) })
 		}
-		return exitWith(exitInvalid, "no listed box has made the request id %q", id)
+		return exitErrorf(exitInvalid, "no listed box has made the request id %q", id)
 	})
 }
 
@@ -197,10 +197,10 @@
 }
 
 func (t *tool) usageCommand() *ffcli.Command {
-	var base string
-	flags := func(set *flag.FlagSet) { registerPlatform(set, &base) }
+	var platformURL string
+	flags := func(set *flag.FlagSet) { registerPlatformFlag(set, &platformURL) }
 	return t.command("usage", "", "add up the bills of all client accounts", flags, func(ctx context.Context, _ []string) error {
-		client, closeClient := newPlatform(base)
+		client, closeClient := newPlatformClient(platformURL)
 		defer closeClient()
 		ledger, err := fleet.ReadLedger(ctx, client)
 		if err != nil {
--- a/cmd/willowctl/slopes.go
+++ b/cmd/willowctl/slopes.go
@@ -14,14 +14,14 @@
 	"github.com/willowwick/willowwick/lab"
 )
 
-const defaultSlopeLength = 15 * time.Second
+const defaultMeasureDuration = 15 * time.Second
 
-func (t *tool) labSlopes() *ffcli.Command {
+func (t *tool) labSlopesCommand() *ffcli.Command {
 	var sizes string
-	var length time.Duration
+	var duration time.Duration
 	flags := func(set *flag.FlagSet) {
 		set.StringVar(&sizes, "sizes", "7x3,48x6,96x6,192x6,390x6", "sizes to measure, as BOXESxHALLS,...")
-		set.DurationVar(&length, "length", defaultSlopeLength, "how long to measure each size")
+		set.DurationVar(&duration, "length", defaultMeasureDuration, "how long to measure each size")
 	}
 	return t.command("slopes", "", "measure what the fleet costs each daemon at several sizes", flags, func(context.Context, []string) error {
 		slog.SetDefault(slog.New(slog.DiscardHandler))
@@ -31,7 +31,7 @@
 			if err != nil {
 				return err
 			}
-			cost, err := lab.MeasureFleet(size, length)
+			cost, err := lab.MeasureFleet(size, duration)
 			if err != nil {
 				return err
 			}
@@ -46,7 +46,7 @@
 	parsedBoxes, errBoxes := strconv.Atoi(boxes)
 	parsedHalls, errHalls := strconv.Atoi(halls)
 	if !found || errBoxes != nil || errHalls != nil || parsedBoxes < 1 || parsedHalls < 1 {
-		return lab.FleetSize{}, exitWith(exitInvalid, "-sizes: %q is not of the form BOXESxHALLS", text)
+		return lab.FleetSize{}, exitErrorf(exitInvalid, "-sizes: %q is not of the form BOXESxHALLS", text)
 	}
 	return lab.FleetSize{Boxes: parsedBoxes, Halls: parsedHalls}, nil
 }
--- a/replay/policies.go
+++ b/replay/policies.go
@@ -2,17 +2,17 @@
 
 // Names of the policies that are compared.
 const (
-	PolicyWillowwick  = "willowwick"
-	PolicyStrong      = "always strong"
-	PolicyCheap       = "always cheap"
-	PolicyFixed       = "fixed cascade"
-	PolicyClock       = "clock-stepped roll-out"
-	PolicyRoundRobin  = "round robin"
-	PolicyLeastLoaded = "least loaded on stale reports"
-	PolicyNoAffinity  = "without prefix affinity"
-	PolicyFirstCome   = "first come, first served"
-	PolicyPerfect     = "perfect knowledge of load"
-	PolicyOracle      = "oracle"
+	PolicyWillowwick   = "willowwick"
+	PolicyStrong       = "always strong"
+	PolicyCheap        = "always cheap"
+	PolicyFixed        = "fixed cascade"
+	PolicyTimedRollout = "clock-stepped roll-out"
+	PolicyRoundRobin   = "round robin"
+	PolicyLeastLoaded  = "least loaded on stale reports"
+	PolicyNoAffinity   = "without prefix affinity"
+	PolicyFIFO         = "first come, first served"
+	PolicyPerfectLoad  = "perfect knowledge of load"
+	PolicyOracle       = "oracle"
 )
 
 type (
@@ -21,12 +21,12 @@
 
 	// policy is one way to decide; all but the first differ from it in one thing.
 	policy struct {
-		name       string
-		cascade    cascadeKind
-		picker     pickerKind
-		firstCome  bool
-		clockSteps bool
-		neverBad   bool // does not take part in the roll-out
+		name         string
+		cascade      cascadeKind
+		picker       pickerKind
+		fifo         bool
+		timedRollout bool
+		skipsRollout bool // does not take part in the roll-out
 	}
 )
 
@@ -43,7 +43,7 @@
 	pickNoAffinity
 	pickRoundRobin
 	pickLeastLoaded
-	pickPerfect
+	pickPerfectLoad
 )
 
 var policies = []policy{
@@ -51,11 +51,11 @@
 	{name: PolicyStrong, cascade: cascadeStrong},
 	{name: PolicyCheap, cascade: cascadeCheap},
 	{name: PolicyFixed, cascade: cascadeFixed},
-	{name: PolicyClock, clockSteps: true},
+	{name: PolicyTimedRollout, timedRollout: true},
 	{name: PolicyRoundRobin, picker: pickRoundRobin},
 	{name: PolicyLeastLoaded, picker: pickLeastLoaded},
 	{name: PolicyNoAffinity, picker: pickNoAffinity},
-	{name: PolicyFirstCome, firstCome: true},
-	{name: PolicyPerfect, picker: pickPerfect},
-	{name: PolicyOracle, cascade: cascadeOracle, picker: pickPerfect, neverBad: true},
+	{name: PolicyFIFO, fifo: true},
+	{name: PolicyPerfectLoad, picker: pickPerfectLoad},
+	{name: PolicyOracle, cascade: cascadeOracle, picker: pickPerfectLoad, skipsRollout: true},
 }
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -12,27 +12,27 @@
 	for _, name := range []string{"prairie", "bitola"} {
 		for _, c := range []struct {
 			load string
-			how  BadKind
+			mode FailureMode
 			seed uint64
 		}{
-			{LoadLight, BadSlow, 1}, {LoadPeak, BadRatings, 1}, {LoadPeak, BadRatings, 2}, {LoadPeak, BadErrors, 2}, {LoadOverload, BadRatings, 1},
+			{LoadLight, FailureSlow, 1}, {LoadPeak, FailureRatings, 1}, {LoadPeak, FailureRatings, 2}, {LoadPeak, FailureErrors, 2}, {LoadOverload, FailureRatings, 1},
 		} {
-			trace, err := Generate(name, c.load, c.how, c.seed)
+			trace, err := Generate(name, c.load, c.mode, c.seed)
 			require.NoError(t, err)
 			report, err := Run(trace, c.seed)
 			require.NoError(t, err)
 			for _, missed := range report.Missed() {
-				t.Errorf("%s %s %s seed %d: %s", name, c.load, c.how, c.seed, missed)
+				t.Errorf("%s %s %s seed %d: %s", name, c.load, c.mode, c.seed, missed)
 			}
-			own, _ := report.Of(PolicyWillowwick)
-			require.GreaterOrEqual(t, own.WithdrawnMs, turnsBad.Milliseconds(), "%s %s %s seed %d", name, c.load, c.how, c.seed)
+			result, _ := report.Result(PolicyWillowwick)
+			require.GreaterOrEqual(t, result.WithdrawnMs, failureStart.Milliseconds(), "%s %s %s seed %d", name, c.load, c.mode, c.seed)
 		}
 	}
 }
 
 // TestSameSeedSameFigures: a replay can be repeated.
 func TestSameSeedSameFigures(t *testing.T) {
-	trace, err := Generate("bitola", LoadLight, BadErrors, 3)
+	trace, err := Generate("bitola", LoadLight, FailureErrors, 3)
 	require.NoError(t, err)
 	var file bytes.Buffer
 	require.NoError(t, trace.Write(&file))
--- a/replay/report.go
+++ b/replay/report.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	highestMs = 3_600_000
-	precision = 3
+	maxLatencyMs      = 3_600_000
+	significantDigits = 3
 )
 
 type (
@@ -25,12 +25,12 @@
 		inTime      int
 		exposure    int
 		cost        willowwick.MicroUnits
-		first       *hdrhistogram.Histogram
+		firstToken  *hdrhistogram.Histogram
 		withdrawnAt time.Duration
 	}
 
-	// Figures are a policy's results.
-	Figures struct {
+	// PolicyResult are a policy's results.
+	PolicyResult struct {
 		Name        string  `json:"name"`
 		Cost        float64 `json:"cost"`    // micro-units per answer
 		Quality     float64 `json:"quality"` // share of answers that are good
@@ -52,15 +52,15 @@
 
 	// Report is a whole replay.
 	Report struct {
-		Trace    string    `json:"trace"`
-		Requests int       `json:"requests"`
-		Policies []Figures `json:"policies"`
-		Outcomes []Checked `json:"outcomes"`
+		Trace    string         `json:"trace"`
+		Requests int            `json:"requests"`
+		Policies []PolicyResult `json:"policies"`
+		Outcomes []Checked      `json:"outcomes"`
 	}
 )
 
 func newTally() tally {
-	return tally{first: hdrhistogram.New(1, highestMs, precision)}
+	return tally{firstToken: hdrhistogram.New(1, maxLatencyMs, significantDigits)}
 }
 
 func (r *tally) add(t *task, first time.Duration, now time.Time, good bool) {
@@ -72,14 +72,14 @@
 	if !now.After(t.deadline) {
 		r.inTime++
 	}
-	_ = r.first.RecordValue(max(1, first.Milliseconds()))
+	_ = r.firstToken.RecordValue(max(1, first.Milliseconds()))
 }
 
-func (r *tally) figures(name string) Figures {
+func (r *tally) result(name string) PolicyResult {
 	answered := float64(max(r.answered, 1))
-	return Figures{
+	return PolicyResult{
 		Name: name, Cost: float64(r.cost) / answered, Quality: float64(r.good) / answered,
-		P50: float64(r.first.ValueAtQuantile(50)), P95: float64(r.first.ValueAtQuantile(95)), P99: float64(r.first.ValueAtQuantile(99)),
+		P50: float64(r.firstToken.ValueAtQuantile(50)), P95: float64(r.firstToken.ValueAtQuantile(95)), P99: float64(r.firstToken.ValueAtQuantile(99)),
 		Goodput: float64(r.inTime) / float64(max(r.requests, 1)), Exposure: r.exposure, Refused: r.refused,
 		WithdrawnMs: r.withdrawnAt.Milliseconds(),
 	}
@@ -90,7 +90,7 @@
 	if len(trace.Requests) == 0 {
 		return nil, errors.New("the trace has no requests")
 	}
-	report := &Report{Trace: trace.Name, Requests: len(trace.Requests), Policies: make([]Figures, len(policies))}
+	report := &Report{Trace: trace.Name, Requests: len(trace.Requests), Policies: make([]PolicyResult, len(policies))}
 	failures := make([]error, len(policies))
 	var running sync.WaitGroup
 	for i, p := range policies {
@@ -98,7 +98,7 @@
 			result, err := simulate(trace, p, seed)
 			failures[i] = err
 			if err == nil {
-				report.Policies[i] = result.figures(p.name)
+				report.Policies[i] = result.result(p.name)
 			}
 		})
 	}
@@ -118,29 +118,29 @@
 	return report, nil
 }
 
-// Of returns the figures of a policy.
-func (r *Report) Of(name string) (Figures, bool) {
+// Result returns the figures of a policy.
+func (r *Report) Result(name string) (PolicyResult, bool) {
 	for _, f := range r.Policies {
 		if f.Name == name {
 			return f, true
 		}
 	}
-	return Figures{}, false
+	return PolicyResult{}, false
 }
 
 func (r *Report) check(o Outcome) (Checked, error) {
-	own, _ := r.Of(PolicyWillowwick)
-	value, err := own.figure(o.Figure)
+	result, _ := r.Result(PolicyWillowwick)
+	value, err := result.metric(o.Metric)
 	if err != nil {
 		return Checked{}, err
 	}
 	against := 1.0
 	if o.Against != "" {
-		baseline, ok := r.Of(o.Against)
+		baseline, ok := r.Result(o.Against)
 		if !ok {
 			return Checked{}, errors.Errorf("outcome: no policy is called %q", o.Against)
 		}
-		if against, err = baseline.figure(o.Figure); err != nil {
+		if against, err = baseline.metric(o.Metric); err != nil {
 			return Checked{}, err
 		}
 	}
@@ -159,7 +159,7 @@
 	return c, nil
 }
 
-func (f Figures) figure(name string) (float64, error) {
+func (f PolicyResult) metric(name string) (float64, error) {
 	switch name {
 	case "cost":
 		return f.Cost, nil
@@ -201,5 +201,5 @@
 	if !c.Met {
 		verdict = "MISSED"
 	}
-	return fmt.Sprintf("%s against %s: %.3f, stated %s: %s", c.Figure, against, c.Measured, bound, verdict)
+	return fmt.Sprintf("%s against %s: %.3f, stated %s: %s", c.Metric, against, c.Measured, bound, verdict)
 }
--- a/replay/runner.go
+++ b/replay/runner.go
@@ -7,33 +7,33 @@
 )
 
 const (
-	cachedShare   = 0.2 // of the prefill that is left when the prefix is cached
-	cacheSize     = 12  // prefixes that a runner keeps
-	batchSlowdown = 0.6 // how much slower a token is in a full batch
+	cachedPrefillShare = 0.2 // of the prefill that is left when the prefix is cached
+	maxCachedPrefixes  = 12  // prefixes that a runner keeps
+	fullBatchSlowdown  = 0.6 // how much slower a token is in a full batch
 )
 
 type (
 	// runner is a fake of a batching runner: one prefill at a time, slots for
 	// decoding, a bounded cache of prompt prefixes, and its own queue.
 	runner struct {
-		id          willowwick.EndpointID
-		hall        willowwick.HallID
-		slots       int
-		running     int
-		waiting     []*job
-		prefillFree time.Time
-		cache       []uint64 // newest last
+		id            willowwick.EndpointID
+		hall          willowwick.HallID
+		slots         int
+		running       int
+		waiting       []*job
+		prefillFreeAt time.Time
+		prefixCache   []uint64 // newest last
 	}
 
 	// job is one call to a runner.
 	job struct {
-		version Version
-		prompt  willowwick.Tokens
-		output  willowwick.Tokens
-		prefix  uint64
-		slow    float64
-		fails   bool
-		started func(now, first, end time.Time)
+		version  Version
+		prompt   willowwick.Tokens
+		output   willowwick.Tokens
+		prefix   uint64
+		slowdown float64
+		fails    bool
+		onStart  func(now, first, end time.Time)
 	}
 )
 
@@ -60,33 +60,33 @@
 	r.running++
 	prefill := float64(j.prompt) / j.version.PrefillPerSec
 	if r.touch(j.prefix) {
-		prefill *= cachedShare
+		prefill *= cachedPrefillShare
 	}
 	begins := now
-	if r.prefillFree.After(begins) {
-		begins = r.prefillFree
+	if r.prefillFreeAt.After(begins) {
+		begins = r.prefillFreeAt
 	}
-	first := begins.Add(seconds(prefill * j.slow))
-	r.prefillFree = first
-	perToken := j.version.PerTokenMs / 1000 * (1 + batchSlowdown*float64(r.running)/float64(r.slots))
-	end := first.Add(seconds(perToken * float64(j.output) * j.slow))
+	first := begins.Add(seconds(prefill * j.slowdown))
+	r.prefillFreeAt = first
+	perToken := j.version.PerTokenMs / 1000 * (1 + fullBatchSlowdown*float64(r.running)/float64(r.slots))
+	end := first.Add(seconds(perToken * float64(j.output) * j.slowdown))
 	if j.fails {
 		end = first
 	}
-	j.started(now, first, end)
+	j.onStart(now, first, end)
 }
 
 // touch notes the use of a prefix and reports whether it was cached.
 func (r *runner) touch(prefix uint64) bool {
-	for i, cached := range r.cache {
+	for i, cached := range r.prefixCache {
 		if cached == prefix {
-			r.cache = append(append(r.cache[:i:i], r.cache[i+1:]...), prefix)
+			r.prefixCache = append(append(r.prefixCache[:i:i], r.prefixCache[i+1:]...), prefix)
 			return true
 		}
 	}
-	r.cache = append(r.cache, prefix)
-	if len(r.cache) > cacheSize {
-		r.cache = r.cache[1:]
+	r.prefixCache = append(r.prefixCache, prefix)
+	if len(r.prefixCache) > maxCachedPrefixes {
+		r.prefixCache = r.prefixCache[1:]
 	}
 	return false
 }
--- a/replay/setup.go
+++ b/replay/setup.go
@@ -8,8 +8,8 @@
 	"github.com/willowwick/willowwick/route"
 )
 
-// declare makes the revision that the real choice of versions works on.
-func (s *simulation) declare() error {
+// declareObjects makes the revision that the real choice of versions works on.
+func (s *simulation) declareObjects() error {
 	t := s.trace
 	change := &config.Change{ID: "replay"}
 	for _, object := range []struct {
@@ -55,12 +55,12 @@
 	return nil
 }
 
-func (s *simulation) build(seed uint64) {
+func (s *simulation) buildFleet(seed uint64) {
 	var endpoints []willowwick.Endpoint
 	for i := range s.trace.Runners {
-		r := &runner{id: willowwick.EndpointID(fmt.Sprintf("runner%02d", i)), hall: s.hall(i), slots: s.trace.Slots}
+		r := &runner{id: willowwick.EndpointID(fmt.Sprintf("runner%02d", i)), hall: s.hallOf(i), slots: s.trace.Slots}
 		s.runners[r.id] = r
-		s.order = append(s.order, r)
+		s.runnerList = append(s.runnerList, r)
 		endpoints = append(endpoints, willowwick.Endpoint{
 			ID: r.id, Hall: r.hall, Versions: []willowwick.VersionID{s.trace.Cheap.ID, s.trace.New.ID, s.trace.Strong.ID},
 		})
@@ -69,15 +69,15 @@
 		r := &router{
 			pool:   route.NewPool(s.newPicker(i, seed)),
 			queues: map[willowwick.VersionID]*route.Queue{}, fifo: map[willowwick.VersionID][]*task{},
-			taken: map[willowwick.VersionID]int{},
+			inFlight: map[willowwick.VersionID]int{},
 		}
 		r.pool.Update(endpoints)
 		s.routers = append(s.routers, r)
 	}
-	s.report()
+	s.reportLoads()
 }
 
-func (s *simulation) hall(i int) willowwick.HallID {
+func (s *simulation) hallOf(i int) willowwick.HallID {
 	return willowwick.HallID(fmt.Sprintf("hall%d", i%s.trace.Halls))
 }
 
@@ -85,11 +85,11 @@
 	switch s.policy.picker {
 	case pickRoundRobin:
 		return &route.RoundRobin{}
-	case pickLeastLoaded, pickPerfect:
+	case pickLeastLoaded, pickPerfectLoad:
 		return route.LeastLoaded{}
 	case pickNoAffinity:
-		return route.NewPowerOfTwo(s.hall(box), false, seed+uint64(box))
+		return route.NewPowerOfTwo(s.hallOf(box), false, seed+uint64(box))
 	default:
-		return route.NewPowerOfTwo(s.hall(box), true, seed+uint64(box))
+		return route.NewPowerOfTwo(s.hallOf(box), true, seed+uint64(box))
 	}
 }
--- a/replay/simulate.go
+++ b/replay/simulate.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	reportEvery  = 500 * time.Millisecond
-	reportLag    = 300 * time.Millisecond
-	raterDelay   = 150 * time.Millisecond
-	raterNoise   = 0.03 // share of ratings that are wrong
-	evidenceTick = time.Second
-	sampledLot   = 0.5 // share of trusted answers that are rated
-	badQuality   = 0.1
-	badErrors    = 0.5
-	badSlowness  = 8
-	slowFirst    = 1800 * time.Millisecond
-	slowBetween  = 39 * time.Millisecond
-	clockStep    = 60 * time.Second
-	humanNotices = 120 * time.Second // after which an operator withdraws a bad version by hand
-	minRequests  = 60
-	maxTries     = 2
+	loadReportInterval    = 500 * time.Millisecond
+	loadReportDelay       = 300 * time.Millisecond
+	raterDelay            = 150 * time.Millisecond
+	wrongRatingShare      = 0.03 // share of ratings that are wrong
+	evidenceInterval      = time.Second
+	sampledShare          = 0.5 // share of trusted answers that are rated
+	failureQuality        = 0.1
+	failureErrorRate      = 0.5
+	failureSlowdown       = 8
+	slowFirstToken        = 1800 * time.Millisecond
+	slowTokenGap          = 39 * time.Millisecond
+	timedStepInterval     = 60 * time.Second
+	manualWithdrawalDelay = 120 * time.Second // after which an operator withdraws a bad version by hand
+	minRequests           = 60
+	maxAttempts           = 2
 )
 
 var (
@@ -36,45 +36,45 @@
 type (
 	// simulation is one policy on one trace.
 	simulation struct {
-		policy   policy
-		trace    *Trace
-		now      time.Time
-		queue    eventQueue
-		sequence int
-		runners  map[willowwick.EndpointID]*runner
-		order    []*runner
-		routers  []*router
-		learner  *route.Learner
-		revision *config.Revision
-		monitor  *rollout.Monitor
-		fresh    map[willowwick.VersionID]rollout.Evidence
-		step     int
-		stepAt   time.Time
-		gone     bool // the new version is withdrawn
-		result   tally
+		policy          policy
+		trace           *Trace
+		now             time.Time
+		queue           eventQueue
+		lastSequence    int
+		runners         map[willowwick.EndpointID]*runner
+		runnerList      []*runner
+		routers         []*router
+		learner         *route.Learner
+		revision        *config.Revision
+		monitor         *rollout.Monitor
+		pendingEvidence map[willowwick.VersionID]rollout.Evidence
+		step            int
+		stepStarted     time.Time
+		withdrawn       bool // the new version is withdrawn
+		result          tally
 	}
 
 	// router is one box's view: its own pool, queue and places.
 	router struct {
-		pool   *route.Pool
-		queues map[willowwick.VersionID]*route.Queue
-		fifo   map[willowwick.VersionID][]*task
-		taken  map[willowwick.VersionID]int
+		pool     *route.Pool
+		queues   map[willowwick.VersionID]*route.Queue
+		fifo     map[willowwick.VersionID][]*task
+		inFlight map[willowwick.VersionID]int
 	}
 
 	// task is one request on its way.
 	task struct {
 		Request
-		router   *router
-		arrived  time.Time
-		deadline time.Time
-		subject  route.Subject
-		version  Version
-		judged   bool
-		tries    int
-		cost     willowwick.MicroUnits
-		place    *route.Slot
-		started  time.Time
+		router      *router
+		arrivedAt   time.Time
+		deadline    time.Time
+		subject     route.Subject
+		version     Version
+		needsRating bool
+		attempts    int
+		cost        willowwick.MicroUnits
+		slot        *route.Slot
+		sentAt      time.Time
 	}
 
 	event struct {
@@ -114,29 +114,29 @@
 	return last
 }
 
-func (s *simulation) at(when time.Time, run func()) {
-	s.sequence++
-	heap.Push(&s.queue, event{at: when, sequence: s.sequence, run: run})
+func (s *simulation) schedule(when time.Time, run func()) {
+	s.lastSequence++
+	heap.Push(&s.queue, event{at: when, sequence: s.lastSequence, run: run})
 }
 
 // simulate plays a trace under a policy.
 func simulate(trace *Trace, p policy, seed uint64) (tally, error) {
 	s := &simulation{
 		policy: p, trace: trace, now: epoch, runners: map[willowwick.EndpointID]*runner{},
-		learner: route.NewLearner(), monitor: rollout.NewMonitor(trace.New.ID), fresh: map[willowwick.VersionID]rollout.Evidence{},
+		learner: route.NewLearner(), monitor: rollout.NewMonitor(trace.New.ID), pendingEvidence: map[willowwick.VersionID]rollout.Evidence{},
 		result: newTally(),
 	}
-	if err := s.declare(); err != nil {
+	if err := s.declareObjects(); err != nil {
 		return tally{}, err
 	}
-	s.build(seed)
+	s.buildFleet(seed)
 	for i := range trace.Requests {
 		request := trace.Requests[i]
-		s.at(epoch.Add(time.Duration(request.AtMs)*time.Millisecond), func() { s.arrive(i, request) })
+		s.schedule(epoch.Add(time.Duration(request.AtMs)*time.Millisecond), func() { s.arrive(i, request) })
 	}
 	end := epoch.Add(time.Duration(trace.Requests[len(trace.Requests)-1].AtMs) * time.Millisecond)
-	s.every(reportEvery, end, s.report)
-	s.every(evidenceTick, end, s.look)
+	s.scheduleEvery(loadReportInterval, end, s.reportLoads)
+	s.scheduleEvery(evidenceInterval, end, s.evaluateRollout)
 	for s.queue.Len() > 0 {
 		next, ok := heap.Pop(&s.queue).(event)
 		if !ok {
@@ -148,17 +148,17 @@
 	return s.result, nil
 }
 
-func (s *simulation) every(period time.Duration, end time.Time, run func()) {
+func (s *simulation) scheduleEvery(period time.Duration, end time.Time, run func()) {
 	for when := epoch.Add(period); when.Before(end); when = when.Add(period) {
-		s.at(when, run)
+		s.schedule(when, run)
 	}
 }
 
-// report tells every box what the runners were like a little while ago.
-func (s *simulation) report() {
-	for _, r := range s.order {
+// reportLoads tells every box what the runners were like a little while ago.
+func (s *simulation) reportLoads() {
+	for _, r := range s.runnerList {
 		load := r.load(s.now)
-		s.at(s.now.Add(reportLag), func() {
+		s.schedule(s.now.Add(loadReportDelay), func() {
 			for _, box := range s.routers {
 				box.pool.Report(load)
 			}
@@ -169,18 +169,18 @@
 // arrive takes a request in at one of the boxes.
 func (s *simulation) arrive(i int, request Request) {
 	t := &task{
-		Request: request, router: s.routers[i%len(s.routers)], arrived: s.now,
+		Request: request, router: s.routers[i%len(s.routers)], arrivedAt: s.now,
 		deadline: s.now.Add(time.Duration(request.DeadlineMs) * time.Millisecond),
 	}
 	s.result.requests++
-	s.begin(t, s.firstVersion(t))
+	s.dispatchOrQueue(t, s.firstVersion(t))
 }
 
 // firstVersion decides which version is asked first, and whether its answer is judged.
 func (s *simulation) firstVersion(t *task) Version {
 	cheap := s.cheapVersion(t)
 	t.subject = route.Subject{Account: t.Account, Class: t.Class, Version: cheap.ID}
-	t.judged = false
+	t.needsRating = false
 	switch s.policy.cascade {
 	case cascadeStrong:
 		return s.trace.Strong
@@ -192,7 +192,7 @@
 		}
 		return s.trace.Strong
 	case cascadeFixed:
-		t.judged = true
+		t.needsRating = true
 		return cheap
 	}
 	strong := s.trace.Strong
@@ -204,13 +204,13 @@
 	if verdict == route.SkipStage {
 		return strong
 	}
-	t.judged = verdict == route.TryStage
+	t.needsRating = verdict == route.TryStage
 	return cheap
 }
 
 // cheapVersion is the version of the cheap model that the roll-out gives to the session.
 func (s *simulation) cheapVersion(t *task) Version {
-	if s.policy.neverBad || s.since(s.trace.Rollout.StartMs) < 0 {
+	if s.policy.skipsRollout || s.since(s.trace.Rollout.StartMs) < 0 {
 		return s.trace.Cheap
 	}
 	version, refusal := route.ChooseVersion(s.revision, route.VersionQuery{
@@ -226,20 +226,20 @@
 	return s.now.Sub(epoch.Add(time.Duration(ms) * time.Millisecond))
 }
 
-// isBad reports whether the new version has turned bad in the given way.
-func (s *simulation) isBad(version willowwick.VersionID, how BadKind) bool {
+// hasFailure reports whether the new version has turned bad in the given way.
+func (s *simulation) hasFailure(version willowwick.VersionID, mode FailureMode) bool {
 	r := s.trace.Rollout
-	return version == s.trace.New.ID && r.How == how && s.since(r.BadMs) >= 0
+	return version == s.trace.New.ID && r.Failure == mode && s.since(r.FailureStartMs) >= 0
 }
 
-// begin asks a version: at once, or when the request's turn comes.
-func (s *simulation) begin(t *task, version Version) {
+// dispatchOrQueue asks a version: at once, or when the request's turn comes.
+func (s *simulation) dispatchOrQueue(t *task, version Version) {
 	t.version = version
 	q := t.router.queueOf(version.ID)
 	if q.Len() == 0 && len(t.router.fifo[version.ID]) == 0 && s.dispatch(t) {
 		return
 	}
-	if s.policy.firstCome {
+	if s.policy.fifo {
 		t.router.fifo[version.ID] = append(t.router.fifo[version.ID], t)
 		return
 	}
@@ -260,37 +260,37 @@
 
 // dispatch sends a request to a runner if there is a place.
 func (s *simulation) dispatch(t *task) bool {
-	if s.policy.picker == pickPerfect {
-		for _, r := range s.order {
+	if s.policy.picker == pickPerfectLoad {
+		for _, r := range s.runnerList {
 			t.router.pool.Report(r.load(s.now))
 		}
 	}
-	place, _ := t.router.pool.AcquireVersion(s.now, t.version.ID, t.Prefix, nil)
-	if place == nil {
+	slot, _ := t.router.pool.AcquireVersion(s.now, t.version.ID, t.Prefix, nil)
+	if slot == nil {
 		return false
 	}
-	t.place, t.started = place, s.now
-	t.router.taken[t.version.ID]++
-	t.router.queueOf(t.version.ID).SetInFlight(t.router.taken[t.version.ID])
-	r := s.runners[place.Endpoint.ID]
-	bad := t.version.ID == s.trace.New.ID && s.trace.Rollout.How != "" && s.since(s.trace.Rollout.BadMs) >= 0
+	t.slot, t.sentAt = slot, s.now
+	t.router.inFlight[t.version.ID]++
+	t.router.queueOf(t.version.ID).SetInFlight(t.router.inFlight[t.version.ID])
+	r := s.runners[slot.Endpoint.ID]
+	bad := t.version.ID == s.trace.New.ID && s.trace.Rollout.Failure != "" && s.since(s.trace.Rollout.FailureStartMs) >= 0
 	if bad {
 		s.result.exposure++
 	}
-	j := &job{version: t.version, prompt: t.Prompt, output: t.Output, prefix: t.Prefix, slow: 1}
-	if s.isBad(t.version.ID, BadSlow) {
-		j.slow = badSlowness
+	j := &job{version: t.version, prompt: t.Prompt, output: t.Output, prefix: t.Prefix, slowdown: 1}
+	if s.hasFailure(t.version.ID, FailureSlow) {
+		j.slowdown = failureSlowdown
 	}
-	j.fails = s.isBad(t.version.ID, BadErrors) && t.Lot < badErrors
-	j.started = func(_, first, end time.Time) {
-		s.at(end, func() { s.ended(t, r, first, j.fails) })
+	j.fails = s.hasFailure(t.version.ID, FailureErrors) && t.Draw < failureErrorRate
+	j.onStart = func(_, first, end time.Time) {
+		s.schedule(end, func() { s.finishJob(t, r, first, j.fails) })
 	}
 	r.submit(s.now, j)
 	return true
 }
 
-// ended frees the place and goes on with the answer.
-func (s *simulation) ended(t *task, r *runner, first time.Time, failed bool) {
+// finishJob frees the place and goes on with the answer.
+func (s *simulation) finishJob(t *task, r *runner, first time.Time, failed bool) {
 	r.finish(s.now)
 	slow := s.isSlow(t, first)
 	outcome := route.OutcomeGood
@@ -299,48 +299,48 @@
 	} else if slow {
 		outcome = route.OutcomeSlow
 	}
-	t.place.Release(s.now, outcome)
+	t.slot.Release(s.now, outcome)
 	box, version := t.router, t.version.ID
-	box.taken[version]--
+	box.inFlight[version]--
 	q := box.queueOf(version)
-	q.SetInFlight(box.taken[version])
+	q.SetInFlight(box.inFlight[version])
 	if !failed {
-		q.RecordServed(t.Prompt+t.Output, s.now.Sub(t.started))
+		q.RecordServed(t.Prompt+t.Output, s.now.Sub(t.sentAt))
 	}
-	s.next(box)
+	s.dispatchWaiting(box)
 	seen := rollout.Evidence{Requests: 1}
 	if failed {
 		seen.Errors = 1
 	} else if slow {
 		seen.Slow = 1
 	}
-	s.fresh[version] = s.fresh[version].Add(seen)
+	s.pendingEvidence[version] = s.pendingEvidence[version].Add(seen)
 	if failed {
 		s.retry(t)
 		return
 	}
 	t.cost += t.version.Price.Cost(t.Prompt, t.Output)
-	s.learner.RecordDuration(route.Subject{Account: t.Account, Class: t.Class, Version: version}, s.now.Sub(t.started))
-	s.answered(t, first)
+	s.learner.RecordDuration(route.Subject{Account: t.Account, Class: t.Class, Version: version}, s.now.Sub(t.sentAt))
+	s.handleAnswer(t, first)
 }
 
 func (s *simulation) isSlow(t *task, first time.Time) bool {
-	return first.Sub(t.started) > slowFirst || s.now.Sub(first) > time.Duration(t.Output)*slowBetween
+	return first.Sub(t.sentAt) > slowFirstToken || s.now.Sub(first) > time.Duration(t.Output)*slowTokenGap
 }
 
 // retry asks again, then goes to the strong model.
 func (s *simulation) retry(t *task) {
-	t.tries++
-	if t.tries >= maxTries {
-		t.judged = false
-		s.begin(t, s.trace.Strong)
+	t.attempts++
+	if t.attempts >= maxAttempts {
+		t.needsRating = false
+		s.dispatchOrQueue(t, s.trace.Strong)
 		return
 	}
-	s.begin(t, t.version)
+	s.dispatchOrQueue(t, t.version)
 }
 
-// next gives free places to the waiting.
-func (s *simulation) next(box *router) {
+// dispatchWaiting gives free places to the waiting.
+func (s *simulation) dispatchWaiting(box *router) {
 	for version, waiting := range box.fifo {
 		for len(waiting) > 0 && s.dispatch(waiting[0]) {
 			waiting = waiting[1:]
@@ -364,31 +364,31 @@
 	}
 }
 
-// answered judges the answer if need be, and gives it to the caller or asks the strong model.
-func (s *simulation) answered(t *task, first time.Time) {
+// handleAnswer judges the answer if need be, and gives it to the caller or asks the strong model.
+func (s *simulation) handleAnswer(t *task, first time.Time) {
 	good := s.isGood(t)
-	rated := good != (t.Lot < raterNoise)
-	if !t.judged {
-		if t.Lot < sampledLot {
+	rated := good != (t.Draw < wrongRatingShare)
+	if !t.needsRating {
+		if t.Draw < sampledShare {
 			t.subject.Version = t.version.ID
-			s.rated(t, rated)
+			s.recordRating(t, rated)
 		}
 		if expected, known := s.learner.ExpectedPassRate(route.Subject{Account: t.Account, Class: t.Class, Version: t.version.ID}); known {
 			s.learner.RecordQuality(t.Account, expected)
 		}
-		s.result.add(t, first.Sub(t.arrived), s.now, good)
+		s.result.add(t, first.Sub(t.arrivedAt), s.now, good)
 		return
 	}
-	s.at(s.now.Add(raterDelay), func() {
-		s.rated(t, rated)
+	s.schedule(s.now.Add(raterDelay), func() {
+		s.recordRating(t, rated)
 		if rated {
 			s.learner.RecordQuality(t.Account, 1)
 			// A judged answer is let go all at once.
-			s.result.add(t, s.now.Sub(t.arrived), s.now, good)
+			s.result.add(t, s.now.Sub(t.arrivedAt), s.now, good)
 			return
 		}
-		t.judged = false
-		s.begin(t, s.trace.Strong)
+		t.needsRating = false
+		s.dispatchOrQueue(t, s.trace.Strong)
 	})
 }
 
@@ -397,23 +397,23 @@
 	switch {
 	case t.version.ID == s.trace.Strong.ID:
 		return t.StrongGood
-	case s.isBad(t.version.ID, BadRatings):
-		return t.CheapGood && t.Lot < badQuality
+	case s.hasFailure(t.version.ID, FailureRatings):
+		return t.CheapGood && t.Draw < failureQuality
 	default:
 		return t.CheapGood
 	}
 }
 
-// rated takes a rating: the learner wants all, the evidence on versions only a
+// recordRating takes a rating: the learner wants all, the evidence on versions only a
 // sample that does not depend on why the answer was rated.
-func (s *simulation) rated(t *task, passed bool) {
+func (s *simulation) recordRating(t *task, passed bool) {
 	s.learner.Rated(t.subject, passed)
-	if t.Lot >= sampledLot {
+	if t.Draw >= sampledShare {
 		return
 	}
 	seen := rollout.Evidence{Rated: 1}
 	if !passed {
 		seen.Low = 1
 	}
-	s.fresh[t.subject.Version] = s.fresh[t.subject.Version].Add(seen)
+	s.pendingEvidence[t.subject.Version] = s.pendingEvidence[t.subject.Version].Add(seen)
 }
--- a/replay/trace.go
+++ b/replay/trace.go
@@ -45,13 +45,13 @@
 
 	// Rollout says when the new version starts and how it turns bad, if it does.
 	Rollout struct {
-		StartMs int64   `json:"startMs"`
-		BadMs   int64   `json:"badMs,omitempty"` // 0 for a version that stays good
-		How     BadKind `json:"how,omitempty"`
+		StartMs        int64       `json:"startMs"`
+		FailureStartMs int64       `json:"badMs,omitempty"` // 0 for a version that stays good
+		Failure        FailureMode `json:"how,omitempty"`
 	}
 
-	// BadKind is a way in which a version turns bad.
-	BadKind string
+	// FailureMode is a way in which a version turns bad.
+	FailureMode string
 
 	// Request is one line of a trace file.
 	Request struct {
@@ -65,12 +65,12 @@
 		DeadlineMs int64                `json:"deadlineMs"` // from its arrival
 		CheapGood  bool                 `json:"cheapGood"`  // the cheap model would answer well
 		StrongGood bool                 `json:"strongGood"`
-		Lot        float64              `json:"lot"` // decides what chance decides, the same for every policy
+		Draw       float64              `json:"lot"` // decides what chance decides, the same for every policy
 	}
 
 	// Outcome is a stated outcome: a figure of willowwick against a bound.
 	Outcome struct {
-		Figure  string  `json:"figure"`
+		Metric  string  `json:"figure"`
 		Against string  `json:"against,omitempty"` // a baseline; empty compares with 1
 		AtMost  float64 `json:"atMost,omitempty"`  // ratio
 		AtLeast float64 `json:"atLeast,omitempty"` // ratio
@@ -89,9 +89,9 @@
 
 // Ways to turn bad.
 const (
-	BadErrors  BadKind = "errors"
-	BadSlow    BadKind = "slow"
-	BadRatings BadKind = "ratings"
+	FailureErrors  FailureMode = "errors"
+	FailureSlow    FailureMode = "slow"
+	FailureRatings FailureMode = "ratings"
 )
 
 // Loads of the generated traces, as shares of what the runners can do.
@@ -102,40 +102,40 @@
 )
 
 const (
-	traceLength = 300 * time.Second
-	rollStart   = 30 * time.Second
-	turnsBad    = 150 * time.Second
-	strongGood  = 0.97
-	largeShare  = 0.3 // of requests that come from the two large accounts, each
+	traceDuration     = 300 * time.Second
+	rolloutStart      = 30 * time.Second
+	failureStart      = 150 * time.Second
+	strongQuality     = 0.97
+	largeAccountShare = 0.3 // of requests that come from the two large accounts, each
 )
 
 var loadFactors = map[string]float64{LoadLight: 0.3, LoadPeak: 0.9, LoadOverload: 1.5}
 
 // Generate makes one of the two traces; the same arguments make the same trace.
-func Generate(name, load string, how BadKind, seed uint64) (*Trace, error) {
+func Generate(name, load string, mode FailureMode, seed uint64) (*Trace, error) {
 	factor, ok := loadFactors[load]
 	if !ok {
 		return nil, errors.Errorf("no load is called %q; there are light, peak and overload", load)
 	}
-	header, shapes, capacity, err := setting(name)
+	header, shapes, capacity, err := traceSetting(name)
 	if err != nil {
 		return nil, err
 	}
-	header.Rollout = Rollout{StartMs: rollStart.Milliseconds()}
-	if how != "" {
-		header.Rollout.BadMs, header.Rollout.How = turnsBad.Milliseconds(), how
+	header.Rollout = Rollout{StartMs: rolloutStart.Milliseconds()}
+	if mode != "" {
+		header.Rollout.FailureStartMs, header.Rollout.Failure = failureStart.Milliseconds(), mode
 	}
-	header.Outcomes = statedOutcomes(load, how)
+	header.Outcomes = expectedOutcomes(load, mode)
 	random := rand.New(rand.NewPCG(seed, uint64(len(name))))
 	trace := &Trace{Header: header}
-	for at := 0.0; at < traceLength.Seconds(); at += random.ExpFloat64() / (capacity * factor) {
+	for at := 0.0; at < traceDuration.Seconds(); at += random.ExpFloat64() / (capacity * factor) {
 		trace.Requests = append(trace.Requests, newRequest(random, shapes, at))
 	}
 	return trace, nil
 }
 
-// setting returns a user's shape; capacity is the requests a second that its runners serve at most with the cascade.
-func setting(name string) (Header, []classShape, float64, error) {
+// traceSetting returns a user's shape; capacity is the requests a second that its runners serve at most with the cascade.
+func traceSetting(name string) (Header, []classShape, float64, error) {
 	h := Header{
 		Name: name, Halls: 3, Slots: 16, Quality: 0.9,
 		Cheap:  Version{ID: "small-1", Model: "small", Price: willowwick.Price{Prompt: 20, Output: 60}, PrefillPerSec: 12000, PerTokenMs: 7},
@@ -170,48 +170,48 @@
 
 func newRequest(random *rand.Rand, shapes []classShape, at float64) Request {
 	shape := shapes[len(shapes)-1]
-	lot := random.Float64()
+	draw := random.Float64()
 	for _, candidate := range shapes {
-		if lot < candidate.share {
+		if draw < candidate.share {
 			shape = candidate
 			break
 		}
-		lot -= candidate.share
+		draw -= candidate.share
 	}
 	account := fmt.Sprintf("small-%d", random.IntN(8))
-	if who := random.Float64(); who < 2*largeShare {
-		account = fmt.Sprintf("large-%d", int(who/largeShare))
+	if draw := random.Float64(); draw < 2*largeAccountShare {
+		account = fmt.Sprintf("large-%d", int(draw/largeAccountShare))
 	}
 	spread := 0.5 + random.Float64()
 	return Request{
 		AtMs: int64(at * 1000), Account: willowwick.AccountID(account), Class: shape.class,
 		Prompt: willowwick.Tokens(float64(shape.prompt) * spread), Output: willowwick.Tokens(float64(shape.output) * spread),
 		Prefix: 1 + uint64(random.IntN(60)), Session: fmt.Sprintf("s%d", random.IntN(4000)), DeadlineMs: shape.deadlineMs,
-		CheapGood: random.Float64() < shape.cheapGood, StrongGood: random.Float64() < strongGood, Lot: random.Float64(),
+		CheapGood: random.Float64() < shape.cheapGood, StrongGood: random.Float64() < strongQuality, Draw: random.Float64(),
 	}
 }
 
-// statedOutcomes are what a trace must show.
-func statedOutcomes(load string, how BadKind) []Outcome {
+// expectedOutcomes are what a trace must show.
+func expectedOutcomes(load string, mode FailureMode) []Outcome {
 	outcomes := []Outcome{
-		{Figure: "cost", Against: PolicyOracle, AtMost: 1.10},
-		{Figure: "cost", Against: PolicyStrong, AtMost: 0.60},
-		{Figure: "quality", AtLeast: 0.90},
-	}
-	switch how {
-	case BadErrors, BadRatings:
-		outcomes = append(outcomes, Outcome{Figure: "exposure", Against: PolicyClock, AtMost: 0.10})
-	case BadSlow:
+		{Metric: "cost", Against: PolicyOracle, AtMost: 1.10},
+		{Metric: "cost", Against: PolicyStrong, AtMost: 0.60},
+		{Metric: "quality", AtLeast: 0.90},
+	}
+	switch mode {
+	case FailureErrors, FailureRatings:
+		outcomes = append(outcomes, Outcome{Metric: "exposure", Against: PolicyTimedRollout, AtMost: 0.10})
+	case FailureSlow:
 		// Slow answers fill their places and so limit themselves what the baseline sends.
-		outcomes = append(outcomes, Outcome{Figure: "exposure", Against: PolicyClock, AtMost: 1})
+		outcomes = append(outcomes, Outcome{Metric: "exposure", Against: PolicyTimedRollout, AtMost: 1})
 	}
 	switch load {
 	case LoadPeak:
 		outcomes = append(outcomes,
-			Outcome{Figure: "p99", Against: PolicyRoundRobin, AtMost: 1.05},
-			Outcome{Figure: "p99", Against: PolicyPerfect, AtMost: 1.2})
+			Outcome{Metric: "p99", Against: PolicyRoundRobin, AtMost: 1.05},
+			Outcome{Metric: "p99", Against: PolicyPerfectLoad, AtMost: 1.2})
 	case LoadOverload:
-		outcomes = append(outcomes, Outcome{Figure: "goodput", Against: PolicyFirstCome, AtLeast: 1})
+		outcomes = append(outcomes, Outcome{Metric: "goodput", Against: PolicyFIFO, AtLeast: 1})
 	}
 	return outcomes
 }
