--- a/cmd/willowctl/declare.go
+++ b/cmd/willowctl/declare.go
@@ -31,7 +31,7 @@
 )
 
 type (
-	// publishOptions is what commands that write to the log need.
+	// publishOptions holds the flags of the commands that append to the log.
 	publishOptions struct {
 		platform string
 		author   string
@@ -39,7 +39,7 @@
 		wait     time.Duration
 	}
 
-	// publishResult is the outcome of a record.
+	// publishResult says whether the fold accepted a record, and which boxes do not have it in force yet.
 	publishResult struct {
 		ID         willowwick.ChangeID `json:"id,omitempty"`
 		Offset     willowwick.Offset   `json:"offset"`
@@ -56,8 +56,8 @@
 	if current, err := user.Current(); err == nil {
 		name = current.Username
 	}
-	set.StringVar(&p.author, "author", name, "who makes the change")
-	set.StringVar(&p.reason, "reason", "", "why; it goes into the audit trail")
+	set.StringVar(&p.author, "author", name, "author of the change")
+	set.StringVar(&p.reason, "reason", "", "reason for the change, for the audit trail")
 	set.DurationVar(&p.wait, "wait", defaultInForceWait, "how long to wait until the change is in force on every box")
 }
 
@@ -77,7 +77,7 @@
 	})
 }
 
-// readFolder reads declarations; their problems are printed and end the command.
+// readFolder reads the declarations in a folder; it prints their problems and returns an error if there are any.
 func (t *tool) readFolder(args []string) (*config.Folder, error) {
 	name, err := oneArgument(args, "folder of declarations")
 	if err != nil {
@@ -106,7 +106,7 @@
 	var prune bool
 	flags := func(set *flag.FlagSet) {
 		registerPlatformFlag(set, &platformURL)
-		set.BoolVar(&prune, "prune", false, "also show objects that the folder no longer has")
+		set.BoolVar(&prune, "prune", false, "also show objects to delete because the folder no longer has them")
 	}
 	return t.command("diff", "FOLDER", "show what apply would change", flags, func(ctx context.Context, args []string) error {
 		folder, err := t.readFolder(args)
@@ -135,7 +135,7 @@
 	return change
 }
 
-// changeLines shows a change, one object a line: + new, ~ changed, - deleted.
+// changeLines returns one line for each object of a change, prefixed with + if new, ~ if changed, - if deleted.
 func changeLines(change config.Change, state *config.State) []string {
 	var lines []string
 	for _, object := range change.Objects {
@@ -185,10 +185,10 @@
 	return t.publish(ctx, p, client, change.ID, config.Record{Kind: config.RecordChange, Change: &change}, lines)
 }
 
-// publish appends a record, finds out what came of it, and waits until it is in force.
+// publish appends a record, prints whether the fold accepted it, and waits until it is in force on every box.
 func (t *tool) publish(ctx context.Context, p *publishOptions, client *remote.Client, id willowwick.ChangeID, record config.Record, lines []string) error {
 	if p.reason == "" {
-		return exitErrorf(exitInvalid, "say why with -reason; it goes into the audit trail")
+		return exitErrorf(exitInvalid, "-reason must be set; it goes into the audit trail")
 	}
 	entry, err := appendAndFind(ctx, client, id, record)
 	if err != nil {
@@ -217,10 +217,10 @@
 	return nil
 }
 
-// appendAndFind appends a record and reads the log for its verdict.
+// appendAndFind appends a record and returns its audit entry from the log.
 //
-// An append whose answer is lost is looked for by the record's id; a repeated
-// append carries the same id, and the fold counts it once.
+// If the reply to an append is lost, the record is found by its id. A retried append has the same id, and the fold
+// counts it once.
 func appendAndFind(ctx context.Context, client *remote.Client, id willowwick.ChangeID, record config.Record) (config.AuditEntry, error) {
 	data, err := record.Encode()
 	if err != nil {
@@ -241,14 +241,14 @@
 		case <-time.After(appendRetryDelay):
 		}
 	}
-	return config.AuditEntry{}, errors.Wrapf(appendErr, "change %s was not found on the log", id)
+	return config.AuditEntry{}, errors.Wrapf(appendErr, "change %s was not found in the log", id)
 }
 
 func newPlatformClient(platformURL string) (*remote.Client, func()) {
 	return remote.NewClient(platformURL, nil)
 }
 
-// openState returns a client of the platform with the state at the log's end.
+// openState returns a client of the platform, the state at the log's end, and a function that closes the client.
 func openState(ctx context.Context, platformURL string) (*remote.Client, *config.State, func(), error) {
 	client, closeClient := newPlatformClient(platformURL)
 	state, err := readState(ctx, client)
@@ -259,7 +259,7 @@
 	return client, state, closeClient, nil
 }
 
-// readState folds the log to its end.
+// readState returns the fold of the whole log.
 func readState(ctx context.Context, log willowwick.Log) (*config.State, error) {
 	follower := fleet.NewFollower(log, func(*config.Revision) {})
 	if err := follower.ReadLog(ctx); err != nil {
@@ -280,7 +280,7 @@
 
 func (t *tool) withdrawCommand() *ffcli.Command {
 	p := &publishOptions{}
-	return t.command("withdraw", "VERSION", "take a version out of use for good", p.registerFlags, func(ctx context.Context, args []string) error {
+	return t.command("withdraw", "VERSION", "withdraw a version permanently", p.registerFlags, func(ctx context.Context, args []string) error {
 		version, err := oneArgument(args, "version")
 		if err != nil {
 			return err
@@ -291,7 +291,7 @@
 		}
 		defer closeClient()
 		if _, known := state.Objects[config.Key{Kind: config.KindVersion, Name: version}]; !known {
-			return exitErrorf(exitInvalid, "no Version is called %q", version)
+			return exitErrorf(exitInvalid, "unknown Version %q", version)
 		}
 		id := newChangeID()
 		record := config.Record{Kind: config.RecordWithdraw, Withdraw: &config.Withdraw{
@@ -307,14 +307,14 @@
 	var minRequests, maxExposure int
 	flags := func(set *flag.FlagSet) {
 		p.registerFlags(set)
-		set.StringVar(&model, "model", "", "model whose version changes")
-		set.StringVar(&from, "from", "", "version that answers now")
+		set.StringVar(&model, "model", "", "model to roll out a version of")
+		set.StringVar(&from, "from", "", "current version")
 		set.StringVar(&to, "to", "", "version to roll out")
-		set.StringVar(&steps, "steps", "5,25,100", "shares of sessions in per cent")
-		set.IntVar(&minRequests, "min-requests", 100, "requests on a step before the next")
-		set.IntVar(&maxExposure, "max-exposure", 0, "requests on a step without a verdict before it is held; 0 for 20 times -min-requests")
+		set.StringVar(&steps, "steps", "5,25,100", "shares of sessions at each step, in percent")
+		set.IntVar(&minRequests, "min-requests", 100, "least number of requests at a step before the next step")
+		set.IntVar(&maxExposure, "max-exposure", 0, "number of requests at a step without a verdict before the roll-out is held; 0 for 20 times -min-requests")
 	}
-	return t.command("rollout", "NAME", "begin a roll-out", flags, func(ctx context.Context, args []string) error {
+	return t.command("rollout", "NAME", "start a roll-out", flags, func(ctx context.Context, args []string) error {
 		name, err := oneArgument(args, "name of the roll-out")
 		if err != nil {
 			return err
@@ -345,7 +345,7 @@
 	for _, part := range strings.Split(text, ",") {
 		share, err := strconv.ParseFloat(strings.TrimSpace(part), 64)
 		if err != nil {
-			return nil, exitErrorf(exitInvalid, "-steps must be numbers such as 5,25,100, is %q", text)
+			return nil, exitErrorf(exitInvalid, "-steps must be numbers separated by commas, such as 5,25,100, is %q", text)
 		}
 		shares = append(shares, share)
 	}
--- a/cmd/willowctl/demo.go
+++ b/cmd/willowctl/demo.go
@@ -22,7 +22,7 @@
 	"github.com/willowwick/willowwick/standin"
 )
 
-// The demo's course, counted from the start of the traffic.
+// Schedule of the demo, from the start of the traffic, and the sizes of its fleet.
 const (
 	demoRolloutStart      = 1 * time.Second
 	demoFailureStart      = 8 * time.Second
@@ -38,7 +38,7 @@
 	demoGoodVersion       = willowwick.VersionID("run-small-2")
 )
 
-// demoResult is what the demo ends with.
+// demoResult holds the counts that the demo prints at its end.
 type demoResult struct {
 	Requests       int                            `json:"requests"`
 	Answered       int                            `json:"answered"`
@@ -64,7 +64,7 @@
 	var serveOnly, verbose bool
 	var seed uint64
 	flags := func(set *flag.FlagSet) {
-		set.BoolVar(&serveOnly, "serve", false, "keep everything up for trying with a client")
+		set.BoolVar(&serveOnly, "serve", false, "start the fleet without traffic and keep it running for a client of your own")
 		set.BoolVar(&verbose, "verbose", false, "show the daemons' log lines")
 		set.Uint64Var(&seed, "seed", 1, "seed of the traffic")
 	}
@@ -115,7 +115,7 @@
 	return f, closeFleet, nil
 }
 
-// runDemo runs the traffic and the events, and adds up what came of them.
+// runDemo runs the traffic and the events, and counts their outcomes.
 func runDemo(ctx context.Context, f *lab.Fleet, seed uint64) (*demoResult, error) {
 	trafficCtx, stopTraffic := context.WithTimeout(ctx, demoDuration)
 	defer stopTraffic()
@@ -142,7 +142,7 @@
 	return newDemoResult(f, tally, ledger, start.Add(demoFailureStart))
 }
 
-// runDemoEvents makes the roll-outs, the bad version and the planned stop happen.
+// runDemoEvents starts the roll-outs, makes a version bad and stops a box, each at its time after start.
 func runDemoEvents(ctx context.Context, f *lab.Fleet, start time.Time) error {
 	waitUntil := func(moment time.Duration) {
 		select {
@@ -183,17 +183,17 @@
 	return err
 }
 
-// waitForLedger reads the ledger until every answer is on it, or for as long as that should take.
+// waitForLedger reads the ledger until every answer is on it, or until demoLedgerTimeout has passed.
 func waitForLedger(ctx context.Context, f *lab.Fleet, answered int) (*fleet.Ledger, error) {
 	client, closeClient := remote.NewClient(f.PlatformURL(), nil)
 	defer closeClient()
-	limit := time.Now().Add(demoLedgerTimeout)
+	deadline := time.Now().Add(demoLedgerTimeout)
 	for {
 		ledger, err := fleet.ReadLedger(ctx, client)
 		if err != nil {
 			return nil, err
 		}
-		if ledger.TotalCount >= answered || time.Now().After(limit) {
+		if ledger.TotalCount >= answered || time.Now().After(deadline) {
 			return ledger, nil
 		}
 		time.Sleep(pollInterval)
@@ -226,10 +226,10 @@
 	return result, nil
 }
 
-// checkGuarantees is an error if a promise was broken.
+// checkGuarantees returns an error if requests were lost, crossed, run twice or billed wrongly.
 func (r *demoResult) checkGuarantees() error {
 	if r.Lost+r.Crossed+r.Doubled+r.BilledTwice > 0 || r.Billed != r.Answered {
-		return exitErrorf(exitOutcomeMissed, "a promise was broken: lost %d, crossed %d, doubled %d, billed twice %d, answered %d and billed %d",
+		return exitErrorf(exitOutcomeMissed, "a guarantee was broken: lost %d, crossed %d, doubled %d, billed twice %d, answered %d and billed %d",
 			r.Lost, r.Crossed, r.Doubled, r.BilledTwice, r.Answered, r.Billed)
 	}
 	return nil
@@ -268,7 +268,7 @@
 	}
 }
 
-// keepServing prints how to try the fleet and waits until it is told to stop.
+// keepServing prints how to use the fleet and waits until ctx ends.
 func (t *tool) keepServing(ctx context.Context, f *lab.Fleet) error {
 	fmt.Fprintf(t.out, "platform: %s\n", f.PlatformURL())
 	for _, box := range f.Boxes {
@@ -276,7 +276,7 @@
 	}
 	fmt.Fprintf(t.out, `try: curl -N http://%s/v1/chat/completions -H 'Authorization: Bearer demo-lab-coimbra' -H 'Content-Type: application/json' -d '{"model":"auto","stream":true,"messages":[{"role":"user","content":"summarise run 7"}]}'
 `, f.Boxes[0].Callers)
-	fmt.Fprintf(t.out, "and: willowctl status -platform %s\nCtrl-C ends it.\n", f.PlatformURL())
+	fmt.Fprintf(t.out, "and: willowctl status -platform %s\nPress Ctrl-C to stop.\n", f.PlatformURL())
 	<-ctx.Done()
 	return nil
 }
--- a/cmd/willowctl/explain.go
+++ b/cmd/willowctl/explain.go
@@ -13,7 +13,7 @@
 	"github.com/pkg/errors"
 )
 
-// logLine is a line of a daemon's log that speaks of the request.
+// logLine is a line about the request in a daemon's log.
 type logLine struct {
 	Time    string `json:"time"`
 	Box     string `json:"box"`
@@ -22,19 +22,19 @@
 	fields  map[string]json.RawMessage
 }
 
-// explainCommand prints what collected logs say of one request.
+// explainCommand prints the lines about one request in collected logs.
 func (t *tool) explainCommand() *ffcli.Command {
-	return t.command("explain", "REQUEST-ID [LOG ...]", "print what the daemons' JSON logs say of a request, in order", nil,
+	return t.command("explain", "REQUEST-ID [LOG ...]", "print the lines about a request in the daemons' JSON logs, in order of time", nil,
 		func(_ context.Context, args []string) error {
 			if len(args) == 0 {
-				return exitErrorf(exitInvalid, "give a request's id, and log files unless they come on standard input")
+				return exitErrorf(exitInvalid, "expected a request id, then log files; without files, standard input is read")
 			}
 			lines, err := collectLines(args[0], args[1:])
 			if err != nil {
 				return err
 			}
 			if len(lines) == 0 {
-				return exitErrorf(exitFailed, "no line speaks of request %s", args[0])
+				return exitErrorf(exitFailed, "no log line is about request %s", args[0])
 			}
 			return t.print(lines, func(w io.Writer) {
 				for _, line := range lines {
@@ -44,7 +44,7 @@
 		})
 }
 
-// collectLines finds the lines about the request, in order of time.
+// collectLines returns the lines about the request, in order of time.
 func collectLines(request string, files []string) ([]logLine, error) {
 	var lines []logLine
 	err := forEachLine(files, func(data []byte) error {
@@ -59,7 +59,7 @@
 	return lines, err
 }
 
-// text is the line for people: when, where, what, and the inputs in order of their names.
+// text returns the line as text: time, box, message, and the other attributes in order of their names.
 func (l logLine) text() string {
 	names := make([]string, 0, len(l.fields))
 	for name := range l.fields {
--- a/cmd/willowctl/lab.go
+++ b/cmd/willowctl/lab.go
@@ -24,7 +24,7 @@
 	defaultQuality   = 0.8
 )
 
-// labCommand starts stand-ins as processes of their own.
+// labCommand runs a stand-in of one part of the platform in this process.
 func (t *tool) labCommand() *ffcli.Command {
 	return &ffcli.Command{
 		Name: "lab", ShortUsage: "willowctl lab platform|engine|service|slopes [flags]",
@@ -43,7 +43,7 @@
 		set.StringVar(&listen, "listen", "127.0.0.1:9000", "address to listen on")
 		set.StringVar(&boxes, "boxes", "", "boxes to list, as NAME,HALL,PEER-ADDRESS,ADMIN-ADDRESS;...")
 	}
-	return t.command("platform", "", "stand in for the platform's log, list and rater", flags, func(ctx context.Context, _ []string) error {
+	return t.command("platform", "", "run a stand-in of the platform's log, list and rater", flags, func(ctx context.Context, _ []string) error {
 		platform := standin.NewPlatform()
 		for _, text := range strings.FieldsFunc(boxes, func(r rune) bool { return r == ';' }) {
 			fields := strings.Split(text, ",")
@@ -64,11 +64,11 @@
 	var quality float64
 	flags := func(set *flag.FlagSet) {
 		registerLabFlags(set, &id, &hall, &listen, &platformURL)
-		set.StringVar(&versions, "versions", "", "versions that it serves, separated by commas")
-		set.IntVar(&slots, "slots", defaultSlots, "answers at once")
+		set.StringVar(&versions, "versions", "", "versions that the runner serves, separated by commas")
+		set.IntVar(&slots, "slots", defaultSlots, "largest number of concurrent answers")
 		set.Float64Var(&quality, "quality", defaultQuality, "share of good answers")
 	}
-	return t.command("engine", "", "stand in for a runner", flags, func(ctx context.Context, _ []string) error {
+	return t.command("engine", "", "run a stand-in of a runner", flags, func(ctx context.Context, _ []string) error {
 		behaviour := map[willowwick.VersionID]standin.VersionBehaviour{}
 		endpoint := willowwick.Endpoint{ID: willowwick.EndpointID(id), Kind: willowwick.KindRunner, Hall: willowwick.HallID(hall), Address: listen}
 		for _, name := range strings.Split(versions, ",") {
@@ -89,7 +89,7 @@
 		registerLabFlags(set, &id, &hall, &listen, &platformURL)
 		set.StringVar(&name, "service", "", "name of the service")
 	}
-	return t.command("service", "", "stand in for an instance of a plain service", flags, func(ctx context.Context, _ []string) error {
+	return t.command("service", "", "run a stand-in of an instance of a plain service", flags, func(ctx context.Context, _ []string) error {
 		endpoint := willowwick.Endpoint{
 			ID: willowwick.EndpointID(id), Kind: willowwick.KindService, Hall: willowwick.HallID(hall),
 			Address: listen, Service: willowwick.ServiceID(name),
@@ -103,12 +103,12 @@
 
 func registerLabFlags(set *flag.FlagSet, id, hall, listen, platformURL *string) {
 	set.StringVar(id, "id", "endpoint-1", "name of the endpoint")
-	set.StringVar(hall, "hall", "hall-a", "hall that it stands in")
+	set.StringVar(hall, "hall", "hall-a", "hall of the endpoint")
 	set.StringVar(listen, "listen", "127.0.0.1:9100", "address to listen on")
 	registerPlatformFlag(set, platformURL)
 }
 
-// registerEndpoint puts an endpoint on the stand-in platform's list.
+// registerEndpoint adds an endpoint to the stand-in platform's list.
 func registerEndpoint(ctx context.Context, platformURL string, endpoint willowwick.Endpoint) error {
 	data, err := json.Marshal(endpoint)
 	if err != nil {
@@ -125,7 +125,7 @@
 	return errors.Wrap(response.Body.Close(), "register")
 }
 
-// serveLab serves until the program is told to stop.
+// serveLab serves handler on address until ctx ends.
 func (t *tool) serveLab(ctx context.Context, address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
--- a/cmd/willowctl/logs.go
+++ b/cmd/willowctl/logs.go
@@ -9,11 +9,11 @@
 	"github.com/pkg/errors"
 )
 
-// maxLogLineBytes bounds a line of a log.
+// maxLogLineBytes is the longest log line that is read; a longer one is an error.
 const maxLogLineBytes = 1 << 20
 
-// forEachLine calls do with the JSON of each line of the logs, or of standard input if none are named; what stands before a
-// line's first brace is a collector's own.
+// forEachLine calls do with the JSON of each line of the files, or of standard input if there are no files. It skips
+// the text before a line's first brace, which log collectors add.
 func forEachLine(files []string, do func(data []byte) error) error {
 	if len(files) == 0 {
 		return forEachLineIn(os.Stdin, do)
--- a/cmd/willowctl/losses.go
+++ b/cmd/willowctl/losses.go
@@ -15,7 +15,7 @@
 	"github.com/pkg/errors"
 )
 
-// Causes of a loss, in the words of the report.
+// Causes of a loss, as the report prints them.
 const (
 	causeNoSlot           lossCause = "refused: no place in time"
 	causeStopping         lossCause = "refused: the box was stopping"
@@ -44,10 +44,10 @@
 )
 
 type (
-	// lossCause is why a request was refused, failed, late, or answered with doubt.
+	// lossCause is the reason why a request was refused, failed, late, or answered with low confidence.
 	lossCause string
 
-	// requestEvent is what a daemon's log line says of the end of a request or of one send of it; lengths are in milliseconds.
+	// requestEvent is a daemon's log line about the end of a request or of one send to an endpoint.
 	requestEvent struct {
 		Time        time.Time `json:"time"`
 		Message     string    `json:"msg"`
@@ -70,10 +70,10 @@
 		Stages      int       `json:"stages"`
 	}
 
-	// history is what the logs say of one request.
+	// history holds the log lines about one request.
 	history struct {
 		end   requestEvent
-		sends []requestEvent // those that brought no answer
+		sends []requestEvent // sends that brought no answer
 	}
 
 	// loss is one request that was not answered well and in time.
@@ -85,14 +85,14 @@
 		Request  string    `json:"request"`
 	}
 
-	// lossRow counts losses of one cause, of one route, endpoint or window of time.
+	// lossRow counts the losses of one cause in one group: a route, an endpoint or a time window.
 	lossRow struct {
 		Cause lossCause `json:"cause"`
 		Group string    `json:"of"`
 		Count int       `json:"count"`
 	}
 
-	// lossReport is what the command prints.
+	// lossReport is the output of the losses command.
 	lossReport struct {
 		Requests   int       `json:"requests"`
 		Losses     []loss    `json:"losses"`
@@ -103,14 +103,14 @@
 	}
 )
 
-// lossesCommand sorts what was lost by its causes.
+// lossesCommand groups lost requests by cause.
 func (t *tool) lossesCommand() *ffcli.Command {
 	minConfidence, window := defaultMinConfidence, defaultWindow
 	flags := func(set *flag.FlagSet) {
 		set.IntVar(&minConfidence, "doubt", minConfidence, "confidence below which a small model's answer counts as doubtful")
-		set.DurationVar(&window, "window", window, "length of the windows of time")
+		set.DurationVar(&window, "window", window, "duration of the time windows")
 	}
-	return t.command("losses", "[LOG ...]", "sort the requests that were refused, failed, late or answered with doubt by cause", flags,
+	return t.command("losses", "[LOG ...]", "group the requests that were refused, failed, late or answered with low confidence by cause", flags,
 		func(_ context.Context, args []string) error {
 			if window <= 0 {
 				return exitErrorf(exitInvalid, "-window must be above 0, is %s", window)
@@ -120,20 +120,20 @@
 				return err
 			}
 			if len(histories) == 0 {
-				return exitErrorf(exitFailed, "no line tells of the end of a request; are these JSON logs of daemons?")
+				return exitErrorf(exitFailed, "no log line is about the end of a request; are these JSON logs of daemons?")
 			}
 			report := reportLosses(histories, minConfidence, window)
 			return t.print(report, report.write)
 		})
 }
 
-// readHistories gathers the lines of the logs by request; several daemons' requests have ids of their own.
+// readHistories groups log lines by request id, which is unique across daemons, and drops requests without an end.
 func readHistories(files []string) (map[string]*history, error) {
 	histories := map[string]*history{}
 	err := forEachLine(files, func(data []byte) error {
 		var line requestEvent
 		if json.Unmarshal(data, &line) != nil || line.Request == "" {
-			return nil // another program's line, or one about no request
+			return nil // a line of another program, or not about a request
 		}
 		h := histories[line.Request]
 		if h == nil {
@@ -171,7 +171,7 @@
 	return report
 }
 
-// endpoint is the one that the request was last sent to.
+// endpoint returns the endpoint that the request was last sent to.
 func (h *history) endpoint() string {
 	if h.end.Endpoint == "" && len(h.sends) > 0 {
 		return h.sends[len(h.sends)-1].Endpoint
@@ -179,7 +179,7 @@
 	return h.end.Endpoint
 }
 
-// cause says why a request counts as lost, if it does.
+// cause returns why a request counts as lost, and whether it does.
 func (h *history) cause(minConfidence int) (cause lossCause, lost bool) {
 	switch end := h.end; {
 	case end.Message == messageAnswered && h.isLate():
@@ -215,7 +215,7 @@
 	}
 }
 
-// firstTokenMs is when the answer began to reach the caller, in milliseconds from the request.
+// firstTokenMs returns when the answer began to reach the caller, in milliseconds from the request's arrival.
 func (h *history) firstTokenMs() int64 {
 	if h.end.FirstMs != nil {
 		return *h.end.FirstMs
@@ -227,7 +227,7 @@
 	return h.firstTokenMs() > h.end.GoalMs || h.end.PauseGoalMs > 0 && h.end.PauseMs > h.end.PauseGoalMs
 }
 
-// latenessCause is the cause of most of the time until the answer began, or the pause if it began in time.
+// latenessCause returns the cause of most of the time until the answer began, or causeStreamPause if it began in time.
 func (h *history) latenessCause() lossCause {
 	if h.firstTokenMs() <= h.end.GoalMs {
 		return causeStreamPause
@@ -252,7 +252,7 @@
 	return most
 }
 
-// delayCause is what a send without an answer delayed the request by.
+// delayCause returns the cause of the delay by a send that brought no answer.
 func (l requestEvent) delayCause() lossCause {
 	switch l.Outcome {
 	case outcomeEscalated:
@@ -290,7 +290,7 @@
 	return rows
 }
 
-// write prints the report for people.
+// write prints the report as text.
 func (r lossReport) write(w io.Writer) {
 	fmt.Fprintf(w, "%d requests, %d of them lost\n", r.Requests, len(r.Losses))
 	for _, part := range []struct {
@@ -303,7 +303,7 @@
 			fmt.Fprintf(table, "%s\t%d\t%s\n", row.Group, row.Count, row.Cause)
 		}
 		if err := table.Flush(); err != nil {
-			return // the output is closed; there is nobody to tell
+			return // the output is closed, so the error cannot be printed
 		}
 	}
 }
--- a/cmd/willowctl/losses_test.go
+++ b/cmd/willowctl/losses_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// endedLine is a log line about the end of request n, in the second n.
+// endedLine returns a log line about the end of request n, at second n.
 func endedLine(n int, message, more string) string {
 	return fmt.Sprintf(`{"time":"2026-01-01T00:00:%02dZ","msg":%q,"request":"r%d","route":"ask","ms":9000,"goal_ms":1000,"endpoint":"e1"%s}`, n, message, n, more)
 }
--- a/cmd/willowctl/main.go
+++ b/cmd/willowctl/main.go
@@ -25,7 +25,7 @@
 	exitOutcomeMissed = 5
 )
 
-// exitError is an error that ends the program with a code of its own.
+// exitError is an error with the exit code of the program.
 type exitError struct {
 	code    int
 	message string
@@ -40,7 +40,7 @@
 	return &exitError{code: code, message: fmt.Sprintf(format, args...)}
 }
 
-// tool is what all commands share.
+// tool holds the output and the flags that all commands share.
 type tool struct {
 	out  io.Writer
 	json bool
@@ -75,7 +75,7 @@
 	return &ffcli.Command{
 		ShortUsage: "willowctl COMMAND [flags] [arguments]",
 		LongHelp: "Exit codes: 0 done, 1 failed, 2 invalid input, 3 rejected by the fold,\n" +
-			"4 accepted but not yet in force everywhere, 5 a stated outcome was missed.\n" +
+			"4 accepted but not yet in force everywhere, 5 an expected outcome was missed.\n" +
 			"Every flag can be set as an environment variable: -platform is WILLOWWICK_PLATFORM.",
 		FlagSet: flag.NewFlagSet("willowctl", flag.ContinueOnError),
 		Subcommands: []*ffcli.Command{
@@ -89,7 +89,7 @@
 	}
 }
 
-// command builds a command with the flags that all commands have.
+// command returns a command with the flags that all commands share.
 func (t *tool) command(name, arguments, help string, flags func(*flag.FlagSet), exec func(context.Context, []string) error) *ffcli.Command {
 	set := flag.NewFlagSet("willowctl "+name, flag.ContinueOnError)
 	set.BoolVar(&t.json, "json", false, "print JSON")
@@ -105,7 +105,7 @@
 	}
 }
 
-// print writes the value as JSON if that was asked for, and otherwise as text.
+// print writes value as JSON if -json is set, and calls text otherwise.
 func (t *tool) print(value any, text func(io.Writer)) error {
 	if !t.json {
 		text(t.out)
@@ -118,7 +118,7 @@
 
 func oneArgument(args []string, what string) (string, error) {
 	if len(args) != 1 {
-		return "", exitErrorf(exitInvalid, "give one %s; there are %d arguments", what, len(args))
+		return "", exitErrorf(exitInvalid, "expected one argument (%s), got %d", what, len(args))
 	}
 	return args[0], nil
 }
--- a/cmd/willowctl/replay.go
+++ b/cmd/willowctl/replay.go
@@ -18,12 +18,12 @@
 	flags := func(set *flag.FlagSet) {
 		set.StringVar(&name, "trace", "prairie", "prairie or bitola")
 		set.StringVar(&load, "load", replay.LoadPeak, "light, peak or overload")
-		set.StringVar(&mode, "bad", string(replay.FailureRatings), "how the new version turns bad: errors, slow, ratings, or none")
-		set.StringVar(&file, "file", "", "replay a recorded trace instead")
+		set.StringVar(&mode, "bad", string(replay.FailureRatings), "how the new version fails: errors, slow, ratings, or none")
+		set.StringVar(&file, "file", "", "replay the trace in this file instead of a generated one")
 		set.StringVar(&write, "write", "", "write the trace to a file and exit")
 		set.Uint64Var(&seed, "seed", 1, "seed of the trace and the samples")
 	}
-	return t.command("replay", "", "replay a trace against baselines and check its stated outcomes", flags, func(context.Context, []string) error {
+	return t.command("replay", "", "replay a trace against baselines and check its expected outcomes", flags, func(context.Context, []string) error {
 		trace, err := openTrace(file, name, load, mode, seed)
 		if err != nil {
 			return err
@@ -39,7 +39,7 @@
 			return err
 		}
 		if missed := report.Missed(); len(missed) > 0 {
-			return exitErrorf(exitOutcomeMissed, "%d stated outcomes were missed", len(missed))
+			return exitErrorf(exitOutcomeMissed, "%d expected outcomes were missed", len(missed))
 		}
 		return nil
 	})
--- a/cmd/willowctl/show.go
+++ b/cmd/willowctl/show.go
@@ -27,13 +27,13 @@
 	unreachable   = "unreachable"
 )
 
-// boxStatus is a box's own status, or why there is none.
+// boxStatus is the status that a box reported, or the error why it reported none.
 type boxStatus struct {
 	serve.Status
 	Error string `json:"error,omitempty"`
 }
 
-// boxStatuses asks every listed box.
+// boxStatuses requests the status of every listed box, all at the same time; the result is sorted by box.
 func boxStatuses(ctx context.Context, client *remote.Client) ([]boxStatus, error) {
 	listing, _, err := client.List(ctx, "")
 	if err != nil {
@@ -76,7 +76,7 @@
 	return errors.Wrap(json.NewDecoder(response.Body).Decode(value), "answer")
 }
 
-// waitInForce waits until every listed box reports the offset, and names those that do not.
+// waitInForce waits until every listed box reports the offset or wait has passed, and returns the boxes that do not.
 func waitInForce(ctx context.Context, client *remote.Client, offset willowwick.Offset, wait time.Duration) []string {
 	deadline := time.Now().Add(wait)
 	for {
@@ -137,7 +137,7 @@
 func (t *tool) auditCommand() *ffcli.Command {
 	var platformURL string
 	flags := func(set *flag.FlagSet) { registerPlatformFlag(set, &platformURL) }
-	return t.command("audit", "", "show who changed what, when it was decided, and why", flags, func(ctx context.Context, _ []string) error {
+	return t.command("audit", "", "show the author, the reason and the verdict of every change", flags, func(ctx context.Context, _ []string) error {
 		client, closeClient := newPlatformClient(platformURL)
 		defer closeClient()
 		state, err := readState(ctx, client)
@@ -163,7 +163,7 @@
 func (t *tool) traceCommand() *ffcli.Command {
 	var platformURL string
 	flags := func(set *flag.FlagSet) { registerPlatformFlag(set, &platformURL) }
-	return t.command("trace", "REQUEST-ID", "show why a request went where it went", flags, func(ctx context.Context, args []string) error {
+	return t.command("trace", "REQUEST-ID", "show how a request was routed, and why", flags, func(ctx context.Context, args []string) error {
 		id, err := oneArgument(args, "request id")
 		if err != nil {
 			return err
@@ -175,7 +175,7 @@
 			return err
 		}
 		for _, box := range listing.Boxes {
-			// A request id begins with the name of its box.
+			// A request id starts with the name of the box that made it.
 			if !strings.HasPrefix(id, string(box.ID)+"-") {
 				continue
 			}
@@ -185,7 +185,7 @@
 			}
 			return t.print(&trace, func(w io.Writer) { writeTrace(w, &trace) })
 		}
-		return exitErrorf(exitInvalid, "no listed box has made the request id %q", id)
+		return exitErrorf(exitInvalid, "request id %q belongs to no listed box", id)
 	})
 }
 
@@ -199,7 +199,7 @@
 func (t *tool) usageCommand() *ffcli.Command {
 	var platformURL string
 	flags := func(set *flag.FlagSet) { registerPlatformFlag(set, &platformURL) }
-	return t.command("usage", "", "add up the bills of all client accounts", flags, func(ctx context.Context, _ []string) error {
+	return t.command("usage", "", "show the total cost of each client account", flags, func(ctx context.Context, _ []string) error {
 		client, closeClient := newPlatformClient(platformURL)
 		defer closeClient()
 		ledger, err := fleet.ReadLedger(ctx, client)
@@ -215,7 +215,7 @@
 			for _, account := range accounts {
 				fmt.Fprintf(w, "%-20s %12d micro-units\n", account, ledger.ByAccount[willowwick.AccountID(account)])
 			}
-			fmt.Fprintf(w, "%d requests, %d records were appended more than once and counted once\n", ledger.TotalCount, ledger.Repeated)
+			fmt.Fprintf(w, "%d requests; %d records were appended more than once and counted once\n", ledger.TotalCount, ledger.Repeated)
 		})
 	})
 }
--- a/cmd/willowctl/slopes.go
+++ b/cmd/willowctl/slopes.go
@@ -20,10 +20,10 @@
 	var sizes string
 	var duration time.Duration
 	flags := func(set *flag.FlagSet) {
-		set.StringVar(&sizes, "sizes", "7x3,48x6,96x6,192x6,390x6", "sizes to measure, as BOXESxHALLS,...")
+		set.StringVar(&sizes, "sizes", "7x3,48x6,96x6,192x6,390x6", "fleet sizes to measure, as BOXESxHALLS,...")
 		set.DurationVar(&duration, "length", defaultMeasureDuration, "how long to measure each size")
 	}
-	return t.command("slopes", "", "measure what the fleet costs each daemon at several sizes", flags, func(context.Context, []string) error {
+	return t.command("slopes", "", "measure how the load on each daemon grows with the size of the fleet", flags, func(context.Context, []string) error {
 		slog.SetDefault(slog.New(slog.DiscardHandler))
 		var costs []lab.FleetCost
 		for _, text := range strings.Split(sizes, ",") {
--- a/cmd/willowwickd/main.go
+++ b/cmd/willowwickd/main.go
@@ -81,12 +81,13 @@
 	slog.Info("daemon started", "box", o.box, "hall", o.hall, "listen", o.listen)
 	<-signals.Done()
 	stopSignals()
-	again, stopAgain := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	defer stopAgain()
-	return daemon.Drain(again)
+	secondSignal, stopSecondSignal := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer stopSecondSignal()
+	return daemon.Drain(secondSignal)
 }
 
-// buildDaemon opens the listeners and creates the daemon with its clients; the returned function closes daemon and clients.
+// buildDaemon opens the listeners and creates the daemon and its clients. The returned function closes the daemon and the
+// clients.
 func buildDaemon(o *options) (*serve.Daemon, func(), error) {
 	var listeners [3]net.Listener
 	for i, address := range []string{o.listen, o.peerListen, o.adminListen} {
--- a/cmd/willowwickd/node.go
+++ b/cmd/willowwickd/node.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// rereadSettings reads the settings file again and logs the outcome; the running process keeps its addresses and limits.
+// rereadSettings rereads the settings file and logs the outcome; the running process keeps its addresses and limits.
 func rereadSettings(path string) {
 	settings, err := platform.ReadSettings(path)
 	slog.Info("settings file reread; changes take effect at the next start", "callers", settings.Callers, "error", err)
--- a/replay/doc.go
+++ b/replay/doc.go
@@ -1,4 +1,3 @@
-// Package replay runs recorded or generated traces through the deciding code
-// in virtual time, against baselines in the same run, and checks stated
-// outcomes. Behind the deciding code stands one small fake of a batching runner.
+// Package replay runs recorded or generated traces through the routing code in virtual time, compares it with baseline
+// policies in the same run, and checks the expected outcomes. A small fake of a batching runner serves the requests.
 package replay
--- a/replay/policies.go
+++ b/replay/policies.go
@@ -19,14 +19,15 @@
 	cascadeKind int
 	pickerKind  int
 
-	// policy is one way to decide; all but the first differ from it in one thing.
+	// policy selects how requests are routed. The first policy is willowwick's own; each baseline differs from it in one
+	// aspect, the oracle in several.
 	policy struct {
 		name         string
 		cascade      cascadeKind
 		picker       pickerKind
 		fifo         bool
 		timedRollout bool
-		skipsRollout bool // does not take part in the roll-out
+		skipsRollout bool // stays on the current version
 	}
 )
 
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestStatedOutcomes: both traces, each load, each way to turn bad, and another seed at the peak.
-func TestStatedOutcomes(t *testing.T) {
+// TestRunMeetsExpectedOutcomes covers both traces, each load, each way in which a version fails, and a second seed at
+// the peak.
+func TestRunMeetsExpectedOutcomes(t *testing.T) {
 	for _, name := range []string{"prairie", "bitola"} {
 		for _, c := range []struct {
 			load string
@@ -30,8 +31,8 @@
 	}
 }
 
-// TestSameSeedSameFigures: a replay can be repeated.
-func TestSameSeedSameFigures(t *testing.T) {
+// TestRunIsDeterministic checks that a trace and a seed give the same report again, also from a written and read trace.
+func TestRunIsDeterministic(t *testing.T) {
 	trace, err := Generate("bitola", LoadLight, FailureErrors, 3)
 	require.NoError(t, err)
 	var file bytes.Buffer
@@ -45,7 +46,8 @@
 	require.Equal(t, first, second)
 }
 
-// TestOverloadKeepsGoodput: at half as much again as the runners can do, nearly as much is answered in time as at the peak.
+// TestOverloadKeepsGoodput checks that at 1.5 times the runners' capacity, at least 90% as many requests are answered
+// in time as at the peak.
 func TestOverloadKeepsGoodput(t *testing.T) {
 	for _, name := range []string{"prairie", "bitola"} {
 		inTime := map[string]float64{}
@@ -61,7 +63,7 @@
 	}
 }
 
-// TestGoodRolloutsAreNotWithdrawn in the replay either.
+// TestGoodRolloutsAreNotWithdrawn checks that wrong ratings alone do not withdraw a good version.
 func TestGoodRolloutsAreNotWithdrawn(t *testing.T) {
 	for _, name := range []string{"prairie", "bitola"} {
 		for seed := range uint64(3) {
--- a/replay/report.go
+++ b/replay/report.go
@@ -16,7 +16,7 @@
 )
 
 type (
-	// tally is what came of a trace under a policy.
+	// tally counts the outcomes of a trace under one policy.
 	tally struct {
 		requests    int
 		answered    int
@@ -29,28 +29,28 @@
 		withdrawnAt time.Duration
 	}
 
-	// PolicyResult are a policy's results.
+	// PolicyResult holds the metrics of a policy.
 	PolicyResult struct {
 		Name        string  `json:"name"`
 		Cost        float64 `json:"cost"`    // micro-units per answer
 		Quality     float64 `json:"quality"` // share of answers that are good
-		P50         float64 `json:"p50_ms"`  // to the first token that the caller gets
+		P50         float64 `json:"p50_ms"`  // milliseconds until the caller receives the first token
 		P95         float64 `json:"p95_ms"`
 		P99         float64 `json:"p99_ms"`
 		Goodput     float64 `json:"goodput"`  // share of requests answered within their deadline
-		Exposure    int     `json:"exposure"` // calls of the new version after it turned bad
+		Exposure    int     `json:"exposure"` // requests sent to the new version after it began to fail
 		Refused     int     `json:"refused"`
 		WithdrawnMs int64   `json:"withdrawn_ms,omitempty"`
 	}
 
-	// Checked is a stated outcome with what was measured.
+	// Checked is an expected outcome with its measured value.
 	Checked struct {
 		Outcome
 		Measured float64 `json:"measured"`
 		Met      bool    `json:"met"`
 	}
 
-	// Report is a whole replay.
+	// Report holds the results of all policies on a trace.
 	Report struct {
 		Trace    string         `json:"trace"`
 		Requests int            `json:"requests"`
@@ -85,7 +85,7 @@
 	}
 }
 
-// Run plays a trace under every policy and checks the stated outcomes.
+// Run replays a trace under every policy and checks the expected outcomes.
 func Run(trace *Trace, seed uint64) (*Report, error) {
 	if len(trace.Requests) == 0 {
 		return nil, errors.New("the trace has no requests")
@@ -118,7 +118,7 @@
 	return report, nil
 }
 
-// Result returns the figures of a policy.
+// Result returns the result of the policy called name, and whether there is one.
 func (r *Report) Result(name string) (PolicyResult, bool) {
 	for _, f := range r.Policies {
 		if f.Name == name {
@@ -138,7 +138,7 @@
 	if o.Against != "" {
 		baseline, ok := r.Result(o.Against)
 		if !ok {
-			return Checked{}, errors.Errorf("outcome: no policy is called %q", o.Against)
+			return Checked{}, errors.Errorf("outcome: unknown policy %q", o.Against)
 		}
 		if against, err = baseline.metric(o.Metric); err != nil {
 			return Checked{}, err
@@ -172,11 +172,11 @@
 	case "exposure":
 		return float64(f.Exposure), nil
 	default:
-		return 0, errors.Errorf("outcome: no figure is called %q", name)
+		return 0, errors.Errorf("outcome: unknown metric %q", name)
 	}
 }
 
-// Missed lists the stated outcomes that were not met.
+// Missed returns the expected outcomes that were not met.
 func (r *Report) Missed() []Checked {
 	var missed []Checked
 	for _, c := range r.Outcomes {
@@ -201,5 +201,5 @@
 	if !c.Met {
 		verdict = "MISSED"
 	}
-	return fmt.Sprintf("%s against %s: %.3f, stated %s: %s", c.Metric, against, c.Measured, bound, verdict)
+	return fmt.Sprintf("%s against %s: %.3f, expected %s: %s", c.Metric, against, c.Measured, bound, verdict)
 }
--- a/replay/watch.go
+++ b/replay/rollout.go
@@ -7,9 +7,10 @@
 	"github.com/willowwick/willowwick/config"
 )
 
-// evaluateRollout weighs the evidence of the last second, or follows the clock.
+// evaluateRollout advances the roll-out or withdraws the new version, by the evidence since the last call or, under a
+// timed roll-out, by time.
 func (s *simulation) evaluateRollout() {
-	news, others := s.pendingEvidence[s.trace.New.ID], s.pendingEvidence[s.trace.Cheap.ID]
+	version, others := s.pendingEvidence[s.trace.New.ID], s.pendingEvidence[s.trace.Cheap.ID]
 	all := others.Add(s.pendingEvidence[s.trace.Strong.ID])
 	clear(s.pendingEvidence)
 	if s.withdrawn || s.since(s.trace.Rollout.StartMs) < 0 {
@@ -19,7 +20,7 @@
 		s.advanceByTime()
 		return
 	}
-	finding := s.monitor.Observe(news, others, all)
+	finding := s.monitor.Observe(version, others, all)
 	switch {
 	case finding.Bad:
 		s.withdraw()
@@ -29,6 +30,8 @@
 	}
 }
 
+// advanceByTime advances the roll-out every timedStepInterval, and withdraws a version that began to fail after
+// manualWithdrawalDelay.
 func (s *simulation) advanceByTime() {
 	if s.stepStarted.IsZero() {
 		s.stepStarted = s.now
@@ -55,6 +58,7 @@
 	s.mustFold(config.Record{Kind: config.RecordWithdraw, Withdraw: &config.Withdraw{ID: "withdraw", Version: s.trace.New.ID}})
 }
 
+// mustFold folds a record that the simulation made itself, and panics on an error.
 func (s *simulation) mustFold(record config.Record) {
 	if err := s.fold(record); err != nil {
 		panic(err)
--- a/replay/runner.go
+++ b/replay/runner.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	cachedPrefillShare = 0.2 // of the prefill that is left when the prefix is cached
-	maxCachedPrefixes  = 12  // prefixes that a runner keeps
-	fullBatchSlowdown  = 0.6 // how much slower a token is in a full batch
+	cachedPrefillShare = 0.2 // share of the prefill time that remains when the prefix is cached
+	maxCachedPrefixes  = 12  // per runner
+	fullBatchSlowdown  = 0.6 // extra time per token in a full batch, as a share
 )
 
 type (
-	// runner is a fake of a batching runner: one prefill at a time, slots for
-	// decoding, a bounded cache of prompt prefixes, and its own queue.
+	// runner is a fake of a batching runner: one prefill at a time, slots for decoding, a bounded LRU cache of prompt
+	// prefixes, and a queue.
 	runner struct {
 		id            willowwick.EndpointID
 		hall          willowwick.HallID
@@ -25,7 +25,7 @@
 		prefixCache   []uint64 // newest last
 	}
 
-	// job is one call to a runner.
+	// job is one request to a runner.
 	job struct {
 		version  Version
 		prompt   willowwick.Tokens
@@ -37,7 +37,7 @@
 	}
 )
 
-// submit takes a job, which starts at once or waits for a slot.
+// submit starts a job, or queues it until a slot is free.
 func (r *runner) submit(now time.Time, j *job) {
 	if r.running >= r.slots {
 		r.waiting = append(r.waiting, j)
@@ -46,7 +46,7 @@
 	r.start(now, j)
 }
 
-// finish ends a job and starts the next.
+// finish frees the slot of an ended job and starts the next queued job.
 func (r *runner) finish(now time.Time) {
 	r.running--
 	if len(r.waiting) > 0 {
@@ -76,7 +76,7 @@
 	j.onStart(now, first, end)
 }
 
-// touch notes the use of a prefix and reports whether it was cached.
+// touch makes a prefix the newest in the cache and reports whether it was cached.
 func (r *runner) touch(prefix uint64) bool {
 	for i, cached := range r.prefixCache {
 		if cached == prefix {
--- a/replay/setup.go
+++ b/replay/setup.go
@@ -8,7 +8,7 @@
 	"github.com/willowwick/willowwick/route"
 )
 
-// declareObjects makes the revision that the real choice of versions works on.
+// declareObjects creates the configuration revision that route.ChooseVersion reads.
 func (s *simulation) declareObjects() error {
 	t := s.trace
 	change := &config.Change{ID: "replay"}
@@ -37,7 +37,7 @@
 	return s.fold(config.Record{Kind: config.RecordChange, Change: change})
 }
 
-// fold puts one more record in force.
+// fold applies a record to the configuration and puts the new revision in force.
 func (s *simulation) fold(record config.Record) error {
 	state := config.NewState()
 	if s.revision != nil {
@@ -55,6 +55,7 @@
 	return nil
 }
 
+// buildFleet creates the runners, and a router for each box.
 func (s *simulation) buildFleet(seed uint64) {
 	var endpoints []willowwick.Endpoint
 	for i := range s.trace.Runners {
--- a/replay/simulate.go
+++ b/replay/simulate.go
@@ -16,7 +16,7 @@
 	raterDelay            = 150 * time.Millisecond
 	wrongRatingShare      = 0.03 // share of ratings that are wrong
 	evidenceInterval      = time.Second
-	sampledShare          = 0.5 // share of trusted answers that are rated
+	sampledShare          = 0.5 // share of answers whose ratings count as evidence on their version
 	failureQuality        = 0.1
 	failureErrorRate      = 0.5
 	failureSlowdown       = 8
@@ -34,7 +34,7 @@
 )
 
 type (
-	// simulation is one policy on one trace.
+	// simulation runs one policy on one trace.
 	simulation struct {
 		policy          policy
 		trace           *Trace
@@ -54,7 +54,7 @@
 		result          tally
 	}
 
-	// router is one box's view: its own pool, queue and places.
+	// router is the routing state of one box: its pool, its queues and its requests in flight by version.
 	router struct {
 		pool     *route.Pool
 		queues   map[willowwick.VersionID]*route.Queue
@@ -62,7 +62,7 @@
 		inFlight map[willowwick.VersionID]int
 	}
 
-	// task is one request on its way.
+	// task is a request in progress.
 	task struct {
 		Request
 		router      *router
@@ -77,6 +77,7 @@
 		sentAt      time.Time
 	}
 
+	// event is a function to run at a point in virtual time; sequence orders events of the same time.
 	event struct {
 		at       time.Time
 		sequence int
@@ -119,7 +120,7 @@
 	heap.Push(&s.queue, event{at: when, sequence: s.lastSequence, run: run})
 }
 
-// simulate plays a trace under a policy.
+// simulate replays a trace under a policy.
 func simulate(trace *Trace, p policy, seed uint64) (tally, error) {
 	s := &simulation{
 		policy: p, trace: trace, now: epoch, runners: map[willowwick.EndpointID]*runner{},
@@ -154,7 +155,7 @@
 	}
 }
 
-// reportLoads tells every box what the runners were like a little while ago.
+// reportLoads reports the current load of every runner to every box, where it arrives after loadReportDelay.
 func (s *simulation) reportLoads() {
 	for _, r := range s.runnerList {
 		load := r.load(s.now)
@@ -166,7 +167,7 @@
 	}
 }
 
-// arrive takes a request in at one of the boxes.
+// arrive hands the request with index i to one of the boxes, in rotation.
 func (s *simulation) arrive(i int, request Request) {
 	t := &task{
 		Request: request, router: s.routers[i%len(s.routers)], arrivedAt: s.now,
@@ -176,7 +177,7 @@
 	s.dispatchOrQueue(t, s.firstVersion(t))
 }
 
-// firstVersion decides which version is asked first, and whether its answer is judged.
+// firstVersion returns the version that is asked first, and sets whether its answer needs a rating.
 func (s *simulation) firstVersion(t *task) Version {
 	cheap := s.cheapVersion(t)
 	t.subject = route.Subject{Account: t.Account, Class: t.Class, Version: cheap.ID}
@@ -208,7 +209,7 @@
 	return cheap
 }
 
-// cheapVersion is the version of the cheap model that the roll-out gives to the session.
+// cheapVersion returns the version of the cheap model that the roll-out selects for the session.
 func (s *simulation) cheapVersion(t *task) Version {
 	if s.policy.skipsRollout || s.since(s.trace.Rollout.StartMs) < 0 {
 		return s.trace.Cheap
@@ -226,13 +227,13 @@
 	return s.now.Sub(epoch.Add(time.Duration(ms) * time.Millisecond))
 }
 
-// hasFailure reports whether the new version has turned bad in the given way.
+// hasFailure reports whether version is the new version and has begun to fail in the given way.
 func (s *simulation) hasFailure(version willowwick.VersionID, mode FailureMode) bool {
 	r := s.trace.Rollout
 	return version == s.trace.New.ID && r.Failure == mode && s.since(r.FailureStartMs) >= 0
 }
 
-// dispatchOrQueue asks a version: at once, or when the request's turn comes.
+// dispatchOrQueue sends a request to a runner, or queues it if others wait for the version or no slot is free.
 func (s *simulation) dispatchOrQueue(t *task, version Version) {
 	t.version = version
 	q := t.router.queueOf(version.ID)
@@ -258,7 +259,7 @@
 	return q
 }
 
-// dispatch sends a request to a runner if there is a place.
+// dispatch sends a request to a runner if a slot is free, and reports whether it did.
 func (s *simulation) dispatch(t *task) bool {
 	if s.policy.picker == pickPerfectLoad {
 		for _, r := range s.runnerList {
@@ -289,7 +290,7 @@
 	return true
 }
 
-// finishJob frees the place and goes on with the answer.
+// finishJob releases the slot, records the outcome, and handles the answer or retries the request.
 func (s *simulation) finishJob(t *task, r *runner, first time.Time, failed bool) {
 	r.finish(s.now)
 	slow := s.isSlow(t, first)
@@ -328,7 +329,7 @@
 	return first.Sub(t.sentAt) > slowFirstToken || s.now.Sub(first) > time.Duration(t.Output)*slowTokenGap
 }
 
-// retry asks again, then goes to the strong model.
+// retry sends a failed request to its version again, and to the strong model after maxAttempts failures.
 func (s *simulation) retry(t *task) {
 	t.attempts++
 	if t.attempts >= maxAttempts {
@@ -339,7 +340,7 @@
 	s.dispatchOrQueue(t, t.version)
 }
 
-// dispatchWaiting gives free places to the waiting.
+// dispatchWaiting dispatches a box's queued requests while slots are free.
 func (s *simulation) dispatchWaiting(box *router) {
 	for version, waiting := range box.fifo {
 		for len(waiting) > 0 && s.dispatch(waiting[0]) {
@@ -364,7 +365,7 @@
 	}
 }
 
-// handleAnswer judges the answer if need be, and gives it to the caller or asks the strong model.
+// handleAnswer has the answer rated if it needs a rating, then returns it to the caller or asks the strong model.
 func (s *simulation) handleAnswer(t *task, first time.Time) {
 	good := s.isGood(t)
 	rated := good != (t.Draw < wrongRatingShare)
@@ -383,7 +384,7 @@
 		s.recordRating(t, rated)
 		if rated {
 			s.learner.RecordQuality(t.Account, 1)
-			// A judged answer is let go all at once.
+			// An answer that needs a rating is held back and reaches the caller whole.
 			s.result.add(t, s.now.Sub(t.arrivedAt), s.now, good)
 			return
 		}
@@ -392,7 +393,7 @@
 	})
 }
 
-// isGood is the hidden truth about an answer.
+// isGood reports the true quality of an answer, which the routing code does not know.
 func (s *simulation) isGood(t *task) bool {
 	switch {
 	case t.version.ID == s.trace.Strong.ID:
@@ -404,8 +405,8 @@
 	}
 }
 
-// recordRating takes a rating: the learner wants all, the evidence on versions only a
-// sample that does not depend on why the answer was rated.
+// recordRating passes a rating to the learner. The evidence on versions counts only a sample of the ratings, which does
+// not depend on why an answer was rated.
 func (s *simulation) recordRating(t *task, passed bool) {
 	s.learner.Rated(t.subject, passed)
 	if t.Draw >= sampledShare {
--- a/replay/trace.go
+++ b/replay/trace.go
@@ -13,13 +13,13 @@
 )
 
 type (
-	// Trace is a recorded or generated load with its hidden truth.
+	// Trace is a recorded or generated sequence of requests with the true quality of their answers.
 	Trace struct {
 		Header
 		Requests []Request
 	}
 
-	// Header is the first line of a trace file: the setting and the stated outcomes.
+	// Header is the first line of a trace file: the fleet, the versions, the roll-out and the expected outcomes.
 	Header struct {
 		Name     string    `json:"name"`
 		Boxes    int       `json:"boxes"`
@@ -34,7 +34,7 @@
 		Outcomes []Outcome `json:"outcomes"`
 	}
 
-	// Version is how a version behaves on a runner.
+	// Version describes the price of a version and its speed on a runner.
 	Version struct {
 		ID            willowwick.VersionID `json:"id"`
 		Model         willowwick.ModelID   `json:"model"`
@@ -43,14 +43,14 @@
 		PerTokenMs    float64              `json:"msPerToken"`
 	}
 
-	// Rollout says when the new version starts and how it turns bad, if it does.
+	// Rollout says when the roll-out of the new version starts, and when and how the version begins to fail.
 	Rollout struct {
 		StartMs        int64       `json:"startMs"`
 		FailureStartMs int64       `json:"badMs,omitempty"` // 0 for a version that stays good
 		Failure        FailureMode `json:"how,omitempty"`
 	}
 
-	// FailureMode is a way in which a version turns bad.
+	// FailureMode is a way in which a version fails.
 	FailureMode string
 
 	// Request is one line of a trace file.
@@ -65,18 +65,18 @@
 		DeadlineMs int64                `json:"deadlineMs"` // from its arrival
 		CheapGood  bool                 `json:"cheapGood"`  // the cheap model would answer well
 		StrongGood bool                 `json:"strongGood"`
-		Draw       float64              `json:"lot"` // decides what chance decides, the same for every policy
+		Draw       float64              `json:"lot"` // uniform in [0, 1); decides random outcomes, alike under every policy
 	}
 
-	// Outcome is a stated outcome: a figure of willowwick against a bound.
+	// Outcome is an expected outcome: bounds on a metric of willowwick's policy.
 	Outcome struct {
 		Metric  string  `json:"figure"`
-		Against string  `json:"against,omitempty"` // a baseline; empty compares with 1
+		Against string  `json:"against,omitempty"` // policy whose metric it is divided by; empty for 1
 		AtMost  float64 `json:"atMost,omitempty"`  // ratio
 		AtLeast float64 `json:"atLeast,omitempty"` // ratio
 	}
 
-	// classShape is how the requests of a class look.
+	// classShape describes the requests of a class: their share, mean sizes in tokens, quality and deadline.
 	classShape struct {
 		class      willowwick.Class
 		share      float64
@@ -87,14 +87,14 @@
 	}
 )
 
-// Ways to turn bad.
+// Failure modes of the new version.
 const (
 	FailureErrors  FailureMode = "errors"
 	FailureSlow    FailureMode = "slow"
 	FailureRatings FailureMode = "ratings"
 )
 
-// Loads of the generated traces, as shares of what the runners can do.
+// Loads of the generated traces.
 const (
 	LoadLight    = "light"
 	LoadPeak     = "peak"
@@ -106,16 +106,17 @@
 	rolloutStart      = 30 * time.Second
 	failureStart      = 150 * time.Second
 	strongQuality     = 0.97
-	largeAccountShare = 0.3 // of requests that come from the two large accounts, each
+	largeAccountShare = 0.3 // share of requests from each of the two large accounts
 )
 
+// loadFactors holds the request rates of the loads, as shares of the runners' capacity.
 var loadFactors = map[string]float64{LoadLight: 0.3, LoadPeak: 0.9, LoadOverload: 1.5}
 
-// Generate makes one of the two traces; the same arguments make the same trace.
+// Generate returns the trace called name; the same arguments give the same trace.
 func Generate(name, load string, mode FailureMode, seed uint64) (*Trace, error) {
 	factor, ok := loadFactors[load]
 	if !ok {
-		return nil, errors.Errorf("no load is called %q; there are light, peak and overload", load)
+		return nil, errors.Errorf("unknown load %q; expected light, peak or overload", load)
 	}
 	header, shapes, capacity, err := traceSetting(name)
 	if err != nil {
@@ -134,7 +135,8 @@
 	return trace, nil
 }
 
-// traceSetting returns a user's shape; capacity is the requests a second that its runners serve at most with the cascade.
+// traceSetting returns the header of a trace, the classes of its requests, and the capacity: the most requests per
+// second that its runners serve with the cascade.
 func traceSetting(name string) (Header, []classShape, float64, error) {
 	h := Header{
 		Name: name, Halls: 3, Slots: 16, Quality: 0.9,
@@ -158,11 +160,11 @@
 			{"entry", 0.35, 400, 80, 0.88, 8_000},
 		}, bitolaCapacity, nil
 	default:
-		return h, nil, 0, errors.Errorf("no trace is called %q; there are prairie and bitola", name)
+		return h, nil, 0, errors.Errorf("unknown trace %q; expected prairie or bitola", name)
 	}
 }
 
-// Requests a second at which the first are refused, found by raising the rate in steps of a tenth.
+// Requests per second at which the first requests are refused, found by raising the rate in steps of a tenth.
 const (
 	prairieCapacity = 58.0
 	bitolaCapacity  = 41.0
@@ -191,7 +193,7 @@
 	}
 }
 
-// expectedOutcomes are what a trace must show.
+// expectedOutcomes returns the outcomes that a trace must show under a load and a failure mode.
 func expectedOutcomes(load string, mode FailureMode) []Outcome {
 	outcomes := []Outcome{
 		{Metric: "cost", Against: PolicyOracle, AtMost: 1.10},
@@ -202,7 +204,7 @@
 	case FailureErrors, FailureRatings:
 		outcomes = append(outcomes, Outcome{Metric: "exposure", Against: PolicyTimedRollout, AtMost: 0.10})
 	case FailureSlow:
-		// Slow answers fill their places and so limit themselves what the baseline sends.
+		// Slow answers occupy their slots, which already limits how many requests the baseline sends to the version.
 		outcomes = append(outcomes, Outcome{Metric: "exposure", Against: PolicyTimedRollout, AtMost: 1})
 	}
 	switch load {
