--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -31,8 +31,9 @@
 	}
 }
 
-// TestRunIsDeterministic checks that a trace and a seed give the same report again, also from a written and read trace.
-func TestRunIsDeterministic(t *testing.T) {
+// TestRunIsDeterministicUnderLightLoad checks that a trace and a seed give the same report again, also when the trace is
+// written and read.
+func TestRunIsDeterministicUnderLightLoad(t *testing.T) {
 	trace, err := Generate("bitola", LoadLight, FailureErrors, 3)
 	require.NoError(t, err)
 	var file bytes.Buffer
--- a/replay/report.go
+++ b/replay/report.go
@@ -128,25 +128,26 @@
 	return PolicyResult{}, false
 }
 
+// check compares a metric of willowwick's policy with that of a baseline, or with 1 if the outcome names none.
 func (r *Report) check(o Outcome) (Checked, error) {
 	result, _ := r.Result(PolicyWillowwick)
 	value, err := result.metric(o.Metric)
 	if err != nil {
 		return Checked{}, err
 	}
-	against := 1.0
+	reference := 1.0
 	if o.Against != "" {
 		baseline, ok := r.Result(o.Against)
 		if !ok {
 			return Checked{}, errors.Errorf("outcome: unknown policy %q", o.Against)
 		}
-		if against, err = baseline.metric(o.Metric); err != nil {
+		if reference, err = baseline.metric(o.Metric); err != nil {
 			return Checked{}, err
 		}
 	}
 	c := Checked{Outcome: o, Met: true}
-	if against != 0 {
-		c.Measured = value / against
+	if reference != 0 {
+		c.Measured = value / reference
 	} else if value > 0 {
 		c.Measured = value
 	}
