--- a/cmd/willowctl/lab.go
+++ b/cmd/willowctl/lab.go
@@ -19,36 +19,36 @@
 
 const (
 	labHeaderTimeout = 5 * time.Second
-	boxFields        = 4
+	boxFieldCount    = 4
 	defaultSlots     = 8
 	defaultQuality   = 0.8
 )
 
-// labCommand starts stand-ins as processes of their own.
+// labCommand runs a stand-in of one part of the platform in this process.
 func (t *tool) labCommand() *ffcli.Command {
 	return &ffcli.Command{
 		Name: "lab", ShortUsage: "willowctl lab platform|engine|service|slopes [flags]",
 		ShortHelp:   "run a stand-in of the platform, a runner or a plain service",
 		FlagSet:     flag.NewFlagSet("willowctl lab", flag.ContinueOnError),
-		Subcommands: []*ffcli.Command{t.labPlatform(), t.labEngine(), t.labService(), t.labSlopes()},
+		Subcommands: []*ffcli.Command{t.labPlatformCommand(), t.labEngineCommand(), t.labServiceCommand(), t.labSlopesCommand()},
 		Exec: func(context.Context, []string) error {
 			return flag.ErrHelp
 		},
 	}
 }
 
-func (t *tool) labPlatform() *ffcli.Command {
+func (t *tool) labPlatformCommand() *ffcli.Command {
 	var listen, boxes string
 	flags := func(set *flag.FlagSet) {
 		set.StringVar(&listen, "listen", "127.0.0.1:9000", "address to listen on")
 		set.StringVar(&boxes, "boxes", "", "boxes to list, as NAME,HALL,PEER-ADDRESS,ADMIN-ADDRESS;...")
 	}
-	return t.command("platform", "", "stand in for the platform's log, list and rater", flags, func(ctx context.Context, _ []string) error {
+	return t.command("platform", "", "run a stand-in of the platform's log, list and rater", flags, func(ctx context.Context, _ []string) error {
 		platform := standin.NewPlatform()
 		for _, text := range strings.FieldsFunc(boxes, func(r rune) bool { return r == ';' }) {
 			fields := strings.Split(text, ",")
-			if len(fields) != boxFields {
-				return exitWith(exitInvalid, "-boxes: %q is not of the form NAME,HALL,PEER-ADDRESS,ADMIN-ADDRESS", text)
+			if len(fields) != boxFieldCount {
+				return exitErrorf(exitInvalid, "-boxes: %q is not of the form NAME,HALL,PEER-ADDRESS,ADMIN-ADDRESS", text)
 			}
 			platform.SetBox(willowwick.Box{
 				ID: willowwick.BoxID(fields[0]), Hall: willowwick.HallID(fields[1]), Peer: fields[2], Admin: fields[3],
@@ -58,17 +58,17 @@
 	})
 }
 
-func (t *tool) labEngine() *ffcli.Command {
-	var id, hall, listen, base, versions string
+func (t *tool) labEngineCommand() *ffcli.Command {
+	var id, hall, listen, platformURL, versions string
 	var slots int
 	var quality float64
 	flags := func(set *flag.FlagSet) {
-		registerLab(set, &id, &hall, &listen, &base)
-		set.StringVar(&versions, "versions", "", "versions that it serves, separated by commas")
-		set.IntVar(&slots, "slots", defaultSlots, "answers at once")
+		registerLabFlags(set, &id, &hall, &listen, &platformURL)
+		set.StringVar(&versions, "versions", "", "versions that the runner serves, separated by commas")
+		set.IntVar(&slots, "slots", defaultSlots, "largest number of concurrent answers")
 		set.Float64Var(&quality, "quality", defaultQuality, "share of good answers")
 	}
-	return t.command("engine", "", "stand in for a runner", flags, func(ctx context.Context, _ []string) error {
+	return t.command("engine", "", "run a stand-in of a runner", flags, func(ctx context.Context, _ []string) error {
 		behaviour := map[willowwick.VersionID]standin.VersionBehaviour{}
 		endpoint := willowwick.Endpoint{ID: willowwick.EndpointID(id), Kind: willowwick.KindRunner, Hall: willowwick.HallID(hall), Address: listen}
 		for _, name := range strings.Split(versions, ",") {
@@ -76,45 +76,45 @@
 			behaviour[version] = standin.VersionBehaviour{Quality: quality}
 			endpoint.Versions = append(endpoint.Versions, version)
 		}
-		if err := register(ctx, base, endpoint); err != nil {
+		if err := registerEndpoint(ctx, platformURL, endpoint); err != nil {
 			return err
 		}
 		return t.serveLab(ctx, listen, standin.NewEngine(endpoint.ID, slots, behaviour))
 	})
 }
 
-func (t *tool) labService() *ffcli.Command {
-	var id, hall, listen, base, name string
+func (t *tool) labServiceCommand() *ffcli.Command {
+	var id, hall, listen, platformURL, name string
 	flags := func(set *flag.FlagSet) {
-		registerLab(set, &id, &hall, &listen, &base)
+		registerLabFlags(set, &id, &hall, &listen, &platformURL)
 		set.StringVar(&name, "service", "", "name of the service")
 	}
-	return t.command("service", "", "stand in for an instance of a plain service", flags, func(ctx context.Context, _ []string) error {
+	return t.command("service", "", "run a stand-in of an instance of a plain service", flags, func(ctx context.Context, _ []string) error {
 		endpoint := willowwick.Endpoint{
 			ID: willowwick.EndpointID(id), Kind: willowwick.KindService, Hall: willowwick.HallID(hall),
 			Address: listen, Service: willowwick.ServiceID(name),
 		}
-		if err := register(ctx, base, endpoint); err != nil {
+		if err := registerEndpoint(ctx, platformURL, endpoint); err != nil {
 			return err
 		}
 		return t.serveLab(ctx, listen, standin.NewService(endpoint.ID))
 	})
 }
 
-func registerLab(set *flag.FlagSet, id, hall, listen, base *string) {
+func registerLabFlags(set *flag.FlagSet, id, hall, listen, platformURL *string) {
 	set.StringVar(id, "id", "endpoint-1", "name of the endpoint")
-	set.StringVar(hall, "hall", "hall-a", "hall that it stands in")
+	set.StringVar(hall, "hall", "hall-a", "hall of the endpoint")
 	set.StringVar(listen, "listen", "127.0.0.1:9100", "address to listen on")
-	registerPlatform(set, base)
+	registerPlatformFlag(set, platformURL)
 }
 
-// register puts an endpoint on the stand-in platform's list.
-func register(ctx context.Context, base string, endpoint willowwick.Endpoint) error {
+// registerEndpoint adds an endpoint to the stand-in platform's list.
+func registerEndpoint(ctx context.Context, platformURL string, endpoint willowwick.Endpoint) error {
 	data, err := json.Marshal(endpoint)
 	if err != nil {
 		return errors.Wrap(err, "register")
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodPut, base+"/live/endpoints", bytes.NewReader(data))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPut, platformURL+"/live/endpoints", bytes.NewReader(data))
 	if err != nil {
 		return errors.Wrap(err, "register")
 	}
@@ -125,7 +125,7 @@
 	return errors.Wrap(response.Body.Close(), "register")
 }
 
-// serveLab serves until the program is told to stop.
+// serveLab serves handler on address until ctx ends.
 func (t *tool) serveLab(ctx context.Context, address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
--- a/cmd/willowwickd/main.go
+++ b/cmd/willowwickd/main.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	exitFailed   = 1
-	exitSettings = 2
-	bootBytes    = 6
+	exitFailed          = 1
+	exitInvalidSettings = 2
+	bootIDBytes         = 6
 )
 
 func main() {
@@ -32,16 +32,16 @@
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		os.Exit(exitSettings)
+		os.Exit(exitInvalidSettings)
 	}
 	if problems := options.check(); len(problems) > 0 {
 		for _, problem := range problems {
 			fmt.Fprintln(os.Stderr, "willowwickd:", problem)
 		}
-		os.Exit(exitSettings)
+		os.Exit(exitInvalidSettings)
 	}
 	if options.checkOnly {
-		fmt.Println("settings are right")
+		fmt.Println("settings are valid")
 		return
 	}
 	slog.SetDefault(options.logger())
@@ -55,7 +55,7 @@
 	}
 }
 
-// parseOptions reads flags, and environment variables for those not given.
+// parseOptions parses the flags; a flag that is not given takes the value of its environment variable.
 func parseOptions(args []string) (*options, error) {
 	o := &options{}
 	flags := flag.NewFlagSet("willowwickd", flag.ContinueOnError)
@@ -64,11 +64,11 @@
 	return o, errors.Wrap(err, "settings")
 }
 
-// run serves until a signal asks for a planned stop, or a second one for a stop at once.
+// run serves until a signal starts a planned stop; a second signal stops the daemon at once.
 func run(o *options) error {
 	signals, stopSignals := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stopSignals()
-	daemon, closeDaemon, err := build(o)
+	daemon, closeDaemon, err := buildDaemon(o)
 	if err != nil {
 		return err
 	}
@@ -81,13 +81,14 @@
 	slog.Info("daemon started", "box", o.box, "hall", o.hall, "listen", o.listen)
 	<-signals.Done()
 	stopSignals()
-	again, stopAgain := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	defer stopAgain()
-	return daemon.Drain(again)
+	secondSignal, stopSecondSignal := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer stopSecondSignal()
+	return daemon.Drain(secondSignal)
 }
 
-// build opens the listeners and joins the parts.
-func build(o *options) (*serve.Daemon, func(), error) {
+// buildDaemon opens the listeners and creates the daemon and its clients. The returned function closes the daemon and the
+// clients.
+func buildDaemon(o *options) (*serve.Daemon, func(), error) {
 	var listeners [3]net.Listener
 	for i, address := range []string{o.listen, o.peerListen, o.adminListen} {
 		listener, err := net.Listen("tcp", address)
@@ -104,7 +105,7 @@
 	platformClient, closePlatform := remote.NewClient(o.platform, dialer.DialContext)
 	engines, closeEngines := remote.NewEngineClient(dialer.DialContext)
 	services, closeServices := remote.NewServiceClient(dialer.DialContext)
-	daemon, closeDaemon := serve.New(o.settings(newBoot(), callerTLS, peerTLS), serve.Dependencies{
+	daemon, closeDaemon := serve.New(o.serveSettings(newBootID(), callerTLS, peerTLS), serve.Dependencies{
 		Log: platformClient, Live: platformClient, Rater: platformClient, Engine: engines, Services: services,
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			return dialer.DialContext(ctx, "tcp", address)
@@ -119,9 +120,9 @@
 	}, nil
 }
 
-// newBoot names this start of the daemon.
-func newBoot() willowwick.BootID {
-	raw := make([]byte, bootBytes)
+// newBootID returns a random id for this start of the daemon.
+func newBootID() willowwick.BootID {
+	raw := make([]byte, bootIDBytes)
 	_, _ = rand.Read(raw)
 	return willowwick.BootID(hex.EncodeToString(raw))
 }
--- a/cmd/willowwickd/node.go
+++ b/cmd/willowwickd/node.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	// memoryShare is the part of the memory limit at which the collector works harder: bytes that have
-	// arrived but are not read yet count too.
-	memoryShare = 0.7
-	bytesPerMB  = 1 << 20
+	// memoryLimitShare is the Go memory limit as a share of the platform's limit, which also counts bytes that have
+	// arrived but are not read yet.
+	memoryLimitShare = 0.7
+	bytesPerMB       = 1 << 20
 )
 
-// runNode serves opaque requests on the users' platform until a signal asks for a planned stop.
+// runNode serves opaque requests on the users' platform until a signal starts a planned stop.
 func runNode(o *options) error {
 	settings, err := platform.ReadSettings(o.nodeFile)
 	if err != nil {
@@ -36,7 +36,7 @@
 	logs, flushLogs := exchange.NewLogQueue(os.Stdout, loggerTo)
 	defer flushLogs()
 	slog.SetDefault(loggerTo(logs))
-	boundResources(settings)
+	limitResources(settings)
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	set := metrics.NewSet()
@@ -60,33 +60,33 @@
 	defer stop()
 	slog.Info("daemon started", "hall", settings.Hall, "callers", settings.CallerAddress, "peers", settings.PeerAddress,
 		"metrics", settings.MetricsAddress, "store", settings.StoreAddress, "confidence", o.confidence)
-	awaitStop(signals, o.nodeFile)
+	waitForStop(signals, o.nodeFile)
 	daemon.Drain()
 	return nil
 }
 
-// boundResources keeps the process within what the platform gives it.
-func boundResources(settings platform.Settings) {
-	runtime.GOMAXPROCS(1) // the platform gives one core, and a part of it
+// limitResources keeps the process within the cores and the memory that the platform gives it.
+func limitResources(settings platform.Settings) {
+	runtime.GOMAXPROCS(1) // the platform gives the process a share of one core
 	if settings.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(settings.MemoryMB*bytesPerMB)))
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(settings.MemoryMB*bytesPerMB)))
 	}
 }
 
-// awaitStop returns at the first signal that asks for a stop.
-func awaitStop(signals <-chan os.Signal, path string) {
+// waitForStop returns at the first signal to stop; SIGHUP rereads the settings file at path instead.
+func waitForStop(signals <-chan os.Signal, path string) {
 	for received := range signals {
 		if received != syscall.SIGHUP {
 			return
 		}
-		reload(path)
+		rereadSettings(path)
 	}
 }
 
-// reload reads the settings file again; addresses and bounds of a running process stay.
-func reload(path string) {
+// rereadSettings rereads the settings file and logs the outcome; the running process keeps its addresses and limits.
+func rereadSettings(path string) {
 	settings, err := platform.ReadSettings(path)
-	slog.Info("settings file read again; what it changes takes effect at the next start", "callers", settings.CallerAddress, "error", err)
+	slog.Info("settings file reread; changes take effect at the next start", "callers", settings.CallerAddress, "error", err)
 }
 
 func listenAll(addresses ...string) ([]net.Listener, error) {
@@ -101,11 +101,12 @@
 	return listeners, nil
 }
 
+// exchangeSettings combines the options with the platform's settings file; the seed is derived from the box's name.
 func (o *options) exchangeSettings(settings platform.Settings) exchange.Settings {
 	seed := sha256.Sum256([]byte(settings.Box))
 	bounds := settings.Bounds
 	return exchange.Settings{
-		Box: settings.Box, Hall: settings.Hall, Boot: newBoot(), Peers: settings.PeerAddress, LinkMbps: settings.LinkMbps, Key: []byte(o.key),
+		Box: settings.Box, Hall: settings.Hall, Boot: newBootID(), Peers: settings.PeerAddress, LinkMbps: settings.LinkMbps, Key: []byte(o.key),
 		Seeds: settings.Seeds, Seed: binary.BigEndian.Uint64(seed[:]), Confidence: o.confidence, LateConfidence: o.lateConfidence,
 		RetryBudget: route.RetryLimits{Ratio: bounds.RetryRatio, Slack: bounds.RetrySlack, Window: bounds.RetryWindow},
 		Releases:    exchange.ReleaseSettings{Session: bounds.SessionGap, Exposure: bounds.ExposureShare},
--- a/cmd/willowwickd/options.go
+++ b/cmd/willowwickd/options.go
@@ -23,35 +23,35 @@
 	minKeyLength = 16
 	formatText   = "text"
 	formatJSON   = "json"
-	// defaultConfidence is where the price of a larger model's run meets what its answers are worth.
+	// defaultConfidence is the confidence at which a run of a larger model costs as much as its answer is worth.
 	defaultConfidence = 50
-	highestConfidence = 100
-	// defaultLateConfidence is where an answer that comes late is worth no more than a doubtful one in time.
+	maxConfidence     = 100
+	// defaultLateConfidence is the confidence at which a late answer is worth no more than a doubtful one in time.
 	defaultLateConfidence = 15
 )
 
-// options are the settings as flags and environment variables give them.
+// options holds the settings from flags and environment variables.
 type options struct {
-	box, hall                       string
-	listen, peerListen, adminListen string
-	peerAddress                     string
-	platform                        string
-	key                             string
-	tlsCert, tlsKey                 string
-	peerCert, peerKey, peerCA       string
-	maxBody                         int64
-	maxRequests                     int
-	drainWait, drainLimit           time.Duration
-	slowFirst, slowBetween, stall   time.Duration
-	logLevel, logFormat             string
-	checkOnly                       bool
-	nodeFile                        string
-	confidence, lateConfidence      int
+	box, hall                                  string
+	listen, peerListen, adminListen            string
+	peerAddress                                string
+	platform                                   string
+	key                                        string
+	tlsCert, tlsKey                            string
+	peerCert, peerKey, peerCA                  string
+	maxBody                                    int64
+	maxRequests                                int
+	drainDelay, drainTimeout                   time.Duration
+	slowFirstToken, slowTokenGap, stallTimeout time.Duration
+	logLevel, logFormat                        string
+	checkOnly                                  bool
+	nodeFile                                   string
+	confidence, lateConfidence                 int
 }
 
 func (o *options) register(flags *flag.FlagSet) {
 	flags.StringVar(&o.box, "box", "", "name of this box, as the platform lists it")
-	flags.StringVar(&o.hall, "hall", "", "hall that this box stands in")
+	flags.StringVar(&o.hall, "hall", "", "hall of this box")
 	flags.StringVar(&o.listen, "listen", ":8080", "address for callers")
 	flags.StringVar(&o.peerListen, "peer-listen", ":8081", "address for other daemons")
 	flags.StringVar(&o.adminListen, "admin-listen", "127.0.0.1:8082", "address for operators and metrics")
@@ -62,23 +62,23 @@
 	flags.StringVar(&o.tlsKey, "tls-key", "", "key file of that certificate")
 	flags.StringVar(&o.peerCert, "peer-cert", "", "certificate file between daemons")
 	flags.StringVar(&o.peerKey, "peer-key", "", "key file of that certificate")
-	flags.StringVar(&o.peerCA, "peer-ca", "", "file of the authority that signed the daemons' certificates")
+	flags.StringVar(&o.peerCA, "peer-ca", "", "certificate file of the authority that signed the daemons' certificates")
 	flags.Int64Var(&o.maxBody, "max-body", serve.DefaultMaxBody, "largest request body in bytes")
-	flags.IntVar(&o.maxRequests, "max-requests", serve.DefaultMaxRequests, "most requests at once")
-	flags.DurationVar(&o.drainWait, "drain-wait", serve.DefaultDrainDelay, "how long a planned stop goes on serving new requests")
-	flags.DurationVar(&o.drainLimit, "drain-limit", serve.DefaultDrainTimeout, "how long a planned stop waits for answers")
-	flags.DurationVar(&o.slowFirst, "slow-first", serve.DefaultSlowFirstToken, "a first token later than this counts as slow")
-	flags.DurationVar(&o.slowBetween, "slow-between", serve.DefaultSlowTokenGap, "tokens further apart than this count as slow")
-	flags.DurationVar(&o.stall, "stall", serve.DefaultStallTimeout, "a stream silent for this long is resumed elsewhere")
+	flags.IntVar(&o.maxRequests, "max-requests", serve.DefaultMaxRequests, "largest number of concurrent requests")
+	flags.DurationVar(&o.drainDelay, "drain-wait", serve.DefaultDrainDelay, "how long the daemon still serves new requests after a planned stop begins")
+	flags.DurationVar(&o.drainTimeout, "drain-limit", serve.DefaultDrainTimeout, "how long a planned stop waits for requests in flight")
+	flags.DurationVar(&o.slowFirstToken, "slow-first", serve.DefaultSlowFirstToken, "a first token later than this counts as slow")
+	flags.DurationVar(&o.slowTokenGap, "slow-between", serve.DefaultSlowTokenGap, "tokens further apart than this count as slow")
+	flags.DurationVar(&o.stallTimeout, "stall", serve.DefaultStallTimeout, "a stream silent for this long is resumed elsewhere")
 	flags.StringVar(&o.logLevel, "log-level", "info", "debug, info, warn or error")
 	flags.StringVar(&o.logFormat, "log-format", formatText, "text or json")
 	flags.StringVar(&o.nodeFile, "node-file", "", "settings file of the users' platform; serves opaque requests there")
-	flags.IntVar(&o.confidence, "confidence", defaultConfidence, "a small model's answer below this is given up for the largest model's, 0 to 100")
-	flags.IntVar(&o.lateConfidence, "late-confidence", defaultLateConfidence, "the same where the largest model's answer would come after the route's goal")
+	flags.IntVar(&o.confidence, "confidence", defaultConfidence, "confidence below which a small model's answer is replaced by the largest model's, 0 to 100")
+	flags.IntVar(&o.lateConfidence, "late-confidence", defaultLateConfidence, "the same, for requests that the largest model would answer after the route's goal")
 	flags.BoolVar(&o.checkOnly, "check", false, "check the settings and exit")
 }
 
-// check returns everything that is wrong, at once.
+// check returns all problems of the settings.
 func (o *options) check() []string {
 	var problems []string
 	report := func(format string, args ...any) {
@@ -90,15 +90,15 @@
 		}
 	}
 	if o.nodeFile == "" {
-		// The platform's settings file says these.
+		// With -node-file, the platform's settings file provides these.
 		required("box", o.box, "box-a1")
 		required("hall", o.hall, "hall-a")
 		required("peer-address", o.peerAddress, "10.0.0.5:8081")
 		required("platform", o.platform, "http://10.0.0.1:9000")
 	}
 	for name, value := range map[string]int{"confidence": o.confidence, "late-confidence": o.lateConfidence} {
-		if value < 0 || value > highestConfidence {
-			report("-%s must be from 0 to %d, is %d", name, highestConfidence, value)
+		if value < 0 || value > maxConfidence {
+			report("-%s must be from 0 to %d, is %d", name, maxConfidence, value)
 		}
 	}
 	for name, address := range map[string]string{
@@ -123,7 +123,7 @@
 	if o.maxBody <= 0 || o.maxRequests <= 0 {
 		report("-max-body and -max-requests must be above 0, are %d and %d", o.maxBody, o.maxRequests)
 	}
-	if o.drainWait <= 0 || o.drainLimit <= 0 || o.slowFirst <= 0 || o.slowBetween <= 0 || o.stall <= 0 {
+	if o.drainDelay <= 0 || o.drainTimeout <= 0 || o.slowFirstToken <= 0 || o.slowTokenGap <= 0 || o.stallTimeout <= 0 {
 		report("-drain-wait, -drain-limit, -slow-first, -slow-between and -stall must be above 0")
 	}
 	if _, _, err := o.tlsConfigs(); err != nil {
@@ -152,28 +152,28 @@
 	if o.logFormat == formatJSON {
 		return slog.New(slog.NewJSONHandler(out, handlerOptions))
 	}
-	handlerOptions.ReplaceAttr = leaveOutStack
+	handlerOptions.ReplaceAttr = dropErrorStack
 	return slog.New(slog.NewTextHandler(out, handlerOptions))
 }
 
-// leaveOutStack keeps an error's message alone: text would hold its stack too, 2 KB a line.
-func leaveOutStack(_ []string, attribute slog.Attr) slog.Attr {
+// dropErrorStack replaces an error by its message; the text handler would also print its stack, 2 KB a line.
+func dropErrorStack(_ []string, attribute slog.Attr) slog.Attr {
 	if err, isError := attribute.Value.Any().(error); isError {
 		return slog.String(attribute.Key, err.Error())
 	}
 	return attribute
 }
 
-// tlsConfigs loads the certificates that are set.
+// tlsConfigs loads the certificates; a configuration without a certificate is nil.
 func (o *options) tlsConfigs() (callers, peers *tls.Config, err error) {
-	if callers, err = loadPair("tls", o.tlsCert, o.tlsKey); err != nil {
+	if callers, err = loadKeyPair("tls", o.tlsCert, o.tlsKey); err != nil {
 		return nil, nil, err
 	}
-	if peers, err = loadPair("peer", o.peerCert, o.peerKey); err != nil {
+	if peers, err = loadKeyPair("peer", o.peerCert, o.peerKey); err != nil {
 		return nil, nil, err
 	}
 	if (peers == nil) != (o.peerCA == "") {
-		return nil, nil, errors.New("-peer-cert, -peer-key and -peer-ca go together")
+		return nil, nil, errors.New("-peer-cert, -peer-key and -peer-ca must be set together")
 	}
 	if peers == nil {
 		return callers, nil, nil
@@ -184,16 +184,16 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, nil, errors.Errorf("-peer-ca: %s holds no certificate", o.peerCA)
+		return nil, nil, errors.Errorf("-peer-ca: %s contains no certificate", o.peerCA)
 	}
-	// Daemons are known by the shared key and the authority, not by a name.
+	// Daemons authenticate by the shared key and a certificate of the authority; the name in it is not checked.
 	serve.RequireAuthority(peers, pool)
 	return callers, peers, nil
 }
 
-func loadPair(name, certificate, key string) (*tls.Config, error) {
+func loadKeyPair(name, certificate, key string) (*tls.Config, error) {
 	if (certificate == "") != (key == "") {
-		return nil, errors.Errorf("-%s-cert and -%s-key go together", name, name)
+		return nil, errors.Errorf("-%s-cert and -%s-key must be set together", name, name)
 	}
 	if certificate == "" {
 		return nil, nil
@@ -205,11 +205,11 @@
 	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{pair}}, nil
 }
 
-func (o *options) settings(boot willowwick.BootID, callers, peers *tls.Config) serve.Settings {
+func (o *options) serveSettings(boot willowwick.BootID, callers, peers *tls.Config) serve.Settings {
 	return serve.Settings{
 		Box: willowwick.BoxID(o.box), Boot: boot, Hall: willowwick.HallID(o.hall), PeerAddress: o.peerAddress,
 		Key: []byte(o.key), CallerTLS: callers, PeerTLS: peers,
-		MaxBody: o.maxBody, MaxRequests: o.maxRequests, DrainDelay: o.drainWait, DrainTimeout: o.drainLimit,
-		SlowFirstToken: o.slowFirst, SlowTokenGap: o.slowBetween, StallTimeout: o.stall,
+		MaxBody: o.maxBody, MaxRequests: o.maxRequests, DrainDelay: o.drainDelay, DrainTimeout: o.drainTimeout,
+		SlowFirstToken: o.slowFirstToken, SlowTokenGap: o.slowTokenGap, StallTimeout: o.stallTimeout,
 	}
 }
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -7,32 +7,34 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestStatedOutcomes: both traces, each load, each way to turn bad, and another seed at the peak.
-func TestStatedOutcomes(t *testing.T) {
+// TestRunMeetsExpectedOutcomes covers both traces, each load, each way in which a version fails, and a second seed at
+// the peak.
+func TestRunMeetsExpectedOutcomes(t *testing.T) {
 	for _, name := range []string{"prairie", "bitola"} {
 		for _, c := range []struct {
 			load string
-			how  BadKind
+			mode FailureMode
 			seed uint64
 		}{
-			{LoadLight, BadSlow, 1}, {LoadPeak, BadRatings, 1}, {LoadPeak, BadRatings, 2}, {LoadPeak, BadErrors, 2}, {LoadOverload, BadRatings, 1},
+			{LoadLight, FailureSlow, 1}, {LoadPeak, FailureRatings, 1}, {LoadPeak, FailureRatings, 2}, {LoadPeak, FailureErrors, 2}, {LoadOverload, FailureRatings, 1},
 		} {
-			trace, err := Generate(name, c.load, c.how, c.seed)
+			trace, err := Generate(name, c.load, c.mode, c.seed)
 			require.NoError(t, err)
 			report, err := Run(trace, c.seed)
 			require.NoError(t, err)
 			for _, missed := range report.Missed() {
-				t.Errorf("%s %s %s seed %d: %s", name, c.load, c.how, c.seed, missed)
+				t.Errorf("%s %s %s seed %d: %s", name, c.load, c.mode, c.seed, missed)
 			}
-			own, _ := report.Of(PolicyWillowwick)
-			require.GreaterOrEqual(t, own.WithdrawnMs, turnsBad.Milliseconds(), "%s %s %s seed %d", name, c.load, c.how, c.seed)
+			result, _ := report.Result(PolicyWillowwick)
+			require.GreaterOrEqual(t, result.WithdrawnMs, failureStart.Milliseconds(), "%s %s %s seed %d", name, c.load, c.mode, c.seed)
 		}
 	}
 }
 
-// TestSameSeedSameFigures: a replay can be repeated.
-func TestSameSeedSameFigures(t *testing.T) {
-	trace, err := Generate("bitola", LoadLight, BadErrors, 3)
+// TestRunIsDeterministicUnderLightLoad checks that a trace and a seed give the same report again, also when the trace is
+// written and read.
+func TestRunIsDeterministicUnderLightLoad(t *testing.T) {
+	trace, err := Generate("bitola", LoadLight, FailureErrors, 3)
 	require.NoError(t, err)
 	var file bytes.Buffer
 	require.NoError(t, trace.Write(&file))
@@ -45,7 +47,8 @@
 	require.Equal(t, first, second)
 }
 
-// TestOverloadKeepsGoodput: at half as much again as the runners can do, nearly as much is answered in time as at the peak.
+// TestOverloadKeepsGoodput checks that at 1.5 times the runners' capacity, at least 90% as many requests are answered
+// in time as at the peak.
 func TestOverloadKeepsGoodput(t *testing.T) {
 	for _, name := range []string{"prairie", "bitola"} {
 		inTime := map[string]float64{}
@@ -61,7 +64,7 @@
 	}
 }
 
-// TestGoodRolloutsAreNotWithdrawn in the replay either.
+// TestGoodRolloutsAreNotWithdrawn checks that wrong ratings alone do not withdraw a good version.
 func TestGoodRolloutsAreNotWithdrawn(t *testing.T) {
 	for _, name := range []string{"prairie", "bitola"} {
 		for seed := range uint64(3) {
--- a/replay/report.go
+++ b/replay/report.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	highestMs = 3_600_000
-	precision = 3
+	maxLatencyMs      = 3_600_000
+	significantDigits = 3
 )
 
 type (
-	// tally is what came of a trace under a policy.
+	// tally counts the outcomes of a trace under one policy.
 	tally struct {
 		requests    int
 		answered    int
@@ -25,42 +25,42 @@
 		inTime      int
 		exposure    int
 		cost        willowwick.MicroUnits
-		first       *hdrhistogram.Histogram
+		firstToken  *hdrhistogram.Histogram
 		withdrawnAt time.Duration
 	}
 
-	// Figures are a policy's results.
-	Figures struct {
+	// PolicyResult holds the metrics of a policy.
+	PolicyResult struct {
 		Name        string  `json:"name"`
 		Cost        float64 `json:"cost"`    // micro-units per answer
 		Quality     float64 `json:"quality"` // share of answers that are good
-		P50         float64 `json:"p50_ms"`  // to the first token that the caller gets
+		P50         float64 `json:"p50_ms"`  // milliseconds until the caller receives the first token
 		P95         float64 `json:"p95_ms"`
 		P99         float64 `json:"p99_ms"`
 		Goodput     float64 `json:"goodput"`  // share of requests answered within their deadline
-		Exposure    int     `json:"exposure"` // calls of the new version after it turned bad
+		Exposure    int     `json:"exposure"` // requests sent to the new version after it began to fail
 		Refused     int     `json:"refused"`
 		WithdrawnMs int64   `json:"withdrawn_ms,omitempty"`
 	}
 
-	// Checked is a stated outcome with what was measured.
+	// Checked is an expected outcome with its measured value.
 	Checked struct {
 		Outcome
 		Measured float64 `json:"measured"`
 		Met      bool    `json:"met"`
 	}
 
-	// Report is a whole replay.
+	// Report holds the results of all policies on a trace.
 	Report struct {
-		Trace    string    `json:"trace"`
-		Requests int       `json:"requests"`
-		Policies []Figures `json:"policies"`
-		Outcomes []Checked `json:"outcomes"`
+		Trace    string         `json:"trace"`
+		Requests int            `json:"requests"`
+		Policies []PolicyResult `json:"policies"`
+		Outcomes []Checked      `json:"outcomes"`
 	}
 )
 
 func newTally() tally {
-	return tally{first: hdrhistogram.New(1, highestMs, precision)}
+	return tally{firstToken: hdrhistogram.New(1, maxLatencyMs, significantDigits)}
 }
 
 func (r *tally) add(t *task, first time.Duration, now time.Time, good bool) {
@@ -72,25 +72,25 @@
 	if !now.After(t.deadline) {
 		r.inTime++
 	}
-	_ = r.first.RecordValue(max(1, first.Milliseconds()))
+	_ = r.firstToken.RecordValue(max(1, first.Milliseconds()))
 }
 
-func (r *tally) figures(name string) Figures {
+func (r *tally) result(name string) PolicyResult {
 	answered := float64(max(r.answered, 1))
-	return Figures{
+	return PolicyResult{
 		Name: name, Cost: float64(r.cost) / answered, Quality: float64(r.good) / answered,
-		P50: float64(r.first.ValueAtQuantile(50)), P95: float64(r.first.ValueAtQuantile(95)), P99: float64(r.first.ValueAtQuantile(99)),
+		P50: float64(r.firstToken.ValueAtQuantile(50)), P95: float64(r.firstToken.ValueAtQuantile(95)), P99: float64(r.firstToken.ValueAtQuantile(99)),
 		Goodput: float64(r.inTime) / float64(max(r.requests, 1)), Exposure: r.exposure, Refused: r.refused,
 		WithdrawnMs: r.withdrawnAt.Milliseconds(),
 	}
 }
 
-// Run plays a trace under every policy and checks the stated outcomes.
+// Run replays a trace under every policy and checks the expected outcomes.
 func Run(trace *Trace, seed uint64) (*Report, error) {
 	if len(trace.Requests) == 0 {
 		return nil, errors.New("the trace has no requests")
 	}
-	report := &Report{Trace: trace.Name, Requests: len(trace.Requests), Policies: make([]Figures, len(policies))}
+	report := &Report{Trace: trace.Name, Requests: len(trace.Requests), Policies: make([]PolicyResult, len(policies))}
 	failures := make([]error, len(policies))
 	var running sync.WaitGroup
 	for i, p := range policies {
@@ -98,7 +98,7 @@
 			result, err := simulate(trace, p, seed)
 			failures[i] = err
 			if err == nil {
-				report.Policies[i] = result.figures(p.name)
+				report.Policies[i] = result.result(p.name)
 			}
 		})
 	}
@@ -118,35 +118,36 @@
 	return report, nil
 }
 
-// Of returns the figures of a policy.
-func (r *Report) Of(name string) (Figures, bool) {
+// Result returns the result of the policy called name, and whether there is one.
+func (r *Report) Result(name string) (PolicyResult, bool) {
 	for _, f := range r.Policies {
 		if f.Name == name {
 			return f, true
 		}
 	}
-	return Figures{}, false
+	return PolicyResult{}, false
 }
 
+// check compares a metric of willowwick's policy with that of a baseline, or with 1 if the outcome names none.
 func (r *Report) check(o Outcome) (Checked, error) {
-	own, _ := r.Of(PolicyWillowwick)
-	value, err := own.figure(o.Figure)
+	result, _ := r.Result(PolicyWillowwick)
+	value, err := result.metric(o.Metric)
 	if err != nil {
 		return Checked{}, err
 	}
-	against := 1.0
+	reference := 1.0
 	if o.Against != "" {
-		baseline, ok := r.Of(o.Against)
+		baseline, ok := r.Result(o.Against)
 		if !ok {
-			return Checked{}, errors.Errorf("outcome: no policy is called %q", o.Against)
+			return Checked{}, errors.Errorf("outcome: unknown policy %q", o.Against)
 		}
-		if against, err = baseline.figure(o.Figure); err != nil {
+		if reference, err = baseline.metric(o.Metric); err != nil {
 			return Checked{}, err
 		}
 	}
 	c := Checked{Outcome: o, Met: true}
-	if against != 0 {
-		c.Measured = value / against
+	if reference != 0 {
+		c.Measured = value / reference
 	} else if value > 0 {
 		c.Measured = value
 	}
@@ -159,7 +160,7 @@
 	return c, nil
 }
 
-func (f Figures) figure(name string) (float64, error) {
+func (f PolicyResult) metric(name string) (float64, error) {
 	switch name {
 	case "cost":
 		return f.Cost, nil
@@ -172,11 +173,11 @@
 	case "exposure":
 		return float64(f.Exposure), nil
 	default:
-		return 0, errors.Errorf("outcome: no figure is called %q", name)
+		return 0, errors.Errorf("outcome: unknown metric %q", name)
 	}
 }
 
-// Missed lists the stated outcomes that were not met.
+// Missed returns the expected outcomes that were not met.
 func (r *Report) Missed() []Checked {
 	var missed []Checked
 	for _, c := range r.Outcomes {
@@ -201,5 +202,5 @@
 	if !c.Met {
 		verdict = "MISSED"
 	}
-	return fmt.Sprintf("%s against %s: %.3f, stated %s: %s", c.Figure, against, c.Measured, bound, verdict)
+	return fmt.Sprintf("%s against %s: %.3f, expected %s: %s", c.Metric, against, c.Measured, bound, verdict)
 }
