--- a/cmd/willowwickd/node.go
+++ b/cmd/willowwickd/node.go
@@ -86,7 +86,7 @@
 // rereadSettings rereads the settings file and logs the outcome; the running process keeps its addresses and limits.
 func rereadSettings(path string) {
 	settings, err := platform.ReadSettings(path)
-	slog.Info("settings file reread; changes take effect at the next start", "callers", settings.CallerAddress, "error", err)
+	slog.Info("settings file read again; what it changes takes effect at the next start", "callers", settings.CallerAddress, "error", err)
 }
 
 func listenAll(addresses ...string) ([]net.Listener, error) {
