--- a/cmd/willowwickd/node.go
+++ b/cmd/willowwickd/node.go
@@ -109,6 +109,6 @@
 		Seeds: settings.Seeds, Seed: binary.BigEndian.Uint64(seed[:]), Confidence: o.confidence, LateConfidence: o.lateConfidence,
 		RetryBudget: route.RetryLimits{Ratio: bounds.RepeatRatio, Slack: bounds.RepeatSlack, Window: bounds.RepeatWindow},
 		Releases:    exchange.ReleaseSettings{Session: bounds.Session, Exposure: bounds.ExposeShare},
-		Grace:       bounds.Grace, Drain: bounds.Drain, ConfigApplyLimit: bounds.InForce, UnreadyDelay: exchange.DefaultTurnAway,
+		Grace:       bounds.Grace, Drain: bounds.Drain, ConfigApplyLimit: bounds.InForce, UnreadyDelay: exchange.DefaultUnreadyDelay,
 	}
 }
--- a/exchange/admission.go
+++ b/exchange/admission.go
@@ -13,7 +13,7 @@
 	AdmittedRequests struct {
 		AsOf      willowwick.Position                            // all declarations before this position are included
 		Requests  map[willowwick.Fingerprint]willowwick.Position // position of each admission; never modified
-		TakenBack map[willowwick.Fingerprint]willowwick.Position // position at which others were withdrawn; never modified
+		TakenBack map[willowwick.Fingerprint]willowwick.Position // position at which others were revoked; never modified
 		HeldOver  map[willowwick.Fingerprint]HeldOver            // never modified
 	}
 
--- a/exchange/choice.go
+++ b/exchange/choice.go
@@ -107,13 +107,13 @@
 
 // setPinnedElsewhere replaces the sessions that other boxes of the fleet reported as pinned to other releases.
 func (r *releases) setPinnedElsewhere(list []sessionHash) {
-	kept := make(map[sessionHash]bool, len(list))
+	pinned := make(map[sessionHash]bool, len(list))
 	for _, hash := range list {
-		kept[hash] = true
+		pinned[hash] = true
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.pinnedElsewhere = kept
+	r.pinnedElsewhere = pinned
 }
 
 // choose decides whether a request goes to the target of a roll-out.
--- a/exchange/crash.go
+++ b/exchange/crash.go
@@ -17,15 +17,15 @@
 	// pendingBreakTTL is how long a broken connection may still be attributed to a crash of its endpoint: some
 	// heartbeats.
 	pendingBreakTTL = 10 * time.Second
-	// maxPendingBreaks limits the broken connections that wait for that.
+	// maxPendingBreaks limits the broken connections that are kept for that.
 	maxPendingBreaks = 1024
 	// dropCrashWindow is how long after its answer was dropped a request may still have been running at its
-	// endpoint, and so have crashed it. maxPendingDrops limits how many such sends are kept, and maxRetainedBody
-	// the bodies of their requests; the fingerprint of a larger body is computed at once.
+	// endpoint, and so have crashed it. maxPendingDrops limits how many such sends are kept. maxRetainedBody limits
+	// the size of the body kept with each; the fingerprint of a larger one is computed at once.
 	dropCrashWindow = time.Second
 	maxPendingDrops = 256
 	maxRetainedBody = 64 << 10
-	// crashReportDelay is how much later the crash may become known here: another box reports it within some gossip
+	// crashReportDelay is how much later than that window the crash may become known here: another box reports it within some gossip
 	// exchanges.
 	crashReportDelay = 2 * time.Second
 )
@@ -197,17 +197,17 @@
 // countDroppedAtCrash attributes crashes that this box has just learnt of to the sends whose answers were dropped
 // there within dropCrashWindow: their connections were no longer read, so the break went unnoticed.
 func (e *crashDetector) countDroppedAtCrash() {
-	var ended []brokenSend
+	var crashed []brokenSend
 	e.mu.Lock()
 	e.drops = slices.DeleteFunc(e.drops, func(d droppedSend) bool {
 		at, isKnown := e.router.poison.CrashTime(d.endpoint.ID, d.endpoint.Incarnation)
 		if isKnown && at.Sub(d.at).Abs() <= dropCrashWindow {
-			ended = append(ended, brokenSend{request: d.describePoison(), endpoint: d.endpoint, at: at})
+			crashed = append(crashed, brokenSend{request: d.describePoison(), endpoint: d.endpoint, at: at})
 		}
 		return isKnown
 	})
 	e.mu.Unlock()
-	for _, one := range ended {
-		e.router.recordCrash(one)
+	for _, broken := range crashed {
+		e.router.recordCrash(broken)
 	}
 }
--- a/exchange/daemon.go
+++ b/exchange/daemon.go
@@ -21,27 +21,27 @@
 	dialTimeout = 500 * time.Millisecond
 	// unackedTimeout bounds how long sent bytes may stay unacknowledged: a lost packet is retransmitted well before.
 	unackedTimeout = 1500 * time.Millisecond
-	// headerTimeout bounds the time to read a caller's request header, and maxHeaderBytes its size; the operator's
-	// limits are below both.
+	// headerTimeout bounds the time to read a caller's request header, and maxHeaderBytes its size; both are above the
+	// limits that operators declare.
 	headerTimeout  = 10 * time.Second
 	maxHeaderBytes = 64 << 10
-	// callerIdleTimeout bounds how long a caller's connection may be idle: above what operators declare.
+	// callerIdleTimeout bounds how long a caller's connection may be idle; it is above what operators declare.
 	callerIdleTimeout = 120 * time.Second
 	// exitMargin is how long before the end of the grace period the process exits by itself; boxes with a fifth of a
 	// core take most of it for the last steps.
 	exitMargin = time.Second
-	// lastAnswerMargin is how long before that the last requests time out: on a box with a fifth of a core a goroutine
-	// may be delayed by 100 ms, and the timeout of a request and its answer are two of its steps.
+	// lastAnswerMargin is how long before that exit the last accepted requests time out. On a box with a fifth of a core
+	// a goroutine may be delayed by 100 ms, and this can happen twice: at the timeout, and as the answer is written.
 	lastAnswerMargin = 250 * time.Millisecond
-	// DefaultTurnAway is how long the entry takes to notice that a box is not ready, and callers to finish what they
-	// began.
-	DefaultTurnAway = 2500 * time.Millisecond
+	// DefaultUnreadyDelay is the default of Settings.UnreadyDelay: the time the load balancer takes to notice that a box
+	// is not ready, and callers to finish what they began.
+	DefaultUnreadyDelay = 2500 * time.Millisecond
 	// idlePollInterval is how often a stopping box checks for requests in progress.
 	idlePollInterval = 20 * time.Millisecond
 	// idlePollsRequired is how many consecutive checks must find none: bytes of a request may arrive between two of
 	// them.
 	idlePollsRequired = 3
-	// leaveGroupTimeout bounds leaving the group.
+	// leaveGroupTimeout bounds the call by which a stopping box leaves the store's group of boxes.
 	leaveGroupTimeout = 300 * time.Millisecond
 )
 
@@ -71,20 +71,20 @@
 )
 
 // New returns a daemon that is not running yet, and a function that closes its connections.
-func New(settings Settings, outside Dependencies) (*Daemon, func()) {
-	x, closeRouter := newRouter(settings, outside.Codec)
-	x.sync = newSyncer(x, outside.Control)
+func New(settings Settings, deps Dependencies) (*Daemon, func()) {
+	x, closeRouter := newRouter(settings, deps.Codec)
+	x.sync = newSyncer(x, deps.Control)
 	var closePeers func()
 	x.peers, closePeers = newPeers(x)
-	x.hints = newHints(x, outside.Hints)
-	return &Daemon{router: x, deps: outside, callers: newCallerListener(outside.Callers)}, func() {
+	x.hints = newHints(x, deps.Hints)
+	return &Daemon{router: x, deps: deps, callers: newCallerListener(deps.Callers)}, func() {
 		closePeers()
 		closeRouter()
 	}
 }
 
-// Start serves callers, the entry's readiness checks, peers and metrics; the function it returns stops everything
-// immediately.
+// Start serves callers, the load balancer's readiness checks, peers and metrics; the function it returns stops
+// everything immediately.
 func (d *Daemon) Start() func() {
 	ctx, cancel := context.WithCancel(context.Background())
 	d.cancel = cancel
@@ -175,8 +175,8 @@
 	x.stopAt.Store(limit.Add(-lastAnswerMargin).UnixNano())
 	time.Sleep(clock.Until(earliest(began.Add(x.settings.UnreadyDelay), limit)))
 	x.refusesLate.Store(true)
-	// The listener stays open: the entry uses boxes that are not ready where it has too few others. Idle connections
-	// stay open too: a request may be in transit on them.
+	// The listener stays open until awaitIdle returns: the load balancer uses boxes that are not ready where it
+	// has too few others. Idle connections stay open too: a request may be in transit on them.
 	awaitIdle(&d.callers.busyConns, limit)
 	if err := d.callers.Close(); err != nil {
 		slog.Debug("closing the listener for callers failed", "error", err)
--- a/exchange/doc.go
+++ b/exchange/doc.go
@@ -1,3 +1,28 @@
-// Package exchange routes opaque requests: it authenticates them, chooses model, release and endpoint, retries what may
-// be retried, and streams answers as they arrive, on boxes that share their state of endpoints and roll-outs.
+// Package exchange is the router itself: it takes callers' requests, sends them to endpoints, and relays the answers.
+//
+// A [Router] authenticates each request, finds its route, chooses a service, release, model and endpoint for it, waits
+// for a slot there, retries where the route allows it, and streams the answer as it arrives. It never interprets bodies.
+// Begin with router.go, then read call.go (one request, from arrival to its last log line), send.go (one send of it to
+// one endpoint) and relay.go (the answer). daemon.go starts a Router with its listeners and background loops.
+//
+// Each box runs one daemon, and the boxes share what they know. They take it from the store (sync.go, listing.go) and
+// from each other (peers.go, gossip.go, digest.go). These terms are used throughout:
+//
+//   - The reader of a hall is the box that reads the store for all boxes of the hall: the first live one in hub order
+//     (KnownBox.precedes) that reaches the store.
+//   - The hub of a hall is the box that the others of the hall exchange gossip with: its reader, or the first live box
+//     while none reaches the store. Gossip between halls goes through their hubs. See hub.go.
+//   - A gossip exchange is one call of the RPC Swap: caller and peer send each other their digests and what the other
+//     one lacks, such as a newer configuration or list of endpoints. See gossip.go.
+//   - A digest is the state of one box as it reports it to others: versions and ages of its data, counts of answers,
+//     roll-outs, and endpoints that are draining. See digest.go.
+//   - The roster is the set of known boxes, which boxes compare by a checksum. See roster.go.
+//   - An era is the time between two restores of the store from a copy (a backup). The copy may lack the last
+//     declarations, so boxes keep them for restoreTime while the operator writes them again. See era.go and
+//     declared_set.go.
+//   - Quarantine keeps poison requests, which crash the endpoints that run them, from being sent again. See poison.go,
+//     crash.go and package quarantine.
+//
+// Further parts are roll-outs of releases (release.go, choice.go, evidence.go), permits for rate-limited endpoints
+// (permits.go), and UDP datagrams on prompts that other boxes have just sent (hints.go).
 package exchange
--- a/exchange/era_test.go
+++ b/exchange/era_test.go
@@ -33,48 +33,48 @@
 	return willowwick.Evacuation{Hall: "hall-a", At: at}
 }
 
-func takenBackAt(at willowwick.Position) willowwick.Evacuation {
+func revokedAt(at willowwick.Position) willowwick.Evacuation {
 	return willowwick.Evacuation{Hall: "hall-a", At: at, Revoked: true}
 }
 
-// Guards against declarations that are lost or remain for good when the store is restored from a copy: it assigns
-// offsets again, so a new declaration has a lower one than known declarations. The last declarations, which the copy
-// lacks, hold until the operator writes them again.
+// Guards against declarations that are lost or remain for good when the store is restored from a copy. The store then
+// assigns offsets again, so a new declaration has a lower offset than known ones. The last declarations, which the copy
+// lacks, hold for restoreTime while the operator writes them again.
 func TestDeclarationsHoldThroughStoreRestore(t *testing.T) {
-	const isEvacuated, isNot = 1, 0
+	const isEvacuated, notEvacuated = 1, 0
 	for name, test := range map[string]struct {
 		before []willowwick.Evacuation // of era 1, read up to offset 20
 		copied []willowwick.Evacuation // the first read of era 2, up to offset 8
 		after  []willowwick.Evacuation // read afterwards
-		// Halls evacuated after the first read, after all reads, and after the operator has had time to write again.
+		// Number of evacuated halls after the first read of era 2, after all reads, and after restoreTime has passed.
 		first, then, last int
 	}{
-		"declared after the return":            {nil, nil, []willowwick.Evacuation{declaredAt(positionIn(2, 9))}, isNot, isEvacuated, isEvacuated},
+		"declared after the restore":           {nil, nil, []willowwick.Evacuation{declaredAt(positionIn(2, 9))}, notEvacuated, isEvacuated, isEvacuated},
 		"declared right before the first read": {nil, []willowwick.Evacuation{declaredAt(positionIn(2, 7))}, nil, isEvacuated, isEvacuated, isEvacuated},
-		"lost and not written again":           {[]willowwick.Evacuation{declaredAt(positionIn(1, 15))}, nil, nil, isEvacuated, isEvacuated, isNot},
+		"lost and not written again":           {[]willowwick.Evacuation{declaredAt(positionIn(1, 15))}, nil, nil, isEvacuated, isEvacuated, notEvacuated},
 		"lost and written again": {
 			[]willowwick.Evacuation{declaredAt(positionIn(1, 15))}, nil, []willowwick.Evacuation{declaredAt(positionIn(2, 9))}, isEvacuated, isEvacuated, isEvacuated,
 		},
 		"in the copy": {
 			[]willowwick.Evacuation{declaredAt(positionIn(1, 5))}, []willowwick.Evacuation{declaredAt(positionIn(2, 5))}, nil, isEvacuated, isEvacuated, isEvacuated,
 		},
-		"taken back after the return": {
+		"revoked after the restore": {
 			[]willowwick.Evacuation{declaredAt(positionIn(1, 5))},
 			[]willowwick.Evacuation{declaredAt(positionIn(2, 5))},
-			[]willowwick.Evacuation{takenBackAt(positionIn(2, 9))},
-			isEvacuated, isNot, isNot,
+			[]willowwick.Evacuation{revokedAt(positionIn(2, 9))},
+			isEvacuated, notEvacuated, notEvacuated,
 		},
-		"lost, and taken back after the return": {
-			[]willowwick.Evacuation{declaredAt(positionIn(1, 15))}, nil, []willowwick.Evacuation{takenBackAt(positionIn(2, 9))}, isEvacuated, isNot, isNot,
+		"lost, and revoked after the restore": {
+			[]willowwick.Evacuation{declaredAt(positionIn(1, 15))}, nil, []willowwick.Evacuation{revokedAt(positionIn(2, 9))}, isEvacuated, notEvacuated, notEvacuated,
 		},
-		"taken back before, which the copy lacks": {
-			[]willowwick.Evacuation{declaredAt(positionIn(1, 5)), takenBackAt(positionIn(1, 15))},
+		"revoked before the restore, which the copy lacks": {
+			[]willowwick.Evacuation{declaredAt(positionIn(1, 5)), revokedAt(positionIn(1, 15))},
 			[]willowwick.Evacuation{declaredAt(positionIn(2, 5))},
-			[]willowwick.Evacuation{takenBackAt(positionIn(2, 9))},
-			isNot, isNot, isNot,
+			[]willowwick.Evacuation{revokedAt(positionIn(2, 9))},
+			notEvacuated, notEvacuated, notEvacuated,
 		},
-		"taken back before, and declared again": {
-			[]willowwick.Evacuation{declaredAt(positionIn(1, 5)), takenBackAt(positionIn(1, 15))}, []willowwick.Evacuation{declaredAt(positionIn(2, 5))}, nil, isNot, isNot, isEvacuated,
+		"revoked before the restore, and declared again": {
+			[]willowwick.Evacuation{declaredAt(positionIn(1, 5)), revokedAt(positionIn(1, 15))}, []willowwick.Evacuation{declaredAt(positionIn(2, 5))}, nil, notEvacuated, notEvacuated, isEvacuated,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -100,7 +100,7 @@
 	}
 }
 
-// What was lost in the first of two restores within seconds holds through the second.
+// A declaration that the first of two restores within seconds lost holds through the second.
 func TestDeclarationsHoldThroughTwoStoreRestores(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEvacuatedHalls()
@@ -109,7 +109,7 @@
 		time.Sleep(time.Second)
 		e.applyRead(true, positionIn(3, 6))
 		assert.Equal(t, 1, e.count())
-		e.applyRead(false, positionIn(2, 9), takenBackAt(positionIn(2, 8)))
+		e.applyRead(false, positionIn(2, 9), revokedAt(positionIn(2, 8)))
 		assert.Equal(t, 1, e.count(), "a late answer of the former era is ignored")
 		time.Sleep(restoreTime - time.Second/2)
 		assert.Equal(t, 1, e.count())
@@ -118,12 +118,12 @@
 	})
 }
 
-// The same for a revocation: the copy that the store is restored from each time holds the declaration.
+// A revocation holds through several restores, too; the copy holds the revoked declaration each time.
 func TestRevocationsHoldThroughTwoStoreRestores(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEvacuatedHalls()
 		e.applyRead(true, positionIn(1, 10), declaredAt(positionIn(1, 5)))
-		e.applyRead(false, positionIn(1, 20), takenBackAt(positionIn(1, 15)))
+		e.applyRead(false, positionIn(1, 20), revokedAt(positionIn(1, 15)))
 		for era := range willowwick.Era(3) {
 			e.applyRead(true, positionIn(2+era, 8), declaredAt(positionIn(2+era, 5)))
 			assert.Zero(t, e.count())
@@ -136,22 +136,22 @@
 
 func TestAdmittedRequestsHoldThroughStoreRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		harm := quarantine.New()
-		a := newAdmissions(harm)
+		ledger := quarantine.New()
+		a := newAdmissions(ledger)
 		request := willowwick.PoisonRequest{Request: willowwick.Fingerprint{1}}
 		for i := range quarantine.RefuseAfterCrashes {
-			harm.RecordCrash(request, willowwick.EndpointCrash{Endpoint: "gone", Incarnation: willowwick.Incarnation(i), At: time.Now()})
+			ledger.RecordCrash(request, willowwick.EndpointCrash{Endpoint: "gone", Incarnation: willowwick.Incarnation(i), At: time.Now()})
 		}
-		require.True(t, harm.Refuses(request.Request))
+		require.True(t, ledger.Refuses(request.Request))
 		admission := func(at willowwick.Position) []willowwick.Admission {
 			return []willowwick.Admission{{Request: request.Request, At: at}}
 		}
 		a.declare(willowwick.Declarations{Snapshot: true, Next: positionIn(1, 9), Admissions: admission(positionIn(1, 8))})
 		a.declare(willowwick.Declarations{Snapshot: true, Next: positionIn(2, 4)})
-		assert.False(t, harm.Refuses(request.Request))
+		assert.False(t, ledger.Refuses(request.Request))
 		a.declare(willowwick.Declarations{Next: positionIn(2, 5), Admissions: admission(positionIn(2, 4))})
 		time.Sleep(2 * restoreTime)
-		assert.False(t, harm.Refuses(request.Request))
+		assert.False(t, ledger.Refuses(request.Request))
 	})
 }
 
@@ -175,9 +175,9 @@
 	}
 }
 
-// The copy holds an order that a later one, which it lacks, had replaced.
+// The copy holds an order for v2 and lacks the later one for v3, which had replaced it.
 func TestOrderFromCopyDoesNotReplaceLaterLostOrder(t *testing.T) {
-	newMoved := func() *releases {
+	newRolledOutTwice := func() *releases {
 		r := newTestReleases()
 		r.applyOrder(orderOf("v2", positionIn(1, 10)), 0, testStart)
 		r.applyStatus(willowwick.ReleaseStatus{Service: "work", Target: "v2", State: willowwick.ReleaseCompleted}, true, "test")
@@ -187,16 +187,17 @@
 		return r
 	}
 	later := at(0.2).Add(restoreTime + time.Second)
-	r := newMoved()
+	r := newRolledOutTwice()
 	r.applyOrder(orderOf("v3", positionIn(2, 14)), 0, at(0.25))
 	r.evaluate(nil, later)
 	assert.Equal(t, willowwick.ReleaseID("v3"), r.progressList(later)[0].Status.Target, "it was written again")
-	r = newMoved()
+	r = newRolledOutTwice()
 	r.evaluate(nil, later)
 	assert.Equal(t, willowwick.ReleaseID("v2"), r.progressList(later)[0].Status.Target, "the operator ordered it anew")
 }
 
-// The records that boxes had written to the store are lost, and only the boxes know them.
+// A restore loses the records that boxes had written to the store (poison requests and states of roll-outs); the boxes
+// write them again.
 func TestBoxesRewriteTheirRecordsAfterRestore(t *testing.T) {
 	s := newSite(t, newRunner(t, "r1", answerText("ok")).endpoint("v1"), newRunner(t, "r2", answerText("ok")).endpoint("v2"))
 	x := s.daemon.router
@@ -218,8 +219,8 @@
 	require.Eventually(t, isWritten, waitTimeout, 5*time.Millisecond)
 }
 
-// While the operator writes the lost declarations again, the newest configuration in the store need not be the one in
-// force: nothing is refused permanently because of it.
+// While the operator writes the lost declarations again, the newest configuration in the store need not be the newest one
+// that was accepted: no read confirms it, it becomes stale, and nothing is refused permanently because of it.
 func TestNoConfigurationIsConfirmedDuringRestore(t *testing.T) {
 	s := newSite(t, newRunner(t, "r1", answerText("ok")).endpoint("v1"))
 	x := s.daemon.router
@@ -229,9 +230,10 @@
 }
 
 // The store is restored from a copy that lacks a tenth of the endpoints; these write their entries again within two
-// seconds. No box may drop one of them meanwhile, each may be the only one with a prompt's cache; and a draining one
-// must be known in time, though its offset is below the former end. The store gets no more calls than from the readers
-// as they start: for the list, declarations, states of roll-outs, refused requests, the group and its members.
+// seconds. No box may drop one of them meanwhile, since each may be the only one that has some prompt cached. An endpoint
+// that drains afterwards must become known in time, although its entry's offset is below the last one of the former era.
+// The store gets no more calls than when the readers start: for the list, declarations, states of roll-outs, poison
+// requests, the group and its members.
 func TestNoEndpointIsLostInStoreRestore(t *testing.T) {
 	const callsOfStart = 6
 	eachMeshSize(t, func(t *testing.T, size meshSize) {
@@ -296,8 +298,8 @@
 	})
 }
 
-// Guards against a box that starts after a restore, reads a configuration that the operator has yet to replace, and
-// permanently refuses what it lacks; the other boxes knew better.
+// Guards against a box that starts after a restore, reads an old configuration that the operator has yet to replace, and
+// permanently refuses what that lacks. The other boxes report to it that the store is being restored.
 func TestBoxStartedDuringRestoreRefusesNothingPermanently(t *testing.T) {
 	s := newSite(t, newRunner(t, "r1", answerText("ok")).endpoint("v1"))
 	s.control.restoreFromBackup(func() {})
--- a/exchange/evacuation.go
+++ b/exchange/evacuation.go
@@ -14,7 +14,7 @@
 	EvacuatedHalls struct {
 		AsOf      willowwick.Position                       // all declarations before this position are included
 		Halls     map[willowwick.HallID]willowwick.Position // position of each evacuation; never modified
-		TakenBack map[willowwick.HallID]willowwick.Position // position at which others were withdrawn; never modified
+		TakenBack map[willowwick.HallID]willowwick.Position // position at which others were revoked; never modified
 		HeldOver  map[willowwick.HallID]HeldOver            // never modified
 	}
 
@@ -58,7 +58,7 @@
 	e.declaredSetKeeper.applyPeerSet(declaredSet[willowwick.HallID]{update.AsOf, update.Halls, update.TakenBack, update.HeldOver}, source)
 }
 
-// logEvacuations logs each hall that is evacuated or whose evacuation is withdrawn.
+// logEvacuations logs each hall that is evacuated or whose evacuation is revoked.
 func logEvacuations(old, updated effectiveSet[willowwick.HallID], source string) {
 	for hall, at := range updated.members {
 		if _, wasEvacuated := old.members[hall]; !wasEvacuated {
--- a/exchange/evacuation_test.go
+++ b/exchange/evacuation_test.go
@@ -30,15 +30,15 @@
 // fillSlots takes all slots of the endpoints and returns a function that releases them.
 func (s *site) fillSlots(t *testing.T) (free func()) {
 	all := func(willowwick.Endpoint) bool { return true }
-	var places []*route.Slot
+	var slots []*route.Slot
 	for s.daemon.router.pool.HasOpen(time.Now(), "work", all) {
-		place, _ := s.daemon.router.pool.AcquireAllowed(time.Now(), "work", route.Work{}, nil, all)
-		require.NotNil(t, place)
-		places = append(places, place)
+		slot, _ := s.daemon.router.pool.AcquireAllowed(time.Now(), "work", route.Work{}, nil, all)
+		require.NotNil(t, slot)
+		slots = append(slots, slot)
 	}
 	return func() {
-		for _, place := range places {
-			place.Release(time.Now(), route.OutcomeCancelled)
+		for _, slot := range slots {
+			slot.Release(time.Now(), route.OutcomeCancelled)
 		}
 	}
 }
@@ -48,7 +48,7 @@
 	s.daemon.router.sync.applyDeclarations(declared)
 }
 
-// receiveEvacuated passes the digest of another box to the box.
+// receiveEvacuated passes a digest of another box, with these evacuated halls, to the box.
 func (s *site) receiveEvacuated(evacuated EvacuatedHalls) {
 	s.daemon.router.peers.receiveDigest(Digest{Box: "box-9", Hall: "hall-z", Address: "10.0.0.9:1", Evacuated: evacuated}, time.Now())
 }
@@ -65,12 +65,12 @@
 	other := newRunner(t, "r2", answerText("other"))
 	s := newSite(t, own.endpoint("v1"), inHall("hall-b", other.endpoint("v1")))
 	var running siteReply
-	var asked sync.WaitGroup
-	asked.Go(func() { running = s.do(t, http.MethodPost, "/once/", "long", "x") })
+	var requests sync.WaitGroup
+	requests.Go(func() { running = s.do(t, http.MethodPost, "/once/", "long", "x") })
 	<-began
 	end := sync.OnceFunc(func() {
 		close(finish)
-		asked.Wait()
+		requests.Wait()
 	})
 	t.Cleanup(end)
 	s.control.evacuate("hall-a")
@@ -185,9 +185,9 @@
 		return EvacuatedHalls{AsOf: at, Halls: map[willowwick.HallID]willowwick.Position{hall: at - 1}}
 	}
 	steps := []struct {
-		what    string
-		do      func()
-		isEmpty bool
+		what        string
+		do          func()
+		isEvacuated bool // afterwards
 	}{
 		{"full read", func() {
 			s.applyDeclarations(willowwick.Declarations{Snapshot: true, Next: 100, Evacuations: []willowwick.Evacuation{{Hall: hall, At: 99}}})
@@ -223,7 +223,7 @@
 	}
 	for _, step := range steps {
 		step.do()
-		require.Equal(t, step.isEmpty, !s.sendsTo(hall), step.what)
+		require.Equal(t, step.isEvacuated, !s.sendsTo(hall), step.what)
 	}
 }
 
--- a/exchange/freshness.go
+++ b/exchange/freshness.go
@@ -7,24 +7,24 @@
 	"github.com/willowwick/willowwick"
 )
 
-// isConfigStale reports whether a configuration may have to be in force that this box does not have: one that was
-// accepted long enough ago, and after the last time that this box's was known to be the newest. Without failures the
-// age is at most twice longPollLimit and one gossip exchange, since the store may answer with changes at the end of one
-// long poll and without at the end of the next.
+// isConfigStale reports whether the store may have accepted a newer configuration that must be in force by now: this
+// box's was last known to be the newest more than ConfigApplyLimit ago. Without failures configAge is at most twice
+// longPollLimit plus one gossip exchange, since the store may answer with changes at the end of one long poll and
+// without at the end of the next.
 func (s *syncer) isConfigStale(now time.Time) bool {
 	return s.configAge(now) > s.router.settings.ConfigApplyLimit
 }
 
-// noteConfigAsOf records that this box has the configuration that was in the store at a moment, or a newer one: all
-// that was accepted until then. It is called once that configuration is in force here.
+// noteConfigAsOf records that this box's configuration includes all that the store had accepted by the given time. It is
+// called once that configuration is in force here.
 func (s *syncer) noteConfigAsOf(asOf time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.configAsOf = latest(s.configAsOf, asOf)
 }
 
-// noteConfigFromPeer takes the time of the configuration from another box's reply. It applies to this box's own only if
-// that is as new.
+// noteConfigFromPeer applies the age that another box reported for its configuration, unless this box's own is older
+// than that one or the store is being restored.
 func (s *syncer) noteConfigFromPeer(digest *Digest, now time.Time) {
 	if digest.ConfigAgeMs == 0 || digest.TableVersion > s.router.configVersion() || s.isRestoring(now) {
 		return
@@ -32,17 +32,17 @@
 	s.noteConfigAsOf(now.Add(-time.Duration(digest.ConfigAgeMs) * time.Millisecond))
 }
 
-// configAge returns the time since this box's configuration was last known to be the newest, whichever box read that;
-// maxReportedAge if it never was. Reads of endpoints, which use connections of their own, say nothing about it.
+// configAge returns the time since this box's configuration was last known to be the newest, whichever box read the
+// store; it is at most maxReportedAge. Reads of endpoints don't count: they use connections of their own.
 func (s *syncer) configAge(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return min(now.Sub(s.configAsOf), maxReportedAge)
 }
 
-// declarationsAsOf returns the time as of which the answer to a read of the declarations is certain; only its arrival
-// is known. The store answers as soon as there are changes: an answer with changes may have been made when the read was
-// sent, and in transit since. One without changes was made after the store had waited for the whole time.
+// declarationsAsOf returns the latest time at which the answer to a read of the declarations was certainly up to date.
+// The store answers as soon as there are changes: an answer with changes may date from when the read was sent and have
+// been in transit since. One without changes dates from after the store had held the read for all of wait.
 func declarationsAsOf(began, ended time.Time, wait time.Duration, from willowwick.Position, declared willowwick.Declarations) time.Time {
 	if waited := began.Add(wait); declared.Next == from && !waited.After(ended) {
 		return waited
@@ -50,8 +50,8 @@
 	return began
 }
 
-// storeReadAge returns the time since this box last showed that it can read the store, all kinds of reads; while no
-// read has failed, what other boxes read for it counts too, since it had no need to read then.
+// storeReadAge returns the time since this box was last known to reach the store: since the last answer to the kind of
+// read that has failed or been overdue for longest, or storeAnswerAge if there is none.
 func (s *syncer) storeReadAge(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,8 +67,8 @@
 	return s.storeAnswerAge(now)
 }
 
-// storeAnswerAge returns the time since the store last answered any read of this box, or of another box that read for
-// it; the caller holds the lock.
+// storeAnswerAge returns the time since the store last answered any read of this box. While none of its reads is
+// failing, a read by another box counts too, since this one may have had no need to read. The caller holds the lock.
 func (s *syncer) storeAnswerAge(now time.Time) time.Duration {
 	age := min(now.Sub(s.answeredAt[declarationsRead]), now.Sub(s.answeredAt[endpointsRead]))
 	if s.isAnyReadFailing() {
@@ -89,7 +89,7 @@
 	return s.failing != [readKindCount]bool{}
 }
 
-// endpointsAge returns the age of this box's data on endpoints, whichever box read it; maxReportedAge if none did.
+// endpointsAge returns the age of this box's data on endpoints, whichever box read it; it is at most maxReportedAge.
 func (s *syncer) endpointsAge(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,8 +108,8 @@
 	slog.Info("store is reached again", "read", kind.String(), "away_ms", now.Sub(s.lastFailureAt).Milliseconds(), "held_read_ms", s.longPollDuration(now).Milliseconds())
 }
 
-// noteFailure records that the store does not answer reads of a kind. A read of the other kind continues: its own
-// limits end it, and its answer may be arriving.
+// noteFailure records that a read of a kind failed. It doesn't cancel a running read of the other kind, which has
+// timeouts of its own and whose answer may be arriving.
 func (s *syncer) noteFailure(kind readKind, now time.Time, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,15 +138,15 @@
 	return now.Sub(s.longPollSince)
 }
 
-// longPollAge returns how long the running long poll has lasted, 0 if there is none.
+// longPollAge is longPollDuration for callers that don't hold the lock.
 func (s *syncer) longPollAge(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.longPollDuration(now)
 }
 
-// declaredAge returns the time since the store last answered a read of the declarations, 0 if it never did.
-func (s *syncer) declaredAge(now time.Time) time.Duration {
+// declarationsAnswerAge returns the time since the store last answered a read of the declarations, 0 if it never did.
+func (s *syncer) declarationsAnswerAge(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.answeredAt[declarationsRead].IsZero() {
--- a/exchange/hints.go
+++ b/exchange/hints.go
@@ -20,70 +20,72 @@
 )
 
 const (
-	// hintPausePerBox is how long a box collects readings before it sends them to its hall, for each box that
+	// hintPausePerBox is how long a box collects updates before it sends them to its hall, for each box that
 	// receives them: in a hall of 65 boxes, each box then sends at most a thousand datagrams a second to all others
 	// together.
 	hintPausePerBox = time.Millisecond
-	// minHintPause is the least time for which readings are collected: a datagram takes a fraction of it to arrive,
+	// minHintPause is the least time for which updates are collected: a datagram takes a fraction of it to arrive,
 	// and reading a prompt takes many times as long.
 	minHintPause = 5 * time.Millisecond
-	// maxHintRows limits the readings of one datagram, so that it fits into a packet with room to spare.
+	// maxHintRows limits the updates in one datagram, so that it fits into a packet with room to spare.
 	maxHintRows = 48
-	// hintQueueSize limits the readings that wait to be sent; more are dropped.
+	// hintQueueSize limits the updates that wait to be sent; more are dropped.
 	hintQueueSize = 256
 	// hintReadBytes is the size of the receive buffer, above that of the largest datagram.
 	hintReadBytes = 2048
 	// hintSealBytes is the length of the seal (a truncated HMAC) before the rows: long enough not to be guessed
 	// while a box runs.
 	hintSealBytes = 12
-	// maxHintParts limits the prompt parts in a reading: shared ones are few, and the last ones matter most.
+	// maxHintParts limits the prompt parts in an update: shared ones are few, and the last ones matter most.
 	maxHintParts = 2
-	// maxDirectBoxes is the largest size of another hall whose boxes are all sent readings directly. In a larger
+	// maxDirectBoxes is the largest size of another hall whose boxes are all sent updates directly. In a larger
 	// hall one box gets them and forwards them, since bytes between halls cost more than those within.
 	maxDirectBoxes = 3
-	// maxRowsPerSecond is how many readings a second a box receives from all others together: at 17 bytes each, two
+	// maxRowsPerSecond is how many updates a second a box receives from all others together: at 17 bytes each, two
 	// thirds of the 30 KB a second that a box may spend on control traffic. Each box sends an equal share of them,
-	// long readings first.
+	// and drops those of short prefills first.
 	maxRowsPerSecond = 1200
 	// rowBurstSeconds is the burst of a box's share, in seconds of its rate, and minRowBurst the least burst in
-	// readings.
+	// updates.
 	rowBurstSeconds = 2
 	minRowBurst     = 16
-	// shortReading is the duration below which readings are sent only while at least half of the burst is left.
-	shortReading = 100 * time.Millisecond
-	// hintSenderTTL is how long a box that sent readings counts as alive: boxes that serve requests send some each
+	// shortPrefill is the prefill time below which updates are sent only while at least half of the burst is left.
+	shortPrefill = 100 * time.Millisecond
+	// hintSenderTTL is how long a box that sent updates counts as alive: boxes that serve requests send some each
 	// second.
 	hintSenderTTL = 2 * time.Second
 )
 
 type (
-	// hints exchanges with other boxes what each sends to endpoints.
+	// hints sends prefill updates to other boxes in UDP datagrams, and applies theirs. A prefill update reports that a
+	// prompt was sent to an endpoint, or that the forecast of all that the endpoint has to read has shifted.
 	//
 	// A box knows only its own requests at once, but an endpoint reads prompts one after another, whoever sent
-	// them. With the readings of other boxes, forecasts of the first event are good enough to choose endpoints by.
+	// them. With the updates of other boxes, forecasts of the first event are good enough to choose endpoints by.
 	// A lost datagram costs a worse choice and nothing else.
 	hints struct {
 		router *Router
 		conn   net.PacketConn
 		queue  chan hint
 
-		mu          sync.Mutex
-		lastHeard   map[netip.AddrPort]time.Time // when each box last sent readings
-		rowTokens   float64                      // readings that may be sent at rowTokensAt
-		rowTokensAt time.Time
+		mu             sync.Mutex
+		lastReceivedAt map[netip.AddrPort]time.Time // when each box last sent updates
+		rowTokens      float64                      // updates that may be sent as of rowTokensAt
+		rowTokensAt    time.Time
 	}
 
-	// hint is a reading that waits to be sent.
+	// hint is a prefill update that waits to be sent.
 	hint struct {
 		row         hintRow
-		isForwarded bool // received from another hall; sent within the own hall only
+		isForwarded bool // received from another hall; sent within this box's hall only
 	}
 
-	// hintRow is one reading on the wire; names are truncated to half of their hashes.
+	// hintRow is a prefill update on the wire; the endpoint and the prompt parts are given by 32-bit halves of their
+	// hashes.
 	hintRow struct {
 		Endpoint uint32
-		Micros   int32 // duration of the reading, or the delay of all readings against the forecast
-		IsShift  bool  // Micros is a delay
+		Micros   int32 // change of the endpoint's prefill time in microseconds, or shift of its whole forecast
+		IsShift  bool  // Micros is a shift
 		Parts    [maxHintParts]route.PartHash
 	}
 
@@ -92,46 +94,46 @@
 )
 
 const (
-	// hintFinal marks readings for the receiving box only.
+	// hintFinal marks updates for the receiving box only.
 	hintFinal hintKind = iota
-	// hintForward marks readings that the receiver forwards to the other boxes of its hall.
+	// hintForward marks updates that the receiver forwards to the other boxes of its hall.
 	hintForward
 )
 
 func newHints(x *Router, conn net.PacketConn) *hints {
-	return &hints{router: x, conn: conn, queue: make(chan hint, hintQueueSize), lastHeard: map[netip.AddrPort]time.Time{}}
+	return &hints{router: x, conn: conn, queue: make(chan hint, hintQueueSize), lastReceivedAt: map[netip.AddrPort]time.Time{}}
 }
 
-// publish queues a reading for the other boxes if isReading is set; it never blocks.
-func (h *hints) publish(reading route.PrefillUpdate, isReading bool) {
-	if h.conn == nil || !isReading {
+// publish queues an update for the other boxes if there is one, as its source reports in hasUpdate; it never blocks.
+func (h *hints) publish(update route.PrefillUpdate, hasUpdate bool) {
+	if h.conn == nil || !hasUpdate {
 		return
 	}
-	if !h.takeRowToken(reading.Added, h.router.peers.fleetSize(), clock.Now()) {
+	if !h.takeRowToken(update.Added, h.router.peers.fleetSize(), clock.Now()) {
 		h.router.metrics.countHintDropped()
 		return
 	}
 	row := hintRow{
-		Endpoint: reading.Endpoint, IsShift: reading.IsShift,
-		Micros: int32(min(max(reading.Added.Microseconds(), math.MinInt32), math.MaxInt32)),
+		Endpoint: update.Endpoint, IsShift: update.IsShift,
+		Micros: int32(min(max(update.Added.Microseconds(), math.MinInt32), math.MaxInt32)),
 	}
-	copy(row.Parts[:], reading.Parts[max(len(reading.Parts)-maxHintParts, 0):])
+	copy(row.Parts[:], update.Parts[max(len(update.Parts)-maxHintParts, 0):])
 	h.enqueue(hint{row: row})
 }
 
-// takeRowToken takes a token from this box's share of the readings that all boxes send, and reports whether there
-// was one.
-func (h *hints) takeRowToken(length time.Duration, boxes int, now time.Time) bool {
+// takeRowToken takes a token for an update from this box's share of maxRowsPerSecond, and reports whether there was
+// one; change is the prefill time or shift in the update.
+func (h *hints) takeRowToken(change time.Duration, boxes int, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	rate := maxRowsPerSecond / float64(max(boxes, 1))
-	most := max(rowBurstSeconds*rate, minRowBurst)
+	burst := max(rowBurstSeconds*rate, minRowBurst)
 	if h.rowTokensAt.IsZero() {
-		h.rowTokens = most
+		h.rowTokens = burst
 	}
-	h.rowTokens = min(h.rowTokens+rate*now.Sub(h.rowTokensAt).Seconds(), most)
+	h.rowTokens = min(h.rowTokens+rate*now.Sub(h.rowTokensAt).Seconds(), burst)
 	h.rowTokensAt = now
-	if h.rowTokens < 1 || length.Abs() < shortReading && h.rowTokens < most/2 {
+	if h.rowTokens < 1 || change.Abs() < shortPrefill && h.rowTokens < burst/2 {
 		return false
 	}
 	h.rowTokens--
@@ -146,7 +148,7 @@
 	}
 }
 
-// send sends the queued readings until the context ends.
+// send sends the queued updates until the context ends.
 func (h *hints) send(ctx context.Context) {
 	for {
 		select {
@@ -155,8 +157,8 @@
 		case first := <-h.queue:
 			near, far := h.router.peers.hintRecipients(clock.Now())
 			sleep(ctx, max(time.Duration(len(near))*hintPausePerBox, minHintPause))
-			own, heard := h.collect(first)
-			h.sendTo(near, hintFinal, append(heard, own...))
+			own, forwarded := h.collect(first)
+			h.sendTo(near, hintFinal, append(forwarded, own...))
 			for _, hall := range far {
 				h.sendToHall(hall, own)
 			}
@@ -164,12 +166,13 @@
 	}
 }
 
-// collect returns the first reading and those queued behind it, up to maxHintRows.
-func (h *hints) collect(first hint) (own, heard []hintRow) {
+// collect returns the first update and those queued behind it, up to maxHintRows: this box's own, and those of
+// other halls that it forwards.
+func (h *hints) collect(first hint) (own, forwarded []hintRow) {
 	next, found := first, true
-	for found && len(own)+len(heard) < maxHintRows {
+	for found && len(own)+len(forwarded) < maxHintRows {
 		if next.isForwarded {
-			heard = append(heard, next.row)
+			forwarded = append(forwarded, next.row)
 		} else {
 			own = append(own, next.row)
 		}
@@ -179,10 +182,10 @@
 			found = false
 		}
 	}
-	return own, heard
+	return own, forwarded
 }
 
-// sendToHall sends readings to another hall: to all boxes of a small one, or to one box that forwards them.
+// sendToHall sends updates to another hall: to all boxes of a small one, or to one box that forwards them.
 func (h *hints) sendToHall(hall []netip.AddrPort, rows []hintRow) {
 	if len(hall) <= maxDirectBoxes {
 		h.sendTo(hall, hintFinal, rows)
@@ -198,7 +201,7 @@
 	now := clock.Now()
 	start := rand.IntN(len(hall))
 	for i := range hall {
-		if box := hall[(start+i)%len(hall)]; now.Sub(h.lastHeard[box]) < hintSenderTTL {
+		if box := hall[(start+i)%len(hall)]; now.Sub(h.lastReceivedAt[box]) < hintSenderTTL {
 			return box
 		}
 	}
@@ -211,19 +214,19 @@
 	}
 	data, err := h.encode(kind, rows)
 	if err != nil {
-		slog.Error("encode readings failed", "error", err)
+		slog.Error("encoding prefill updates failed", "error", err)
 		return
 	}
 	for _, box := range boxes {
 		if _, err := h.conn.WriteTo(data, net.UDPAddrFromAddrPort(box)); err != nil {
-			slog.Debug("send readings failed", "address", box, "error", err)
+			slog.Debug("sending prefill updates failed", "address", box, "error", err)
 			continue
 		}
 		h.router.metrics.countHintSent()
 	}
 }
 
-// receive applies the readings of other boxes until the connection is closed.
+// receive applies the updates of other boxes until the connection is closed.
 func (h *hints) receive() {
 	data := make([]byte, hintReadBytes)
 	for {
@@ -232,7 +235,7 @@
 			return
 		}
 		if err != nil {
-			slog.Debug("read of a datagram failed", "error", err)
+			slog.Debug("reading a datagram failed", "error", err)
 			continue
 		}
 		kind, rows, err := h.decode(data[:n])
@@ -249,19 +252,19 @@
 	if udp, ok := from.(*net.UDPAddr); ok {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.lastHeard[udp.AddrPort()] = clock.Now()
+		h.lastReceivedAt[udp.AddrPort()] = clock.Now()
 	}
 }
 
 func (h *hints) apply(kind hintKind, rows []hintRow, now time.Time) {
 	for _, row := range rows {
-		reading := route.PrefillUpdate{Endpoint: row.Endpoint, Added: time.Duration(row.Micros) * time.Microsecond, IsShift: row.IsShift}
+		update := route.PrefillUpdate{Endpoint: row.Endpoint, Added: time.Duration(row.Micros) * time.Microsecond, IsShift: row.IsShift}
 		for _, part := range row.Parts {
 			if part != 0 {
-				reading.Parts = append(reading.Parts, part)
+				update.Parts = append(update.Parts, part)
 			}
 		}
-		h.router.pool.ApplyPrefillUpdate(now, reading)
+		h.router.pool.ApplyPrefillUpdate(now, update)
 		if kind == hintForward {
 			h.enqueue(hint{row: row, isForwarded: true})
 		}
--- a/exchange/hints_test.go
+++ b/exchange/hints_test.go
@@ -113,8 +113,8 @@
 	for i := range 5 {
 		hall = append(hall, netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i + 1)}), 1))
 	}
-	h.lastHeard[hall[3]] = time.Now()
-	h.lastHeard[hall[1]] = time.Now().Add(-2 * hintSenderTTL)
+	h.lastReceivedAt[hall[3]] = time.Now()
+	h.lastReceivedAt[hall[1]] = time.Now().Add(-2 * hintSenderTTL)
 	for range 20 {
 		assert.Equal(t, hall[3], h.chooseRelay(hall))
 	}
--- a/exchange/history.go
+++ b/exchange/history.go
@@ -6,14 +6,15 @@
 // endpoints of a large fleet.
 const maxHistoryEntries = 4096
 
-// listHistory records where the entries of a list of endpoints last changed, so that a box with an older list gets only
-// these: the cost of an update depends on the change, not on the size of the list.
+// listHistory records at which position in the store each entry of a list of endpoints last changed, so that a box with
+// an older list gets only the changed entries: the cost of an update depends on the change, not on the size of the list.
 //
-// A position is the one up to which the box had read as it saw the change: the change itself is there or before.
+// The position recorded for a change is the one up to which the box had read when it saw the change; the store may hold
+// the change itself at an earlier one.
 type listHistory struct {
-	knownSince willowwick.Position // changes up to here are not known
+	knownSince willowwick.Position // changes up to this position are not known
 	changedAt  map[willowwick.EndpointID]willowwick.Position
-	pending    map[willowwick.EndpointID]bool // changed, at an offset that is not known yet
+	pending    map[willowwick.EndpointID]bool // changed, at a position that is not known yet
 }
 
 func newListHistory() *listHistory {
@@ -39,10 +40,10 @@
 	}
 }
 
-// forgetUntil drops the history up to a position: the whole list was read there, and endpoints that were added and
-// removed between that read and the one before are not known.
-func (h *listHistory) forgetUntil(begin willowwick.Position) {
-	h.knownSince = max(h.knownSince, begin)
+// forgetUntil records that not all changes up to a position are known: after a whole list was read there, endpoints that
+// were added and removed since the read before are missing.
+func (h *listHistory) forgetUntil(position willowwick.Position) {
+	h.knownSince = max(h.knownSince, position)
 }
 
 // forgetRemoved drops the entries of endpoints that are no longer listed.
--- a/exchange/incarnations.go
+++ b/exchange/incarnations.go
@@ -17,16 +17,16 @@
 // isFormerIncarnation records the incarnation in an entry, and reports whether it is the one before the newest known:
 // its last heartbeats may be written late. The caller holds the lock.
 func (s *syncer) isFormerIncarnation(entry willowwick.Endpoint) bool {
-	life := s.incarnations[entry.ID]
+	known := s.incarnations[entry.ID]
 	switch entry.Incarnation {
-	case 0, life.current:
+	case 0, known.current:
 		return false
-	case life.former:
+	case known.former:
 		return true
 	}
 	s.forgetIncarnations()
-	s.incarnations[entry.ID] = endpointIncarnations{current: entry.Incarnation, former: life.current, formerDrained: s.isDraining(entry.ID)}
-	s.beginIncarnation(entry, life.current)
+	s.incarnations[entry.ID] = endpointIncarnations{current: entry.Incarnation, former: known.current, formerDrained: s.isDraining(entry.ID)}
+	s.beginIncarnation(entry, known.current)
 	return false
 }
 
@@ -71,6 +71,6 @@
 func (s *syncer) hasRestarted(endpoint willowwick.Endpoint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	life := s.incarnations[endpoint.ID]
-	return endpoint.Incarnation != 0 && life.former == endpoint.Incarnation && !life.formerDrained
+	known := s.incarnations[endpoint.ID]
+	return endpoint.Incarnation != 0 && known.former == endpoint.Incarnation && !known.formerDrained
 }
--- a/exchange/lead.go
+++ b/exchange/lead.go
@@ -104,13 +104,13 @@
 	return box
 }
 
-func (s *syncer) setLeader(leads bool, why string) {
+func (s *syncer) setLeader(isLeader bool, why string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if leads != s.isLeader {
-		slog.Info("lead of roll-outs changed", "leads", leads, "why", why, "generation", s.generation)
+	if isLeader != s.isLeader {
+		slog.Info("lead of roll-outs changed", "leads", isLeader, "why", why, "generation", s.generation)
 	}
-	s.isLeader = leads
+	s.isLeader = isLeader
 }
 
 func (s *syncer) isRolloutLeader() bool {
--- a/exchange/list_gossip.go
+++ b/exchange/list_gossip.go
@@ -13,19 +13,19 @@
 const (
 	// emptyListSum is the checksum of an empty list; 0 stands for an unknown checksum.
 	emptyListSum = 1
-	// wholeListInterval is the minimum time between two requests for a whole list: a long one takes a part of a second
-	// on a narrow link.
+	// wholeListInterval is the minimum time after a whole list has arrived before another one is requested: a long one
+	// takes a part of a second on a narrow link.
 	wholeListInterval = 5 * time.Second
 )
 
-// EndpointList is the list of endpoints as one box sends it to another, or the changes in it.
+// EndpointList is the list of endpoints as one box sends it to another, or the changes in it since a position.
 type EndpointList struct {
 	Endpoints []willowwick.Endpoint
-	Gone      []willowwick.EndpointID // removed before Endpoints were listed; empty if the list is whole
-	Since     willowwick.Position     // holds only changes after it; 0 if the list is whole
-	Next      willowwick.Position
-	From      willowwick.Position // last change
-	Told      time.Time           // by the clock of the sender
+	Gone      []willowwick.EndpointID // removed, or lapsed at the sender; applied before Endpoints; empty if the list is whole
+	Since     willowwick.Position     // only changes after this position are included; 0 if the list is whole
+	Next      willowwick.Position     // up to where the sender has read the store
+	From      willowwick.Position     // where the sender's list last changed
+	Told      time.Time               // when the list was made, by the sender's clock, as are the times in Endpoints
 }
 
 // listPositions returns where the list of this box last changed, up to where the box knows all changes, and the
@@ -39,8 +39,8 @@
 	return s.changedAt, s.readTo, s.listSum()
 }
 
-// listSum returns the checksum by which two boxes compare their lists, 0 while entries have lapsed; the caller holds
-// the lock.
+// listSum returns the checksum by which two boxes compare their lists. It is 0 while entries have lapsed, that is, are
+// gone from the store but still used for lapsedGrace after an outage. The caller holds the lock.
 func (s *syncer) listSum() uint64 {
 	if len(s.lapsed) > 0 {
 		return 0
@@ -61,8 +61,8 @@
 	))
 }
 
-// wantsWholeList reports whether this box requests the whole list of another one now: that one is its reader and lists
-// other endpoints.
+// wantsWholeList reports whether this box requests the whole list of another one now: that one is its reader, and their
+// lists differ.
 func (s *syncer) wantsWholeList(address string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,9 +111,9 @@
 	}
 }
 
-// isAdvertised reports whether other boxes get the entry of an endpoint. One whose entry has lapsed is not advertised:
-// a box that could not reach the store either applies its own grace period, and one that could knows whether the
-// endpoint is gone. The caller holds the lock.
+// isAdvertised reports whether other boxes get the entry of an endpoint. A lapsed entry is not advertised: a box that
+// couldn't reach the store either applies lapsedGrace itself, and a box that could knows whether the endpoint is gone.
+// The caller holds the lock.
 func (s *syncer) isAdvertised(id willowwick.EndpointID) bool {
 	_, isLapsed := s.lapsed[id]
 	return !isLapsed
@@ -153,9 +153,9 @@
 	s.router.signalWarm()
 }
 
-// hasUpdates reports whether a list of another box holds changes beyond what this one has read, or is to replace its
-// list. Older changes are ignored: they may list an endpoint that was added and removed before this box's read, and the
-// box would never learn of the removal. The caller holds the lock.
+// hasUpdates reports whether another box's list holds changes beyond what this box has read, or is the whole list of
+// its reader and replaces this box's, which differs. Older changes are ignored: they may list an endpoint that was added
+// and removed before this box's read, and the box would never learn of the removal. The caller holds the lock.
 func (s *syncer) hasUpdates(list *EndpointList, from string) bool {
 	if list.Since == 0 && s.differsFromReader && s.readerAddress == from {
 		return list.Next >= s.readTo
@@ -163,7 +163,7 @@
 	return list.From > s.readTo && list.Since <= s.readTo
 }
 
-// compareWithReader checks whether the box that reads the store for this one has read as far and lists other endpoints.
+// compareWithReader checks whether this box's reader, having read at least as far, lists other endpoints.
 // Two boxes may decide differently on an endpoint that was removed and came back, depending on how its heartbeats fell
 // into their reads; changes alone never correct that. A box that reads for itself relies on its own decisions only. The
 // caller holds the lock.
--- a/exchange/listing.go
+++ b/exchange/listing.go
@@ -32,20 +32,20 @@
 			sleep(ctx, readerPollInterval)
 			continue
 		}
-		asked := clock.Now()
+		requestedAt := clock.Now()
 		changes, err := s.control.Endpoints(ctx, s.listReadTo())
 		if err != nil {
 			pause = s.pauseAfterFailure(ctx, endpointsRead, pause, err)
 			continue
 		}
 		pause = 0
-		s.applyListRead(changes, asked, clock.Now())
+		s.applyListRead(changes, requestedAt, clock.Now())
 	}
 }
 
 // applyListRead applies the store's answer to a read of the list. The data counts as of the time of the request: the
 // answer may have been slow.
-func (s *syncer) applyListRead(changes willowwick.EndpointChanges, asked, now time.Time) {
+func (s *syncer) applyListRead(changes willowwick.EndpointChanges, requestedAt, now time.Time) {
 	s.noteAnswer(endpointsRead, now)
 	s.noteEra(changes.Next, now, "endpoints")
 	s.mu.Lock()
@@ -53,7 +53,7 @@
 		s.mu.Unlock()
 		return // another box has reported a later era meanwhile
 	}
-	s.endpointsAsOf = latest(s.endpointsAsOf, asked)
+	s.endpointsAsOf = latest(s.endpointsAsOf, requestedAt)
 	s.applyChanges(changes, now)
 	if s.hasPendingChange && s.readTo > s.changedAt {
 		// Offsets are comparable between boxes: a box that has read up to here has all changes up to here.
@@ -236,7 +236,7 @@
 	if _, known := s.listed[id]; !known {
 		return
 	}
-	if _, waits := s.lapsed[id]; waits {
+	if _, isLapsed := s.lapsed[id]; isLapsed {
 		return
 	}
 	if !s.lastOutageAt.IsZero() && now.Sub(s.lastOutageAt) < lapsedGrace {
--- a/exchange/metrics.go
+++ b/exchange/metrics.go
@@ -35,7 +35,7 @@
 	set.NewGauge("willowwick_surplus_answers", func() float64 { return float64(x.conns.Stats().Surplus) })
 	set.NewGauge("willowwick_boxes", func() float64 { return float64(x.peers.fleetSize()) })
 	set.NewGauge("willowwick_store_held_read_seconds", func() float64 { return x.sync.longPollAge(clock.Now()).Seconds() })
-	set.NewGauge("willowwick_store_declared_age_seconds", func() float64 { return x.sync.declaredAge(clock.Now()).Seconds() })
+	set.NewGauge("willowwick_store_declared_age_seconds", func() float64 { return x.sync.declarationsAnswerAge(clock.Now()).Seconds() })
 	set.NewGauge("willowwick_config_age_seconds", func() float64 { return x.sync.configAge(clock.Now()).Seconds() })
 	set.NewGauge("willowwick_endpoints_limited", func() float64 { return float64(x.limits.Count()) })
 	set.NewGauge("willowwick_endpoints_leaving", func() float64 {
--- a/exchange/regain_test.go
+++ b/exchange/regain_test.go
@@ -59,7 +59,7 @@
 	settings.Box, settings.LinkMbps, settings.Drain = "box-second", 100, hallDrain
 	second := startSite(t, controls[1], settings)
 	x := second.daemon.router
-	require.Eventually(t, func() bool { return x.sync.declaredAge(time.Now()) > 0 }, waitTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return x.sync.declarationsAnswerAge(time.Now()) > 0 }, waitTimeout, time.Millisecond)
 	controls[1].isRefusing.Store(true)
 	require.Eventually(t, func() bool { return x.sync.isReadFailing(declarationsRead) }, waitTimeout, time.Millisecond)
 	settings.Box, settings.LinkMbps, settings.Seeds = "box-first", 200, []string{x.settings.Peers}
--- a/exchange/release.go
+++ b/exchange/release.go
@@ -24,7 +24,7 @@
 		Release willowwick.ReleaseID
 	}
 
-	// releases chooses the release for each request, and judges new releases by the evidence.
+	// releases chooses the release for each request, and evaluates new releases by the evidence.
 	releases struct {
 		settings ReleaseSettings
 		// hasRelease reports whether a service has an endpoint of a release that isn't draining.
--- a/exchange/roster.go
+++ b/exchange/roster.go
@@ -10,7 +10,8 @@
 // The roster is the set of known boxes. Most boxes know the others from their hub alone. In each gossip exchange the
 // caller sends a checksum of its roster. A peer with the same roster replies how recently it has seen the boxes of each
 // hall, and the caller takes over these ages; a peer with another one replies with its whole roster. Each entry carries
-// the time since the box itself was last heard or named, so that all boxes forget a box that is gone at the same time.
+// the time since the box was last seen (its digest arrived) or named, so that all boxes forget a box that is gone at the
+// same time.
 //
 // Without the ages of halls entries would expire one by one, and each would cause the whole roster to be sent.
 
--- a/exchange/sync.go
+++ b/exchange/sync.go
@@ -19,7 +19,7 @@
 	// maxLongPoll bounds a long poll where operators allow much time: beyond it a read costs the store no more than a
 	// call.
 	maxLongPoll = 20 * time.Second
-	// longPollMargin is how much longer than that an answer may take before other boxes of the hall read for
+	// longPollMargin is how much longer than longPollLimit an answer may take before other boxes of the hall read for
 	// themselves: the client's response header timeout, and time for the body.
 	longPollMargin = time.Second
 	// readerPollInterval is how often a box checks whether it has to read for itself.
@@ -27,11 +27,11 @@
 	// minReadRetry and maxReadRetry bound the backoff between failed reads.
 	minReadRetry = 150 * time.Millisecond
 	maxReadRetry = 600 * time.Millisecond
-	// maxHubReadRetry is the upper bound on the first box of a hall while another one reads for it: no box waits for
+	// maxHubReadRetry bounds that backoff on the first box of a hall while another one reads for it: no box waits for
 	// it.
 	maxHubReadRetry = 2400 * time.Millisecond
 	// hallProbeInterval is how often the boxes of a hall together check whether an unavailable store is back, except
-	// the first of them; maxFollowerReadRetry bounds how long one of them waits for its turn.
+	// the first of them; maxFollowerReadRetry bounds the time between two checks of one of them.
 	hallProbeInterval    = 250 * time.Millisecond
 	maxFollowerReadRetry = 6 * time.Second
 )
@@ -67,7 +67,7 @@
 		hasList           bool                // the list was read
 		readTo            willowwick.Position // the next read continues here
 		changedAt         willowwick.Position // last change that is more than a heartbeat
-		hasPendingChange  bool                // it changed since, at an offset that is not known yet
+		hasPendingChange  bool                // it changed since, at a position that is not known yet
 		history           *listHistory        // which entries changed where
 		cachedListSum     uint64              // checksum of the list; 0 if it has to be computed
 		differsFromReader bool                // another box that has read as far lists other endpoints
@@ -183,7 +183,7 @@
 // still the newest; and where a reader may be found soon, since the long poll would be cancelled.
 func (s *syncer) nextLongPoll(now time.Time) time.Duration {
 	limit := s.longPollLimit()
-	if s.isReadFailing(declarationsRead) || s.declaredAge(now) > 2*limit || s.mayFindReader(now) {
+	if s.isReadFailing(declarationsRead) || s.declarationsAnswerAge(now) > 2*limit || s.mayFindReader(now) {
 		return 0
 	}
 	return limit
