--- a/exchange/declared_set.go
+++ b/exchange/declared_set.go
@@ -25,7 +25,7 @@
 	// HeldOver is the state of a key before the store was restored from a copy. It applies until the operator changes
 	// the key, or has had restoreTime to write again what the copy lacks.
 	HeldOver struct {
-		Stood bool                // false if it had been revoked
+		Stood bool                // true if it was declared, false if it had been revoked
 		At    willowwick.Position // where it was declared; 0 if it had been revoked
 	}
 
--- a/exchange/hints_test.go
+++ b/exchange/hints_test.go
@@ -52,14 +52,14 @@
 			r := newRunner(t, "r1", answerText("ok"))
 			sites := newHalls(t, 2, boxes, r.endpoint("v1"))
 			x := sites[0].daemon.router
-			place, _ := x.pool.AcquireAllowed(time.Now(), "work", route.Work{
+			slot, _ := x.pool.AcquireAllowed(time.Now(), "work", route.Work{
 				Model: "small", Prompt: []willowwick.PromptPart{{ID: "shared", Tokens: 100}, {ID: "own", Tokens: 10}},
 			}, nil, func(willowwick.Endpoint) bool { return true })
-			require.NotNil(t, place)
-			reading, isReading := place.Sent(time.Now())
-			require.True(t, isReading)
-			reading.Added = time.Minute // its speed is unknown yet
-			x.hints.publish(reading, true)
+			require.NotNil(t, slot)
+			update, hasUpdate := slot.Sent(time.Now())
+			require.True(t, hasUpdate)
+			update.Added = time.Minute // the endpoint's speed is unknown yet
+			x.hints.publish(update, true)
 			for _, s := range sites[1:] {
 				require.Eventually(t, func() bool { return forecastAt(s, "r1") > time.Second }, waitTimeout, 5*time.Millisecond, s.daemon.router.settings.Box)
 			}
@@ -106,7 +106,7 @@
 	assert.Len(t, h.queue, hintQueueSize)
 }
 
-// A box that is gone stays listed for half a minute, and would lose the readings that it has to forward.
+// A box that is gone stays listed for half a minute, and would lose the updates that it has to forward.
 func TestHintsToALargerHallGoThroughALiveBox(t *testing.T) {
 	h := newTestHints("k")
 	var hall []netip.AddrPort
@@ -120,27 +120,27 @@
 	}
 }
 
-// At 390 boxes with 5,400 requests a second, sending all readings would cost each box 250 KB a second.
+// At 390 boxes with 5,400 requests a second, sending all updates would cost each box 250 KB a second.
 func TestHintsStayWithinTheirBandwidth(t *testing.T) {
 	const boxes, seconds = 390, 20
 	h, now := newTestHints("k"), time.Now()
-	told := map[bool]int{}
+	sent := map[bool]int{}
 	offered := map[bool]int{}
 	for n := range 40 * seconds {
 		now = now.Add(time.Second / 40)
 		isLong := n%16 == 0
-		length := 20 * time.Millisecond
+		prefillTime := 20 * time.Millisecond
 		if isLong {
-			length = time.Second
+			prefillTime = time.Second
 		}
 		offered[isLong]++
-		if h.takeRowToken(length, boxes, now) {
-			told[isLong]++
+		if h.takeRowToken(prefillTime, boxes, now) {
+			sent[isLong]++
 		}
 	}
-	heard := float64(told[true]+told[false]) / seconds * boxes
-	assert.LessOrEqual(t, heard, 1.5*maxRowsPerSecond)
-	assert.Greater(t, float64(told[true])/float64(offered[true]), 0.9, "most long readings must be sent")
+	received := float64(sent[true]+sent[false]) / seconds * boxes
+	assert.LessOrEqual(t, received, 1.5*maxRowsPerSecond)
+	assert.Greater(t, float64(sent[true])/float64(offered[true]), 0.9, "most updates of long prefills must be sent")
 	few := newTestHints("k")
 	for n := range 100 {
 		assert.True(t, few.takeRowToken(time.Millisecond, 6, now.Add(time.Duration(n)*10*time.Millisecond)))
--- a/exchange/peers.go
+++ b/exchange/peers.go
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// fleetSize returns the number of boxes that share the fleet's bounds, this one included.
+// fleetSize returns the number of known boxes, this one included, among which the limits of the fleet are divided.
 func (p *peers) fleetSize() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/exchange/report.go
+++ b/exchange/report.go
@@ -60,7 +60,7 @@
 }
 
 // hallReport returns the sum of the reports of this box and of the boxes of its hall that exchange gossip with it; on a
-// box that does not read the store it is its hub's sum, which includes this box's own.
+// box that has a hub it is the hub's sum, which includes this box's own.
 func (p *peers) hallReport(now time.Time) Report {
 	if hub, found := p.hub(now); found {
 		for _, hall := range hub.Halls {
--- a/exchange/sync.go
+++ b/exchange/sync.go
@@ -151,8 +151,8 @@
 	}
 }
 
-// awaitReader waits after the start of the box for another one to read for it, before the store holds a read here; not
-// longer than the store would hold one, since a hall may follow this box already.
+// awaitReader waits after the start of the box for another one to read for it, before a long poll begins here. It waits
+// no longer than a long poll may last, since other boxes may already rely on this one to read.
 func (s *syncer) awaitReader(ctx context.Context) {
 	limit := clock.Now().Add(s.longPollLimit())
 	for now := clock.Now(); ctx.Err() == nil && now.Before(limit) && s.mayFindReader(now); now = clock.Now() {
@@ -189,8 +189,8 @@
 	return limit
 }
 
-// longPollLimit returns how long the store may hold a read of the declarations: a call lasts until something changes,
-// and a lost one is noticed while there is time to read the change.
+// longPollLimit returns how long the store may hold a read of the declarations while nothing changes. A read that was
+// lost is noticed after this time, which leaves enough of ConfigApplyLimit to read the change.
 func (s *syncer) longPollLimit() time.Duration {
 	return min(scale(s.router.settings.ConfigApplyLimit, longPollShare), maxLongPoll)
 }
@@ -263,8 +263,8 @@
 	s.cancelLongPoll, s.longPollSince = cancel, since
 }
 
-// applyDeclarations applies a configuration, evacuations, admissions and orders of roll-outs. Evacuations come first: a
-// box that has just started serves from its first configuration on.
+// applyDeclarations applies a configuration, evacuations, admissions and orders of roll-outs. Evacuations come before the
+// configuration: with its first configuration, a box that has just started begins to serve.
 func (s *syncer) applyDeclarations(declared willowwick.Declarations) {
 	s.noteEra(declared.Next, clock.Now(), "declarations")
 	s.router.evacuations.declare(declared)
@@ -284,8 +284,9 @@
 	}
 }
 
-// followRolloutOrders reads the states of roll-outs whenever one was ordered, which may have been long ago, until the
-// context is done. It is separate from reading the declarations: a slow answer would delay those unnoticed.
+// followRolloutOrders reads the states of roll-outs whenever this box has read an order, until the context is done: the
+// order may be old and its roll-out over. It is separate from reading the declarations, which a slow answer would delay
+// unnoticed.
 func (s *syncer) followRolloutOrders(ctx context.Context) {
 	for {
 		select {
