--- a/exchange/call.go
+++ b/exchange/call.go
@@ -344,7 +344,7 @@
 	return *c.contentHash
 }
 
-// computeFingerprint returns the fingerprint without the cache, which only the call's own goroutine may use.
+// computeFingerprint computes the fingerprint anew: the cached one may be used by the call's own goroutine only.
 func (c *call) computeFingerprint() willowwick.Fingerprint {
 	return willowwick.FingerprintOf(c.accountName(), c.message.Method, c.message.Host, c.message.Target, c.message.Body)
 }
--- a/exchange/daemon.go
+++ b/exchange/daemon.go
@@ -59,7 +59,7 @@
 		Counters *metrics.Set
 	}
 
-	// Daemon is one box of the exchange.
+	// Daemon runs a Router with its listeners and background loops; each box runs one.
 	Daemon struct {
 		router  *Router
 		deps    Dependencies
--- a/exchange/doc.go
+++ b/exchange/doc.go
@@ -17,6 +17,8 @@
 //   - A digest is the state of one box as it reports it to others: versions and ages of its data, counts of answers,
 //     roll-outs, and endpoints that are draining. See digest.go.
 //   - The roster is the set of known boxes, which boxes compare by a checksum. See roster.go.
+//   - The group is the list of members in the store, which the readers of all halls join. One member is the leader, which
+//     writes the states of roll-outs. See lead.go.
 //   - An era is the time between two restores of the store from a copy (a backup). The copy may lack the last
 //     declarations, so boxes keep them for restoreTime while the operator writes them again. See era.go and
 //     declared_set.go.
--- a/exchange/router.go
+++ b/exchange/router.go
@@ -41,7 +41,7 @@
 )
 
 type (
-	// Settings configure an exchange at its start.
+	// Settings configure a Daemon at its start.
 	Settings struct {
 		Box        willowwick.BoxID
 		Hall       willowwick.HallID
