--- a/cmd/willowwickd/node.go
+++ b/cmd/willowwickd/node.go
@@ -110,6 +110,6 @@
 		Seeds: settings.Seeds, Seed: binary.BigEndian.Uint64(seed[:]), Confidence: o.confidence, LateConfidence: o.lateConfidence,
 		RetryBudget: route.RetryLimits{Ratio: bounds.RetryRatio, Slack: bounds.RetrySlack, Window: bounds.RetryWindow},
 		Releases:    exchange.ReleaseSettings{Session: bounds.SessionGap, Exposure: bounds.ExposureShare},
-		Grace:       bounds.Grace, Drain: bounds.Drain, ConfigApplyLimit: bounds.ConfigApply, UnreadyDelay: exchange.DefaultTurnAway,
+		Grace:       bounds.Grace, Drain: bounds.Drain, ConfigApplyLimit: bounds.ConfigApply, UnreadyDelay: exchange.DefaultUnreadyDelay,
 	}
 }
--- a/exchange/sync.go
+++ b/exchange/sync.go
@@ -19,7 +19,7 @@
 	// maxLongPoll bounds a long poll where operators allow much time: beyond it a read costs the store no more than a
 	// call.
 	maxLongPoll = 20 * time.Second
-	// longPollMargin is how much longer than that an answer may take before other boxes of the hall read for
+	// longPollMargin is how much longer than longPollLimit an answer may take before other boxes of the hall read for
 	// themselves: the client's response header timeout, and time for the body.
 	longPollMargin = time.Second
 	// readerPollInterval is how often a box checks whether it has to read for itself.
@@ -27,11 +27,11 @@
 	// minReadRetry and maxReadRetry bound the backoff between failed reads.
 	minReadRetry = 150 * time.Millisecond
 	maxReadRetry = 600 * time.Millisecond
-	// maxHubReadRetry is the upper bound on the first box of a hall while another one reads for it: no box waits for
+	// maxHubReadRetry bounds that backoff on the first box of a hall while another one reads for it: no box waits for
 	// it.
 	maxHubReadRetry = 2400 * time.Millisecond
 	// hallProbeInterval is how often the boxes of a hall together check whether an unavailable store is back, except
-	// the first of them; maxFollowerReadRetry bounds how long one of them waits for its turn.
+	// the first of them; maxFollowerReadRetry bounds the time between two checks of one of them.
 	hallProbeInterval    = 250 * time.Millisecond
 	maxFollowerReadRetry = 6 * time.Second
 )
@@ -67,7 +67,7 @@
 		hasList           bool                // the list was read
 		readTo            willowwick.Position // the next read continues here
 		changedAt         willowwick.Position // last change that is more than a heartbeat
-		hasPendingChange  bool                // it changed since, at an offset that is not known yet
+		hasPendingChange  bool                // it changed since, at a position that is not known yet
 		history           *listHistory        // which entries changed where
 		cachedListSum     uint64              // checksum of the list; 0 if it has to be computed
 		differsFromReader bool                // another box that has read as far lists other endpoints
@@ -151,8 +151,8 @@
 	}
 }
 
-// awaitReader waits after the start of the box for another one to read for it, before the store holds a read here; not
-// longer than the store would hold one, since a hall may follow this box already.
+// awaitReader waits after the start of the box for another one to read for it, before a long poll begins here. It waits
+// no longer than a long poll may last, since other boxes may already rely on this one to read.
 func (s *syncer) awaitReader(ctx context.Context) {
 	limit := clock.Now().Add(s.longPollLimit())
 	for now := clock.Now(); ctx.Err() == nil && now.Before(limit) && s.mayFindReader(now); now = clock.Now() {
@@ -183,14 +183,14 @@
 // still the newest; and where a reader may be found soon, since the long poll would be cancelled.
 func (s *syncer) nextLongPoll(now time.Time) time.Duration {
 	limit := s.longPollLimit()
-	if s.isReadFailing(declarationsRead) || s.declaredAge(now) > 2*limit || s.mayFindReader(now) {
+	if s.isReadFailing(declarationsRead) || s.declarationsAnswerAge(now) > 2*limit || s.mayFindReader(now) {
 		return 0
 	}
 	return limit
 }
 
-// longPollLimit returns how long the store may hold a read of the declarations: a call lasts until something changes,
-// and a lost one is noticed while there is time to read the change.
+// longPollLimit returns how long the store may hold a read of the declarations while nothing changes. A read that was
+// lost is noticed after this time, which leaves enough of ConfigApplyLimit to read the change.
 func (s *syncer) longPollLimit() time.Duration {
 	return min(scale(s.router.settings.ConfigApplyLimit, longPollShare), maxLongPoll)
 }
@@ -263,8 +263,8 @@
 	s.cancelLongPoll, s.longPollSince = cancel, since
 }
 
-// applyDeclarations applies a configuration, evacuations, admissions and orders of roll-outs. Evacuations come first: a
-// box that has just started serves from its first configuration on.
+// applyDeclarations applies a configuration, evacuations, admissions and orders of roll-outs. Evacuations come before the
+// configuration: with its first configuration, a box that has just started begins to serve.
 func (s *syncer) applyDeclarations(declared willowwick.Declarations) {
 	s.noteEra(declared.Next, clock.Now(), "declarations")
 	s.router.evacuations.declare(declared)
@@ -284,8 +284,9 @@
 	}
 }
 
-// followRolloutOrders reads the states of roll-outs whenever one was ordered, which may have been long ago, until the
-// context is done. It is separate from reading the declarations: a slow answer would delay those unnoticed.
+// followRolloutOrders reads the states of roll-outs whenever this box has read an order, until the context is done: the
+// order may be old and its roll-out over. It is separate from reading the declarations, which a slow answer would delay
+// unnoticed.
 func (s *syncer) followRolloutOrders(ctx context.Context) {
 	for {
 		select {
