--- a/exchange/crash.go
+++ b/exchange/crash.go
@@ -82,7 +82,7 @@
 		return true
 	}
 	_, isListed := e.router.sync.listedEndpoint(endpoint.ID)
-	if !isListed || e.router.pool.IsLeaving(endpoint.ID) || e.router.releases.isRetired(endpoint.Service, endpoint.Release, brokeAt) {
+	if !isListed || e.router.pool.IsDraining(endpoint.ID) || e.router.releases.isRetired(endpoint.Service, endpoint.Release, brokeAt) {
 		return false
 	}
 	for {
--- a/exchange/digest.go
+++ b/exchange/digest.go
@@ -35,7 +35,7 @@
 		EndpointsSum  uint64              // checksum of that list; 0 while entries have lapsed or changes are pending
 		Evacuated     EvacuatedHalls
 		Admitted      AdmittedRequests
-		Leaving       []route.LeavingRow // draining endpoints that its list doesn't show as such yet
+		Leaving       []route.DrainingRow // draining endpoints that its list doesn't show as such yet
 		Own           Report
 		Halls         []HallReport // what a hub knows of all halls; empty on a box that has a hub
 		Progress      []ProgressRow
@@ -99,7 +99,7 @@
 		Box: x.settings.Box, Boot: x.settings.Boot, Hall: x.settings.Hall, Address: x.settings.Peers,
 		LinkMbps: x.settings.LinkMbps, StartedMs: p.startedMs, TableVersion: x.configVersion(), TakesPacked: true, ConfigAgeMs: configAge,
 		StoreAgeMs: x.sync.endpointsAge(now).Milliseconds(), ReadAgeMs: min(x.sync.storeReadAge(now), maxReportedAge).Milliseconds(),
-		Evacuated: x.evacuations.set(), Admitted: x.admissions.set(), Leaving: x.pool.LeavingUnlisted(),
+		Evacuated: x.evacuations.set(), Admitted: x.admissions.set(), Leaving: x.pool.DrainingNotInEntries(),
 		Own: p.ownReport(), Verdicts: x.releases.verdictRows(now), Speeds: x.pool.Speeds(),
 	}
 	digest.RestoringMs = x.sync.restoringTimeLeft(now).Milliseconds()
--- a/exchange/draining_test.go
+++ b/exchange/draining_test.go
@@ -30,7 +30,7 @@
 	require.Eventually(t, func() bool {
 		n++
 		b.do(t, http.MethodPost, path, fmt.Sprint("tell-", n), "x", header...)
-		return b.daemon.router.pool.IsLeaving("r1")
+		return b.daemon.router.pool.IsDraining("r1")
 	}, waitTimeout, time.Millisecond)
 }
 
@@ -112,7 +112,7 @@
 	b.assertUnused(t, draining)
 	draining.handle(answerText("ok"))
 	b.updateEntry(restart)
-	require.Eventually(t, func() bool { return !b.daemon.router.pool.IsLeaving("r1") }, waitTimeout, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return !b.daemon.router.pool.IsDraining("r1") }, waitTimeout, 5*time.Millisecond)
 	before := len(draining.requests())
 	require.Eventually(t, func() bool {
 		b.do(t, http.MethodPost, "/again/", fmt.Sprint("new-", time.Now().UnixNano()), "x")
@@ -159,7 +159,7 @@
 			continue
 		}
 		now := time.Now()
-		require.True(t, b.daemon.router.pool.ApplyNotice(now, now, ticket.Endpoint, willowwick.Notice{Draining: true}).Leaving)
+		require.True(t, b.daemon.router.pool.ApplyNotice(now, now, ticket.Endpoint, willowwick.Notice{Draining: true}).Draining)
 		assert.Equal(t, withheld, c.sendOnce(ticket).kind)
 		c.run()
 		assert.Equal(t, http.StatusOK, recorder.Code)
@@ -176,7 +176,7 @@
 	for n := range 20 {
 		assert.Equal(t, http.StatusOK, b.do(t, http.MethodPost, "/again/", fmt.Sprint(n), "x").status)
 	}
-	assert.False(t, b.daemon.router.pool.IsLeaving("r1"))
+	assert.False(t, b.daemon.router.pool.IsDraining("r1"))
 }
 
 // While the store is unavailable, a draining endpoint reports that only to the boxes that it answers. Requests of
@@ -191,7 +191,7 @@
 		endpoint, now := meshEndpoint(0, size.halls), time.Now()
 		notified := m.boxes[size.boxes-1]
 		changed := notified.pool.ApplyNotice(now, now, endpoint, willowwick.Notice{Draining: true})
-		require.True(t, changed.Leaving)
+		require.True(t, changed.Draining)
 		for !m.allKnowDraining(endpoint.ID) && time.Since(now) < 2*within {
 			m.run(t, meshStep)
 		}
@@ -203,7 +203,7 @@
 // allKnowDraining reports whether all boxes know that an endpoint is draining.
 func (m *mesh) allKnowDraining(id willowwick.EndpointID) bool {
 	for _, box := range m.boxes {
-		if !box.pool.IsLeaving(id) {
+		if !box.pool.IsDraining(id) {
 			return false
 		}
 	}
--- a/exchange/incarnation_test.go
+++ b/exchange/incarnation_test.go
@@ -96,13 +96,13 @@
 	load, known := pool.LoadOf("r1")
 	require.True(t, known)
 	require.Equal(t, 8, load.Running)
-	pool.MarkLeaving("r1")
+	pool.MarkDraining("r1")
 	b.updateEntry(restart)
 	require.Eventually(t, func() bool {
 		_, known := pool.LoadOf("r1")
 		return !known
 	}, time.Second, 5*time.Millisecond)
-	assert.Empty(t, pool.Leaving())
+	assert.Empty(t, pool.Draining())
 }
 
 // An endpoint may be back before the box checks whether its address accepts connections. Its new incarnation shows
--- a/exchange/incarnations.go
+++ b/exchange/incarnations.go
@@ -33,7 +33,7 @@
 // isDraining reports whether the newest known incarnation of a listed endpoint is draining, by its entry or its own
 // report. The caller holds the lock.
 func (s *syncer) isDraining(id willowwick.EndpointID) bool {
-	return s.listed[id].Leaving || s.router.pool.IsLeaving(id)
+	return s.listed[id].Leaving || s.router.pool.IsDraining(id)
 }
 
 // beginIncarnation drops the state of the former incarnation, if there was one; the caller holds the lock.
--- a/exchange/notices.go
+++ b/exchange/notices.go
@@ -30,7 +30,7 @@
 	}
 	x, endpoint, now := s.router, s.ticket.Endpoint, clock.Now()
 	changes := x.pool.ApplyNotice(now, sentAt, endpoint, notice)
-	if changes.Leaving {
+	if changes.Draining {
 		slog.Info("endpoint says that it leaves", "endpoint", endpoint.ID, "source", "answer", "request", s.call.head.ID)
 	}
 	if changes.Backoff {
@@ -44,8 +44,8 @@
 
 // receiveLeaving applies the draining endpoints reported by another box. An endpoint shuts down some time after its
 // answers have begun to report it, and requests sent late may be cut off.
-func (x *Router) receiveLeaving(rows []route.LeavingRow, source string) {
-	for _, endpoint := range x.pool.MergeLeaving(rows) {
+func (x *Router) receiveLeaving(rows []route.DrainingRow, source string) {
+	for _, endpoint := range x.pool.MergeDraining(rows) {
 		slog.Info("endpoint says that it leaves", "endpoint", endpoint, "source", source)
 	}
 }
--- a/fleet/digest.go
+++ b/fleet/digest.go
@@ -216,14 +216,14 @@
 type digestTotals struct {
 	demand   map[NameHash]float64
 	evidence map[NameHash]rollout.Evidence
-	leaving  map[willowwick.EndpointID]bool
+	draining map[willowwick.EndpointID]bool
 }
 
 func newDigestTotals() *digestTotals {
 	return &digestTotals{
 		demand:   map[NameHash]float64{},
 		evidence: map[NameHash]rollout.Evidence{},
-		leaving:  map[willowwick.EndpointID]bool{},
+		draining: map[willowwick.EndpointID]bool{},
 	}
 }
 
@@ -235,7 +235,7 @@
 		s.evidence[version] = s.evidence[version].Add(d.Evidence.At(row))
 	}
 	for _, id := range d.Leaving {
-		s.leaving[id] = true
+		s.draining[id] = true
 	}
 }
 
@@ -247,7 +247,7 @@
 	for _, version := range sortedNames(s.evidence) {
 		h.Evidence.Add(version, s.evidence[version])
 	}
-	h.Leaving = sortedNames(s.leaving)
+	h.Leaving = sortedNames(s.draining)
 }
 
 func sortedNames[K NameHash | willowwick.EndpointID, V any](m map[K]V) []K {
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -59,7 +59,7 @@
 		RunLeader func(ctx context.Context, fence willowwick.Fence)
 	}
 
-	// Node is one daemon's member of the fleet.
+	// Node is one daemon as a member of the fleet.
 	Node struct {
 		Settings
 		Transport  *Transport
--- a/fleet/table.go
+++ b/fleet/table.go
@@ -45,12 +45,12 @@
 
 	receivedDigest struct {
 		Digest
-		heard time.Time
+		receivedAt time.Time
 	}
 
 	receivedHallDigest struct {
 		HallDigest
-		heard time.Time
+		receivedAt time.Time
 	}
 
 	// LiveBox is a box whose digest was received recently enough to count as alive.
@@ -86,12 +86,12 @@
 		if d.Box == t.self.Box && d.Boot != t.self.Boot {
 			continue
 		}
-		t.boxes[d.Box] = receivedDigest{Digest: d, heard: now}
+		t.boxes[d.Box] = receivedDigest{Digest: d, receivedAt: now}
 		taken = append(taken, d)
 	}
 	for _, h := range halls {
 		if h.Hall != t.self.Hall && h.Stamp > t.halls[h.Hall].Stamp && h.isWellFormed() {
-			t.halls[h.Hall] = receivedHallDigest{HallDigest: h, heard: now}
+			t.halls[h.Hall] = receivedHallDigest{HallDigest: h, receivedAt: now}
 		}
 	}
 	return taken
@@ -197,7 +197,7 @@
 	h := HallDigest{Hall: t.self.Hall, Stamp: hallStamp(now)}
 	total := newDigestTotals()
 	for _, d := range t.boxes {
-		age := now.Sub(d.heard)
+		age := now.Sub(d.receivedAt)
 		if age > t.livenessTimeout() {
 			continue
 		}
@@ -217,13 +217,13 @@
 	defer t.mu.Unlock()
 	live := []LiveBox{{Box: t.self.Box, Boot: t.self.Boot, Hall: t.self.Hall, Peer: t.self.Peer}}
 	for _, d := range t.boxes {
-		if d.Box != t.self.Box && now.Sub(d.heard) <= t.livenessTimeout() {
+		if d.Box != t.self.Box && now.Sub(d.receivedAt) <= t.livenessTimeout() {
 			live = append(live, LiveBox{Box: d.Box, Boot: d.Boot, Hall: d.Hall, Peer: d.Peer, Draining: d.Draining})
 		}
 	}
 	for _, h := range t.halls {
 		for _, m := range h.Members {
-			if now.Sub(h.heard)+time.Duration(m.AgeMs)*time.Millisecond <= t.hallLivenessTimeout() {
+			if now.Sub(h.receivedAt)+time.Duration(m.AgeMs)*time.Millisecond <= t.hallLivenessTimeout() {
 				live = append(live, LiveBox{Box: m.Box, Boot: m.Boot, Hall: h.Hall, Draining: m.Draining})
 			}
 		}
@@ -255,12 +255,12 @@
 	defer t.mu.Unlock()
 	var peers []route.Peer
 	for _, d := range t.boxes {
-		if d.Box != t.self.Box && now.Sub(d.heard) <= t.livenessTimeout() {
+		if d.Box != t.self.Box && now.Sub(d.receivedAt) <= t.livenessTimeout() {
 			peers = append(peers, route.Peer{Fresh: true, Demand: decodeDemand(d.Demand, names)})
 		}
 	}
 	for _, h := range t.halls {
-		if now.Sub(h.heard) > t.hallLivenessTimeout() || len(h.Members) == 0 {
+		if now.Sub(h.receivedAt) > t.hallLivenessTimeout() || len(h.Members) == 0 {
 			continue
 		}
 		// The hall's whole demand is assigned to one of its members; the limiter uses only sums.
@@ -290,12 +290,12 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for box, d := range t.boxes {
-		if now.Sub(d.heard) > forgetAfter {
+		if now.Sub(d.receivedAt) > forgetAfter {
 			delete(t.boxes, box)
 		}
 	}
 	for hall, h := range t.halls {
-		if now.Sub(h.heard) > forgetAfter {
+		if now.Sub(h.receivedAt) > forgetAfter {
 			delete(t.halls, hall)
 		}
 	}
@@ -306,9 +306,10 @@
 	marks map[string]map[NameHash]evidenceMark
 }
 
+// evidenceMark holds the counts of a version that were added last.
 type evidenceMark struct {
 	rollout.Evidence
-	lowSince time.Time
+	lowSince time.Time // since when the counts are below these; zero if they aren't
 }
 
 const counterResetDelay = 16 * time.Second
--- a/fleet/usage.go
+++ b/fleet/usage.go
@@ -16,16 +16,16 @@
 	// MaxUsageBacklog bounds the usage records in one box's memory, its own and those it holds for others.
 	MaxUsageBacklog = 200_000
 
-	maxBatchRecords      = 500
+	maxBatchRecords      = 500 // records in one entry of the usage stream
 	minAppendInterval    = 250 * time.Millisecond
 	appendIntervalPerBox = 10 * time.Millisecond // limits the whole fleet to about 100 batches per second
-	holdTimeout          = 2 * time.Second
+	holdTimeout          = 2 * time.Second       // maximum delay of a response by the replication of its record
 	holdCallTimeout      = time.Second
-	heldAppendDelay      = 10 * time.Second
+	heldAppendDelay      = 10 * time.Second // time that the owner of a held record has to append it
 	appendRetryInterval  = time.Second
 	appendTimeout        = 3 * time.Second
 	holdRetryInterval    = 50 * time.Millisecond
-	maxHoldRecords       = 1000
+	maxHoldRecords       = 1000 // records in one call of Hold
 )
 
 type (
@@ -34,26 +34,29 @@
 		Records []willowwick.UsageRecord `json:"records"`
 	}
 
-	// HoldArgs replicates usage records to another box.
+	// HoldArgs asks another box to hold replicas of usage records. Boot is the sender, which is not the owner of all
+	// records if it hands over those that it held itself.
 	HoldArgs struct {
 		Boot    willowwick.BootID
 		Records []willowwick.UsageRecord
 	}
 
-	// SettleArgs lists records that are on the log, so that the replica can remove them.
+	// SettleArgs lists the records of a box that are on the log, so that the replica can remove them.
 	SettleArgs struct {
 		Boot willowwick.BootID
 		Seqs []uint64
 	}
 
-	// UsageReplicator replicates usage records to another box; Hold reports alone if there is no other box.
+	// UsageReplicator replicates usage records to another box, the replica. Hold sends records to it, and returns alone
+	// if there is no other box; Settle sends it the records that it need not hold any more.
 	UsageReplicator interface {
 		Hold(ctx context.Context, args HoldArgs) (alone bool, err error)
 		Settle(ctx context.Context, args SettleArgs)
 	}
 
-	// Usage makes sure that each request is billed once: a record is replicated to a second box before the response
-	// ends, and appended to the log in batches by this box or, if it crashes, by the second box.
+	// Usage brings the usage record of each request onto the log. A record is replicated to a second box before the
+	// response ends, and appended in batches by this box or, if it crashes, by the second box. It may be appended more
+	// than once; Ledger counts it once.
 	Usage struct {
 		log        willowwick.Log
 		replicator UsageReplicator
@@ -61,16 +64,17 @@
 		fleetSize  func() int
 		mu         sync.Mutex
 		seq        uint64
-		own        map[uint64]*ownRecord
+		own        map[uint64]*ownRecord // by sequence number; not on the log yet
 		ownOrder   []uint64
-		held       map[recordKey]heldRecord
-		wake       chan struct{}
-		wasFull    bool
-		draining   bool // set by a planned stop, which leaves no record in this box's memory
+		held       map[recordKey]heldRecord // records of other boxes
+		wake       chan struct{}            // wakes runReplication
+		wasFull    bool                     // state last logged
+		draining   bool                     // a planned stop has begun, so held records are due at once
 
 		unreplicated uint64 // records that only this box had when their response ended
 	}
 
+	// ownRecord is a record of this box that is not on the log yet.
 	ownRecord struct {
 		record    willowwick.UsageRecord
 		durable   chan struct{} // closed once the record is replicated or on the log
@@ -82,9 +86,10 @@
 		seq  uint64
 	}
 
+	// heldRecord is a record of another box.
 	heldRecord struct {
 		record   willowwick.UsageRecord
-		appendAt time.Time
+		appendAt time.Time // when this box appends it unless its owner has
 	}
 )
 
@@ -99,13 +104,14 @@
 	}
 }
 
-// IsFull reports whether new billable work must be refused.
+// IsFull reports whether the backlog has reached MaxUsageBacklog, so that new billable work must be refused.
 func (u *Usage) IsFull() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.isFull()
 }
 
+// isFull is IsFull, and logs changes. The caller holds the lock.
 func (u *Usage) isFull() bool {
 	full := len(u.own)+len(u.held) >= MaxUsageBacklog
 	if full != u.wasFull {
@@ -122,16 +128,16 @@
 	return len(u.own), len(u.held)
 }
 
-// Unreplicated returns the number of records that only this box had when their response ended.
+// Unreplicated returns the number of records that only this box had when Record returned after holdTimeout.
 func (u *Usage) Unreplicated() uint64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.unreplicated
 }
 
-// Record adds a record and returns once a second box or the log has it.
+// Record adds a record and returns once a second box or the log has it, or when the context ends.
 //
-// After holdTimeout the record stays in this box's memory alone, and is counted as unreplicated.
+// After holdTimeout it returns all the same, and counts the record as unreplicated; replication goes on.
 func (u *Usage) Record(ctx context.Context, record willowwick.UsageRecord) {
 	u.mu.Lock()
 	u.seq++
@@ -140,7 +146,7 @@
 	u.own[record.Seq] = own
 	u.ownOrder = append(u.ownOrder, record.Seq)
 	u.mu.Unlock()
-	u.wakeHold()
+	u.wakeReplication()
 	timer := time.NewTimer(holdTimeout)
 	defer timer.Stop()
 	select {
@@ -153,7 +159,7 @@
 	}
 }
 
-func (u *Usage) wakeHold() {
+func (u *Usage) wakeReplication() {
 	select {
 	case u.wake <- struct{}{}:
 	default:
@@ -163,12 +169,13 @@
 // Run replicates and appends records until the context ends.
 func (u *Usage) Run(ctx context.Context) {
 	var workers sync.WaitGroup
-	workers.Go(func() { u.runHold(ctx) })
-	workers.Go(func() { u.runAppend(ctx) })
+	workers.Go(func() { u.runReplication(ctx) })
+	workers.Go(func() { u.runAppending(ctx) })
 	workers.Wait()
 }
 
-func (u *Usage) runHold(ctx context.Context) {
+// runReplication replicates own records as they arrive. Without another box it appends them to the log at once.
+func (u *Usage) runReplication(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -195,7 +202,7 @@
 	}
 }
 
-// undurableRecords returns up to maxHoldRecords own records that only this box has.
+// undurableRecords returns up to maxHoldRecords own records that are neither replicated nor on the log.
 func (u *Usage) undurableRecords() []willowwick.UsageRecord {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -219,6 +226,7 @@
 	}
 }
 
+// setDurable ends the wait of Record for an own record. The caller holds the lock.
 func (u *Usage) setDurable(seq uint64) {
 	if own := u.own[seq]; own != nil && !own.isDurable {
 		own.isDurable = true
@@ -236,10 +244,11 @@
 		}
 	}
 	u.mu.Unlock()
-	u.wakeHold()
+	u.wakeReplication()
 }
 
-func (u *Usage) runAppend(ctx context.Context) {
+// runAppending appends due records at an interval that grows with the fleet.
+func (u *Usage) runAppending(ctx context.Context) {
 	for {
 		period := max(minAppendInterval, time.Duration(u.fleetSize())*appendIntervalPerBox)
 		sleep(ctx, period)
@@ -252,7 +261,7 @@
 	}
 }
 
-// AppendNow appends all due records and reports whether the log accepted them.
+// AppendNow appends all due records in batches and reports whether the log accepted them all.
 func (u *Usage) AppendNow(ctx context.Context) bool {
 	for {
 		records := u.dueRecords(clock.Now())
@@ -275,7 +284,7 @@
 }
 
 // HandOver moves every record out of this box's memory before a planned stop: onto the log or, while the log is down,
-// into the memory of a box that stays. It returns false if the context ended first.
+// into the memory of another box. It returns false if the context ended first.
 func (u *Usage) HandOver(ctx context.Context) bool {
 	u.mu.Lock()
 	u.draining = true
@@ -311,7 +320,7 @@
 }
 
 // dueRecords returns a batch of own records and of held records that their owner hasn't appended within
-// heldAppendDelay.
+// heldAppendDelay; while draining, of all held records.
 func (u *Usage) dueRecords(now time.Time) []willowwick.UsageRecord {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -329,6 +338,7 @@
 	return records
 }
 
+// removeAppended removes records that are on the log, and has the replica remove its copies of the own ones.
 func (u *Usage) removeAppended(ctx context.Context, records []willowwick.UsageRecord) {
 	var seqs []uint64
 	u.mu.Lock()
@@ -354,7 +364,7 @@
 	}
 }
 
-// Hold stores records of another box.
+// Hold stores records that another box sent, as their replica.
 func (u *Usage) Hold(now time.Time, args HoldArgs) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/notice.go
+++ b/notice.go
@@ -17,30 +17,31 @@
 	// Notice is what an endpoint reports about itself in the headers of an answer.
 	Notice struct {
 		Draining     bool      // the endpoint takes no more new requests
-		BackoffUntil time.Time // this box should send no request before; zero if the endpoint asks for no backoff
+		BackoffUntil time.Time // earliest time of the receiving box's next request; zero if no backoff is asked for
 		RateLimit    RateLimit
 	}
 
-	// NoticeHeaders are the names of the headers that hold a notice in a protocol.
+	// NoticeHeaders holds the names of the headers that carry a notice; each protocol has its own names.
 	NoticeHeaders struct {
-		Draining   string // set and not 0 if the endpoint is draining
-		RetryAfter string // read from a 503 only, by ParseRetryAfter
+		Draining   string // any value but 0 means that the endpoint is draining
+		RetryAfter string // read only from an answer with status 503, by ParseRetryAfter
 		RateLimit  string // read by ParseRateLimit
 	}
 )
 
 // Read reads the notice from an answer that arrived at the given time.
 func (n NoticeHeaders) Read(status int, header http.Header, now time.Time) Notice {
-	leaving := strings.TrimSpace(header.Get(n.Draining))
-	notice := Notice{Draining: leaving != "" && leaving != "0", RateLimit: ParseRateLimit(header.Get(n.RateLimit))}
+	draining := strings.TrimSpace(header.Get(n.Draining))
+	notice := Notice{Draining: draining != "" && draining != "0", RateLimit: ParseRateLimit(header.Get(n.RateLimit))}
 	if status == http.StatusServiceUnavailable {
 		notice.BackoffUntil = ParseRetryAfter(header.Get(n.RetryAfter), now, clock.TimeOfDay())
 	}
 	return notice
 }
 
-// ParseRetryAfter returns the end of the backoff that a Retry-After header asks for, in seconds, which may have a fraction,
-// or as a date. It returns zero if the text is empty, invalid or asks for no delay. timeOfDay is the wall-clock time at now.
+// ParseRetryAfter returns the end of the backoff that the value of a Retry-After header asks for, at most maxBackoff after
+// now. The value is a number of seconds, which may have a fraction, or a date. The result is zero if the value is empty,
+// invalid or asks for no delay. timeOfDay is the wall-clock time at now, to which a date is compared.
 func ParseRetryAfter(text string, now, timeOfDay time.Time) time.Time {
 	text = strings.TrimSpace(text)
 	seconds, err := strconv.ParseFloat(text, 64)
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -16,20 +16,21 @@
 	// RefuseAfterCrashes is how many endpoints must crash under a request, without a complete answer since, before it
 	// is refused. Operators allow three; an endpoint that crashes for another reason takes innocent requests with it.
 	RefuseAfterCrashes = 3
-	// correlationWindow is the time within which crashes rather point to the endpoints, such as a failed rack or a
-	// bad release: a request that was on many of them at once is refused but gets a trial.
+	// correlationWindow is the time within which crashes probably have a common cause other than the request, such
+	// as a failed rack or a bad release. A request that was on many of the endpoints at once is refused, but may get a
+	// trial on any release.
 	correlationWindow = time.Second
 	// firstTrialDelay is the time from the last crash to the first trial of a refused request; by then all boxes
 	// refuse it.
 	firstTrialDelay = 2 * time.Second
 	// trialBackoffFactor multiplies the delay before each further trial: 2 s, 20 s, 3 min. Each trial may crash one
-	// more endpoint with all its requests; operators allow three, and one is left for boxes that have not received
-	// the updates yet.
+	// more endpoint with all its requests; operators allow three, and the remaining one allows for boxes that have
+	// not received the updates yet.
 	trialBackoffFactor = 10
-	// clearTolerance is how much later than a complete answer a crash still counts as before it: boxes exchange ages,
-	// and an update may be under way for the duration of a gossip exchange.
+	// clearTolerance is how much later than a complete answer a crash may be and still be cleared by it: boxes
+	// exchange ages instead of times, so a reported time may be off by the duration of a gossip exchange.
 	clearTolerance = time.Second
-	// suspectTTL is how long crashes count that have not led to a refusal; callers retry for less than a minute.
+	// suspectTTL is how long crashes count if they have not led to a refusal. Callers retry for less than a minute.
 	suspectTTL = 10 * time.Minute
 	// refusedTTL is how long a request is refused after its last crash. Within a day somebody has looked into the
 	// crashes.
@@ -54,7 +55,7 @@
 		suspects      map[willowwick.Fingerprint]*suspect
 		candidates    map[willowwick.Fingerprint]*suspect // suspects with enough crashes to be refused
 		refused       map[willowwick.Fingerprint]bool
-		admitted      map[willowwick.Fingerprint]willowwick.Position // by the operator
+		admitted      map[willowwick.Fingerprint]willowwick.Position // despite their crashes, by the operator
 		knownCrashes  map[crashKey]time.Time                         // crashes under any request
 		history       history
 		pendingWrites map[willowwick.Fingerprint]bool // requests whose stored record has to be written or dropped
@@ -153,8 +154,8 @@
 
 // AllowTrial returns the release on whose endpoints a refused request may be tried, if there is one; only one box may
 // call it at a time. The request may be tried on a release none of whose endpoints crashed under it, and on any
-// release if its crashes may have another cause: they came close together, or another request was running at all of
-// them.
+// release if its crashes may have another cause: they all lie within correlationWindow, or another request has exactly
+// the same crashes.
 func (l *Ledger) AllowTrial(
 	details willowwick.PoisonRequest, releases []willowwick.ReleaseID, now time.Time,
 ) (release willowwick.ReleaseID, allowed bool) {
@@ -177,7 +178,8 @@
 	return "", false
 }
 
-// Expire drops entries that are too old to count; it may be called often.
+// Expire drops entries that are too old to count. It does so at most once every expireInterval, so it may be called
+// often.
 func (l *Ledger) Expire(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -292,7 +294,8 @@
 	return true
 }
 
-// updateRefused recomputes which requests are refused. The caller holds the lock.
+// updateRefused recomputes which requests are refused; source names the origin of the change, for the log. The caller
+// holds the lock.
 func (l *Ledger) updateRefused(now time.Time, source string) {
 	for request := range l.refused {
 		if l.candidates[request] == nil || l.isExplainedByOther(l.candidates[request]) {
@@ -325,12 +328,12 @@
 // admit stops refusing a request. The caller holds the lock.
 func (l *Ledger) admit(request willowwick.Fingerprint, source string) {
 	delete(l.refused, request)
-	l.pendingWrites[request] = l.stored[request] // other boxes drop the records that they wrote
+	l.pendingWrites[request] = l.stored[request] // a record that another box wrote is dropped by that box
 	slog.Info("request is sent to endpoints again", "fingerprint", request.String(), "source", source)
 }
 
-// isExplainedByOther reports whether another request was running at all crashes of this one and at more besides, and
-// so is the likely cause. The caller holds the lock.
+// isExplainedByOther reports whether another candidate has all crashes of this one and more, and so is the more likely
+// cause. The caller holds the lock.
 func (l *Ledger) isExplainedByOther(s *suspect) bool {
 	for _, other := range l.candidates {
 		if len(other.crashes) > len(s.crashes) && other.includesCrashesOf(s) {
@@ -340,7 +343,7 @@
 	return false
 }
 
-// hasEqualCandidate reports whether another request has exactly the same crashes. The caller holds the lock.
+// hasEqualCandidate reports whether another candidate has exactly the same crashes. The caller holds the lock.
 func (l *Ledger) hasEqualCandidate(s *suspect) bool {
 	for _, other := range l.candidates {
 		if other != s && len(other.crashes) == len(s.crashes) && other.includesCrashesOf(s) {
--- a/ratelimit.go
+++ b/ratelimit.go
@@ -37,7 +37,7 @@
 		CancelPending(endpoint EndpointID)
 		// NextAt reports whether the endpoint has a limit, and when the next request may use it.
 		NextAt(now time.Time, endpoint EndpointID) (nextAt time.Time, isLimited bool)
-		// Retain drops the limits of endpoints that are not on the platform's list or have started again.
+		// Retain drops the limits of endpoints that are not on the platform's list or have restarted.
 		Retain(listing []Endpoint)
 	}
 )
--- a/ratelimit/doc.go
+++ b/ratelimit/doc.go
@@ -2,5 +2,5 @@
 // reports in its answers.
 //
 // Each box has a Ledger of the limits that it knows, and boxes exchange them as Updates. A request to a limited
-// endpoint needs a permit. One box, the one whose Granter all others ask, grants permits at the rate of the limit.
+// endpoint needs a permit. One box grants permits to all, with its Granter, at the rate of the limit. Begin with Ledger.
 package ratelimit
--- a/ratelimit/granter.go
+++ b/ratelimit/granter.go
@@ -9,9 +9,10 @@
 )
 
 const (
-	// takeoverDelay is how long a box that takes over granting grants nothing: the previous granter may not know yet.
+	// takeoverDelay is how long a box grants nothing after it has become the granter: the previous one may not know
+	// yet and still grant.
 	takeoverDelay = time.Second
-	// burstPermits is how many permits may be saved up, and burstWindow for how long more of them.
+	// burstPermits is how many permits may be saved up, besides those of burstWindow at the endpoint's rate.
 	burstPermits = 1.5
 	burstWindow  = 250 * time.Millisecond
 	// asksPerPermit is the target number of calls for each permit; with fewer, permits lie idle until somebody asks.
@@ -122,8 +123,8 @@
 	b.filledAt = now
 }
 
-// retryDelay returns the delay until a box that got no permit asks again: until there is a permit, spread by the
-// number of asking boxes, so that calls are no more frequent than useful.
+// retryDelay returns the delay until a box that got no permit asks again: the time until there is a permit, plus a
+// random delay such that all asking boxes together make about asksPerPermit calls for each permit.
 func (b *bucket) retryDelay(now time.Time, perSecond float64) time.Duration {
 	askers := 1
 	for box, until := range b.askers {
@@ -151,8 +152,8 @@
 }
 
 // cappedSeconds converts seconds to a duration of at most maxRetryDelay.
-func cappedSeconds(length float64) time.Duration {
-	return time.Duration(min(length, maxRetryDelay.Seconds()) * float64(time.Second))
+func cappedSeconds(seconds float64) time.Duration {
+	return time.Duration(min(seconds, maxRetryDelay.Seconds()) * float64(time.Second))
 }
 
 func randomDelay(most time.Duration) time.Duration {
--- a/ratelimit/ledger.go
+++ b/ratelimit/ledger.go
@@ -17,8 +17,8 @@
 	minRate willowwick.PerSecond = 0.1
 	// maxRate is the rate from which on a limit is ignored: boxes do not send as much to one endpoint.
 	maxRate willowwick.PerSecond = 10_000
-	// recoveryPeriod is how long the rate of an endpoint that no longer reports a limit ramps up, doubling once each
-	// recoveryDoubling: it is idle then, and all boxes would choose it at once.
+	// recoveryPeriod is how long an endpoint that no longer reports a limit is still limited. Its rate doubles once each
+	// recoveryDoubling: the endpoint has little load then, and without a limit all boxes would choose it at once.
 	recoveryPeriod   = 6 * time.Second
 	recoveryDoubling = time.Second
 	// permitTTL is how long after it was requested a permit may be used; one used later may coincide with later
@@ -41,17 +41,19 @@
 		mu     sync.Mutex
 		limits map[willowwick.EndpointID]*limit
 
-		awaitUntil          time.Time                      // other boxes may still send limits that are unknown here
-		awaitingFirstAnswer map[willowwick.EndpointID]bool // while awaiting: true until the endpoint answers its first request, then false
+		awaitUntil time.Time // other boxes may still send limits that are unknown here
+		// awaitingFirstAnswer is used until awaitUntil: true for an endpoint that got its first request, false once it
+		// has answered.
+		awaitingFirstAnswer map[willowwick.EndpointID]bool
 	}
 
 	// limit is the rate limit of one endpoint, with the permits of this box.
 	limit struct {
 		incarnation willowwick.Incarnation
 		rate        willowwick.PerSecond
-		namedAt     time.Time // when an answer first reported it, or another rate
-		endedAt     time.Time // when an answer to a later request reported none; before namedAt if none did since
-		wasListed   bool      // whether the list has held the endpoint since
+		reportedAt  time.Time // when an answer first reported it, or another rate
+		endedAt     time.Time // when an answer to a later request reported none; counts if after reportedAt
+		wasListed   bool      // the list has contained the endpoint since the limit became known
 
 		permits      int       // available permits
 		usableUntil  time.Time // expiry of the permits
@@ -96,12 +98,12 @@
 	case reported.Unreadable != "":
 		slog.Debug("cannot parse rate limit of endpoint", "endpoint", endpoint.ID, "text", reported.Unreadable)
 		return false
-	case reported.IsSet && (known == nil || !known.isNamed() || known.rate != reported.Rate):
+	case reported.IsSet && (known == nil || !known.isReported() || known.rate != reported.Rate):
 		known = l.ensureLimit(endpoint.ID, endpoint.Incarnation)
-		known.rate, known.namedAt = reported.Rate, now
+		known.rate, known.reportedAt = reported.Rate, now
 		known.log(endpoint.ID, "answer")
 		return true
-	case !reported.IsSet && known != nil && known.isNamed() && sentAt.After(known.namedAt):
+	case !reported.IsSet && known != nil && known.isReported() && sentAt.After(known.reportedAt):
 		known.endedAt = now
 		known.log(endpoint.ID, "answer")
 		return true
@@ -122,22 +124,22 @@
 
 // log logs a change of the limit.
 func (k *limit) log(endpoint willowwick.EndpointID, source string) {
-	what := "endpoint names no rate limit any more"
-	if k.isNamed() {
-		what = "endpoint names a rate limit"
+	what := "endpoint no longer reports a rate limit"
+	if k.isReported() {
+		what = "endpoint reports a rate limit"
 	}
 	slog.Info(what, "endpoint", endpoint, "per_second", float64(k.rate), "source", source)
 }
 
-// isNamed reports whether the endpoint still reports the limit, as far as is known.
-func (k *limit) isNamed() bool {
-	return k.namedAt.After(k.endedAt)
+// isReported reports whether the endpoint still reports the limit, as far as is known.
+func (k *limit) isReported() bool {
+	return k.reportedAt.After(k.endedAt)
 }
 
 // rateAt returns the rate for the endpoint, and false if it is not limited.
 func (k *limit) rateAt(now time.Time) (willowwick.PerSecond, bool) {
 	rate := max(k.rate, minRate)
-	if k.isNamed() {
+	if k.isReported() {
 		return rate, rate < maxRate
 	}
 	since := now.Sub(k.endedAt)
@@ -275,7 +277,7 @@
 	}
 }
 
-// NewCall returns the call for a permit after Acquire returned PermitRequired.
+// NewCall returns the call for permits that must follow an Acquire that returned PermitRequired.
 func (l *Ledger) NewCall(now time.Time, endpoint willowwick.EndpointID, box willowwick.BoxID) Call {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -337,7 +339,7 @@
 	defer l.mu.Unlock()
 	count := 0
 	for _, known := range l.limits {
-		if known.isNamed() {
+		if known.isReported() {
 			count++
 		}
 	}
--- a/ratelimit/updates.go
+++ b/ratelimit/updates.go
@@ -23,8 +23,8 @@
 		Endpoint    willowwick.EndpointID
 		Incarnation willowwick.Incarnation
 		Rate        willowwick.PerSecond
-		NamedMs     int64 // age
-		EndedMs     int64 // age; negative if it has not ended
+		NamedMs     int64 // time since an answer first reported the rate; negative if the limit is unknown
+		EndedMs     int64 // time since an answer reported no limit any more; negative if none did
 	}
 
 	// Updates holds the limits that boxes exchange: a checksum over all that one knows, and all rows if the other's
@@ -39,7 +39,7 @@
 		Box    willowwick.BoxID // the asking box
 		Row    Row
 		Wanted int
-		// IsPassedOn is set if another box forwards the call.
+		// IsPassedOn is set if the call is forwarded by a box other than Box.
 		IsPassedOn bool
 	}
 
@@ -60,7 +60,7 @@
 func (k *limit) row(endpoint willowwick.EndpointID, now time.Time) Row {
 	row := Row{
 		Endpoint: endpoint, Incarnation: k.incarnation, Rate: k.rate,
-		NamedMs: now.Sub(k.namedAt).Milliseconds(), EndedMs: neverMs,
+		NamedMs: now.Sub(k.reportedAt).Milliseconds(), EndedMs: neverMs,
 	}
 	if !k.endedAt.IsZero() {
 		row.EndedMs = now.Sub(k.endedAt).Milliseconds()
@@ -72,7 +72,7 @@
 func (k *limit) sum(endpoint willowwick.EndpointID) uint64 {
 	text := strconv.AppendInt([]byte(endpoint), int64(k.incarnation), 16)
 	text = strconv.AppendUint(append(text, '/'), math.Float64bits(float64(k.rate)), 16)
-	return xxhash.Sum64(strconv.AppendBool(append(text, '/'), k.isNamed()))
+	return xxhash.Sum64(strconv.AppendBool(append(text, '/'), k.isReported()))
 }
 
 // Updates returns the updates for a box with the given checksum.
@@ -126,7 +126,7 @@
 			known.endedAt = at
 		}
 	}
-	isNew := known.isNamed() != before.isNamed() || known.isNamed() && known.rate != before.rate
+	isNew := known.isReported() != before.isReported() || known.isReported() && known.rate != before.rate
 	if isNew {
 		known.log(row.Endpoint, source)
 	}
@@ -135,9 +135,9 @@
 
 // mergeRate keeps the rate that was reported last; of two reported at about the same time, the lower one.
 func (k *limit) mergeRate(rate willowwick.PerSecond, at time.Time) {
-	switch apart := at.Sub(k.namedAt); {
+	switch apart := at.Sub(k.reportedAt); {
 	case apart > ageTolerance:
-		k.rate, k.namedAt = rate, at
+		k.rate, k.reportedAt = rate, at
 	case apart >= -ageTolerance && rate < k.rate:
 		k.rate = rate
 	}
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -191,9 +191,9 @@
 	}
 }
 
-func (b *decayingRate) observe(counts Counts, fade float64) {
-	b.total = b.total*fade + float64(counts.Total)
-	b.bad = b.bad*fade + float64(counts.Bad)
+func (b *decayingRate) observe(counts Counts, decay float64) {
+	b.total = b.total*decay + float64(counts.Total)
+	b.bad = b.bad*decay + float64(counts.Bad)
 }
 
 // logRatio returns the log-likelihood ratio of "bad" to "as the baseline" for the counts.
--- a/rollout/kindmonitor.go
+++ b/rollout/kindmonitor.go
@@ -12,13 +12,13 @@
 		Others  Evidence
 	}
 
-	// KindMonitor monitors one version by kind of request: each kind by its own monitor, since a version may be bad
-	// for one kind only, and all kinds together, since with three kinds a version that is bad for all is found after
-	// a third of the bad answers.
+	// KindMonitor monitors one version by kind of request. Each kind has its own monitor, since a version may be bad
+	// for one kind only. Another test covers all kinds together: with three kinds, it finds a version that is bad for
+	// all of them after a third of the bad answers.
 	KindMonitor struct {
 		version  willowwick.VersionID
 		monitors map[Kind]*Monitor
-		cusums   logRatios // over all kinds, for turning bad; never below zero
+		cusums   logRatios // of the test over all kinds; never below zero
 	}
 )
 
--- a/route/availability.go
+++ b/route/availability.go
@@ -9,7 +9,7 @@
 const (
 	// reasonNone: the endpoint may be given a request if it has capacity.
 	reasonNone reason = iota
-	// reasonOutOfService: it is shutting down, its hall is evacuated, or another endpoint answers at its address.
+	// reasonOutOfService: it is draining, its hall is evacuated, or another endpoint answers at its address.
 	reasonOutOfService
 	// reasonBackoff: it asked for a backoff that has not ended.
 	reasonBackoff
--- a/route/cold.go
+++ b/route/cold.go
@@ -25,9 +25,9 @@
 	return time.Duration(float64(boxes) / (coldRateShare * perSecond) * float64(time.Second))
 }
 
-// IsColdAgain reports whether an endpoint that was cold until before has become cold anew, until until.
-func IsColdAgain(before, until time.Time) bool {
-	return until.After(before.Add(coldAgainMargin))
+// IsColdAgain reports whether an endpoint has become cold anew, given its former ColdUntil and its current one.
+func IsColdAgain(former, current time.Time) bool {
+	return current.After(former.Add(coldAgainMargin))
 }
 
 // SetColdPauses sets the pause between this box's requests to one cold endpoint, by service.
--- a/route/evacuation_test.go
+++ b/route/evacuation_test.go
@@ -27,7 +27,7 @@
 	}
 	assert.InDelta(t, 20, pool.Pressure(now, "s", all).Requests, 0, "requests in the evacuated hall do not raise the pressure")
 	assert.Equal(t, 21, pool.InFlight(), "running requests continue")
-	assert.Empty(t, pool.Leaving(), "an evacuation can be undone, and boxes report only endpoints that leave permanently")
+	assert.Empty(t, pool.Draining(), "an evacuation can be undone, and boxes report only endpoints that leave permanently")
 	// Once the other endpoint has failed the request, it is tried again rather than one in the evacuated hall.
 	slot, _ := pool.AcquireService(now, "s", map[willowwick.EndpointID]bool{"other": true})
 	require.NotNil(t, slot)
--- a/route/limits.go
+++ b/route/limits.go
@@ -43,10 +43,10 @@
 
 	// AccountLimiter enforces client accounts' limits over the whole fleet.
 	//
-	// Each box takes a share of each limit. Boxes with fresh digests divide by demand what the others leave; a box
-	// that is cut off is assumed to use the equal share, which is also what it gives itself. A box claims by the
-	// least demand it had during demandSettleTime, which the others know of, and leaves them what they last reported.
-	// The shares therefore never add up to more than the limit.
+	// Each box uses a share of each limit. A box that is cut off uses an equal share, and the others leave it that much.
+	// The boxes with fresh digests divide the rest, half of it equally and half by demand. A box counts as its own
+	// demand only the least of the last demandSettleTime, which the others know of, and as theirs what they last
+	// reported. The shares therefore never add up to more than the limit.
 	AccountLimiter struct {
 		mu         sync.Mutex
 		buckets    map[willowwick.AccountID]*accountBuckets
--- a/route/notice.go
+++ b/route/notice.go
@@ -12,20 +12,20 @@
 	// reportedStateTTL is how long the reported state of an unlisted endpoint is kept: its old entry may return,
 	// since a store that is restored from a copy of itself has lost the latest writes.
 	reportedStateTTL = 10 * time.Minute
-	// maxBackoffJitter bounds the random delay by which a box resumes after a backoff, since an overloaded endpoint
-	// asks many boxes for the same backoff at about the same time. The jitter is at most the backoff divided by
-	// backoffJitterDivisor.
+	// maxBackoffJitter bounds the random delay that a box adds to a backoff. An overloaded endpoint asks many boxes
+	// for the same backoff at about the same time, and without jitter they would all resume at once. The jitter is at
+	// most the backoff divided by backoffJitterDivisor.
 	maxBackoffJitter     = time.Second
 	backoffJitterDivisor = 5
 )
 
 type (
 	// reportedState is what is known of one incarnation of an endpoint besides its entry, mostly from its own
-	// answers. It holds whatever the entry says now or later: the store may be unreachable or behind.
+	// answers. The entry never overrides it, since the store may be unreachable or behind.
 	reportedState struct {
 		incarnation   willowwick.Incarnation
 		address       string
-		leaving       bool          // it accepts no new requests; permanent
+		draining      bool          // it accepts no new requests; permanent
 		misplaced     bool          // another endpoint answers at its address
 		backoffUntil  time.Time     // it accepts no request of this box before; zero if it asked for no backoff
 		backoffJitter time.Duration // random delay after the backoff, for this box
@@ -34,13 +34,13 @@
 
 	// NoticeChanges is what a notice changed.
 	NoticeChanges struct {
-		Leaving bool // the endpoint began to shut down
-		Backoff bool // it asked for a backoff while in none
-		Limit   bool // it declared another rate limit, or dropped it
+		Draining bool // the endpoint began to drain
+		Backoff  bool // it asked for a backoff while in none
+		Limit    bool // it declared another rate limit, or dropped it
 	}
 
-	// LeavingRow is the wire form of an endpoint's incarnation that is shutting down.
-	LeavingRow struct {
+	// DrainingRow is the wire form of a draining incarnation of an endpoint.
+	DrainingRow struct {
 		Endpoint    willowwick.EndpointID
 		Incarnation willowwick.Incarnation
 	}
@@ -59,13 +59,13 @@
 	if s == nil || !s.matches(endpoint) {
 		return changes
 	}
-	changes.Leaving = notice.Draining && !s.leaving
+	changes.Draining = notice.Draining && !s.draining
 	changes.Backoff = notice.BackoffUntil.After(now) && !s.isInBackoff(now)
-	s.leaving = s.leaving || notice.Draining
+	s.draining = s.draining || notice.Draining
 	if changes.Backoff {
 		s.backoffJitter = time.Duration(rand.Float64() * float64(min(maxBackoffJitter, notice.BackoffUntil.Sub(now)/backoffJitterDivisor)))
 	}
-	// A shorter backoff that is asked for later does not shorten the first: each answer binds by itself.
+	// A later answer that asks for a shorter backoff does not shorten the current one.
 	if until := notice.BackoffUntil.Add(s.backoffJitter); notice.BackoffUntil.After(now) && until.After(s.backoffUntil) {
 		s.backoffUntil = until
 	}
@@ -75,12 +75,12 @@
 	return changes
 }
 
-// MarkLeaving records that an endpoint is shutting down, whatever the source.
-func (p *Pool) MarkLeaving(id willowwick.EndpointID) {
+// MarkDraining records that an endpoint is draining, whatever the source.
+func (p *Pool) MarkDraining(id willowwick.EndpointID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if m := p.endpoints[id]; m != nil {
-		m.reportedState.leaving = true
+		m.reportedState.draining = true
 	}
 }
 
@@ -93,44 +93,44 @@
 	}
 }
 
-// MergeLeaving applies another box's list of endpoints that are shutting down, and returns those that were new to
-// this one.
-func (p *Pool) MergeLeaving(rows []LeavingRow) []willowwick.EndpointID {
+// MergeDraining applies another box's list of draining endpoints, and returns those that this box did not know to
+// be draining.
+func (p *Pool) MergeDraining(rows []DrainingRow) []willowwick.EndpointID {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var added []willowwick.EndpointID
 	for _, row := range rows {
 		s := p.reportedState[row.Endpoint]
-		if s != nil && s.incarnation == row.Incarnation && !s.leaving {
-			s.leaving = true
+		if s != nil && s.incarnation == row.Incarnation && !s.draining {
+			s.draining = true
 			added = append(added, row.Endpoint)
 		}
 	}
 	return added
 }
 
-// LeavingUnlisted lists the endpoints that are shutting down but whose entries do not say so yet, which other boxes
-// cannot learn from the list.
-func (p *Pool) LeavingUnlisted() []LeavingRow {
+// DrainingNotInEntries lists the draining endpoints whose entries do not say so yet: other boxes cannot learn
+// of them from the list.
+func (p *Pool) DrainingNotInEntries() []DrainingRow {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var rows []LeavingRow
+	var rows []DrainingRow
 	for id, m := range p.endpoints {
-		if m.reportedState.leaving && !m.endpoint.Leaving {
-			rows = append(rows, LeavingRow{id, m.reportedState.incarnation})
+		if m.reportedState.draining && !m.endpoint.Leaving {
+			rows = append(rows, DrainingRow{id, m.reportedState.incarnation})
 		}
 	}
 	sort.Slice(rows, func(i, j int) bool { return rows[i].Endpoint < rows[j].Endpoint })
 	return rows
 }
 
-// Leaving lists the endpoints known to be shutting down.
-func (p *Pool) Leaving() []willowwick.EndpointID {
+// Draining lists the endpoints known to be draining.
+func (p *Pool) Draining() []willowwick.EndpointID {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var ids []willowwick.EndpointID
 	for id, m := range p.endpoints {
-		if m.reportedState.leaving {
+		if m.reportedState.draining {
 			ids = append(ids, id)
 		}
 	}
@@ -138,23 +138,23 @@
 	return ids
 }
 
-// IsLeaving reports whether the newest known incarnation of an endpoint is shutting down or has shut down.
-func (p *Pool) IsLeaving(id willowwick.EndpointID) bool {
+// IsDraining reports whether the newest known incarnation of an endpoint is draining or has shut down.
+func (p *Pool) IsDraining(id willowwick.EndpointID) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.reportedState[id]
-	return s != nil && s.leaving
+	return s != nil && s.draining
 }
 
-// reportedStateOf returns the reported state of the incarnation in an entry, and applies the entry's own leaving. The
-// caller holds the lock.
+// reportedStateOf returns the reported state of the incarnation in an entry, and marks it as draining if the entry does.
+// The caller holds the lock.
 func (p *Pool) reportedStateOf(entry willowwick.Endpoint) *reportedState {
 	s := p.reportedState[entry.ID]
 	if s == nil || !s.matches(entry) {
 		s = &reportedState{incarnation: entry.Incarnation, address: entry.Address}
 		p.reportedState[entry.ID] = s
 	}
-	s.leaving = s.leaving || entry.Leaving
+	s.draining = s.draining || entry.Leaving
 	s.unlistedAt = time.Time{}
 	return s
 }
@@ -185,17 +185,17 @@
 	return now.Before(s.backoffUntil)
 }
 
-// CountNotices counts the listed endpoints that are shutting down, and those in backoff.
-func (p *Pool) CountNotices(now time.Time) (leaving, inBackoff int) {
+// CountNotices counts the listed endpoints that are draining, and those in backoff.
+func (p *Pool) CountNotices(now time.Time) (draining, inBackoff int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, m := range p.endpoints {
-		if m.reportedState.leaving {
-			leaving++
+		if m.reportedState.draining {
+			draining++
 		}
 		if m.reportedState.isInBackoff(now) {
 			inBackoff++
 		}
 	}
-	return leaving, inBackoff
+	return draining, inBackoff
 }
--- a/route/picker.go
+++ b/route/picker.go
@@ -10,16 +10,17 @@
 
 const (
 	sampleTries    = 4
-	hallPenalty    = 0.05 // of one slot's load
-	prefixBonus    = 0.1
-	ownerLoadLimit = 0.9
-	defaultSlots   = 8
+	hallPenalty    = 0.05 // added to the load of endpoints in other halls
+	prefixBonus    = 0.1  // subtracted from the load of the prefix owner
+	ownerLoadLimit = 0.9  // load from which on the prefix owner is not preferred
+	defaultSlots   = 8    // assumed if none are reported
 	noCandidate    = -1
-	unknownLoad    = 0.5
+	unknownLoad    = 0.5 // assumed load from other boxes if no slots are reported
 )
 
 type (
-	// PowerOfTwo samples two endpoints and the owner of the prompt prefix, and picks the least loaded.
+	// PowerOfTwo samples two available endpoints and, with Affinity, the owner of the prompt prefix, and picks the least
+	// loaded.
 	PowerOfTwo struct {
 		Hall     willowwick.HallID
 		Affinity bool
--- a/route/pool.go
+++ b/route/pool.go
@@ -15,9 +15,9 @@
 const (
 	// ringPoints is the number of points of an endpoint on the consistent-hashing ring.
 	ringPoints = 16
-	// startLimit is the limit of own requests at an endpoint without history.
+	// startLimit is the default of PoolOptions.StartLimit.
 	startLimit = 4
-	// loadMaxAge is how long a load report is valid.
+	// loadMaxAge is the default of PoolOptions.LoadMaxAge.
 	loadMaxAge = 10 * time.Second
 )
 
@@ -40,12 +40,13 @@
 		coldPauses map[willowwick.ServiceID]time.Duration
 	}
 
-	// PoolOptions bound the work that a pool gives to endpoints; zero values of StartLimit and LoadMaxAge take
-	// defaults.
+	// PoolOptions bound the work that a pool gives to endpoints. StartLimit and LoadMaxAge have defaults, which apply
+	// if they are 0.
 	PoolOptions struct {
-		StartLimit float64       // limit of own requests at an endpoint without history
+		StartLimit float64       // initial limit of this box's concurrent requests at one endpoint
 		LoadMaxAge time.Duration // how long a load report is valid
-		// FallBackToEjected gives work to ejected endpoints if no other is open; the caller bounds its attempts.
+		// FallBackToEjected gives work to ejected, probed and silent endpoints if no other is open. Callers must bound
+		// their attempts themselves.
 		FallBackToEjected bool
 		// QueueShare bounds the requests queued at an endpoint beyond its slots, as a share of the slots; the rest
 		// waits in the fair queue of this box. If 0, only the adaptive limit bounds them.
@@ -61,13 +62,13 @@
 		endpoint          willowwick.Endpoint
 		reportedState     *reportedState
 		load              willowwick.EndpointLoad
-		inFlight          int
-		sentSinceReport   int
-		failures          int
+		inFlight          int // slots in use by this box
+		sentSinceReport   int // slots acquired since the last load report, without those released again
+		failures          int // consecutive ones
 		ejectedUntil      time.Time
-		evacuated         bool // its hall is evacuated
-		limit             float64
-		hash              uint64
+		evacuated         bool    // its hall is evacuated
+		limit             float64 // adaptive limit of this box's concurrent requests
+		hash              uint64  // of the endpoint's ID
 		lastFailureRate   float64
 		lastFailureRateAt time.Time
 		lastAliveAt       time.Time // when data last arrived, or when it got work after having none
@@ -125,11 +126,13 @@
 	p.rebuild()
 }
 
-// hasRestarted reports whether an entry is of another incarnation of its endpoint, of which nothing is known yet.
+// hasRestarted reports whether an entry is of another incarnation of its endpoint, so that what is known of the old
+// one doesn't apply.
 func hasRestarted(old, entry willowwick.Endpoint) bool {
 	return old.Incarnation != 0 && old.Incarnation != entry.Incarnation
 }
 
+// rebuild rebuilds the candidate sets from the endpoints. The caller holds the lock.
 func (p *Pool) rebuild() {
 	p.candidates = map[workKey]*candidateSet{}
 	ids := make([]willowwick.EndpointID, 0, len(p.endpoints))
@@ -174,7 +177,7 @@
 	}
 	m.load = load
 	m.sentSinceReport = 0
-	m.reportedState.leaving = m.reportedState.leaving || load.Draining
+	m.reportedState.draining = m.reportedState.draining || load.Draining
 }
 
 // ApplyPrefillUpdate applies another box's prefill update to its endpoint.
@@ -233,14 +236,14 @@
 	}
 }
 
-// Endpoints lists the endpoints; each that is known to be shutting down has Leaving set, whatever its entry says.
+// Endpoints lists the endpoints; those known to be draining have Leaving set, whatever their entries say.
 func (p *Pool) Endpoints() []willowwick.Endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := make([]willowwick.Endpoint, 0, len(p.endpoints))
 	for _, m := range p.endpoints {
 		endpoint := m.endpoint
-		endpoint.Leaving = m.reportedState.leaving
+		endpoint.Leaving = m.reportedState.draining
 		list = append(list, endpoint)
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
@@ -262,10 +265,10 @@
 	return int(min(m.limit, options.QueueShare*float64(m.load.Slots)))
 }
 
-// isInService reports whether the endpoint may be given new work at all: it is not shutting down, its own process
+// isInService reports whether the endpoint may be given new work at all: it is not draining, no other endpoint
 // answers at its address, and its hall is not evacuated.
 func (m *member) isInService() bool {
-	return !m.reportedState.leaving && !m.reportedState.misplaced && !m.evacuated
+	return !m.reportedState.draining && !m.reportedState.misplaced && !m.evacuated
 }
 
 // refusesWork reports whether the endpoint accepts no work now, whatever its load: it is out of service or in
@@ -291,8 +294,8 @@
 	return now.Sub(lastAliveAt) > options.SilentAfter
 }
 
-// AcquireVersion acquires a slot at a runner that serves the version; slot is nil if none is open, and known reports
-// whether any runner serves the version.
+// AcquireVersion acquires a slot at a runner that serves the version. If none is open, slot is nil, and known reports
+// whether any runner that serves the version is in service.
 func (p *Pool) AcquireVersion(now time.Time, version willowwick.VersionID, prefix uint64, exclude map[willowwick.EndpointID]bool) (slot *Slot, known bool) {
 	return p.acquire(now, workKey{version: version}, Work{}, prefix, exclude, nil)
 }
@@ -302,7 +305,7 @@
 	return p.acquire(now, workKey{service: service}, Work{}, 0, exclude, nil)
 }
 
-// AcquireAllowed acquires a slot at one of the service's allowed endpoints; known reports whether there is any.
+// AcquireAllowed acquires a slot at one of the service's allowed endpoints; the results are those of AcquireVersion.
 func (p *Pool) AcquireAllowed(
 	now time.Time, service willowwick.ServiceID, work Work,
 	exclude map[willowwick.EndpointID]bool, allow func(willowwick.Endpoint) bool,
@@ -322,7 +325,7 @@
 	}
 	set.now, set.estimator, set.exclude, set.allow = now, p.estimatorFor(key.service, work), exclude, allow
 	if len(exclude) > 0 && set.allExcluded() {
-		// Every endpoint has failed this request once; a second attempt is better than none.
+		// The request has already failed at every endpoint in service; a second attempt is better than none.
 		set.exclude = nil
 	}
 	index := p.picker.Pick(now, set, prefix)
@@ -339,12 +342,12 @@
 		m.lastAliveAt = now
 	}
 	p.startColdPause(now, m)
-	permission := p.options.Limits.Acquire(now, m.endpoint.ID)
+	permit := p.options.Limits.Acquire(now, m.endpoint.ID)
 	m.inFlight++
 	m.sentSinceReport++
 	p.occupied[m] = true
 	p.inFlight++
-	return &Slot{Endpoint: m.endpoint, pool: p, member: m, work: work, estimator: set.estimator, acquiredAt: now, permission: permission}, true
+	return &Slot{Endpoint: m.endpoint, pool: p, member: m, work: work, estimator: set.estimator, acquiredAt: now, permit: permit}, true
 }
 
 // estimatorFor returns the prefill estimator for work at the endpoints of a service.
@@ -389,7 +392,7 @@
 	return n
 }
 
-// knownLoad returns the last report, or only the slots if the report is too old.
+// knownLoad returns the last load report, or one with only the number of slots if the report is too old.
 func (m *member) knownLoad(now time.Time, options PoolOptions) willowwick.EndpointLoad {
 	if now.Sub(m.load.At) < options.LoadMaxAge {
 		return m.load
@@ -397,6 +400,8 @@
 	return willowwick.EndpointLoad{Endpoint: m.endpoint.ID, Slots: max(m.load.Slots, m.endpoint.Slots)}
 }
 
+// isOpen reports whether the endpoint may be given one more request of this box now, apart from rate limits and the
+// pauses of cold endpoints. If allowEjected, ejected, probed and silent endpoints count as well.
 func (m *member) isOpen(now time.Time, options PoolOptions, allowEjected bool) bool {
 	if m.refusesWork(now) || !allowEjected && now.Before(m.ejectedUntil) {
 		return false
--- a/route/prefill.go
+++ b/route/prefill.go
@@ -83,11 +83,11 @@
 
 // partHashes returns the hashes of the prompt's parts as read by the work's model.
 func (w Work) partHashes() []PartHash {
-	names := make([]PartHash, 0, len(w.Prompt))
+	hashes := make([]PartHash, 0, len(w.Prompt))
 	for _, part := range w.Prompt {
-		names = append(names, PartHash(xxhash.Sum64String(string(w.Model)+"/"+part.ID)))
+		hashes = append(hashes, PartHash(xxhash.Sum64String(string(w.Model)+"/"+part.ID)))
 	}
-	return names
+	return hashes
 }
 
 // secondsPerToken returns the time to read one token, in seconds; 0 if no prefill was seen.
@@ -110,12 +110,12 @@
 
 // uncachedTokens returns how many tokens of the prompt the endpoint must read: it uses a cached part only if all
 // parts before it are cached.
-func (q *prefillQueue) uncachedTokens(now time.Time, prompt []willowwick.PromptPart, names []PartHash) willowwick.Tokens {
+func (q *prefillQueue) uncachedTokens(now time.Time, prompt []willowwick.PromptPart, hashes []PartHash) willowwick.Tokens {
 	var tokens willowwick.Tokens
 	prefixCached := true
 	for i, part := range prompt {
 		if prefixCached {
-			at, cached := q.cached[names[i]]
+			at, cached := q.cached[hashes[i]]
 			prefixCached = cached && now.Sub(at) < prefixCacheTTL
 		}
 		if !prefixCached {
--- a/route/queue.go
+++ b/route/queue.go
@@ -26,13 +26,14 @@
 	// Queue orders the requests of client accounts by deficit round robin in estimated tokens.
 	Queue struct {
 		flows    map[willowwick.AccountID]*flow
-		ring     []*flow
+		ring     []*flow // the flows with queued requests; the first is served next
 		length   int
 		backlog  willowwick.Tokens
 		speed    float64 // tokens a second that one slot processes, smoothed
 		inFlight int
 	}
 
+	// flow is the queue of one client account.
 	flow struct {
 		account willowwick.AccountID
 		weight  int
--- a/route/slot.go
+++ b/route/slot.go
@@ -13,11 +13,11 @@
 	maxEjection  = 16 * time.Second
 	// ejectAfterFailures is how many consecutive failures eject an endpoint.
 	ejectAfterFailures = 3
-	// limitDecrease is the factor on the limit of own requests after a slow, busy or failed call.
+	// limitDecrease is the factor by which a slow, busy or failed call lowers member.limit.
 	limitDecrease = 0.7
-	// slowStartLimit is the limit of own requests from which good calls no longer raise it.
-	slowStartLimit = 64
-	// failureHalfLife is the time after which the failure rate has halved without calls.
+	// maxLimit is the value from which on good calls no longer raise member.limit.
+	maxLimit = 64
+	// failureHalfLife is the time in which the failure rate halves if there are no calls.
 	failureHalfLife = 3 * time.Second
 	// minReportedShift is the least shift of a forecast that is reported to other boxes: the prefill of a short
 	// prompt.
@@ -39,14 +39,14 @@
 		estimator  prefill
 		acquiredAt time.Time
 		released   bool
-		permission willowwick.PermitState // permit that the request needs before it is sent
+		permit     willowwick.PermitState // whether the request still needs a permit before it is sent
 
-		sentAt      time.Time         // when the work was sent; zero before
-		uncached    willowwick.Tokens // tokens that the endpoint must read, as forecast
-		hasForecast bool              // the model's speed was known when the work was sent
+		sentAt      time.Time         // when the request was sent; zero before, and if it has no prompt
+		uncached    willowwick.Tokens // forecast number of prompt tokens that the endpoint has not cached and must read
+		hasForecast bool              // the prefill time was known when the request was sent
 		prefill     time.Duration     // forecast time to read them
-		due         time.Time         // forecast time at which they are read
-		backlog     time.Duration     // forecast of the endpoint's backlog when the work was sent
+		due         time.Time         // forecast time at which the prompt is read, and the answer begins
+		backlog     time.Duration     // forecast of the endpoint's backlog when the request was sent
 	}
 )
 
@@ -61,27 +61,28 @@
 	OutcomeCancelled
 )
 
-// MustRequestPermit reports whether the caller must request a permit before it sends the request; it returns true
-// once.
+// MustRequestPermit reports whether the caller must request a permit before it sends the request. It returns true
+// only once, and counts the permit as held from then on.
 func (s *Slot) MustRequestPermit() bool {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	if s.permission != willowwick.PermitRequired {
+	if s.permit != willowwick.PermitRequired {
 		return false
 	}
-	s.permission = willowwick.PermitHeld
+	s.permit = willowwick.PermitHeld
 	return true
 }
 
-// ReportedState reports whether the endpoint has said in its answers that it is shutting down, and whether it is in a
-// backoff that it asked for.
-func (s *Slot) ReportedState(now time.Time) (isLeaving, inBackoff bool) {
+// ReportedState reports whether the endpoint is known to be draining, and whether it is in a backoff that it asked
+// for.
+func (s *Slot) ReportedState(now time.Time) (isDraining, inBackoff bool) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	return s.member.reportedState.leaving, s.member.reportedState.isInBackoff(now)
+	return s.member.reportedState.draining, s.member.reportedState.isInBackoff(now)
 }
 
-// EndpointRefusesWork reports whether the endpoint has begun to shut down or to back off since the slot was acquired.
+// EndpointRefusesWork reports whether the endpoint accepts no work now, since it is out of service or in backoff; that
+// may have begun after the slot was acquired.
 func (s *Slot) EndpointRefusesWork(now time.Time) bool {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
@@ -127,8 +128,9 @@
 	return s.shiftUpdate(s.member.prefillQueue.remove(now, s))
 }
 
-// TimedOut records that the request was withdrawn from a silent endpoint. It returns an update that delays the
-// endpoint's forecast by as much as this answer is overdue, so that other boxes try other endpoints meanwhile.
+// TimedOut records that the request was withdrawn from a silent endpoint, and learns its lateness as if the answer
+// began maxLateness from now. It returns an update that delays the endpoint's forecast by as much as the answer is
+// overdue, so that other boxes try other endpoints meanwhile.
 func (s *Slot) TimedOut(now time.Time) (shiftUpdate PrefillUpdate, hasShift bool) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
@@ -140,7 +142,7 @@
 	return s.shiftUpdate(max(now.Sub(s.due), 0))
 }
 
-// shiftUpdate returns the update for a shift of at least minReportedShift.
+// shiftUpdate returns the update for a shift of the forecast; there is none for less than minReportedShift.
 func (s *Slot) shiftUpdate(by time.Duration) (shiftUpdate PrefillUpdate, hasShift bool) {
 	if by.Abs() < minReportedShift {
 		return PrefillUpdate{}, false
@@ -190,7 +192,7 @@
 		return
 	}
 	s.released = true
-	if s.permission == willowwick.PermitRequired {
+	if s.permit == willowwick.PermitRequired {
 		s.pool.options.Limits.CancelPending(s.Endpoint.ID)
 	}
 	s.member.prefillQueue.remove(now, s)
@@ -198,20 +200,21 @@
 	if s.member.inFlight--; s.member.inFlight == 0 {
 		delete(s.pool.occupied, s.member)
 	}
-	// A request that was sent and has ended since the last report occupies no slot.
+	// The last load report does not include a request that acquired its slot later; now that the request has ended,
+	// it must not be added to the report any more.
 	if s.member.sentSinceReport > 0 && !s.acquiredAt.Before(s.member.load.At) {
 		s.member.sentSinceReport--
 	}
 	s.member.recordOutcome(now, outcome)
 }
 
-// recordOutcome adapts the limit of own requests, the failure rate and the ejection to the outcome.
+// recordOutcome updates member.limit, the failure rate and the ejection by the outcome of a call.
 func (m *member) recordOutcome(now time.Time, outcome Outcome) {
 	switch outcome {
 	case OutcomeGood:
 		m.failures, m.isProbing = 0, false
 		m.recordFailure(now, 0)
-		if m.limit < slowStartLimit {
+		if m.limit < maxLimit {
 			m.limit += 1 / m.limit
 		}
 	case OutcomeSlow, OutcomeBusy:
--- a/serve/call.go
+++ b/serve/call.go
@@ -18,13 +18,13 @@
 
 const (
 	maxAttempts           = 4
-	firstChunkStallFactor = 3 // timeout of the first chunk as a multiple of the stall timeout
-	prefixBytes           = 256
+	firstChunkStallFactor = 3   // timeout of the first chunk as a multiple of the stall timeout
+	prefixBytes           = 256 // number of bytes that prefixHash hashes
 )
 
 var (
 	errCallerDisconnected = errors.New("the caller disconnected")
-	// errVersionNotAllowed makes the attempt start over with checkAllowed, which returns the refusal.
+	// errVersionNotAllowed makes connect start over with checkAllowed, which returns the refusal.
 	errVersionNotAllowed = errors.New("the version may no longer be used")
 )
 
@@ -38,19 +38,19 @@
 	run          *run
 	ctx          context.Context
 	version      willowwick.VersionID
-	exclude      map[willowwick.EndpointID]bool
+	exclude      map[willowwick.EndpointID]bool // endpoints that failed or refused this call
 	ticket       *gate.Ticket
 	stream       willowwick.ChunkStream
-	release      func()
+	release      func() // releases the stream; cancel cancels its context
 	cancel       context.CancelFunc
-	id           willowwick.RequestID
-	position     int
+	id           willowwick.RequestID // of the current attempt
+	position     int                  // of the next chunk
 	startedAt    time.Time
 	firstChunkAt time.Time
 	text         strings.Builder
 	attempts     int
 	closed       bool
-	finished     bool
+	finished     bool // the answer is complete
 }
 
 // prefixHash returns the hash of the first bytes of the conversation, whose processing a runner may have cached.
@@ -164,26 +164,26 @@
 	}
 	c.exclude[endpoint] = true
 	c.attempts++
-	budgeted := false
+	needsBudget := false // whether a retry takes from the retry budget
 	switch {
 	case errors.Is(err, willowwick.ErrDraining):
 		ticket.Done(route.OutcomeCancelled)
 	case errors.Is(err, willowwick.ErrNotSent):
 		ticket.Done(route.OutcomeFailed)
 	case errors.Is(err, willowwick.ErrBusy):
-		budgeted = true
+		needsBudget = true
 		ticket.Done(route.OutcomeBusy)
 	case c.ctx.Err() != nil:
 		ticket.Done(route.OutcomeCancelled)
 		r.sent = true
-		return c.timedOut()
+		return c.interruptedRefusal()
 	default:
-		budgeted = true
+		needsBudget = true
 		r.sent = true
 		ticket.Done(route.OutcomeFailed)
 		c.recordFailure(ticket.Endpoint, err)
 	}
-	if c.attempts < maxAttempts && (!budgeted || r.daemon.retries.Take()) {
+	if c.attempts < maxAttempts && (!needsBudget || r.daemon.retries.Take()) {
 		r.daemon.metrics.retries.Inc()
 		return nil
 	}
@@ -193,7 +193,9 @@
 	return willowwick.NotRun(willowwick.CodeNoEndpoint, clock.Now().Add(gate.OverloadRetryDelay), "no endpoint accepted the request")
 }
 
-func (c *resumableCall) timedOut() *willowwick.Refusal {
+// interruptedRefusal returns the refusal for a call whose context has ended: its deadline has passed or its caller has
+// disconnected.
+func (c *resumableCall) interruptedRefusal() *willowwick.Refusal {
 	if c.ctx.Err() == context.DeadlineExceeded {
 		return willowwick.Failed(willowwick.CodeDeadline, "the deadline passed before the answer was complete")
 	}
@@ -240,6 +242,7 @@
 	return chunk, nil
 }
 
+// accept advances the position past the chunk, and completes the call if it is the last.
 func (c *resumableCall) accept(chunk willowwick.Chunk) {
 	if c.firstChunkAt.IsZero() {
 		c.firstChunkAt = clock.Now()
@@ -259,7 +262,7 @@
 	endpoint := c.ticket.Endpoint
 	c.disconnect(route.OutcomeFailed)
 	if c.ctx.Err() != nil {
-		return c.timedOut()
+		return c.interruptedRefusal()
 	}
 	r.daemon.metrics.resumes.Inc()
 	c.recordFailure(endpoint, err)
@@ -273,8 +276,8 @@
 	return nil
 }
 
-// recordFailure counts a failed attempt as evidence against the version; a crash of an endpoint counts once, however many
-// requests it was running.
+// recordFailure counts a failed attempt as evidence against the version; a crash of an endpoint counts once, however
+// many requests the endpoint was running.
 func (c *resumableCall) recordFailure(endpoint willowwick.Endpoint, err error) {
 	r := c.run
 	if r.daemon.recordFailure(c.ctx, r.content, endpoint, willowwick.ReleaseID(c.version), err) {
@@ -294,7 +297,7 @@
 	c.ticket = nil
 }
 
-// complete charges a complete answer and records it as evidence on the version.
+// complete charges a complete answer, records it as evidence on the version, and disconnects from the runner.
 func (c *resumableCall) complete(last willowwick.Chunk) {
 	c.finished = true
 	r := c.run
@@ -327,7 +330,7 @@
 	return output > 1 && now.Sub(c.firstChunkAt)/time.Duration(output-1) > settings.SlowTokenGap
 }
 
-// charge adds usage to the request's bill.
+// charge adds usage and its cost to the request's bill.
 func (c *resumableCall) charge(usage willowwick.Usage) {
 	r := c.run
 	r.usage.Prompt += usage.Prompt
--- a/serve/daemon.go
+++ b/serve/daemon.go
@@ -229,12 +229,12 @@
 }
 
 // awaitAnswers waits until no answer is in progress or the context is done.
-func awaitAnswers(ctx context.Context, underWay func() int64) error {
-	for underWay() > 0 && ctx.Err() == nil {
+func awaitAnswers(ctx context.Context, inProgress func() int64) error {
+	for inProgress() > 0 && ctx.Err() == nil {
 		pause(ctx, drainPollInterval)
 	}
-	if left := underWay(); left > 0 {
-		return errors.Errorf("%d answers were still under way at the limit", left)
+	if left := inProgress(); left > 0 {
+		return errors.Errorf("%d answers were still in progress at the drain timeout", left)
 	}
 	return nil
 }
@@ -305,7 +305,7 @@
 		digest.Demand.Add(fleet.HashName(account), rate)
 	}
 	digest.Evidence = d.versionWatcher.counts()
-	digest.Leaving = d.pool.Leaving()
+	digest.Leaving = d.pool.Draining()
 	for _, load := range d.polledLoads() {
 		digest.Loads.Add(load, now)
 	}
@@ -340,7 +340,7 @@
 
 func (d *Daemon) markDraining(endpoints []willowwick.EndpointID) {
 	for _, id := range endpoints {
-		d.pool.MarkLeaving(id)
+		d.pool.MarkDraining(id)
 	}
 }
 
@@ -376,11 +376,11 @@
 func (d *Daemon) pollLoads(ctx context.Context) {
 	for ctx.Err() == nil {
 		var polls sync.WaitGroup
-		places := make(chan struct{}, maxConcurrentPolls)
+		slots := make(chan struct{}, maxConcurrentPolls)
 		for _, endpoint := range d.polledEndpoints() {
-			places <- struct{}{}
+			slots <- struct{}{}
 			polls.Go(func() {
-				defer func() { <-places }()
+				defer func() { <-slots }()
 				d.pollLoad(ctx, endpoint)
 			})
 		}
--- a/serve/notices.go
+++ b/serve/notices.go
@@ -12,11 +12,11 @@
 	sentAt := clock.Now()
 	return func(notice willowwick.Notice) {
 		now := clock.Now()
-		news := d.pool.ApplyNotice(now, sentAt, endpoint, notice)
-		if news.Leaving {
+		changes := d.pool.ApplyNotice(now, sentAt, endpoint, notice)
+		if changes.Draining {
 			slog.Info("endpoint says that it leaves", "endpoint", endpoint.ID, "source", "answer", "request", request)
 		}
-		if news.Backoff {
+		if changes.Backoff {
 			slog.Info("endpoint asks for rest", "endpoint", endpoint.ID, "request", request, "ms", notice.BackoffUntil.Sub(now).Milliseconds())
 		}
 	}
--- a/serve/poison.go
+++ b/serve/poison.go
@@ -41,15 +41,15 @@
 }
 
 // refusePoison returns a refusal for a request that crashes the endpoints running it, as all boxes do. The holder of the
-// lease retries such a request from time to time on a release that may be able to run it.
+// lease lets such a request through from time to time, as a trial on a release that may be able to run it.
 func (d *Daemon) refusePoison(c *content, release willowwick.ReleaseID) *willowwick.Refusal {
-	harm := d.node.Quarantine
-	if harm.IsEmpty() || !harm.Refuses(c.fingerprint()) {
+	ledger := d.node.Quarantine
+	if ledger.IsEmpty() || !ledger.Refuses(c.fingerprint()) {
 		return nil
 	}
 	now := clock.Now()
 	if _, holdsLease := d.node.Lease.Fence(now); holdsLease {
-		if _, isAllowed := harm.AllowTrial(c.poison, []willowwick.ReleaseID{release}, now); isAllowed {
+		if _, isAllowed := ledger.AllowTrial(c.poison, []willowwick.ReleaseID{release}, now); isAllowed {
 			return nil
 		}
 	}
--- a/serve/run.go
+++ b/serve/run.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	isolatedAfter = 10 * time.Second
+	isolatedAfter = 10 * time.Second // see Daemon.isIsolated
 	// configPropagationLimit is the time within which a change is promised to be in force on all boxes, of which there may be
 	// 390.
 	configPropagationLimit = 16 * time.Second
@@ -40,7 +40,7 @@
 		token       sessionToken
 		prompt      string
 		prefix      uint64
-		calls       int
+		calls       int  // attempts sent so far, over all stages
 		sent        bool // some endpoint may have started to run the request
 		billed      bool
 		quality     float64 // expected quality of the answer, valid if rated
--- a/wire/pool.go
+++ b/wire/pool.go
@@ -67,7 +67,7 @@
 		reader       *bufio.Reader
 		address      string
 		idleDeadline time.Time // when the endpoint may close the idle connection
-		idleSince    time.Time // when its last answer was complete
+		idleSince    time.Time // when it was last released
 		writeResult  chan error
 	}
 )
@@ -97,9 +97,9 @@
 	return failed
 }
 
-// Open returns a connection to the address, an idle one if there is a usable one.
+// Open returns an idle connection to the address if one can be reused, and otherwise dials a new one.
 //
-// An error wraps willowwick.ErrNotSent and its cause.
+// An error wraps both willowwick.ErrNotSent and its cause.
 func (p *Pool) Open(ctx context.Context, address string) (*Conn, error) {
 	for {
 		c := p.takeIdle(address)
@@ -186,9 +186,9 @@
 	closeAll(conns)
 }
 
-// CloseIdleBefore closes the idle connections to an address that have had no answer since the given time, when a
-// request was sent that got no answer: they may have stalled together with its connection. Otherwise each of them
-// could cost another request.
+// CloseIdleBefore closes the idle connections to an address that were released before the given time. Callers
+// pass the time at which they sent a request that got no answer: these connections may have stalled as well, and each
+// of them could cost another request.
 func (p *Pool) CloseIdleBefore(address string, sent time.Time) {
 	p.closeIdleWhere(func(at string, c *Conn) bool { return at == address && c.idleSince.Before(sent) })
 }
@@ -236,7 +236,7 @@
 	}
 }
 
-// isReusable reports whether the connection is open and has no unread bytes.
+// isReusable reports whether the connection has not reached its idle deadline, is open and has no unread bytes.
 func (c *Conn) isReusable(now time.Time) bool {
 	if !now.Before(c.idleDeadline) || c.reader.Buffered() > 0 {
 		return false
@@ -254,7 +254,8 @@
 	return err == nil && quiet
 }
 
-// Release returns the connection to the pool after a complete answer, or closes it if it can't be reused.
+// Release returns the connection to the pool after a complete answer, with the value of the answer's Keep-Alive header,
+// or closes it if it can't be reused.
 func (c *Conn) Release(keepAlive string) {
 	c.idleSince = clock.Now()
 	c.idleDeadline = c.idleSince.Add(parseIdleTime(keepAlive))
@@ -278,8 +279,8 @@
 	_ = c.conn.Close()
 }
 
-// parseIdleTime returns how long a connection may stay idle, given the value of its Keep-Alive header; without a
-// timeout there the endpoint may close it soon.
+// parseIdleTime returns how long a connection may stay idle, given the value of the answer's Keep-Alive header. Without
+// a timeout in it, the endpoint may close the connection soon.
 func parseIdleTime(keepAlive string) time.Duration {
 	for _, item := range strings.Split(keepAlive, ",") {
 		name, value, found := strings.Cut(strings.TrimSpace(item), "=")
