--- a/fleet/node.go
+++ b/fleet/node.go
@@ -140,7 +140,7 @@
 	n.workers.Close()
 }
 
-// Drain announces to the other boxes that this one is shutting down, and returns once it is off the roster and
+// Drain announces to the other boxes that this one is draining, and returns once it is off the roster and
 // doesn't hold the lease, or when the context ends.
 func (n *Node) Drain(ctx context.Context) {
 	n.mu.Lock()
--- a/fleet/table.go
+++ b/fleet/table.go
@@ -59,7 +59,7 @@
 		Boot willowwick.BootID
 		Hall willowwick.HallID
 		Peer string
-		// Draining is set while the box shuts down as planned.
+		// Draining is set during a planned stop of the box.
 		Draining bool
 	}
 )
--- a/route/lateness.go
+++ b/route/lateness.go
@@ -12,7 +12,7 @@
 	initialLateness = 500 * time.Millisecond
 	// maxLateness bounds the lateness: dead endpoints raise it, and must be given up on nevertheless.
 	maxLateness = 3 * time.Second
-	// minLateness is the least lateness: one scheduler turn on a box that has a fraction of a core.
+	// minLateness is the least lateness: one scheduler time slice on a box that has a fraction of a core.
 	minLateness = 20 * time.Millisecond
 )
 
--- a/route/limits.go
+++ b/route/limits.go
@@ -37,7 +37,7 @@
 
 	// Peer is another box of the fleet as the limiter sees it.
 	Peer struct {
-		Fresh  bool
+		Fresh  bool // its demand is known from a recent digest
 		Demand Demand
 	}
 
@@ -74,7 +74,7 @@
 // Take takes an amount if the bucket holds it, and otherwise returns when it will.
 func (b *Bucket) Take(now time.Time, rate, burst, amount float64) (retryAt time.Time, ok bool) {
 	b.fill(now, rate, burst)
-	// A request larger than the burst passes when the bucket is full, and leaves a debt.
+	// A request larger than the burst passes when the bucket is full, and makes its level negative.
 	if b.level >= min(amount, burst) {
 		b.level -= amount
 		return time.Time{}, true
--- a/route/plan.go
+++ b/route/plan.go
@@ -13,12 +13,12 @@
 	Plan struct {
 		Cascade willowwick.CascadeID
 		Stages  []willowwick.ModelID
-		Quality willowwick.Score
-		Pass    willowwick.Score
+		Quality willowwick.Score // share of answers that must pass
+		Pass    willowwick.Score // rating from which an answer passes
 		Judge   config.JudgeKind
-		Exclude []willowwick.VersionID
-		Rule    string // rule of the policy that decided
-		Failure error  // of the policy; the account's default cascade is used then
+		Exclude []willowwick.VersionID // versions that the policy rules out
+		Rule    string                 // rule of the policy that decided
+		Failure error                  // of the policy; the account's default cascade is used then
 	}
 )
 
--- a/serve/daemon.go
+++ b/serve/daemon.go
@@ -234,7 +234,7 @@
 		pause(ctx, drainPollInterval)
 	}
 	if left := inProgress(); left > 0 {
-		return errors.Errorf("%d answers were still in progress at the drain timeout", left)
+		return errors.Errorf("%d answers were still in progress when draining ended", left)
 	}
 	return nil
 }
