--- a/ratelimit/ledger.go
+++ b/ratelimit/ledger.go
@@ -124,9 +124,9 @@
 
 // log logs a change of the limit.
 func (k *limit) log(endpoint willowwick.EndpointID, source string) {
-	what := "endpoint no longer reports a rate limit"
+	what := "endpoint names no rate limit any more"
 	if k.isReported() {
-		what = "endpoint reports a rate limit"
+		what = "endpoint names a rate limit"
 	}
 	slog.Info(what, "endpoint", endpoint, "per_second", float64(k.rate), "source", source)
 }
