--- a/cmd/e2e/copy_test.go
+++ b/cmd/e2e/copy_test.go
@@ -40,7 +40,7 @@
 	const asks = 30
 	for i := range asks {
 		id := fmt.Sprint(name, "-", i)
-		if status, _, err := s.boxes[i%len(s.boxes)].ask("/lookup/x", id, false); err == nil && status == 200 {
+		if status, _, err := s.boxes[i%len(s.boxes)].post("/lookup/x", id, false); err == nil && status == 200 {
 			served++
 		}
 		inHall += s.runners["app-0"].Ran()[id] + s.runners["app-1"].Ran()[id]
--- a/cmd/e2e/process_test.go
+++ b/cmd/e2e/process_test.go
@@ -63,8 +63,8 @@
 type traffic struct {
 	lab      *lab
 	answered atomic.Int64
-	wrong    sync.Map
-	skip     sync.Map // names of daemons that the balancer has turned away from
+	failures    sync.Map
+	skippedDaemons     sync.Map // names of daemons that the balancer has turned away from
 	stop     chan struct{}
 	callers  sync.WaitGroup
 }
@@ -85,28 +85,28 @@
 		default:
 		}
 		d := tr.lab.daemons[(caller+n)%len(tr.lab.daemons)]
-		if _, skipped := tr.skip.Load(d.name); skipped {
+		if _, skipped := tr.skippedDaemons.Load(d.name); skipped {
 			continue
 		}
 		prompt := fmt.Sprintf("caller %d request %d", caller, n)
 		status, text, _ := tr.lab.chat(d, prompt, nil)
-		_, skippedNow := tr.skip.Load(d.name)
+		_, skippedNow := tr.skippedDaemons.Load(d.name)
 		switch {
 		case status == http.StatusOK && standin.IsWhole(prompt+"\n", text, 400):
 			tr.answered.Add(1)
 		case skippedNow || strings.HasPrefix(text, "not_run") || strings.Contains(text, "connection refused"):
 		default:
-			tr.wrong.Store(prompt, fmt.Sprint(status, " ", text))
+			tr.failures.Store(prompt, fmt.Sprint(status, " ", text))
 		}
 	}
 }
 
-// end stops the callers and returns what went wrong.
-func (tr *traffic) end() []any {
+// stopAndCollect stops the callers and returns what went wrong.
+func (tr *traffic) stopAndCollect() []any {
 	close(tr.stop)
 	tr.callers.Wait()
 	var wrong []any
-	tr.wrong.Range(func(_, value any) bool {
+	tr.failures.Range(func(_, value any) bool {
 		wrong = append(wrong, value)
 		return true
 	})
@@ -129,9 +129,9 @@
 		return response.StatusCode != http.StatusOK
 	}, startWithin, pollPause)
 	require.NoError(t, stopped.cmd.Wait(), stopped.log.String())
-	load.skip.Store(stopped.name, true)
+	load.skippedDaemons.Store(stopped.name, true)
 	time.Sleep(500 * time.Millisecond)
-	require.Empty(t, load.end())
+	require.Empty(t, load.stopAndCollect())
 	answered := int(load.answered.Load())
 	require.Positive(t, answered)
 	require.Equal(t, answered, l.ledger(answered).TotalCount)
@@ -143,11 +143,11 @@
 	load := l.traffic(8)
 	time.Sleep(time.Second)
 	killed := l.daemons[0]
-	load.skip.Store(killed.name, true)
+	load.skippedDaemons.Store(killed.name, true)
 	require.NoError(t, killed.cmd.Process.Kill())
 	_ = killed.cmd.Wait()
 	time.Sleep(time.Second)
-	require.Empty(t, load.end())
+	require.Empty(t, load.stopAndCollect())
 	answered := int(load.answered.Load())
 	ledger := l.ledger(answered)
 	// A bill may stand for an answer whose last bytes died with the box; none is missing or double.
--- a/cmd/e2e/site_test.go
+++ b/cmd/e2e/site_test.go
@@ -90,7 +90,7 @@
 		box.start(t)
 	}
 	for _, box := range s.boxes {
-		box.awaitReady(t, http.StatusOK)
+		box.awaitReadiness(t, http.StatusOK)
 	}
 	return s
 }
@@ -161,7 +161,7 @@
 	})
 }
 
-func (b *siteBox) awaitReady(t *testing.T, status int) {
+func (b *siteBox) awaitReadiness(t *testing.T, status int) {
 	require.Eventually(t, func() bool {
 		response, err := http.Get("http://" + b.ready + "/ready")
 		if err != nil {
@@ -172,8 +172,8 @@
 	}, startWithin, 20*time.Millisecond)
 }
 
-// ask sends one request and returns its status and body; a connection that ends early is an error.
-func (b *siteBox) ask(path, id string, stream bool) (status int, body string, err error) {
+// post sends one request and returns its status and body; a connection that ends early is an error.
+func (b *siteBox) post(path, id string, stream bool) (status int, body string, err error) {
 	request, err := http.NewRequest(http.MethodPost, "http://"+b.callers+path, strings.NewReader("body"))
 	if err != nil {
 		return 0, "", err
@@ -208,11 +208,11 @@
 	for i := range 20 {
 		box := s.boxes[i%2]
 		id := fmt.Sprint("stream-", i)
-		status, body, err := box.ask("/explain/x", id, true)
+		status, body, err := box.post("/explain/x", id, true)
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, status)
 		require.Equal(t, wholeStream(id), body)
-		status, body, err = box.ask("/lookup/x", fmt.Sprint("once-", i), false)
+		status, body, err = box.post("/lookup/x", fmt.Sprint("once-", i), false)
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, status)
 		require.Equal(t, fmt.Sprint("answer of once-", i), body)
@@ -226,11 +226,11 @@
 	s.runners["app-0"].SetFaults(standin.BatchFaults{Full: true})
 	for i := range 12 {
 		id := fmt.Sprint("stream-", i)
-		status, body, err := s.boxes[0].ask("/explain/x", id, true)
+		status, body, err := s.boxes[0].post("/explain/x", id, true)
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, status)
 		require.Equal(t, wholeStream(id), body)
-		status, _, err = s.boxes[0].ask("/lookup/x", fmt.Sprint("once-", i), false)
+		status, _, err = s.boxes[0].post("/lookup/x", fmt.Sprint("once-", i), false)
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, status)
 	}
@@ -245,7 +245,7 @@
 	s.store.SetFaults(standin.StoreFaults{Down: true})
 	time.Sleep(time.Second)
 	for _, box := range s.boxes {
-		status, _, err := box.ask("/lookup/x", "while-away", false)
+		status, _, err := box.post("/lookup/x", "while-away", false)
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, status, "a box serves on while the store is away")
 	}
@@ -274,7 +274,7 @@
 			stop := make(chan struct{})
 			var callers sync.WaitGroup
 			for caller := range 20 {
-				callers.Go(func() { s.askUntil(t, stop, caller) })
+				callers.Go(func() { s.postUntil(t, stop, caller) })
 			}
 			defer callers.Wait()
 			defer close(stop)
@@ -287,14 +287,14 @@
 	}
 }
 
-func (s *testSite) askUntil(t *testing.T, stop chan struct{}, caller int) {
+func (s *testSite) postUntil(t *testing.T, stop chan struct{}, caller int) {
 	for i := 0; ; i++ {
 		select {
 		case <-stop:
 			return
 		default:
 		}
-		_, _, err := s.boxes[i%len(s.boxes)].ask("/explain/x", fmt.Sprintf("r-%d-%d", caller, i), true)
+		_, _, err := s.boxes[i%len(s.boxes)].post("/explain/x", fmt.Sprintf("r-%d-%d", caller, i), true)
 		assert.NoError(t, err)
 	}
 }
@@ -317,7 +317,7 @@
 	for i := range 8 {
 		callers.Go(func() {
 			id := fmt.Sprint("stop-", i)
-			status, body, err := s.boxes[0].ask("/explain/x", id, true)
+			status, body, err := s.boxes[0].post("/explain/x", id, true)
 			assert.NoError(t, err)
 			assert.Equal(t, http.StatusOK, status)
 			assert.Equal(t, wholeStream(id), body)
@@ -326,7 +326,7 @@
 	time.Sleep(20 * time.Millisecond)
 	require.NoError(t, s.boxes[0].command.Process.Signal(syscall.SIGHUP))
 	require.NoError(t, s.boxes[0].command.Process.Signal(syscall.SIGTERM))
-	s.boxes[0].awaitReady(t, http.StatusServiceUnavailable)
+	s.boxes[0].awaitReadiness(t, http.StatusServiceUnavailable)
 	callers.Wait()
 	require.NoError(t, s.boxes[0].command.Wait())
 	assert.Contains(t, s.boxes[0].output.text(), "planned stop ended")
--- a/cmd/e2e/soak_box_test.go
+++ b/cmd/e2e/soak_box_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// supervise starts the daemon, and starts it again whenever it ends, as the platform does.
-func (b *soakBox) supervise(t *testing.T) {
-	defer close(b.ended)
-	for number := 1; !b.halt.Load(); number++ {
+// superviseDaemon starts the daemon, and starts it again whenever it ends, as the platform does.
+func (b *soakBox) superviseDaemon(t *testing.T) {
+	defer close(b.supervisionEnded)
+	for number := 1; !b.isStopping.Load(); number++ {
 		command := exec.Command(binary(t, "willowwickd"), "-log-format", "json", "-key", "0123456789abcdef")
 		command.Env = append(command.Environ(), "WILLOWWICK_NODE_FILE="+b.file)
 		command.Stdout, command.Stderr = b.output, b.output
@@ -19,45 +19,45 @@
 			t.Errorf("%s does not start: %v", b.name, err)
 			return
 		}
-		b.setLife(&processLife{number: number, process: command.Process})
+		b.setIncarnation(&daemonIncarnation{number: number, process: command.Process})
 		_ = command.Wait()
-		b.setLife(nil)
+		b.setIncarnation(nil)
 		time.Sleep(restartPause)
 	}
 }
 
-func (b *soakBox) setLife(life *processLife) {
+func (b *soakBox) setIncarnation(life *daemonIncarnation) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.life = life
+	b.incarnation = life
 }
 
-// lifeNumber tells which life of the daemon runs; 0 if none does.
-func (b *soakBox) lifeNumber() int {
+// incarnationNumber tells which life of the daemon runs; 0 if none does.
+func (b *soakBox) incarnationNumber() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.life == nil {
+	if b.incarnation == nil {
 		return 0
 	}
-	return b.life.number
+	return b.incarnation.number
 }
 
-// send signals the daemon if it runs.
-func (b *soakBox) send(signal syscall.Signal) {
+// signal signals the daemon if it runs.
+func (b *soakBox) signal(signal syscall.Signal) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.life != nil {
-		_ = b.life.process.Signal(signal) // it may just have ended
+	if b.incarnation != nil {
+		_ = b.incarnation.process.Signal(signal) // it may just have ended
 	}
 }
 
-// inTouch reports whether the box had no trouble, unplanned or planned, from some time before a moment to the given end.
-func (b *soakBox) inTouch(from, to time.Time) bool {
-	return b.troubles.isQuiet(from, to) && b.stops.isQuiet(from, to)
+// isUndisturbed reports whether the box had no trouble, unplanned or planned, from some time before a moment to the given end.
+func (b *soakBox) isUndisturbed(from, to time.Time) bool {
+	return b.outages.isQuiet(from, to) && b.plannedStops.isQuiet(from, to)
 }
 
-// awaitServing waits until the daemon calls itself ready again, for some seconds at the most.
-func (b *soakBox) awaitServing() {
+// awaitReady waits until the daemon calls itself ready again, for some seconds at the most.
+func (b *soakBox) awaitReady() {
 	for limit := time.Now().Add(soakGrace); time.Now().Before(limit); time.Sleep(20 * time.Millisecond) {
 		response, err := http.Get("http://" + b.ready + "/ready")
 		if err != nil {
@@ -70,14 +70,14 @@
 	}
 }
 
-// end stops the daemon for good.
-func (b *soakBox) end() {
-	b.halt.Store(true)
+// stop stops the daemon for good.
+func (b *soakBox) stop() {
+	b.isStopping.Store(true)
 	for {
-		b.send(syscall.SIGCONT)
-		b.send(syscall.SIGKILL)
+		b.signal(syscall.SIGCONT)
+		b.signal(syscall.SIGKILL)
 		select {
-		case <-b.ended:
+		case <-b.supervisionEnded:
 			return
 		case <-time.After(restartPause):
 		}
--- a/cmd/e2e/soak_changes_test.go
+++ b/cmd/e2e/soak_changes_test.go
@@ -53,8 +53,8 @@
 }
 
 // newChanges draws the events of such a soak.
-func newChanges(site *soakSite, seed uint64, length time.Duration) *agenda {
-	a := &agenda{site: site, random: rand.New(rand.NewPCG(seed, seed+1)), length: length}
+func newChanges(site *soakSite, seed uint64, length time.Duration) *faultPlan {
+	a := &faultPlan{site: site, random: rand.New(rand.NewPCG(seed, seed+1)), length: length}
 	for at := changePause; at < length; at += changePause + time.Duration(a.random.Int64N(int64(changeSpread))) {
 		a.reconfigure(at)
 	}
@@ -70,7 +70,7 @@
 }
 
 // declarationsAway takes the part of the store away that holds declarations; its other parts are served.
-func (a *agenda) declarationsAway(at time.Duration) {
+func (a *faultPlan) declarationsAway(at time.Duration) {
 	lasting := a.lasting() + soakApply
 	a.add(at, fmt.Sprint("declarations away ", lasting), func() {
 		defer a.storeDown.begin()()
@@ -81,13 +81,13 @@
 }
 
 // drawChanged chooses a route or a key of a version, or a route that never was.
-func (s *soakSite) drawChanged(box int, random *rand.Rand) *asked {
-	a := &asked{kind: kindAgain, box: box, key: siteKey, limit: time.Duration(1500+random.IntN(2500)) * time.Millisecond}
+func (s *soakSite) drawChanged(box int, random *rand.Rand) *soakRequest {
+	a := &soakRequest{kind: kindIdempotent, box: box, key: siteKey, timeout: time.Duration(1500+random.IntN(2500)) * time.Millisecond}
 	newest := s.newestVersion()
 	version := max(newest-random.IntN(changeWithin), 1)
 	switch random.IntN(5) {
 	case 0:
-		a.kind = kindNever
+		a.kind = kindUnknownRoute
 	case 1, 2:
 		a.version, a.key = newest, versionKey(version)
 	default:
@@ -98,9 +98,9 @@
 
 // checkServed: a box in touch serves what must be in force. One that only ever asked its callers to come again would refuse
 // nothing for good either.
-func (j *judge) checkServed(asks []*asked) {
+func (j *judge) checkServed(requests []*soakRequest) {
 	due, served := make([]int, len(j.site.boxes)), make([]int, len(j.site.boxes))
-	for _, a := range asks {
+	for _, a := range requests {
 		if !j.isDue(a) {
 			continue
 		}
@@ -117,10 +117,10 @@
 }
 
 // isDue reports whether a request asks for what must be in force, of a box in touch.
-func (j *judge) isDue(a *asked) bool {
-	if a.version == 0 || a.key != siteKey || a.left || j.site.isTakenAway(a.version, j.site.routesKept, a.to) {
+func (j *judge) isDue(a *soakRequest) bool {
+	if a.version == 0 || a.key != siteKey || a.isAbandoned || j.site.isRemovedBy(a.version, j.site.routesKept, a.endedAt) {
 		return false
 	}
-	isWritten := a.from.After(j.site.writtenAt(a.version).Add(soakApply))
-	return isWritten && j.site.boxes[a.box].inTouch(a.from, a.from) && j.agenda.storeDown.isQuiet(a.from, a.from)
+	isWritten := a.sentAt.After(j.site.writtenAt(a.version).Add(soakApply))
+	return isWritten && j.site.boxes[a.box].isUndisturbed(a.sentAt, a.sentAt) && j.agenda.storeDown.isQuiet(a.sentAt, a.sentAt)
 }
--- a/cmd/e2e/soak_checks_test.go
+++ b/cmd/e2e/soak_checks_test.go
@@ -29,21 +29,21 @@
 	// judge checks what callers and endpoints saw against what willowwick promises.
 	judge struct {
 		site     *soakSite
-		agenda   *agenda
+		agenda   *faultPlan
 		runs     map[string][]ran
 		named    map[string]bool // requests that some line of a box's log names
 		findings []string
 	}
 
 	// check looks at all requests together.
-	check func(j *judge, asks []*asked)
+	check func(j *judge, requests []*soakRequest)
 )
 
 // requestInLog finds the request that a line of a log names.
 var requestInLog = regexp.MustCompile(`"request":"([^"]*)"`)
 
 // judgeAll returns what broke a promise.
-func judgeAll(site *soakSite, agenda *agenda, asks []*asked, checks ...check) []string {
+func judgeAll(site *soakSite, agenda *faultPlan, requests []*soakRequest, checks ...check) []string {
 	j := &judge{site: site, agenda: agenda, runs: map[string][]ran{}, named: map[string]bool{}}
 	for _, box := range site.boxes {
 		for _, found := range requestInLog.FindAllStringSubmatch(box.output.text(), -1) {
@@ -56,8 +56,8 @@
 		}
 	}
 	known := map[string]bool{}
-	slices.SortFunc(asks, func(a, b *asked) int { return a.from.Compare(b.from) })
-	for _, a := range asks {
+	slices.SortFunc(requests, func(a, b *soakRequest) int { return a.sentAt.Compare(b.sentAt) })
+	for _, a := range requests {
 		known[a.id] = true
 		j.checkAnswer(a)
 		j.checkRuns(a)
@@ -72,10 +72,10 @@
 			j.report("a run of %s, which nobody asked for", id)
 		}
 	}
-	j.checkNeverBack(asks)
+	j.checkNeverBack(requests)
 	j.checkRollOut()
 	for _, check := range checks {
-		check(j, asks)
+		check(j, requests)
 	}
 	return j.findings
 }
@@ -86,25 +86,25 @@
 	}
 }
 
-func (j *judge) tell(a *asked, what string) {
-	j.report("%.3f s: %s (%s at box-%d, %v): %s; status %d, error %v, %d runs", a.from.Sub(j.site.started).Seconds(), a.id, a.kind,
-		a.box, a.to.Sub(a.from).Round(time.Millisecond), what, a.status, a.err, len(j.runs[a.id]))
+func (j *judge) tell(a *soakRequest, what string) {
+	j.report("%.3f s: %s (%s at box-%d, %v): %s; status %d, error %v, %d runs", a.sentAt.Sub(j.site.started).Seconds(), a.id, a.kind,
+		a.box, a.endedAt.Sub(a.sentAt).Round(time.Millisecond), what, a.status, a.err, len(j.runs[a.id]))
 }
 
 // checkAnswer: a success is whole and the caller's own, a broken one does not look whole.
-func (j *judge) checkAnswer(a *asked) {
+func (j *judge) checkAnswer(a *soakRequest) {
 	switch {
-	case a.status == http.StatusOK && !a.cut && !a.whole:
+	case a.status == http.StatusOK && !a.isCut && !a.isWhole:
 		j.tell(a, "a success with another body")
-	case errors.Is(a.err, errForeignPart):
+	case errors.Is(a.err, errForeignBody):
 		j.tell(a, "a cut answer holds what is not its own")
-	case a.status == http.StatusServiceUnavailable && !a.retryAt:
+	case a.status == http.StatusServiceUnavailable && !a.hasRetryAfter:
 		j.tell(a, "a refusal does not say when to return")
 	}
 }
 
 // checkRuns: what may run once does, a refusal is true, and endpoints get what the caller sent with the right account.
-func (j *judge) checkRuns(a *asked) {
+func (j *judge) checkRuns(a *soakRequest) {
 	runs := j.runs[a.id]
 	once := a.kind == kindOnce || a.kind == kindForged
 	if once && len(runs) > 1 {
@@ -121,67 +121,67 @@
 }
 
 // checkTime: a box that is in touch answers at the deadline.
-func (j *judge) checkTime(a *asked) {
-	limit := a.limit
+func (j *judge) checkTime(a *soakRequest) {
+	limit := a.timeout
 	if a.version > 0 {
 		limit = min(limit, versionTimeout)
 	}
-	if !a.left && a.to.Sub(a.from) > limit+lateAnswer && j.site.boxes[a.box].inTouch(a.from, a.to) {
+	if !a.isAbandoned && a.endedAt.Sub(a.sentAt) > limit+lateAnswer && j.site.boxes[a.box].isUndisturbed(a.sentAt, a.endedAt) {
 		j.tell(a, fmt.Sprint("was held beyond its limit of ", limit))
 	}
 }
 
 // checkCut: a request that reached an endpoint is answered, also by a box that is told to stop; an answer breaks off
 // only where endpoints are in trouble.
-func (j *judge) checkCut(a *asked) {
-	isInTime := a.to.Sub(a.from) < a.limit
-	if a.left || a.kind == kindHarm || len(j.runs[a.id]) == 0 || !isInTime || !j.site.boxes[a.box].troubles.isQuiet(a.from, a.to) {
+func (j *judge) checkCut(a *soakRequest) {
+	isInTime := a.endedAt.Sub(a.sentAt) < a.timeout
+	if a.isAbandoned || a.kind == kindPoison || len(j.runs[a.id]) == 0 || !isInTime || !j.site.boxes[a.box].outages.isQuiet(a.sentAt, a.endedAt) {
 		return
 	}
-	hasNoAnswer := a.err != nil && a.status == 0 && !a.refused
+	hasNoAnswer := a.err != nil && a.status == 0 && !a.isConnRefused
 	switch {
 	case hasNoAnswer:
 		j.tell(a, "ran, and the connection closed without an answer")
-	case a.cut && j.agenda.endpoints.isQuiet(a.from, a.to):
+	case a.isCut && j.agenda.endpoints.isQuiet(a.sentAt, a.endedAt):
 		j.tell(a, "its answer broke off")
 	}
 }
 
 // checkVersion: a configuration is in force some seconds after it was written, and what it took away is gone. Trouble
 // that begins while the request is answered is no excuse: what is in force was settled before.
-func (j *judge) checkVersion(a *asked) {
-	if a.version == 0 || !j.site.boxes[a.box].inTouch(a.from, a.from) || !j.agenda.storeDown.isQuiet(a.from, a.from) {
+func (j *judge) checkVersion(a *soakRequest) {
+	if a.version == 0 || !j.site.boxes[a.box].isUndisturbed(a.sentAt, a.sentAt) || !j.agenda.storeDown.isQuiet(a.sentAt, a.sentAt) {
 		return
 	}
 	written := j.site.writtenAt(a.version)
-	isRouteGone := j.site.isTakenAway(a.version, j.site.routesKept, a.to)
-	if a.key == siteKey && a.status == http.StatusNotFound && a.from.After(written.Add(soakApply)) && !isRouteGone {
-		j.tell(a, fmt.Sprintf("version %d was written %v before", a.version, a.from.Sub(written)))
+	isRouteGone := j.site.isRemovedBy(a.version, j.site.routesKept, a.endedAt)
+	if a.key == siteKey && a.status == http.StatusNotFound && a.sentAt.After(written.Add(soakApply)) && !isRouteGone {
+		j.tell(a, fmt.Sprintf("version %d was written %v before", a.version, a.sentAt.Sub(written)))
 	}
 	if a.key == siteKey || a.status != http.StatusOK {
 		return
 	}
-	if removed, isRemoved := j.site.takenAwayAt(a.version, j.site.keysKept); isRemoved && a.from.After(removed.Add(soakRevoke)) {
-		j.tell(a, fmt.Sprintf("its key was taken away %v before", a.from.Sub(removed)))
+	if removed, isRemoved := j.site.removedAt(a.version, j.site.keysKept); isRemoved && a.sentAt.After(removed.Add(soakRevoke)) {
+		j.tell(a, fmt.Sprintf("its key was taken away %v before", a.sentAt.Sub(removed)))
 	}
 }
 
 // checkNeverBack: within one life of a daemon, what a newer configuration brought stays.
-func (j *judge) checkNeverBack(asks []*asked) {
+func (j *judge) checkNeverBack(requests []*soakRequest) {
 	type life struct{ box, number int }
-	newest := map[life]*asked{}
-	ended := slices.Clone(asks)
-	slices.SortFunc(ended, func(a, b *asked) int { return a.to.Compare(b.to) })
+	newest := map[life]*soakRequest{}
+	ended := slices.Clone(requests)
+	slices.SortFunc(ended, func(a, b *soakRequest) int { return a.endedAt.Compare(b.endedAt) })
 	for _, a := range ended {
-		key := life{a.box, a.life}
-		if a.version == 0 || a.key != siteKey || a.life == 0 || j.site.boxes[a.box].lifeNumber() != a.life {
+		key := life{a.box, a.incarnation}
+		if a.version == 0 || a.key != siteKey || a.incarnation == 0 || j.site.boxes[a.box].incarnationNumber() != a.incarnation {
 			continue
 		}
-		if j.site.isTakenAway(a.version, j.site.routesKept, a.to) {
+		if j.site.isRemovedBy(a.version, j.site.routesKept, a.endedAt) {
 			continue
 		}
 		seen := newest[key]
-		if a.status == http.StatusNotFound && seen != nil && seen.version >= a.version && a.from.After(seen.to) {
+		if a.status == http.StatusNotFound && seen != nil && seen.version >= a.version && a.sentAt.After(seen.endedAt) {
 			j.tell(a, fmt.Sprintf("the box had version %d before", seen.version))
 		}
 		if a.status == http.StatusOK && (seen == nil || a.version > seen.version) {
@@ -191,13 +191,13 @@
 }
 
 // checkLeaving: an endpoint that said it leaves gets nothing new some seconds later.
-func (j *judge) checkLeaving(a *asked) {
+func (j *judge) checkLeaving(a *soakRequest) {
 	for _, run := range j.runs[a.id] {
-		left := run.at.left()
-		if left.IsZero() || run.At.Before(left.Add(soakDrain)) || a.from.Before(left) {
+		left := run.at.drainingSince()
+		if left.IsZero() || run.At.Before(left.Add(soakDrain)) || a.sentAt.Before(left) {
 			continue
 		}
-		if j.site.boxes[a.box].inTouch(run.At, run.At) && j.agenda.storeDown.isQuiet(run.At, run.At) {
+		if j.site.boxes[a.box].isUndisturbed(run.At, run.At) && j.agenda.storeDown.isQuiet(run.At, run.At) {
 			j.tell(a, fmt.Sprintf("reached %s %v after that said it leaves", run.at.id, run.At.Sub(left)))
 		}
 	}
@@ -213,18 +213,18 @@
 
 // checkForGood: what was accepted long enough ago is not refused for good, unless it was taken away since, and a refusal for
 // good has its line in the log. No trouble is an excuse: a box that does not know what is in force has to say so.
-func (j *judge) checkForGood(a *asked) {
+func (j *judge) checkForGood(a *soakRequest) {
 	if a.status != http.StatusNotFound && a.status != http.StatusUnauthorized {
 		return
 	}
 	// What a box had not written when it was killed is lost.
-	if j.site.boxes[a.box].lifeNumber() == a.life && !j.named[a.id] {
+	if j.site.boxes[a.box].incarnationNumber() == a.incarnation && !j.named[a.id] {
 		j.tell(a, "no line of the log names it")
 	}
 	var version int
 	_, err := fmt.Sscanf(a.key, versionKeyFormat, &version)
 	switch {
-	case a.kind == kindNever:
+	case a.kind == kindUnknownRoute:
 	case a.status == http.StatusNotFound && a.version > 0:
 		j.checkHeld(a, a.version, j.site.routesKept)
 	case a.status == http.StatusUnauthorized && err == nil:
@@ -235,9 +235,9 @@
 }
 
 // checkHeld: what a version brought had to be in force, and was not.
-func (j *judge) checkHeld(a *asked, version, kept int) {
-	since := a.from.Sub(j.site.writtenAt(version))
-	if since > soakApply && !j.site.isTakenAway(version, kept, a.to) {
+func (j *judge) checkHeld(a *soakRequest, version, kept int) {
+	since := a.sentAt.Sub(j.site.writtenAt(version))
+	if since > soakApply && !j.site.isRemovedBy(version, kept, a.endedAt) {
 		j.tell(a, fmt.Sprintf("refused for good, though version %d was written %v before", version, since.Round(time.Millisecond)))
 	}
 }
--- a/cmd/e2e/soak_copy_test.go
+++ b/cmd/e2e/soak_copy_test.go
@@ -45,8 +45,8 @@
 }
 
 // newPlan draws the events of such a soak.
-func (c *copies) newPlan(seed uint64, length time.Duration) *agenda {
-	a := &agenda{site: c.site, random: rand.New(rand.NewPCG(seed, seed+4)), length: length}
+func (c *copies) newPlan(seed uint64, length time.Duration) *faultPlan {
+	a := &faultPlan{site: c.site, random: rand.New(rand.NewPCG(seed, seed+4)), length: length}
 	kinds := []func(time.Duration){
 		a.kill, a.terminate, a.freeze, a.harmStoreLink, a.storeAway, a.loseBoxConns, a.loseStoreConns, a.storeForgets, a.reconfigure,
 		a.reconfigureOften, a.endpointLeaves, a.endpointCrashes, a.storeLosesAnswers,
@@ -65,7 +65,7 @@
 }
 
 // comeBack takes the store away for a moment and brings it back from a copy, once or twice from the same one.
-func (c *copies) comeBack(a *agenda, at time.Duration) {
+func (c *copies) comeBack(a *faultPlan, at time.Duration) {
 	age := time.Duration(a.random.Int64N(int64(copyOldest)))
 	away := time.Duration(100+a.random.IntN(1400)) * time.Millisecond
 	rewrite := time.Duration(a.random.Int64N(int64(rewriteMost)))
@@ -92,7 +92,7 @@
 }
 
 // evacuate declares the hall evacuated, or takes it back where it is.
-func (c *copies) evacuate(a *agenda, at time.Duration) {
+func (c *copies) evacuate(a *faultPlan, at time.Duration) {
 	a.add(at, "evacuation is declared or taken back", func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -113,12 +113,12 @@
 }
 
 // check: boxes that are in touch send nothing to endpoints of an evacuated hall.
-func (c *copies) check(j *judge, asks []*asked) {
+func (c *copies) check(j *judge, requests []*soakRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, a := range asks {
+	for _, a := range requests {
 		for _, run := range j.runs[a.id] {
-			if run.at.hall == farHall && c.isEvacuated(run.At) && j.site.boxes[a.box].inTouch(run.At, run.At) && j.agenda.storeDown.isQuiet(run.At, run.At) {
+			if run.at.hall == farHall && c.isEvacuated(run.At) && j.site.boxes[a.box].isUndisturbed(run.At, run.At) && j.agenda.storeDown.isQuiet(run.At, run.At) {
 				j.tell(a, fmt.Sprintf("ran at %s in an evacuated hall at %.3f s", run.at.id, run.At.Sub(j.site.started).Seconds()))
 			}
 		}
--- a/cmd/e2e/soak_faults_test.go
+++ b/cmd/e2e/soak_faults_test.go
@@ -19,8 +19,8 @@
 		run  func()
 	}
 
-	// agenda is what happens in a soak; the seed fixes it.
-	agenda struct {
+	// faultPlan is what happens in a soak; the seed fixes it.
+	faultPlan struct {
 		site   *soakSite
 		random *rand.Rand
 		length time.Duration
@@ -34,9 +34,9 @@
 	}
 )
 
-// newAgenda draws the events of a soak; they come in series and overlap.
-func newAgenda(site *soakSite, seed uint64, length time.Duration) *agenda {
-	a := &agenda{site: site, random: rand.New(rand.NewPCG(seed, seed)), length: length}
+// newFaultPlan draws the events of a soak; they come in series and overlap.
+func newFaultPlan(site *soakSite, seed uint64, length time.Duration) *faultPlan {
+	a := &faultPlan{site: site, random: rand.New(rand.NewPCG(seed, seed)), length: length}
 	kinds := []func(time.Duration){
 		a.terminate, a.kill, a.freeze, a.hangUp, a.harmStoreLink, a.harmEndpointLink, a.storeAway, a.storeForgets,
 		a.storeLosesAnswers, a.endpointFails, a.endpointLeaves, a.endpointCrashes, a.reconfigure, a.reconfigureOften,
@@ -53,12 +53,12 @@
 	return a
 }
 
-func (a *agenda) add(at time.Duration, name string, run func()) {
+func (a *faultPlan) add(at time.Duration, name string, run func()) {
 	a.events = append(a.events, event{at, name, run})
 }
 
 // play runs the events at their times and returns when all are over.
-func (a *agenda) play(began time.Time) {
+func (a *faultPlan) play(began time.Time) {
 	var running sync.WaitGroup
 	for _, e := range a.events {
 		time.Sleep(time.Until(began.Add(e.at)))
@@ -67,64 +67,64 @@
 	running.Wait()
 }
 
-func (a *agenda) box() *soakBox { return a.site.boxes[a.random.IntN(len(a.site.boxes))] }
+func (a *faultPlan) box() *soakBox { return a.site.boxes[a.random.IntN(len(a.site.boxes))] }
 
-func (a *agenda) lasting() time.Duration {
+func (a *faultPlan) lasting() time.Duration {
 	return time.Duration(200+a.random.IntN(2500)) * time.Millisecond
 }
 
 // terminate tells a daemon to stop, sometimes twice as an operator in a hurry does, and kills it after its grace.
-func (a *agenda) terminate(at time.Duration) {
+func (a *faultPlan) terminate(at time.Duration) {
 	box, hurry := a.box(), a.random.IntN(4) == 0
 	a.add(at, "SIGTERM "+box.name, func() {
-		defer box.stops.begin()()
-		life := box.lifeNumber()
-		box.send(syscall.SIGTERM)
+		defer box.plannedStops.begin()()
+		life := box.incarnationNumber()
+		box.signal(syscall.SIGTERM)
 		if hurry {
 			time.Sleep(100 * time.Millisecond)
-			box.send(syscall.SIGTERM)
+			box.signal(syscall.SIGTERM)
 		}
-		for limit := time.Now().Add(soakGrace); box.lifeNumber() == life && time.Now().Before(limit); {
+		for limit := time.Now().Add(soakGrace); box.incarnationNumber() == life && time.Now().Before(limit); {
 			time.Sleep(20 * time.Millisecond)
 		}
-		if box.lifeNumber() == life {
-			box.send(syscall.SIGKILL)
+		if box.incarnationNumber() == life {
+			box.signal(syscall.SIGKILL)
 		}
-		box.awaitServing()
+		box.awaitReady()
 	})
 }
 
 // kill ends a daemon at once.
-func (a *agenda) kill(at time.Duration) {
+func (a *faultPlan) kill(at time.Duration) {
 	box := a.box()
 	a.add(at, "SIGKILL "+box.name, func() {
-		defer box.troubles.begin()()
-		box.send(syscall.SIGKILL)
+		defer box.outages.begin()()
+		box.signal(syscall.SIGKILL)
 		time.Sleep(2 * restartPause)
-		box.awaitServing()
+		box.awaitReady()
 	})
 }
 
 // freeze holds a daemon for a while; its connections stay open.
-func (a *agenda) freeze(at time.Duration) {
+func (a *faultPlan) freeze(at time.Duration) {
 	box, lasting := a.box(), a.lasting()
 	a.add(at, fmt.Sprint("SIGSTOP ", box.name, " ", lasting), func() {
-		defer box.troubles.begin()()
+		defer box.outages.begin()()
 		defer box.freezes.begin()()
-		box.send(syscall.SIGSTOP)
+		box.signal(syscall.SIGSTOP)
 		time.Sleep(lasting)
-		box.send(syscall.SIGCONT)
+		box.signal(syscall.SIGCONT)
 	})
 }
 
 // hangUp tells a daemon to read its settings file again.
-func (a *agenda) hangUp(at time.Duration) {
+func (a *faultPlan) hangUp(at time.Duration) {
 	box := a.box()
-	a.add(at, "SIGHUP "+box.name, func() { box.send(syscall.SIGHUP) })
+	a.add(at, "SIGHUP "+box.name, func() { box.signal(syscall.SIGHUP) })
 }
 
 // harm draws a fault of a link and how long it lasts.
-func (a *agenda) harm(l *link) (name string, run func()) {
+func (a *faultPlan) harm(l *link) (name string, run func()) {
 	state, lasting := linkFaults[a.random.IntN(len(linkFaults))], a.lasting()
 	return fmt.Sprint(linkNames[state], " ", lasting), func() {
 		l.set(state)
@@ -133,21 +133,21 @@
 	}
 }
 
-func (a *agenda) harmStoreLink(at time.Duration) {
+func (a *faultPlan) harmStoreLink(at time.Duration) {
 	box := a.box()
 	name, run := a.harm(box.storeLink)
 	a.add(at, "store link of "+box.name+" "+name, func() {
-		defer box.troubles.begin()()
+		defer box.outages.begin()()
 		run()
 	})
 }
 
-func (a *agenda) runner() *soakRunner {
+func (a *faultPlan) runner() *soakRunner {
 	runners := a.site.allRunners()
 	return runners[a.random.IntN(len(runners))]
 }
 
-func (a *agenda) harmEndpointLink(at time.Duration) {
+func (a *faultPlan) harmEndpointLink(at time.Duration) {
 	runner := a.runner()
 	name, run := a.harm(runner.link)
 	a.add(at, "link of "+runner.id+" "+name, func() {
@@ -156,7 +156,7 @@
 	})
 }
 
-func (a *agenda) storeAway(at time.Duration) {
+func (a *faultPlan) storeAway(at time.Duration) {
 	lasting := a.lasting()
 	a.add(at, fmt.Sprint("store away ", lasting), func() {
 		defer a.storeDown.begin()()
@@ -167,7 +167,7 @@
 }
 
 // storeForgets lets the store drop its history but the newest record of each key, so that boxes must read anew.
-func (a *agenda) storeForgets(at time.Duration) {
+func (a *faultPlan) storeForgets(at time.Duration) {
 	a.add(at, "store forgets its history", func() {
 		a.site.store.Forget("keyed.op")
 		a.site.store.Forget("keyed.servers")
@@ -175,7 +175,7 @@
 }
 
 // storeLosesAnswers lets the next two writes of the store take effect without an answer; reads are answered.
-func (a *agenda) storeLosesAnswers(at time.Duration) {
+func (a *faultPlan) storeLosesAnswers(at time.Duration) {
 	lasting := a.lasting()
 	a.add(at, fmt.Sprint("store loses answers ", lasting), func() {
 		a.site.store.SetFaults(standin.StoreFaults{LoseAnswer: 2})
@@ -185,7 +185,7 @@
 }
 
 // endpointFails lets an endpoint fail answers, break streams off, or refuse as full.
-func (a *agenda) endpointFails(at time.Duration) {
+func (a *faultPlan) endpointFails(at time.Duration) {
 	runner, lasting := a.runner(), a.lasting()
 	faults := []standin.BatchFaults{{FailEvery: 2}, {BreakAfter: 3}, {Full: true}}[a.random.IntN(3)]
 	a.add(at, fmt.Sprintf("%s fails %+v %v", runner.id, faults, lasting), func() {
@@ -197,38 +197,38 @@
 }
 
 // replace starts an endpoint of release v1 and then ends another of its service, so that the service stays.
-func (a *agenda) replace(at time.Duration, how string, end func(*soakRunner)) {
+func (a *faultPlan) replace(at time.Duration, how string, end func(*soakRunner)) {
 	number := len(a.events)
 	service := []string{"llm", "app"}[a.random.IntN(2)]
 	a.add(at, "an endpoint of "+service+" "+how, func() {
 		a.site.addRunner(fmt.Sprintf("%s-n%d", service, number), service, "v1")
-		old := a.site.takeRunner(service, "v1")
+		old := a.site.claimRunner(service, "v1")
 		defer a.endpoints.begin()()
 		end(old)
 	})
 }
 
-func (a *agenda) endpointLeaves(at time.Duration) {
-	a.replace(at, "leaves", func(r *soakRunner) { r.leave(a.site.store) })
+func (a *faultPlan) endpointLeaves(at time.Duration) {
+	a.replace(at, "leaves", func(r *soakRunner) { r.drain(a.site.store) })
 }
 
-func (a *agenda) endpointCrashes(at time.Duration) {
+func (a *faultPlan) endpointCrashes(at time.Duration) {
 	a.replace(at, "crashes", func(r *soakRunner) { r.crash(a.site.store) })
 }
 
-func (a *agenda) reconfigure(at time.Duration) {
+func (a *faultPlan) reconfigure(at time.Duration) {
 	a.add(at, "configuration", a.site.configure)
 }
 
 // reconfigureOften writes some configurations in quick succession.
-func (a *agenda) reconfigureOften(at time.Duration) {
+func (a *faultPlan) reconfigureOften(at time.Duration) {
 	for i := range 4 {
 		a.add(at+time.Duration(i)*150*time.Millisecond, "configuration of a row", a.site.configure)
 	}
 }
 
 // rollOut orders a release whose endpoints work, or answer with failures only.
-func (a *agenda) rollOut(at time.Duration) {
+func (a *faultPlan) rollOut(at time.Duration) {
 	isBad := a.random.IntN(2) == 0
 	a.add(at, fmt.Sprint("roll-out, bad: ", isBad), func() {
 		for i := range 2 {
--- a/cmd/e2e/soak_harm_test.go
+++ b/cmd/e2e/soak_harm_test.go
@@ -38,7 +38,7 @@
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		h := &harm{random: rand.New(rand.NewPCG(seed, seed+3))}
 		site := &soakSite{t: t, store: standin.NewStore(), keysKept: 1}
-		site.onHarm = func(r *soakRunner) { h.end(site, r) }
+		site.onPoison = func(r *soakRunner) { h.end(site, r) }
 		startSoakSite(site, *soakBoxes, hallsOf(seed), harmRunners)
 		plan := newHarmPlan(site, seed, *soakLength)
 		defer plan.endpoints.begin()()
@@ -47,8 +47,8 @@
 }
 
 // newHarmPlan draws the events of such a soak.
-func newHarmPlan(site *soakSite, seed uint64, length time.Duration) *agenda {
-	a := &agenda{site: site, random: rand.New(rand.NewPCG(seed, seed+2)), length: length}
+func newHarmPlan(site *soakSite, seed uint64, length time.Duration) *faultPlan {
+	a := &faultPlan{site: site, random: rand.New(rand.NewPCG(seed, seed+2)), length: length}
 	kinds := []func(time.Duration){
 		a.kill, a.terminate, a.freeze, a.harmStoreLink, a.storeAway, a.reconfigure, a.loseBoxConns, a.loseStoreConns, a.storeForgets,
 		a.harmEndpointLink, a.endpointLeaves, a.loseEndpointConns,
@@ -61,9 +61,9 @@
 }
 
 // drawHarmful mixes the harmful request into the others.
-func (s *soakSite) drawHarmful(box int, random *rand.Rand) *asked {
+func (s *soakSite) drawHarmful(box int, random *rand.Rand) *soakRequest {
 	if random.IntN(harmPart) == 0 {
-		return &asked{kind: kindHarm, box: box, key: siteKey, limit: 2 * time.Second}
+		return &soakRequest{kind: kindPoison, box: box, key: siteKey, timeout: 2 * time.Second}
 	}
 	return s.drawAny(box, random)
 }
@@ -75,9 +75,9 @@
 	isSame, number := h.random.IntN(2) == 0, len(h.ends)
 	h.mu.Unlock()
 	if !isSame {
-		r.link.end()
+		r.link.close()
 	}
-	go r.end()
+	go r.stop()
 	time.AfterFunc(harmMissing, func() {
 		if site.t.Context().Err() != nil || !isSame {
 			h.replace(site, r, number)
@@ -101,7 +101,7 @@
 }
 
 // check: boxes that are in touch send the request no more than a few times once it has ended three endpoints.
-func (h *harm) check(j *judge, asks []*asked) {
+func (h *harm) check(j *judge, requests []*soakRequest) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	j.site.t.Logf("%d endpoints ended", len(h.ends))
@@ -111,9 +111,9 @@
 	slices.SortFunc(h.ends, time.Time.Compare)
 	known := h.ends[harmAfter-1].Add(soakContact)
 	late := 0
-	for _, a := range asks {
+	for _, a := range requests {
 		for _, run := range j.runs[a.id] {
-			isLate := a.kind == kindHarm && run.At.After(known) && j.site.boxes[a.box].inTouch(run.At, run.At)
+			isLate := a.kind == kindPoison && run.At.After(known) && j.site.boxes[a.box].isUndisturbed(run.At, run.At)
 			if isLate && j.agenda.storeDown.isQuiet(run.At, run.At) {
 				late++
 				j.site.t.Logf("%.3f s: %s reached %s", run.At.Sub(j.site.started).Seconds(), a.id, run.at.id)
--- a/cmd/e2e/soak_limits_test.go
+++ b/cmd/e2e/soak_limits_test.go
@@ -64,8 +64,8 @@
 }
 
 // newLimitPlan draws the events of such a soak.
-func newLimitPlan(site *soakSite, l *limits, seed uint64, length time.Duration) *agenda {
-	a := &agenda{site: site, random: rand.New(rand.NewPCG(seed, seed+5)), length: length}
+func newLimitPlan(site *soakSite, l *limits, seed uint64, length time.Duration) *faultPlan {
+	a := &faultPlan{site: site, random: rand.New(rand.NewPCG(seed, seed+5)), length: length}
 	kinds := []func(time.Duration){
 		a.kill, a.terminate, a.freeze, a.harmStoreLink, a.storeAway, a.reconfigure, a.loseBoxConns, a.loseStoreConns, a.storeForgets,
 		a.loseEndpointConns,
@@ -98,11 +98,11 @@
 }
 
 // check: boxes that are in touch send an endpoint no more than its limit allows once they have had time to hear of it.
-func (l *limits) check(j *judge, asks []*asked) {
+func (l *limits) check(j *judge, requests []*soakRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	boxOf := map[string]*soakBox{}
-	for _, a := range asks {
+	for _, a := range requests {
 		boxOf[a.id] = j.site.boxes[a.box]
 	}
 	for _, span := range l.spans {
@@ -112,7 +112,7 @@
 				continue
 			}
 			all = append(all, arrival.At)
-			if box := boxOf[arrival.Request]; box != nil && box.inTouch(arrival.At, arrival.At) {
+			if box := boxOf[arrival.Request]; box != nil && box.isUndisturbed(arrival.At, arrival.At) {
 				inTouch = append(inTouch, arrival.At)
 			}
 		}
--- a/cmd/e2e/soak_link_test.go
+++ b/cmd/e2e/soak_link_test.go
@@ -21,18 +21,18 @@
 	linkReset
 	// linkSilent takes connections and passes nothing either way.
 	linkSilent
-	// linkDeafServer passes nothing on to the server.
-	linkDeafServer
-	// linkDeafClient passes nothing back to the client.
-	linkDeafClient
+	// linkToServerBlocked passes nothing on to the server.
+	linkToServerBlocked
+	// linkToClientBlocked passes nothing back to the client.
+	linkToClientBlocked
 	// linkLossy loses what is sent, and with it for good the connection it is sent on.
 	linkLossy
 )
 
 const (
 	linkDelay  = 60 * time.Millisecond
-	linkPoll   = 5 * time.Millisecond
-	linkBuffer = 16 << 10
+	linkPollInterval   = 5 * time.Millisecond
+	linkBufferSize = 16 << 10
 )
 
 type (
@@ -43,7 +43,7 @@
 	link struct {
 		address string
 		target  string
-		end     func() // takes no connection any more, as if there were no link and no server
+		close     func() // takes no connection any more, as if there were no link and no server
 
 		mu     sync.Mutex
 		state  linkState
@@ -56,17 +56,17 @@
 		number         int // in the order of the link's connections
 		client, server net.Conn
 
-		isAsked atomic.Bool // the client has sent something that the server has not answered
-		isLost  atomic.Bool // it says nothing more, either way, and stays open
+		isAwaitingReply atomic.Bool // the client has sent something that the server has not answered
+		isSilenced  atomic.Bool // it says nothing more, either way, and stays open
 	}
 )
 
 // linkFaults are the states that a soak draws from; its seeds go by their order.
-var linkFaults = []linkState{linkSlow, linkReset, linkSilent, linkDeafServer, linkDeafClient, linkLossy}
+var linkFaults = []linkState{linkSlow, linkReset, linkSilent, linkToServerBlocked, linkToClientBlocked, linkLossy}
 
 var linkNames = map[linkState]string{
 	linkClear: "clear", linkSlow: "slow", linkReset: "reset", linkSilent: "silent",
-	linkDeafServer: "one way, to the client", linkDeafClient: "one way, to the server", linkLossy: "lossy",
+	linkToServerBlocked: "one way, to the client", linkToClientBlocked: "one way, to the server", linkLossy: "lossy",
 }
 
 func newLink(t *testing.T, target string) *link {
@@ -79,15 +79,15 @@
 			if err != nil {
 				return
 			}
-			go l.carry(conn)
+			go l.proxy(conn)
 		}
 	}()
-	l.end = func() {
+	l.close = func() {
 		_ = listener.Close()
 		l.set(linkReset)
 		l.resetOpen(func(*linkConn) bool { return true })
 	}
-	t.Cleanup(l.end)
+	t.Cleanup(l.close)
 	return l
 }
 
@@ -97,24 +97,24 @@
 	l.state = state
 	l.mu.Unlock()
 	if state == linkReset {
-		l.resetOpen(func(c *linkConn) bool { return !c.isLost.Load() })
+		l.resetOpen(func(c *linkConn) bool { return !c.isSilenced.Load() })
 	}
 }
 
-func (l *link) resetOpen(isMeant func(*linkConn) bool) {
+func (l *link) resetOpen(matches func(*linkConn) bool) {
 	for _, c := range l.open() {
-		if isMeant(c) {
+		if matches(c) {
 			reset(c.client)
 			reset(c.server)
 		}
 	}
 }
 
-// lose lets some of the open connections go silent for good, without a reset; new ones work as the link's state is.
-func (l *link) lose(isMeant func(*linkConn) bool) {
+// silence lets some of the open connections go silent for good, without a reset; new ones work as the link's state is.
+func (l *link) silence(matches func(*linkConn) bool) {
 	for _, c := range l.open() {
-		if isMeant(c) {
-			c.isLost.Store(true)
+		if matches(c) {
+			c.isSilenced.Store(true)
 		}
 	}
 }
@@ -133,7 +133,7 @@
 	_ = conn.Close()
 }
 
-func (l *link) current() linkState {
+func (l *link) currentState() linkState {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state
@@ -148,14 +148,14 @@
 	return c
 }
 
-func (l *link) forget(c *linkConn) {
+func (l *link) untrack(c *linkConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.conns, c)
 }
 
-func (l *link) carry(client net.Conn) {
-	if l.current() == linkReset {
+func (l *link) proxy(client net.Conn) {
+	if l.currentState() == linkReset {
 		reset(client)
 		return
 	}
@@ -165,26 +165,26 @@
 		return
 	}
 	c := l.track(client, server)
-	defer l.forget(c)
+	defer l.untrack(c)
 	var pumps sync.WaitGroup
-	pumps.Go(func() { l.pump(c, server, client, linkDeafServer) })
-	pumps.Go(func() { l.pump(c, client, server, linkDeafClient) })
+	pumps.Go(func() { l.forward(c, server, client, linkToServerBlocked) })
+	pumps.Go(func() { l.forward(c, client, server, linkToClientBlocked) })
 	pumps.Wait()
 	_ = client.Close() // both sides have ended it
 	_ = server.Close()
 }
 
-// pump passes data one way. It holds them back while the link is silent, or deaf in this direction; of a connection that
+// forward passes data one way. It holds them back while the link is silent, or deaf in this direction; of a connection that
 // is lost it passes nothing on, not even its end.
-func (l *link) pump(c *linkConn, to, from net.Conn, deaf linkState) {
-	buffer := make([]byte, linkBuffer)
+func (l *link) forward(c *linkConn, to, from net.Conn, blockedState linkState) {
+	buffer := make([]byte, linkBufferSize)
 	for {
 		n, err := from.Read(buffer)
-		if !l.admits(c, deaf) {
+		if !l.awaitForwarding(c, blockedState) {
 			_, _ = io.Copy(io.Discard, from) // until its own side ends it
 			return
 		}
-		c.isAsked.Store(from == c.client)
+		c.isAwaitingReply.Store(from == c.client)
 		if n > 0 {
 			if _, failed := to.Write(buffer[:n]); failed != nil {
 				reset(from)
@@ -206,17 +206,17 @@
 	}
 }
 
-// admits waits as long as the link holds data back, and reports whether they are passed on then.
-func (l *link) admits(c *linkConn, deaf linkState) bool {
-	for !c.isLost.Load() {
-		switch state := l.current(); state {
-		case linkSilent, deaf:
-			time.Sleep(linkPoll)
+// awaitForwarding waits as long as the link holds data back, and reports whether they are passed on then.
+func (l *link) awaitForwarding(c *linkConn, blockedState linkState) bool {
+	for !c.isSilenced.Load() {
+		switch state := l.currentState(); state {
+		case linkSilent, blockedState:
+			time.Sleep(linkPollInterval)
 		case linkSlow:
 			time.Sleep(linkDelay)
-			return !c.isLost.Load()
+			return !c.isSilenced.Load()
 		case linkLossy:
-			c.isLost.Store(true)
+			c.isSilenced.Store(true)
 		default:
 			return true
 		}
--- a/cmd/e2e/soak_notices_test.go
+++ b/cmd/e2e/soak_notices_test.go
@@ -32,7 +32,7 @@
 	// heardArrival is a request that came to an endpoint, with the caller's side of it and the life of the box that sent it.
 	heardArrival struct {
 		at      time.Time
-		asked   *asked
+		asked   *soakRequest
 		from    boxLife
 		leaving bool
 		rest    time.Duration
@@ -52,8 +52,8 @@
 }
 
 // newNoticePlan draws the events of such a soak.
-func newNoticePlan(site *soakSite, seed uint64, length time.Duration) *agenda {
-	a := &agenda{site: site, random: rand.New(rand.NewPCG(seed, seed+6)), length: length}
+func newNoticePlan(site *soakSite, seed uint64, length time.Duration) *faultPlan {
+	a := &faultPlan{site: site, random: rand.New(rand.NewPCG(seed, seed+6)), length: length}
 	kinds := []func(time.Duration){
 		a.kill, a.terminate, a.freeze, a.harmStoreLink, a.storeAway, a.reconfigure, a.loseBoxConns, a.loseStoreConns, a.storeForgets,
 		a.loseEndpointConns,
@@ -81,7 +81,7 @@
 }
 
 // askForRest lets an endpoint turn all requests away for a while.
-func (a *agenda) askForRest(at time.Duration, runner *soakRunner, seconds string) {
+func (a *faultPlan) askForRest(at time.Duration, runner *soakRunner, seconds string) {
 	lasting := a.lasting()
 	a.add(at, fmt.Sprintf("%s asks for %s s of rest, %s long", runner.id, seconds, lasting), func() {
 		runner.AskForRest(seconds)
@@ -92,9 +92,9 @@
 
 // checkNotices: a box sends nothing to an endpoint that told it that it leaves, or that it wants rest, whatever its state; a new life
 // or a freeze of the box is an excuse.
-func checkNotices(j *judge, asks []*asked) {
-	byID := map[string]*asked{}
-	for _, a := range asks {
+func checkNotices(j *judge, requests []*soakRequest) {
+	byID := map[string]*soakRequest{}
+	for _, a := range requests {
 		byID[a.id] = a
 	}
 	for _, runner := range j.site.allRunners() {
@@ -104,7 +104,7 @@
 			if a == nil {
 				continue // judged as a run that nobody asked for
 			}
-			from := boxLife{j.site.boxes[a.box], a.life}
+			from := boxLife{j.site.boxes[a.box], a.incarnation}
 			seconds, _ := strconv.ParseFloat(arrival.Rest, 64)
 			arrivals[from] = append(arrivals[from], heardArrival{arrival.At, a, from, arrival.Leaving, time.Duration(seconds * float64(time.Second))})
 		}
@@ -121,15 +121,15 @@
 func (j *judge) checkSaidLeaving(runner *soakRunner, arrivals []heardArrival) (told int) {
 	var toldAt time.Time
 	for _, arrival := range arrivals {
-		if arrival.leaving && arrival.asked.whole && (toldAt.IsZero() || arrival.asked.to.Before(toldAt)) {
-			toldAt = arrival.asked.to
+		if arrival.leaving && arrival.asked.isWhole && (toldAt.IsZero() || arrival.asked.endedAt.Before(toldAt)) {
+			toldAt = arrival.asked.endedAt
 		}
 	}
 	if toldAt.IsZero() {
 		return 0
 	}
 	for _, arrival := range arrivals {
-		isLate := arrival.asked.from.After(toldAt.Add(noticeHeard))
+		isLate := arrival.asked.sentAt.After(toldAt.Add(noticeHeard))
 		if isLate && !arrival.from.box.freezes.touches(toldAt, arrival.at) {
 			j.tell(arrival.asked, fmt.Sprintf("reached %s %v after that had told the box that it leaves", runner.id, arrival.at.Sub(toldAt)))
 		}
--- a/cmd/e2e/soak_site_test.go
+++ b/cmd/e2e/soak_site_test.go
@@ -44,7 +44,7 @@
 
 		routesKept int               // of the newest versions that a configuration has routes of; 0: of all
 		keysKept   int               // of the newest versions whose keys it has
-		onHarm     func(*soakRunner) // ends a runner that runs the harmful request; nil where none comes
+		onPoison     func(*soakRunner) // ends a runner that runs the harmful request; nil where none comes
 
 		mu       sync.Mutex
 		runners  []*soakRunner
@@ -55,19 +55,19 @@
 	soakBox struct {
 		*siteBox
 		storeLink *link
-		halt      atomic.Bool
-		ended     chan struct{}
+		isStopping      atomic.Bool
+		supervisionEnded     chan struct{}
 
-		troubles spans // unplanned
+		outages spans // unplanned
 		freezes  spans // those of them in which the daemon did not run
-		stops    spans // planned
+		plannedStops    spans // planned
 
 		mu   sync.Mutex
-		life *processLife // nil if no daemon runs
+		incarnation *daemonIncarnation // nil if no daemon runs
 	}
 
-	// processLife is one life of a daemon.
-	processLife struct {
+	// daemonIncarnation is one life of a daemon.
+	daemonIncarnation struct {
 		number  int // the first is 1
 		process *os.Process
 	}
@@ -78,11 +78,11 @@
 		id, service, release string
 		hall                 string // empty for the usual one
 		link                 *link
-		end                  func()
+		stop                  func()
 
 		mu     sync.Mutex
-		isGone bool      // it leaves, or has crashed
-		leftAt time.Time // when it said that it leaves; zero if it has not
+		isStopClaimed bool      // it leaves, or has crashed
+		drainingAt time.Time // when it said that it leaves; zero if it has not
 	}
 )
 
@@ -107,15 +107,15 @@
 		s.boxes = append(s.boxes, box)
 	}
 	for _, box := range s.boxes {
-		go box.supervise(t)
+		go box.superviseDaemon(t)
 	}
 	t.Cleanup(func() {
 		for _, box := range s.boxes {
-			box.end()
+			box.stop()
 		}
 	})
 	for _, box := range s.boxes {
-		box.awaitReady(t, http.StatusOK)
+		box.awaitReadiness(t, http.StatusOK)
 	}
 	return s
 }
@@ -125,7 +125,7 @@
 	settings := newSiteBox(t, number, storeLink.address,
 		fmt.Sprintf("bounds.drain-ms=%d", soakDrain.Milliseconds()), fmt.Sprintf("bounds.grace-s=%d", int(soakGrace.Seconds())),
 		fmt.Sprintf("zone=hall-%c", 'a'+rune(hall)), "zones.hall-b=region", "seeds="+strings.Join(seeds, ","))
-	return &soakBox{siteBox: settings, storeLink: storeLink, ended: make(chan struct{})}
+	return &soakBox{siteBox: settings, storeLink: storeLink, supervisionEnded: make(chan struct{})}
 }
 
 // serveStandin serves a stand-in on loopback until the test ends.
@@ -155,18 +155,18 @@
 	if r.hall != "" {
 		settings.Hall = r.hall
 	}
-	if s.onHarm != nil {
-		settings.EndOn, settings.OnEnd = harmfulBody, func() { s.onHarm(r) }
+	if s.onPoison != nil {
+		settings.EndOn, settings.OnEnd = harmfulBody, func() { s.onPoison(r) }
 	}
 	runner, stopBeats := standin.NewBatchRunner(settings, s.store)
 	r.BatchRunner = runner
 	server := &http.Server{Handler: runner, ReadHeaderTimeout: startWithin}
 	go func() { _ = server.Serve(listener) }()
-	r.end = sync.OnceFunc(func() {
+	r.stop = sync.OnceFunc(func() {
 		stopBeats()
 		_ = server.Close()
 	})
-	s.t.Cleanup(r.end)
+	s.t.Cleanup(r.stop)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runners = append(s.runners, r)
@@ -180,38 +180,38 @@
 	return slices.Clone(s.runners)
 }
 
-// takeRunner returns the oldest runner of a release that no other event ends; the caller has just added one.
-func (s *soakSite) takeRunner(service, release string) *soakRunner {
+// claimRunner returns the oldest runner of a release that no other event ends; the caller has just added one.
+func (s *soakSite) claimRunner(service, release string) *soakRunner {
 	runners := s.allRunners()
 	at := slices.IndexFunc(runners, func(r *soakRunner) bool {
-		return r.service == service && r.release == release && r.takeEnd()
+		return r.service == service && r.release == release && r.claimStop()
 	})
 	return runners[at]
 }
 
-// takeEnd reports whether the runner may be ended; only one event may do so.
-func (r *soakRunner) takeEnd() bool {
+// claimStop reports whether the runner may be ended; only one event may do so.
+func (r *soakRunner) claimStop() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.isGone {
+	if r.isStopClaimed {
 		return false
 	}
-	r.isGone = true
+	r.isStopClaimed = true
 	return true
 }
 
-// left is when the runner said that it leaves.
-func (r *soakRunner) left() time.Time {
+// drainingSince is when the runner said that it leaves.
+func (r *soakRunner) drainingSince() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.leftAt
+	return r.drainingAt
 }
 
-// leave lets a runner say that it leaves, serve on for a while, and end.
-func (r *soakRunner) leave(store *standin.Store) {
+// drain lets a runner say that it leaves, serve on for a while, and end.
+func (r *soakRunner) drain(store *standin.Store) {
 	r.Leave()
 	r.mu.Lock()
-	r.leftAt = time.Now()
+	r.drainingAt = time.Now()
 	r.mu.Unlock()
 	time.Sleep(2 * soakDrain)
 	r.crash(store)
@@ -219,7 +219,7 @@
 
 // crash ends a runner at once; its entry goes some heartbeats later.
 func (r *soakRunner) crash(store *standin.Store) {
-	r.end()
+	r.stop()
 	time.Sleep(time.Second)
 	_ = store.Put("keyed.servers", r.id, nil)
 }
@@ -257,18 +257,18 @@
 	return max(version-kept+1, 1)
 }
 
-// takenAwayAt tells when a version was written that no longer holds what the given one brought; false if none was, or that
+// removedAt tells when a version was written that no longer holds what the given one brought; false if none was, or that
 // is kept for good.
-func (s *soakSite) takenAwayAt(version, kept int) (time.Time, bool) {
+func (s *soakSite) removedAt(version, kept int) (time.Time, bool) {
 	if kept == 0 || version+kept > s.newestVersion() {
 		return time.Time{}, false
 	}
 	return s.writtenAt(version + kept), true
 }
 
-// isTakenAway reports whether one was until a moment.
-func (s *soakSite) isTakenAway(version, kept int, by time.Time) bool {
-	at, isTaken := s.takenAwayAt(version, kept)
+// isRemovedBy reports whether one was until a moment.
+func (s *soakSite) isRemovedBy(version, kept int, by time.Time) bool {
+	at, isTaken := s.removedAt(version, kept)
 	return isTaken && !at.After(by)
 }
 
--- a/cmd/e2e/soak_test.go
+++ b/cmd/e2e/soak_test.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	// calmVersions is how many configurations are written in the calm, one each calmPause, and the first after the first
+	// recoveryVersions is how many configurations are written in the calm, one each recoveryWritePause, and the first after the first
 	// pause: a box that has not recovered when it is held to them again misses one at least.
-	calmVersions = 3
-	calmPause    = 900 * time.Millisecond
-	// soakCalm is how long the boxes have after the last fault until they must serve everything again.
-	soakCalm = 6 * time.Second
-	// calmAsks is how many requests each box then gets.
-	calmAsks = 15
-	// calmLimit is the deadline of each: the boxes have nothing else to do then.
-	calmLimit = 4 * time.Second
+	recoveryVersions = 3
+	recoveryWritePause    = 900 * time.Millisecond
+	// recoveryTime is how long the boxes have after the last fault until they must serve everything again.
+	recoveryTime = 6 * time.Second
+	// recoveryRequests is how many requests each box then gets.
+	recoveryRequests = 15
+	// recoveryDeadline is the deadline of each: the boxes have nothing else to do then.
+	recoveryDeadline = 4 * time.Second
 	// soakRunners is how many endpoints each service has at first.
 	soakRunners = 3
 	// soakHalls is the most halls that the boxes are in.
@@ -131,29 +131,29 @@
 // soak plays one seed.
 func soak(t *testing.T, seed uint64, length time.Duration, boxes int) verdict {
 	site := newSoakSite(t, boxes, hallsOf(seed), soakRunners)
-	return playSoak(site, newAgenda(site, seed, length), seed, site.drawAny)
+	return playSoak(site, newFaultPlan(site, seed, length), seed, site.drawAny)
 }
 
 // hallsOf is the number of halls of a seed: one box of each hall reads the store, and where there is one hall, nobody else
 // makes up for it.
 func hallsOf(seed uint64) int { return 1 + int(seed%soakHalls) }
 
-// playSoak plays an agenda beside callers that draw their requests, and judges what came of these; checks are those of one
+// playSoak plays an faultPlan beside callers that draw their requests, and judges what came of these; checks are those of one
 // sort of soak alone.
 func playSoak(
-	site *soakSite, plan *agenda, seed uint64, draw func(box int, random *rand.Rand) *asked, checks ...check,
+	site *soakSite, plan *faultPlan, seed uint64, draw func(box int, random *rand.Rand) *soakRequest, checks ...check,
 ) verdict {
 	site.started = time.Now()
 	callers := site.startCallers(seed, draw)
 	plan.play(time.Now())
-	site.passCalm()
-	calm, findings := site.checkCalm(seed)
-	never, findingsNever := site.checkNever()
-	asks := slices.Concat(callers.end(), calm, never)
-	v := verdict{seed: seed, events: plan.events, asks: len(asks), whole: countWhole(asks)}
-	v.findings = slices.Concat(findings, findingsNever, judgeAll(site, plan, asks, checks...))
+	site.awaitRecovery()
+	calm, findings := site.checkRecovery(seed)
+	never, findingsNever := site.checkUnknownRoute()
+	requests := slices.Concat(callers.stopAndCollect(), calm, never)
+	v := verdict{seed: seed, events: plan.events, asks: len(requests), whole: countWhole(requests)}
+	v.findings = slices.Concat(findings, findingsNever, judgeAll(site, plan, requests, checks...))
 	// A soak that asked next to nothing would find nothing either.
-	if v.asks < len(site.boxes)*calmAsks*2 || v.whole == 0 {
+	if v.asks < len(site.boxes)*recoveryRequests*2 || v.whole == 0 {
 		v.findings = append(v.findings, fmt.Sprintf("only %d requests, %d of them answered whole", v.asks, v.whole))
 	}
 	v.report(site.t)
@@ -163,20 +163,20 @@
 	return v
 }
 
-// passCalm lets time pass after the faults, with some changes of the configuration.
-func (s *soakSite) passCalm() {
-	end := time.Now().Add(soakCalm)
-	for range calmVersions {
-		time.Sleep(calmPause)
+// awaitRecovery lets time pass after the faults, with some changes of the configuration.
+func (s *soakSite) awaitRecovery() {
+	end := time.Now().Add(recoveryTime)
+	for range recoveryVersions {
+		time.Sleep(recoveryWritePause)
 		s.configure()
 	}
 	time.Sleep(time.Until(end))
 }
 
-func countWhole(asks []*asked) int {
+func countWhole(requests []*soakRequest) int {
 	whole := 0
-	for _, a := range asks {
-		if a.whole {
+	for _, a := range requests {
+		if a.isWhole {
 			whole++
 		}
 	}
@@ -196,41 +196,41 @@
 	t.Logf("seed %d: %d events, %d requests, %d answered whole, %d findings", v.seed, len(v.events), v.asks, v.whole, len(v.findings))
 }
 
-// checkCalm: after the faults every box serves every kind of request, with the newest configuration.
-func (s *soakSite) checkCalm(seed uint64) (asks []*asked, findings []string) {
+// checkRecovery: after the faults every box serves every kind of request, with the newest configuration.
+func (s *soakSite) checkRecovery(seed uint64) (requests []*soakRequest, findings []string) {
 	client, closeClient := newCaller()
 	defer closeClient()
 	random := rand.New(rand.NewPCG(seed, 0))
 	for box := range s.boxes {
-		for n := range calmAsks {
-			a := &asked{id: fmt.Sprintf("calm-%d-%d", box, n), box: box, key: siteKey, limit: calmLimit}
-			a.kind, a.version = kindAgain, s.newestVersion()
+		for n := range recoveryRequests {
+			a := &soakRequest{id: fmt.Sprintf("calm-%d-%d", box, n), box: box, key: siteKey, timeout: recoveryDeadline}
+			a.kind, a.version = kindIdempotent, s.newestVersion()
 			if n%3 == 0 {
 				a.kind, a.version = kindStream, 0
 			}
-			asks = append(asks, a)
-			s.ask(client, a, random)
-			if a.status != http.StatusOK || !a.whole {
+			requests = append(requests, a)
+			s.sendRequest(client, a, random)
+			if a.status != http.StatusOK || !a.isWhole {
 				findings = append(findings, fmt.Sprintf("%s after the faults: status %d, error %v", a.id, a.status, a.err))
 			}
 		}
 	}
-	return asks, findings
+	return requests, findings
 }
 
-// checkNever: a box that is up to date refuses for good what never existed.
-func (s *soakSite) checkNever() (asks []*asked, findings []string) {
+// checkUnknownRoute: a box that is up to date refuses for good what never existed.
+func (s *soakSite) checkUnknownRoute() (requests []*soakRequest, findings []string) {
 	client, closeClient := newCaller()
 	defer closeClient()
 	for box := range s.boxes {
-		a := &asked{id: fmt.Sprint("never-", box), kind: kindNever, box: box, key: siteKey, limit: calmLimit}
-		asks = append(asks, a)
-		s.ask(client, a, rand.New(rand.NewPCG(0, 0)))
+		a := &soakRequest{id: fmt.Sprint("never-", box), kind: kindUnknownRoute, box: box, key: siteKey, timeout: recoveryDeadline}
+		requests = append(requests, a)
+		s.sendRequest(client, a, rand.New(rand.NewPCG(0, 0)))
 		if a.status != http.StatusNotFound {
 			findings = append(findings, fmt.Sprintf("%s after the faults: status %d for a route that never was", a.id, a.status))
 		}
 	}
-	return asks, findings
+	return requests, findings
 }
 
 // keepLogs writes the logs of a seed that failed where they outlast the test.
