--- a/cmd/e2e/path_test.go
+++ b/cmd/e2e/chat_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestWholePath sends requests through two daemons, whole and streamed, and finds them billed.
-func TestWholePath(t *testing.T) {
+// TestRequestsAreAnsweredAndBilled sends requests through two daemons, whole and streamed, and finds them billed.
+func TestRequestsAreAnsweredAndBilled(t *testing.T) {
 	l := newLab(t, 2)
 	l.requireWhole(l.daemons[0], "first", nil)
 	l.requireWhole(l.daemons[1], "second", nil)
--- a/cmd/e2e/lab_test.go
+++ b/cmd/e2e/lab_test.go
@@ -27,10 +27,10 @@
 )
 
 const (
-	startWithin = 20 * time.Second
-	clusterKey  = "a key of the test fleet"
-	labKey      = "demo-lab-coimbra"
-	pollPause   = 50 * time.Millisecond
+	startTimeout = 20 * time.Second
+	clusterKey   = "a key of the test fleet"
+	labKey       = "demo-lab-coimbra"
+	pollInterval = 50 * time.Millisecond
 )
 
 var binaries struct {
@@ -157,7 +157,7 @@
 		defer func() { _ = response.Body.Close() }()
 		var status serve.Status
 		return json.NewDecoder(response.Body).Decode(&status) == nil && len(status.Endpoints) == len(l.endpoints)
-	}, startWithin, pollPause, "endpoints of %s", d.name)
+	}, startTimeout, pollInterval, "endpoints of %s", d.name)
 }
 
 func (l *lab) startDaemon(d *daemonProcess) {
@@ -187,10 +187,10 @@
 		}
 		_ = response.Body.Close()
 		return response.StatusCode == http.StatusOK
-	}, startWithin, pollPause, url)
+	}, startTimeout, pollInterval, url)
 }
 
-func (l *lab) faults(address string, faults any) {
+func (l *lab) setFaults(address string, faults any) {
 	l.t.Helper()
 	data, err := json.Marshal(faults)
 	require.NoError(l.t, err)
@@ -251,7 +251,7 @@
 		var err error
 		ledger, err = fleet.ReadLedger(context.Background(), client)
 		return err == nil && ledger.TotalCount >= atLeast
-	}, startWithin, pollPause)
+	}, startTimeout, pollInterval)
 	return ledger
 }
 
--- a/cmd/e2e/process_test.go
+++ b/cmd/e2e/process_test.go
@@ -17,11 +17,11 @@
 	"github.com/willowwick/willowwick/standin"
 )
 
-// TestOfficialClient: the API's official client library works unchanged, streaming included.
-func TestOfficialClient(t *testing.T) {
+// TestOpenAIClient: the API's official client library works unchanged, streaming included.
+func TestOpenAIClient(t *testing.T) {
 	l := newLab(t, 2)
 	client := openai.NewClient(option.WithBaseURL("http://"+l.daemons[0].callers+"/v1/"), option.WithAPIKey(labKey))
-	ctx, cancel := context.WithTimeout(context.Background(), startWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	params := openai.ChatCompletionNewParams{
 		Model:     "auto",
@@ -61,12 +61,12 @@
 
 // traffic keeps asking through the daemons that take requests until it is stopped.
 type traffic struct {
-	lab      *lab
-	answered atomic.Int64
-	failures    sync.Map
-	skippedDaemons     sync.Map // names of daemons that the balancer has turned away from
-	stop     chan struct{}
-	callers  sync.WaitGroup
+	lab            *lab
+	answered       atomic.Int64
+	failures       sync.Map
+	skippedDaemons sync.Map // names of daemons that the balancer has turned away from
+	stop           chan struct{}
+	callers        sync.WaitGroup
 }
 
 func (l *lab) traffic(callers int) *traffic {
@@ -127,7 +127,7 @@
 		}
 		_ = response.Body.Close()
 		return response.StatusCode != http.StatusOK
-	}, startWithin, pollPause)
+	}, startTimeout, pollInterval)
 	require.NoError(t, stopped.cmd.Wait(), stopped.log.String())
 	load.skippedDaemons.Store(stopped.name, true)
 	time.Sleep(500 * time.Millisecond)
@@ -155,9 +155,9 @@
 	require.Zero(t, ledger.BilledTwice())
 }
 
-// TestFrozenDaemonWakesUp: a daemon that was stopped for longer than its lease takes no part meanwhile and catches up
+// TestSuspendedDaemonCatchesUp: a daemon that was stopped for longer than its lease takes no part meanwhile and catches up
 // before it serves, with a withdrawal that it slept through.
-func TestFrozenDaemonWakesUp(t *testing.T) {
+func TestSuspendedDaemonCatchesUp(t *testing.T) {
 	l := newLab(t, 3)
 	frozen := l.daemons[0]
 	require.NoError(t, frozen.cmd.Process.Signal(syscall.SIGSTOP))
@@ -166,16 +166,16 @@
 	require.NoError(t, frozen.cmd.Process.Signal(syscall.SIGCONT))
 	require.Eventually(t, func() bool {
 		return strings.Contains(l.ctl(0, "status", "-platform", l.platform), "withdrawn scan-small-2") && !strings.Contains(l.ctl(0, "status", "-platform", l.platform), "unreachable")
-	}, startWithin, pollPause)
+	}, startTimeout, pollInterval)
 	l.requireWhole(frozen, "after the sleep", nil)
 	status := l.ctl(0, "status", "-platform", l.platform)
 	require.LessOrEqual(t, strings.Count(status, " true  "), 4, status) // three ready, one lease
 }
 
-// TestLogDownAndSlow: requests go on while the log is down or slow, and are billed afterwards.
-func TestLogDownAndSlow(t *testing.T) {
+// TestRequestsContinueWhileLogIsDownOrSlow: requests go on while the log is down or slow, and are billed afterwards.
+func TestRequestsContinueWhileLogIsDownOrSlow(t *testing.T) {
 	l := newLab(t, 3)
-	l.faults(l.platform, standin.PlatformFaults{LogDown: true})
+	l.setFaults(l.platform, standin.PlatformFaults{LogDown: true})
 	for n := range 12 {
 		l.requireWhole(l.daemons[n%3], fmt.Sprint("down ", n), nil)
 	}
@@ -183,7 +183,7 @@
 	for n := range 12 {
 		l.requireWhole(l.daemons[n%3], fmt.Sprint("still down ", n), nil)
 	}
-	l.faults(l.platform, standin.PlatformFaults{SlowMs: 700})
+	l.setFaults(l.platform, standin.PlatformFaults{SlowMs: 700})
 	for n := range 6 {
 		l.requireWhole(l.daemons[n%3], fmt.Sprint("slow ", n), nil)
 	}
--- a/cmd/e2e/copy_test.go
+++ b/cmd/e2e/restore_test.go
@@ -12,16 +12,16 @@
 
 const (
 	evacuatedKey = "evacuate/hall-a"
-	// copyWithin is the time in which what is declared must be in force once the store is back.
-	copyWithin = 3 * time.Second
-	// copyHeld is how long what stood before is held on to, where the copy lacks it, until the operator has had the time to write it
+	// restoreApplyLimit is the time in which what is declared must be in force once the store is back.
+	restoreApplyLimit = 3 * time.Second
+	// restoreHoldTime is how long what stood before is held on to, where the copy lacks it, until the operator has had the time to write it
 	// again.
-	copyHeld = 4 * time.Second
+	restoreHoldTime = 4 * time.Second
 )
 
-// newCopySite starts daemons before a store that has a copy of itself, and has taken more since; one service has an endpoint in each
+// newRestoreSite starts daemons before a store that has a copy of itself, and has taken more since; one service has an endpoint in each
 // of two halls.
-func newCopySite(t *testing.T, before func(s *testSite)) *testSite {
+func newRestoreSite(t *testing.T, before func(s *testSite)) *testSite {
 	s := newTestSite(t, 3)
 	settings := runnerSettings("app-b", "app", "v1", "")
 	settings.Hall = "hall-b"
@@ -31,7 +31,7 @@
 	for range 20 {
 		require.NoError(t, s.store.Put("keyed.op", "rollout/nobody", map[string]any{"service": "nobody", "target-version": "v9", "period-s": 1}))
 	}
-	time.Sleep(copyWithin / 2) // the boxes read all of it
+	time.Sleep(restoreApplyLimit / 2) // the boxes read all of it
 	return s
 }
 
@@ -50,7 +50,7 @@
 
 // A store came back from a copy. What the operator declared then was not taken, since its offset had been read before or stood below
 // what had been read: a hall that was evacuated got all requests, one that was taken back got none, for good.
-func TestDeclarationsComeIntoForceAfterTheStoreCameBackFromACopy(t *testing.T) {
+func TestDeclarationsTakeEffectAfterStoreRestore(t *testing.T) {
 	evacuate := func(s *testSite) { require.NoError(t, s.store.Put("keyed.op", evacuatedKey, map[string]any{})) }
 	fill := func(s *testSite) {
 		for range 25 {
@@ -63,17 +63,17 @@
 	}{
 		"evacuated, at an offset below what was read":  {func(*testSite) {}, func(*testSite) {}, evacuate, true},
 		"evacuated, at an offset that had been read":   {func(*testSite) {}, func(s *testSite) { evacuate(s); fill(s) }, func(*testSite) {}, true},
-		"taken back, at an offset below what was read": {evacuate, func(*testSite) {}, func(s *testSite) { s.takeBack(t) }, false},
-		"taken back, at an offset that had been read":  {evacuate, func(s *testSite) { s.takeBack(t); fill(s) }, func(*testSite) {}, false},
+		"taken back, at an offset below what was read": {evacuate, func(*testSite) {}, func(s *testSite) { s.cancelEvacuation(t) }, false},
+		"taken back, at an offset that had been read":  {evacuate, func(s *testSite) { s.cancelEvacuation(t); fill(s) }, func(*testSite) {}, false},
 		"evacuated as the copy was taken, and left so": {evacuate, func(*testSite) {}, func(*testSite) {}, true},
-		"configured anew, at an offset below what was": {evacuate, func(*testSite) {}, func(s *testSite) { s.configure(t, 5) }, true},
+		"configured anew, at an offset below what was": {evacuate, func(*testSite) {}, func(s *testSite) { s.writeConfig(t, 5) }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newCopySite(t, test.before)
+			s := newRestoreSite(t, test.before)
 			require.Eventually(t, func() bool {
 				inHall, served := s.ranInHall("before" + fmt.Sprint(time.Now().UnixNano()))
 				return served == 30 && (inHall == 0) == s.isEvacuatedInStore()
-			}, startWithin, 20*time.Millisecond)
+			}, startTimeout, 20*time.Millisecond)
 			s.store.SetFaults(standin.StoreFaults{Down: true})
 			time.Sleep(700 * time.Millisecond)
 			s.store.WriteAgain(s.store.ComeBack()...)
@@ -81,9 +81,9 @@
 			s.store.SetFaults(standin.StoreFaults{})
 			test.after(s)
 			if !test.isEvacuated {
-				time.Sleep(copyHeld)
+				time.Sleep(restoreHoldTime)
 			}
-			time.Sleep(copyWithin)
+			time.Sleep(restoreApplyLimit)
 			inHall, served := s.ranInHall("after")
 			assert.Equal(t, 30, served)
 			assert.Equal(t, test.isEvacuated, inHall == 0, "%d of 30 ran in the hall", inHall)
@@ -91,8 +91,8 @@
 	}
 }
 
-// takeBack declares the hall evacuated no longer.
-func (s *testSite) takeBack(t *testing.T) {
+// cancelEvacuation declares the hall evacuated no longer.
+func (s *testSite) cancelEvacuation(t *testing.T) {
 	require.NoError(t, s.store.Put("keyed.op", evacuatedKey, nil))
 }
 
--- a/cmd/e2e/site_test.go
+++ b/cmd/e2e/site_test.go
@@ -78,7 +78,7 @@
 		server.Close()
 	})
 	s.address = strings.TrimPrefix(server.URL, "http://")
-	s.configure(t, 1)
+	s.writeConfig(t, 1)
 	for i := range 2 {
 		s.addRunner(t, fmt.Sprintf("llm-%d", i), "llm", "v1")
 		s.addRunner(t, fmt.Sprintf("app-%d", i), "app", "v1")
@@ -95,7 +95,7 @@
 	return s
 }
 
-func (s *testSite) configure(t *testing.T, version int) {
+func (s *testSite) writeConfig(t *testing.T, version int) {
 	require.NoError(t, s.store.Put("keyed.op", "config", json.RawMessage(fmt.Sprintf(siteConfig, version))))
 }
 
@@ -169,7 +169,7 @@
 		}
 		_ = response.Body.Close()
 		return response.StatusCode == status
-	}, startWithin, 20*time.Millisecond)
+	}, startTimeout, 20*time.Millisecond)
 }
 
 // post sends one request and returns its status and body; a connection that ends early is an error.
@@ -220,7 +220,7 @@
 	assert.Contains(t, s.boxes[0].output.text(), `"request":"stream-0"`)
 }
 
-func TestSiteResumesBrokenStreamsAndRunsOnceWhatMayRunOnce(t *testing.T) {
+func TestSiteResumesStreamsAndRunsNonIdempotentRequestsOnce(t *testing.T) {
 	s := newTestSite(t, 1)
 	s.runners["llm-0"].SetFaults(standin.BatchFaults{BreakAfter: 4})
 	s.runners["app-0"].SetFaults(standin.BatchFaults{Full: true})
@@ -252,11 +252,11 @@
 	s.store.SetFaults(standin.StoreFaults{})
 	s.store.Forget("keyed.op")
 	s.store.Forget("keyed.servers")
-	s.configure(t, 7)
+	s.writeConfig(t, 7)
 	for _, box := range s.boxes {
 		require.Eventually(t, func() bool {
 			return strings.Contains(box.output.text(), `"msg":"configuration in force","box":"`+box.name+`","version":7`)
-		}, startWithin, 20*time.Millisecond)
+		}, startTimeout, 20*time.Millisecond)
 	}
 }
 
--- a/cmd/e2e/soak_box_test.go
+++ b/cmd/e2e/soak_box_test.go
@@ -53,12 +53,12 @@
 
 // isUndisturbed reports whether the box had no trouble, unplanned or planned, from some time before a moment to the given end.
 func (b *soakBox) isUndisturbed(from, to time.Time) bool {
-	return b.outages.isQuiet(from, to) && b.plannedStops.isQuiet(from, to)
+	return b.outages.isClear(from, to) && b.plannedStops.isClear(from, to)
 }
 
 // awaitReady waits until the daemon calls itself ready again, for some seconds at the most.
 func (b *soakBox) awaitReady() {
-	for limit := time.Now().Add(soakGrace); time.Now().Before(limit); time.Sleep(20 * time.Millisecond) {
+	for limit := time.Now().Add(shutdownGrace); time.Now().Before(limit); time.Sleep(20 * time.Millisecond) {
 		response, err := http.Get("http://" + b.ready + "/ready")
 		if err != nil {
 			continue
--- a/cmd/e2e/soak_callers_test.go
+++ b/cmd/e2e/soak_callers_test.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	kindStream requestKind = "stream" // may be resumed
-	kindOnce   requestKind = "once"   // runs at most once
-	kindIdempotent  requestKind = "again"  // may be repeated
-	kindForged requestKind = "forged" // carries headers that only the router may set
-	kindUnknownRoute  requestKind = "never"  // asks for a route that no configuration ever had
-	kindPoison   requestKind = "harm"   // ends the endpoint that runs it; always the same request
+	kindStream       requestKind = "stream" // may be resumed
+	kindOnce         requestKind = "once"   // runs at most once
+	kindIdempotent   requestKind = "again"  // may be repeated
+	kindForged       requestKind = "forged" // carries headers that only the router may set
+	kindUnknownRoute requestKind = "never"  // asks for a route that no configuration ever had
+	kindPoison       requestKind = "harm"   // ends the endpoint that runs it; always the same request
 
 	// callersPerBox and meanCallerPause, the mean pause of one caller, make some 300 requests a second at each box at the most.
-	callersPerBox = 5
-	meanCallerPause      = 15 * time.Millisecond
+	callersPerBox   = 5
+	meanCallerPause = 15 * time.Millisecond
 	// answerGrace is how long after its deadline a caller gives an answer up.
 	answerGrace = 3 * time.Second
 )
@@ -36,22 +36,22 @@
 
 	// asked is one request of a caller with what came of it.
 	soakRequest struct {
-		id      string
-		kind    requestKind
-		version int // of the configuration whose route or key it uses; 0 for the routes that always stand
-		key     string
-		box     int
-		incarnation    int // of the daemon when it was sent
-		sentAt    time.Time
-		endedAt      time.Time
-		timeout   time.Duration // the caller's
-		status  int           // 0 if no answer came
-		isWhole   bool          // the body is the one of this request
-		isCut     bool          // the answer broke off
-		isAbandoned    bool          // the caller went away early
+		id            string
+		kind          requestKind
+		version       int // of the configuration whose route or key it uses; 0 for the routes that always stand
+		key           string
+		box           int
+		incarnation   int // of the daemon when it was sent
+		sentAt        time.Time
+		endedAt       time.Time
+		timeout       time.Duration // the caller's
+		status        int           // 0 if no answer came
+		isWhole       bool          // the body is the one of this request
+		isCut         bool          // the answer broke off
+		isAbandoned   bool          // the caller went away early
 		isConnRefused bool          // no connection
 		hasRetryAfter bool          // a refusal told when to return
-		err     error
+		err           error
 	}
 
 	// callers ask all boxes until they are stopped, on connections that they keep.
@@ -61,7 +61,7 @@
 		stop chan struct{}
 		done sync.WaitGroup
 
-		mu   sync.Mutex
+		mu       sync.Mutex
 		requests []*soakRequest
 	}
 )
@@ -162,7 +162,7 @@
 // body is what the caller sends.
 func (a *soakRequest) body() string {
 	if a.kind == kindPoison {
-		return harmfulBody
+		return poisonBody
 	}
 	return "body of " + a.id
 }
--- a/cmd/e2e/soak_checks_test.go
+++ b/cmd/e2e/soak_checker_test.go
@@ -13,46 +13,46 @@
 )
 
 const (
-	// lateAnswer is how much later than a caller's deadline, or its route's limit, an answer may come.
-	lateAnswer = 800 * time.Millisecond
-	// mostFindings bounds what one soak reports.
-	mostFindings = 12
+	// answerTolerance is how much later than a caller's deadline, or its route's limit, an answer may come.
+	answerTolerance = 800 * time.Millisecond
+	// maxFindings bounds what one soak reports.
+	maxFindings = 12
 )
 
 type (
 	// ran is a run of a request with the endpoint that ran it.
-	ran struct {
+	endpointRun struct {
 		standin.BatchRun
-		at *soakRunner
+		runner *soakRunner
 	}
 
 	// judge checks what callers and endpoints saw against what willowwick promises.
-	judge struct {
-		site     *soakSite
-		agenda   *faultPlan
-		runs     map[string][]ran
-		named    map[string]bool // requests that some line of a box's log names
-		findings []string
+	checker struct {
+		site           *soakSite
+		plan           *faultPlan
+		runs           map[string][]endpointRun
+		loggedRequests map[string]bool // requests that some line of a box's log names
+		findings       []string
 	}
 
 	// check looks at all requests together.
-	check func(j *judge, requests []*soakRequest)
+	check func(j *checker, requests []*soakRequest)
 )
 
 // requestInLog finds the request that a line of a log names.
 var requestInLog = regexp.MustCompile(`"request":"([^"]*)"`)
 
-// judgeAll returns what broke a promise.
-func judgeAll(site *soakSite, agenda *faultPlan, requests []*soakRequest, checks ...check) []string {
-	j := &judge{site: site, agenda: agenda, runs: map[string][]ran{}, named: map[string]bool{}}
+// checkAll returns what broke a promise.
+func checkAll(site *soakSite, plan *faultPlan, requests []*soakRequest, checks ...check) []string {
+	j := &checker{site: site, plan: plan, runs: map[string][]endpointRun{}, loggedRequests: map[string]bool{}}
 	for _, box := range site.boxes {
 		for _, found := range requestInLog.FindAllStringSubmatch(box.output.text(), -1) {
-			j.named[found[1]] = true
+			j.loggedRequests[found[1]] = true
 		}
 	}
 	for _, runner := range site.allRunners() {
 		for _, run := range runner.Runs() {
-			j.runs[run.Request] = append(j.runs[run.Request], ran{run, runner})
+			j.runs[run.Request] = append(j.runs[run.Request], endpointRun{run, runner})
 		}
 	}
 	known := map[string]bool{}
@@ -61,18 +61,18 @@
 		known[a.id] = true
 		j.checkAnswer(a)
 		j.checkRuns(a)
-		j.checkTime(a)
-		j.checkCut(a)
+		j.checkDeadline(a)
+		j.checkInterrupted(a)
 		j.checkVersion(a)
-		j.checkLeaving(a)
-		j.checkForGood(a)
+		j.checkDraining(a)
+		j.checkPermanentRefusal(a)
 	}
 	for id := range j.runs {
 		if !known[id] {
 			j.report("a run of %s, which nobody asked for", id)
 		}
 	}
-	j.checkNeverBack(requests)
+	j.checkNoRevert(requests)
 	j.checkRollOut()
 	for _, check := range checks {
 		check(j, requests)
@@ -80,94 +80,94 @@
 	return j.findings
 }
 
-func (j *judge) report(format string, args ...any) {
-	if len(j.findings) < mostFindings {
+func (j *checker) report(format string, args ...any) {
+	if len(j.findings) < maxFindings {
 		j.findings = append(j.findings, fmt.Sprintf(format, args...))
 	}
 }
 
-func (j *judge) tell(a *soakRequest, what string) {
+func (j *checker) reportRequest(a *soakRequest, what string) {
 	j.report("%.3f s: %s (%s at box-%d, %v): %s; status %d, error %v, %d runs", a.sentAt.Sub(j.site.started).Seconds(), a.id, a.kind,
 		a.box, a.endedAt.Sub(a.sentAt).Round(time.Millisecond), what, a.status, a.err, len(j.runs[a.id]))
 }
 
 // checkAnswer: a success is whole and the caller's own, a broken one does not look whole.
-func (j *judge) checkAnswer(a *soakRequest) {
+func (j *checker) checkAnswer(a *soakRequest) {
 	switch {
 	case a.status == http.StatusOK && !a.isCut && !a.isWhole:
-		j.tell(a, "a success with another body")
+		j.reportRequest(a, "a success with another body")
 	case errors.Is(a.err, errForeignBody):
-		j.tell(a, "a cut answer holds what is not its own")
+		j.reportRequest(a, "a cut answer holds what is not its own")
 	case a.status == http.StatusServiceUnavailable && !a.hasRetryAfter:
-		j.tell(a, "a refusal does not say when to return")
+		j.reportRequest(a, "a refusal does not say when to return")
 	}
 }
 
 // checkRuns: what may run once does, a refusal is true, and endpoints get what the caller sent with the right account.
-func (j *judge) checkRuns(a *soakRequest) {
+func (j *checker) checkRuns(a *soakRequest) {
 	runs := j.runs[a.id]
 	once := a.kind == kindOnce || a.kind == kindForged
 	if once && len(runs) > 1 {
-		j.tell(a, "ran more than once")
+		j.reportRequest(a, "ran more than once")
 	}
 	if once && a.status == http.StatusServiceUnavailable && len(runs) > 0 {
-		j.tell(a, "was refused as not run, but ran")
+		j.reportRequest(a, "was refused as not run, but ran")
 	}
 	for _, run := range runs {
 		if run.Account != "lab" || run.Body != a.body() || run.Hold != "" {
-			j.tell(a, fmt.Sprintf("reached an endpoint as account %q with body %q and lease %q", run.Account, run.Body, run.Hold))
+			j.reportRequest(a, fmt.Sprintf("reached an endpoint as account %q with body %q and lease %q", run.Account, run.Body, run.Hold))
 		}
 	}
 }
 
-// checkTime: a box that is in touch answers at the deadline.
-func (j *judge) checkTime(a *soakRequest) {
+// checkDeadline: a box that is in touch answers at the deadline.
+func (j *checker) checkDeadline(a *soakRequest) {
 	limit := a.timeout
 	if a.version > 0 {
 		limit = min(limit, versionTimeout)
 	}
-	if !a.isAbandoned && a.endedAt.Sub(a.sentAt) > limit+lateAnswer && j.site.boxes[a.box].isUndisturbed(a.sentAt, a.endedAt) {
-		j.tell(a, fmt.Sprint("was held beyond its limit of ", limit))
+	if !a.isAbandoned && a.endedAt.Sub(a.sentAt) > limit+answerTolerance && j.site.boxes[a.box].isUndisturbed(a.sentAt, a.endedAt) {
+		j.reportRequest(a, fmt.Sprint("was held beyond its limit of ", limit))
 	}
 }
 
-// checkCut: a request that reached an endpoint is answered, also by a box that is told to stop; an answer breaks off
+// checkInterrupted: a request that reached an endpoint is answered, also by a box that is told to stop; an answer breaks off
 // only where endpoints are in trouble.
-func (j *judge) checkCut(a *soakRequest) {
+func (j *checker) checkInterrupted(a *soakRequest) {
 	isInTime := a.endedAt.Sub(a.sentAt) < a.timeout
-	if a.isAbandoned || a.kind == kindPoison || len(j.runs[a.id]) == 0 || !isInTime || !j.site.boxes[a.box].outages.isQuiet(a.sentAt, a.endedAt) {
+	if a.isAbandoned || a.kind == kindPoison || len(j.runs[a.id]) == 0 || !isInTime || !j.site.boxes[a.box].outages.isClear(a.sentAt, a.endedAt) {
 		return
 	}
 	hasNoAnswer := a.err != nil && a.status == 0 && !a.isConnRefused
 	switch {
 	case hasNoAnswer:
-		j.tell(a, "ran, and the connection closed without an answer")
-	case a.isCut && j.agenda.endpoints.isQuiet(a.sentAt, a.endedAt):
-		j.tell(a, "its answer broke off")
+		j.reportRequest(a, "ran, and the connection closed without an answer")
+	case a.isCut && j.plan.endpointFaults.isClear(a.sentAt, a.endedAt):
+		j.reportRequest(a, "its answer broke off")
 	}
 }
 
 // checkVersion: a configuration is in force some seconds after it was written, and what it took away is gone. Trouble
 // that begins while the request is answered is no excuse: what is in force was settled before.
-func (j *judge) checkVersion(a *soakRequest) {
-	if a.version == 0 || !j.site.boxes[a.box].isUndisturbed(a.sentAt, a.sentAt) || !j.agenda.storeDown.isQuiet(a.sentAt, a.sentAt) {
+func (j *checker) checkVersion(a *soakRequest) {
+	if a.version == 0 || !j.site.boxes[a.box].isUndisturbed(a.sentAt, a.sentAt) || !j.plan.storeOutages.isClear(a.sentAt, a.sentAt) {
 		return
 	}
 	written := j.site.writtenAt(a.version)
 	isRouteGone := j.site.isRemovedBy(a.version, j.site.routesKept, a.endedAt)
-	if a.key == siteKey && a.status == http.StatusNotFound && a.sentAt.After(written.Add(soakApply)) && !isRouteGone {
-		j.tell(a, fmt.Sprintf("version %d was written %v before", a.version, a.sentAt.Sub(written)))
+	if a.key == siteKey && a.status == http.StatusNotFound && a.sentAt.After(written.Add(configApplyLimit)) && !isRouteGone {
+		j.reportRequest(a, fmt.Sprintf("version %d was written %v before", a.version, a.sentAt.Sub(written)))
 	}
 	if a.key == siteKey || a.status != http.StatusOK {
 		return
 	}
-	if removed, isRemoved := j.site.removedAt(a.version, j.site.keysKept); isRemoved && a.sentAt.After(removed.Add(soakRevoke)) {
-		j.tell(a, fmt.Sprintf("its key was taken away %v before", a.sentAt.Sub(removed)))
+	if removed, isRemoved := j.site.removedAt(a.version, j.site.keysKept); isRemoved && a.sentAt.After(removed.Add(keyRevokeLimit)) {
+		j.reportRequest(a, fmt.Sprintf("its key was taken away %v before", a.sentAt.Sub(removed)))
 	}
 }
 
-// checkNeverBack: within one life of a daemon, what a newer configuration brought stays.
-func (j *judge) checkNeverBack(requests []*soakRequest) {
+// checkNoRevert: within one life of a daemon, what a newer configuration brought stays.
+func (j *checker) checkNoRevert(requests []*soakRequest) {
 	type life struct{ box, number int }
 	newest := map[life]*soakRequest{}
 	ended := slices.Clone(requests)
@@ -182,7 +182,7 @@
 		}
 		seen := newest[key]
 		if a.status == http.StatusNotFound && seen != nil && seen.version >= a.version && a.sentAt.After(seen.endedAt) {
-			j.tell(a, fmt.Sprintf("the box had version %d before", seen.version))
+			j.reportRequest(a, fmt.Sprintf("the box had version %d before", seen.version))
 		}
 		if a.status == http.StatusOK && (seen == nil || a.version > seen.version) {
 			newest[key] = a
@@ -190,54 +190,54 @@
 	}
 }
 
-// checkLeaving: an endpoint that said it leaves gets nothing new some seconds later.
-func (j *judge) checkLeaving(a *soakRequest) {
+// checkDraining: an endpoint that said it leaves gets nothing new some seconds later.
+func (j *checker) checkDraining(a *soakRequest) {
 	for _, run := range j.runs[a.id] {
-		left := run.at.drainingSince()
-		if left.IsZero() || run.At.Before(left.Add(soakDrain)) || a.sentAt.Before(left) {
+		left := run.runner.drainingSince()
+		if left.IsZero() || run.At.Before(left.Add(drainLimit)) || a.sentAt.Before(left) {
 			continue
 		}
-		if j.site.boxes[a.box].isUndisturbed(run.At, run.At) && j.agenda.storeDown.isQuiet(run.At, run.At) {
-			j.tell(a, fmt.Sprintf("reached %s %v after that said it leaves", run.at.id, run.At.Sub(left)))
+		if j.site.boxes[a.box].isUndisturbed(run.At, run.At) && j.plan.storeOutages.isClear(run.At, run.At) {
+			j.reportRequest(a, fmt.Sprintf("reached %s %v after that said it leaves", run.runner.id, run.At.Sub(left)))
 		}
 	}
 }
 
 // checkRollOut: a release whose answers are all failures is not completed.
-func (j *judge) checkRollOut() {
+func (j *checker) checkRollOut() {
 	value, found := j.site.store.Get("keyed.status", "rollout/llm")
-	if found && j.agenda.bad != "" && strings.Contains(string(value), "completed") {
-		j.report("the bad release %s was completed: %s", j.agenda.bad, value)
+	if found && j.plan.badRelease != "" && strings.Contains(string(value), "completed") {
+		j.report("the bad release %s was completed: %s", j.plan.badRelease, value)
 	}
 }
 
-// checkForGood: what was accepted long enough ago is not refused for good, unless it was taken away since, and a refusal for
+// checkPermanentRefusal: what was accepted long enough ago is not refused for good, unless it was taken away since, and a refusal for
 // good has its line in the log. No trouble is an excuse: a box that does not know what is in force has to say so.
-func (j *judge) checkForGood(a *soakRequest) {
+func (j *checker) checkPermanentRefusal(a *soakRequest) {
 	if a.status != http.StatusNotFound && a.status != http.StatusUnauthorized {
 		return
 	}
 	// What a box had not written when it was killed is lost.
-	if j.site.boxes[a.box].incarnationNumber() == a.incarnation && !j.named[a.id] {
-		j.tell(a, "no line of the log names it")
+	if j.site.boxes[a.box].incarnationNumber() == a.incarnation && !j.loggedRequests[a.id] {
+		j.reportRequest(a, "no line of the log names it")
 	}
 	var version int
 	_, err := fmt.Sscanf(a.key, versionKeyFormat, &version)
 	switch {
 	case a.kind == kindUnknownRoute:
 	case a.status == http.StatusNotFound && a.version > 0:
-		j.checkHeld(a, a.version, j.site.routesKept)
+		j.checkNotInForce(a, a.version, j.site.routesKept)
 	case a.status == http.StatusUnauthorized && err == nil:
-		j.checkHeld(a, version, j.site.keysKept)
+		j.checkNotInForce(a, version, j.site.keysKept)
 	default:
-		j.tell(a, "what all configurations hold was refused for good")
+		j.reportRequest(a, "what all configurations hold was refused for good")
 	}
 }
 
-// checkHeld: what a version brought had to be in force, and was not.
-func (j *judge) checkHeld(a *soakRequest, version, kept int) {
+// checkNotInForce: what a version brought had to be in force, and was not.
+func (j *checker) checkNotInForce(a *soakRequest, version, kept int) {
 	since := a.sentAt.Sub(j.site.writtenAt(version))
-	if since > soakApply && !j.site.isRemovedBy(version, kept, a.endedAt) {
-		j.tell(a, fmt.Sprintf("refused for good, though version %d was written %v before", version, since.Round(time.Millisecond)))
+	if since > configApplyLimit && !j.site.isRemovedBy(version, kept, a.endedAt) {
+		j.reportRequest(a, fmt.Sprintf("refused for good, though version %d was written %v before", version, since.Round(time.Millisecond)))
 	}
 }
--- a/cmd/e2e/soak_link_test.go
+++ b/cmd/e2e/soak_link_test.go
@@ -30,9 +30,9 @@
 )
 
 const (
-	linkDelay  = 60 * time.Millisecond
-	linkPollInterval   = 5 * time.Millisecond
-	linkBufferSize = 16 << 10
+	linkDelay        = 60 * time.Millisecond
+	linkPollInterval = 5 * time.Millisecond
+	linkBufferSize   = 16 << 10
 )
 
 type (
@@ -43,7 +43,7 @@
 	link struct {
 		address string
 		target  string
-		close     func() // takes no connection any more, as if there were no link and no server
+		close   func() // takes no connection any more, as if there were no link and no server
 
 		mu     sync.Mutex
 		state  linkState
@@ -57,7 +57,7 @@
 		client, server net.Conn
 
 		isAwaitingReply atomic.Bool // the client has sent something that the server has not answered
-		isSilenced  atomic.Bool // it says nothing more, either way, and stays open
+		isSilenced      atomic.Bool // it says nothing more, either way, and stays open
 	}
 )
 
--- a/cmd/e2e/soak_faults_test.go
+++ b/cmd/e2e/soak_plan_test.go
@@ -26,11 +26,11 @@
 		length time.Duration
 		events []event
 
-		storeDown spans // the store was away, or connections of all boxes to it were lost
-		endpoints spans // endpoints or their links failed
+		storeOutages   intervals // the store was away, or connections of all boxes to it were lost
+		endpointFaults intervals // endpoints or their links failed
 
-		mu  sync.Mutex
-		bad string // release of a roll-out whose answers are all failures; empty if there is none
+		mu         sync.Mutex
+		badRelease string // release of a roll-out whose answers are all failures; empty if there is none
 	}
 )
 
@@ -38,9 +38,9 @@
 func newFaultPlan(site *soakSite, seed uint64, length time.Duration) *faultPlan {
 	a := &faultPlan{site: site, random: rand.New(rand.NewPCG(seed, seed)), length: length}
 	kinds := []func(time.Duration){
-		a.terminate, a.kill, a.freeze, a.hangUp, a.harmStoreLink, a.harmEndpointLink, a.storeAway, a.storeForgets,
-		a.storeLosesAnswers, a.endpointFails, a.endpointLeaves, a.endpointCrashes, a.reconfigure, a.reconfigureOften,
-		a.loseBoxConns, a.loseStoreConns, a.loseEndpointConns, a.storeUnheard, a.storeReturnsDeaf,
+		a.terminate, a.kill, a.freeze, a.reload, a.disruptStoreLink, a.disruptEndpointLink, a.takeStoreDown, a.compactStore,
+		a.loseStoreReplies, a.failEndpoint, a.drainEndpoint, a.crashEndpoint, a.reconfigure, a.reconfigureInBurst,
+		a.silenceBoxConns, a.silenceStoreConns, a.silenceEndpointConns, a.loseStoreCalls, a.returnStoreSilent,
 	}
 	for at := 300 * time.Millisecond; at < length; at += time.Duration(100+a.random.IntN(900)) * time.Millisecond {
 		kinds[a.random.IntN(len(kinds))](at)
@@ -48,7 +48,7 @@
 	if a.random.IntN(2) == 0 {
 		a.rollOut(time.Duration(a.random.Int64N(int64(length / 2))))
 	}
-	a.endWithLoss(length)
+	a.addFinalConnLoss(length)
 	slices.SortStableFunc(a.events, func(x, y event) int { return int(x.at - y.at) })
 	return a
 }
@@ -67,15 +67,15 @@
 	running.Wait()
 }
 
-func (a *faultPlan) box() *soakBox { return a.site.boxes[a.random.IntN(len(a.site.boxes))] }
+func (a *faultPlan) drawBox() *soakBox { return a.site.boxes[a.random.IntN(len(a.site.boxes))] }
 
-func (a *faultPlan) lasting() time.Duration {
+func (a *faultPlan) drawDuration() time.Duration {
 	return time.Duration(200+a.random.IntN(2500)) * time.Millisecond
 }
 
 // terminate tells a daemon to stop, sometimes twice as an operator in a hurry does, and kills it after its grace.
 func (a *faultPlan) terminate(at time.Duration) {
-	box, hurry := a.box(), a.random.IntN(4) == 0
+	box, hurry := a.drawBox(), a.random.IntN(4) == 0
 	a.add(at, "SIGTERM "+box.name, func() {
 		defer box.plannedStops.begin()()
 		life := box.incarnationNumber()
@@ -84,7 +84,7 @@
 			time.Sleep(100 * time.Millisecond)
 			box.signal(syscall.SIGTERM)
 		}
-		for limit := time.Now().Add(soakGrace); box.incarnationNumber() == life && time.Now().Before(limit); {
+		for limit := time.Now().Add(shutdownGrace); box.incarnationNumber() == life && time.Now().Before(limit); {
 			time.Sleep(20 * time.Millisecond)
 		}
 		if box.incarnationNumber() == life {
@@ -96,7 +96,7 @@
 
 // kill ends a daemon at once.
 func (a *faultPlan) kill(at time.Duration) {
-	box := a.box()
+	box := a.drawBox()
 	a.add(at, "SIGKILL "+box.name, func() {
 		defer box.outages.begin()()
 		box.signal(syscall.SIGKILL)
@@ -107,123 +107,123 @@
 
 // freeze holds a daemon for a while; its connections stay open.
 func (a *faultPlan) freeze(at time.Duration) {
-	box, lasting := a.box(), a.lasting()
-	a.add(at, fmt.Sprint("SIGSTOP ", box.name, " ", lasting), func() {
+	box, duration := a.drawBox(), a.drawDuration()
+	a.add(at, fmt.Sprint("SIGSTOP ", box.name, " ", duration), func() {
 		defer box.outages.begin()()
 		defer box.freezes.begin()()
 		box.signal(syscall.SIGSTOP)
-		time.Sleep(lasting)
+		time.Sleep(duration)
 		box.signal(syscall.SIGCONT)
 	})
 }
 
-// hangUp tells a daemon to read its settings file again.
-func (a *faultPlan) hangUp(at time.Duration) {
-	box := a.box()
+// reload tells a daemon to read its settings file again.
+func (a *faultPlan) reload(at time.Duration) {
+	box := a.drawBox()
 	a.add(at, "SIGHUP "+box.name, func() { box.signal(syscall.SIGHUP) })
 }
 
-// harm draws a fault of a link and how long it lasts.
-func (a *faultPlan) harm(l *link) (name string, run func()) {
-	state, lasting := linkFaults[a.random.IntN(len(linkFaults))], a.lasting()
-	return fmt.Sprint(linkNames[state], " ", lasting), func() {
+// drawLinkFault draws a fault of a link and how long it lasts.
+func (a *faultPlan) drawLinkFault(l *link) (name string, run func()) {
+	state, duration := linkFaults[a.random.IntN(len(linkFaults))], a.drawDuration()
+	return fmt.Sprint(linkNames[state], " ", duration), func() {
 		l.set(state)
-		time.Sleep(lasting)
+		time.Sleep(duration)
 		l.set(linkClear)
 	}
 }
 
-func (a *faultPlan) harmStoreLink(at time.Duration) {
-	box := a.box()
-	name, run := a.harm(box.storeLink)
+func (a *faultPlan) disruptStoreLink(at time.Duration) {
+	box := a.drawBox()
+	name, run := a.drawLinkFault(box.storeLink)
 	a.add(at, "store link of "+box.name+" "+name, func() {
 		defer box.outages.begin()()
 		run()
 	})
 }
 
-func (a *faultPlan) runner() *soakRunner {
+func (a *faultPlan) drawRunner() *soakRunner {
 	runners := a.site.allRunners()
 	return runners[a.random.IntN(len(runners))]
 }
 
-func (a *faultPlan) harmEndpointLink(at time.Duration) {
-	runner := a.runner()
-	name, run := a.harm(runner.link)
+func (a *faultPlan) disruptEndpointLink(at time.Duration) {
+	runner := a.drawRunner()
+	name, run := a.drawLinkFault(runner.link)
 	a.add(at, "link of "+runner.id+" "+name, func() {
-		defer a.endpoints.begin()()
+		defer a.endpointFaults.begin()()
 		run()
 	})
 }
 
-func (a *faultPlan) storeAway(at time.Duration) {
-	lasting := a.lasting()
-	a.add(at, fmt.Sprint("store away ", lasting), func() {
-		defer a.storeDown.begin()()
+func (a *faultPlan) takeStoreDown(at time.Duration) {
+	duration := a.drawDuration()
+	a.add(at, fmt.Sprint("store away ", duration), func() {
+		defer a.storeOutages.begin()()
 		a.site.store.SetFaults(standin.StoreFaults{Down: true})
-		time.Sleep(lasting)
+		time.Sleep(duration)
 		a.site.store.SetFaults(standin.StoreFaults{})
 	})
 }
 
-// storeForgets lets the store drop its history but the newest record of each key, so that boxes must read anew.
-func (a *faultPlan) storeForgets(at time.Duration) {
+// compactStore lets the store drop its history but the newest record of each key, so that boxes must read anew.
+func (a *faultPlan) compactStore(at time.Duration) {
 	a.add(at, "store forgets its history", func() {
 		a.site.store.Forget("keyed.op")
 		a.site.store.Forget("keyed.servers")
 	})
 }
 
-// storeLosesAnswers lets the next two writes of the store take effect without an answer; reads are answered.
-func (a *faultPlan) storeLosesAnswers(at time.Duration) {
-	lasting := a.lasting()
-	a.add(at, fmt.Sprint("store loses answers ", lasting), func() {
+// loseStoreReplies lets the next two writes of the store take effect without an answer; reads are answered.
+func (a *faultPlan) loseStoreReplies(at time.Duration) {
+	duration := a.drawDuration()
+	a.add(at, fmt.Sprint("store loses answers ", duration), func() {
 		a.site.store.SetFaults(standin.StoreFaults{LoseAnswer: 2})
-		time.Sleep(lasting)
+		time.Sleep(duration)
 		a.site.store.SetFaults(standin.StoreFaults{})
 	})
 }
 
-// endpointFails lets an endpoint fail answers, break streams off, or refuse as full.
-func (a *faultPlan) endpointFails(at time.Duration) {
-	runner, lasting := a.runner(), a.lasting()
+// failEndpoint lets an endpoint fail answers, break streams off, or refuse as full.
+func (a *faultPlan) failEndpoint(at time.Duration) {
+	runner, duration := a.drawRunner(), a.drawDuration()
 	faults := []standin.BatchFaults{{FailEvery: 2}, {BreakAfter: 3}, {Full: true}}[a.random.IntN(3)]
-	a.add(at, fmt.Sprintf("%s fails %+v %v", runner.id, faults, lasting), func() {
-		defer a.endpoints.begin()()
+	a.add(at, fmt.Sprintf("%s fails %+v %v", runner.id, faults, duration), func() {
+		defer a.endpointFaults.begin()()
 		runner.SetFaults(faults)
-		time.Sleep(lasting)
+		time.Sleep(duration)
 		runner.SetFaults(standin.BatchFaults{})
 	})
 }
 
-// replace starts an endpoint of release v1 and then ends another of its service, so that the service stays.
-func (a *faultPlan) replace(at time.Duration, how string, end func(*soakRunner)) {
+// replaceEndpoint starts an endpoint of release v1 and then ends another of its service, so that the service stays.
+func (a *faultPlan) replaceEndpoint(at time.Duration, how string, end func(*soakRunner)) {
 	number := len(a.events)
 	service := []string{"llm", "app"}[a.random.IntN(2)]
 	a.add(at, "an endpoint of "+service+" "+how, func() {
 		a.site.addRunner(fmt.Sprintf("%s-n%d", service, number), service, "v1")
 		old := a.site.claimRunner(service, "v1")
-		defer a.endpoints.begin()()
+		defer a.endpointFaults.begin()()
 		end(old)
 	})
 }
 
-func (a *faultPlan) endpointLeaves(at time.Duration) {
-	a.replace(at, "leaves", func(r *soakRunner) { r.drain(a.site.store) })
+func (a *faultPlan) drainEndpoint(at time.Duration) {
+	a.replaceEndpoint(at, "leaves", func(r *soakRunner) { r.drain(a.site.store) })
 }
 
-func (a *faultPlan) endpointCrashes(at time.Duration) {
-	a.replace(at, "crashes", func(r *soakRunner) { r.crash(a.site.store) })
+func (a *faultPlan) crashEndpoint(at time.Duration) {
+	a.replaceEndpoint(at, "crashes", func(r *soakRunner) { r.crash(a.site.store) })
 }
 
 func (a *faultPlan) reconfigure(at time.Duration) {
-	a.add(at, "configuration", a.site.configure)
+	a.add(at, "configuration", a.site.writeConfig)
 }
 
-// reconfigureOften writes some configurations in quick succession.
-func (a *faultPlan) reconfigureOften(at time.Duration) {
+// reconfigureInBurst writes some configurations in quick succession.
+func (a *faultPlan) reconfigureInBurst(at time.Duration) {
 	for i := range 4 {
-		a.add(at+time.Duration(i)*150*time.Millisecond, "configuration of a row", a.site.configure)
+		a.add(at+time.Duration(i)*150*time.Millisecond, "configuration of a row", a.site.writeConfig)
 	}
 }
 
@@ -238,9 +238,9 @@
 			}
 		}
 		if isBad {
-			defer a.endpoints.begin()()
+			defer a.endpointFaults.begin()()
 			a.mu.Lock()
-			a.bad = "v2"
+			a.badRelease = "v2"
 			a.mu.Unlock()
 		}
 		order := map[string]any{"service": "llm", "target-version": "v2", "period-s": a.length.Seconds()}
--- a/cmd/e2e/soak_site_test.go
+++ b/cmd/e2e/soak_site_test.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	// soakDrain is how long boxes may still send to an endpoint that leaves, and soakGrace how long a daemon that is told
+	// drainLimit is how long boxes may still send to an endpoint that leaves, and shutdownGrace how long a daemon that is told
 	// to stop has; the boxes are told both.
-	soakDrain = 2 * time.Second
-	soakGrace = 8 * time.Second
-	// soakApply is how long after its write a configuration's routes must be served, and soakRevoke how long a key that
+	drainLimit    = 2 * time.Second
+	shutdownGrace = 8 * time.Second
+	// configApplyLimit is how long after its write a configuration's routes must be served, and keyRevokeLimit how long a key that
 	// it took away may still be; the checks go by both.
-	soakApply  = 2 * time.Second
-	soakRevoke = 5 * time.Second
+	configApplyLimit = 2 * time.Second
+	keyRevokeLimit   = 5 * time.Second
 	// versionTimeout is the limit of the routes that configurations add: within the range of the callers' deadlines.
 	versionTimeout = 1500 * time.Millisecond
-	// soakContact is how long a box must have been free of trouble to be held to bounds of time.
-	soakContact = 3 * time.Second
+	// settleTime is how long a box must have been free of trouble to be held to bounds of time.
+	settleTime = 3 * time.Second
 	// restartPause is how long the platform takes to start a process again.
 	restartPause = 200 * time.Millisecond
 )
@@ -44,7 +44,7 @@
 
 		routesKept int               // of the newest versions that a configuration has routes of; 0: of all
 		keysKept   int               // of the newest versions whose keys it has
-		onPoison     func(*soakRunner) // ends a runner that runs the harmful request; nil where none comes
+		onPoison   func(*soakRunner) // ends a runner that runs the harmful request; nil where none comes
 
 		mu       sync.Mutex
 		runners  []*soakRunner
@@ -54,15 +54,15 @@
 	// soakBox is a daemon that is started again whenever it ends.
 	soakBox struct {
 		*siteBox
-		storeLink *link
-		isStopping      atomic.Bool
-		supervisionEnded     chan struct{}
+		storeLink        *link
+		isStopping       atomic.Bool
+		supervisionEnded chan struct{}
 
-		outages spans // unplanned
-		freezes  spans // those of them in which the daemon did not run
-		plannedStops    spans // planned
+		outages      intervals // unplanned
+		freezes      intervals // those of them in which the daemon did not run
+		plannedStops intervals // planned
 
-		mu   sync.Mutex
+		mu          sync.Mutex
 		incarnation *daemonIncarnation // nil if no daemon runs
 	}
 
@@ -78,11 +78,11 @@
 		id, service, release string
 		hall                 string // empty for the usual one
 		link                 *link
-		stop                  func()
+		stop                 func()
 
-		mu     sync.Mutex
+		mu            sync.Mutex
 		isStopClaimed bool      // it leaves, or has crashed
-		drainingAt time.Time // when it said that it leaves; zero if it has not
+		drainingAt    time.Time // when it said that it leaves; zero if it has not
 	}
 )
 
@@ -95,7 +95,7 @@
 func startSoakSite(s *soakSite, boxes, halls, runners int) *soakSite {
 	t := s.t
 	address := serveStandin(t, s.store)
-	s.configure()
+	s.writeConfig()
 	for i := range runners {
 		s.addRunner(fmt.Sprint("llm-", i), "llm", "v1")
 		s.addRunner(fmt.Sprint("app-", i), "app", "v1")
@@ -123,7 +123,7 @@
 // newSoakBox writes the settings of a box that knows those before it.
 func newSoakBox(t *testing.T, number, hall int, storeLink *link, seeds []string) *soakBox {
 	settings := newSiteBox(t, number, storeLink.address,
-		fmt.Sprintf("bounds.drain-ms=%d", soakDrain.Milliseconds()), fmt.Sprintf("bounds.grace-s=%d", int(soakGrace.Seconds())),
+		fmt.Sprintf("bounds.drain-ms=%d", drainLimit.Milliseconds()), fmt.Sprintf("bounds.grace-s=%d", int(shutdownGrace.Seconds())),
 		fmt.Sprintf("zone=hall-%c", 'a'+rune(hall)), "zones.hall-b=region", "seeds="+strings.Join(seeds, ","))
 	return &soakBox{siteBox: settings, storeLink: storeLink, supervisionEnded: make(chan struct{})}
 }
@@ -132,7 +132,7 @@
 func serveStandin(t *testing.T, handler http.Handler) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: startWithin}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: startTimeout}
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() { _ = server.Close() })
 	return listener.Addr().String()
@@ -156,11 +156,11 @@
 		settings.Hall = r.hall
 	}
 	if s.onPoison != nil {
-		settings.EndOn, settings.OnEnd = harmfulBody, func() { s.onPoison(r) }
+		settings.EndOn, settings.OnEnd = poisonBody, func() { s.onPoison(r) }
 	}
 	runner, stopBeats := standin.NewBatchRunner(settings, s.store)
 	r.BatchRunner = runner
-	server := &http.Server{Handler: runner, ReadHeaderTimeout: startWithin}
+	server := &http.Server{Handler: runner, ReadHeaderTimeout: startTimeout}
 	go func() { _ = server.Serve(listener) }()
 	r.stop = sync.OnceFunc(func() {
 		stopBeats()
@@ -213,7 +213,7 @@
 	r.mu.Lock()
 	r.drainingAt = time.Now()
 	r.mu.Unlock()
-	time.Sleep(2 * soakDrain)
+	time.Sleep(2 * drainLimit)
 	r.crash(store)
 }
 
@@ -224,9 +224,9 @@
 	_ = store.Put("keyed.servers", r.id, nil)
 }
 
-// configure writes the next configuration. Each version n brings the route /at-n/ and a key of its own, which stay for as
+// writeConfig writes the next configuration. Each version n brings the route /at-n/ and a key of its own, which stay for as
 // many versions as the site keeps them.
-func (s *soakSite) configure() {
+func (s *soakSite) writeConfig() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	version := len(s.versions) + 1
@@ -296,7 +296,7 @@
 	defer s.mu.Unlock()
 	due := 1
 	for n, written := range s.versions {
-		if time.Since(written) > soakApply {
+		if time.Since(written) > configApplyLimit {
 			due = n + 1
 		}
 	}
--- a/cmd/e2e/soak_test.go
+++ b/cmd/e2e/soak_test.go
@@ -18,57 +18,57 @@
 const (
 	// recoveryVersions is how many configurations are written in the calm, one each recoveryWritePause, and the first after the first
 	// pause: a box that has not recovered when it is held to them again misses one at least.
-	recoveryVersions = 3
-	recoveryWritePause    = 900 * time.Millisecond
+	recoveryVersions   = 3
+	recoveryWritePause = 900 * time.Millisecond
 	// recoveryTime is how long the boxes have after the last fault until they must serve everything again.
 	recoveryTime = 6 * time.Second
 	// recoveryRequests is how many requests each box then gets.
 	recoveryRequests = 15
 	// recoveryDeadline is the deadline of each: the boxes have nothing else to do then.
 	recoveryDeadline = 4 * time.Second
-	// soakRunners is how many endpoints each service has at first.
-	soakRunners = 3
-	// soakHalls is the most halls that the boxes are in.
-	soakHalls = 2
+	// runnersPerService is how many endpoints each service has at first.
+	runnersPerService = 3
+	// maxHalls is the most halls that the boxes are in.
+	maxHalls = 2
 )
 
 // Causes of what seeds found.
 const (
-	// lostRead: boxes waited 20 s for a held read of declarations that was lost with its connection, while reads of
+	// lostReadCause: boxes waited 20 s for a held read of declarations that was lost with its connection, while reads of
 	// endpoints were answered; a hall whose reader did so got no new configuration.
-	lostRead = "a held read of declarations was lost"
-	// relyOnNever: a box that started while the store was away had never read declarations. The age that it told of its
+	lostReadCause = "a held read of declarations was lost"
+	// neverReadCause: a box that started while the store was away had never read declarations. The age that it told of its
 	// reads was the longest duration there is, and adding to it overflowed, so the others of its hall, and it itself, took
 	// each other for the reader, and none read.
-	relyOnNever = "a box that never read the store counted as its hall's reader"
-	// wrongAge: boxes refused for good what their configuration did not hold as long as their list of endpoints was fresh.
-	wrongAge = "a refusal for good went by how old the list of endpoints was"
+	neverReadCause = "a box that never read the store counted as its hall's reader"
+	// endpointListAgeCause: boxes refused for good what their configuration did not hold as long as their list of endpoints was fresh.
+	endpointListAgeCause = "a refusal for good went by how old the list of endpoints was"
 )
 
 var (
-	soakSeeds  = flag.Int("soak.seeds", 1, "number of seeds to play")
-	soakFirst  = flag.Uint64("soak.first", 1, "first seed; 0 draws one")
-	soakLength = flag.Duration("soak.length", 5*time.Second, "length of the faults of one seed")
-	soakBoxes  = flag.Int("soak.boxes", 3, "number of daemons")
-	soakAgain  = flag.Int("soak.again", 1, "number of the seeds that failed once to play again")
-	soakReport = flag.String("soak.report", "", "file that gets a table of verdicts and what happened in seeds that failed")
+	soakSeeds   = flag.Int("soak.seeds", 1, "number of seeds to play")
+	soakFirst   = flag.Uint64("soak.first", 1, "first seed; 0 draws one")
+	soakLength  = flag.Duration("soak.length", 5*time.Second, "length of the faults of one seed")
+	soakBoxes   = flag.Int("soak.boxes", 3, "number of daemons")
+	soakReplays = flag.Int("soak.again", 1, "number of the seeds that failed once to play again")
+	soakReport  = flag.String("soak.report", "", "file that gets a table of verdicts and what happened in seeds that failed")
 )
 
 // failedSeeds are seeds that failed once, with what they found; they stay as they were played then. The first shows its
 // cause most surely: CI plays no more, since one takes some 15 s.
 var failedSeeds = []failedSeed{
-	{4000, 5 * time.Second, 4, lostRead},
-	{4002, 5 * time.Second, 4, lostRead},
-	{6000, 5 * time.Second, 4, lostRead},
-	{6006, 5 * time.Second, 4, lostRead},
-	{4003, 5 * time.Second, 4, lostRead},
-	{4107, 5 * time.Second, 4, lostRead},
-	{6003, 5 * time.Second, 4, lostRead},
-	{6012, 5 * time.Second, 4, lostRead},
-	{6024, 5 * time.Second, 4, lostRead},
-	{6028, 5 * time.Second, 4, lostRead},
-	{5000, 5 * time.Second, 4, relyOnNever},
-	{8003, 5 * time.Second, 4, relyOnNever},
+	{4000, 5 * time.Second, 4, lostReadCause},
+	{4002, 5 * time.Second, 4, lostReadCause},
+	{6000, 5 * time.Second, 4, lostReadCause},
+	{6006, 5 * time.Second, 4, lostReadCause},
+	{4003, 5 * time.Second, 4, lostReadCause},
+	{4107, 5 * time.Second, 4, lostReadCause},
+	{6003, 5 * time.Second, 4, lostReadCause},
+	{6012, 5 * time.Second, 4, lostReadCause},
+	{6024, 5 * time.Second, 4, lostReadCause},
+	{6028, 5 * time.Second, 4, lostReadCause},
+	{5000, 5 * time.Second, 4, neverReadCause},
+	{8003, 5 * time.Second, 4, neverReadCause},
 }
 
 type (
@@ -81,10 +81,10 @@
 	}
 
 	// verdict is what came of one seed.
-	verdict struct {
+	soakResult struct {
 		seed     uint64
 		events   []event
-		asks     int
+		requests int
 		whole    int
 		findings []string
 	}
@@ -92,22 +92,22 @@
 
 // TestSoak plays random faults against real daemons and checks what callers and endpoints see.
 func TestSoak(t *testing.T) {
-	var verdicts []verdict
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		verdicts = append(verdicts, soak(t, seed, *soakLength, *soakBoxes))
+	var results []soakResult
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		results = append(results, runSoak(t, seed, *soakLength, *soakBoxes))
 	})
 	if *soakReport != "" {
-		require.NoError(t, os.WriteFile(*soakReport, []byte(reportOf(verdicts)), 0o600))
+		require.NoError(t, os.WriteFile(*soakReport, []byte(reportTable(results)), 0o600))
 	}
 }
 
-// TestSeedsThatFailedOnce plays them again.
-func TestSeedsThatFailedOnce(t *testing.T) {
-	playAgain(t, failedSeeds, func(t *testing.T, failed failedSeed) { soak(t, failed.seed, failed.length, failed.boxes) })
+// TestPreviouslyFailedSeeds plays them again.
+func TestPreviouslyFailedSeeds(t *testing.T) {
+	replaySeeds(t, failedSeeds, func(t *testing.T, failed failedSeed) { runSoak(t, failed.seed, failed.length, failed.boxes) })
 }
 
-// eachSeed runs a test for each seed that the flags ask for.
-func eachSeed(t *testing.T, test func(t *testing.T, seed uint64)) {
+// forEachSeed runs a test for each seed that the flags ask for.
+func forEachSeed(t *testing.T, test func(t *testing.T, seed uint64)) {
 	first := *soakFirst
 	if first == 0 {
 		first = rand.Uint64N(1 << 40)
@@ -118,9 +118,9 @@
 	}
 }
 
-// playAgain runs a test for as many of the seeds that failed once as the flags ask for.
-func playAgain(t *testing.T, seeds []failedSeed, test func(t *testing.T, failed failedSeed)) {
-	for _, failed := range seeds[:min(*soakAgain, len(seeds))] {
+// replaySeeds runs a test for as many of the seeds that failed once as the flags ask for.
+func replaySeeds(t *testing.T, seeds []failedSeed, test func(t *testing.T, failed failedSeed)) {
+	for _, failed := range seeds[:min(*soakReplays, len(seeds))] {
 		t.Run(fmt.Sprint("seed-", failed.seed), func(t *testing.T) {
 			t.Log(failed.cause)
 			test(t, failed)
@@ -128,21 +128,21 @@
 	}
 }
 
-// soak plays one seed.
-func soak(t *testing.T, seed uint64, length time.Duration, boxes int) verdict {
-	site := newSoakSite(t, boxes, hallsOf(seed), soakRunners)
-	return playSoak(site, newFaultPlan(site, seed, length), seed, site.drawAny)
+// runSoak plays one seed.
+func runSoak(t *testing.T, seed uint64, length time.Duration, boxes int) soakResult {
+	site := newSoakSite(t, boxes, hallCount(seed), runnersPerService)
+	return runPlan(site, newFaultPlan(site, seed, length), seed, site.drawAny)
 }
 
-// hallsOf is the number of halls of a seed: one box of each hall reads the store, and where there is one hall, nobody else
+// hallCount is the number of halls of a seed: one box of each hall reads the store, and where there is one hall, nobody else
 // makes up for it.
-func hallsOf(seed uint64) int { return 1 + int(seed%soakHalls) }
+func hallCount(seed uint64) int { return 1 + int(seed%maxHalls) }
 
-// playSoak plays an faultPlan beside callers that draw their requests, and judges what came of these; checks are those of one
+// runPlan plays an faultPlan beside callers that draw their requests, and judges what came of these; checks are those of one
 // sort of soak alone.
-func playSoak(
+func runPlan(
 	site *soakSite, plan *faultPlan, seed uint64, draw func(box int, random *rand.Rand) *soakRequest, checks ...check,
-) verdict {
+) soakResult {
 	site.started = time.Now()
 	callers := site.startCallers(seed, draw)
 	plan.play(time.Now())
@@ -150,15 +150,15 @@
 	calm, findings := site.checkRecovery(seed)
 	never, findingsNever := site.checkUnknownRoute()
 	requests := slices.Concat(callers.stopAndCollect(), calm, never)
-	v := verdict{seed: seed, events: plan.events, asks: len(requests), whole: countWhole(requests)}
-	v.findings = slices.Concat(findings, findingsNever, judgeAll(site, plan, requests, checks...))
+	v := soakResult{seed: seed, events: plan.events, requests: len(requests), whole: countWhole(requests)}
+	v.findings = slices.Concat(findings, findingsNever, checkAll(site, plan, requests, checks...))
 	// A soak that asked next to nothing would find nothing either.
-	if v.asks < len(site.boxes)*recoveryRequests*2 || v.whole == 0 {
-		v.findings = append(v.findings, fmt.Sprintf("only %d requests, %d of them answered whole", v.asks, v.whole))
+	if v.requests < len(site.boxes)*recoveryRequests*2 || v.whole == 0 {
+		v.findings = append(v.findings, fmt.Sprintf("only %d requests, %d of them answered whole", v.requests, v.whole))
 	}
 	v.report(site.t)
 	if site.t.Failed() {
-		site.keepLogs(seed)
+		site.saveLogs(seed)
 	}
 	return v
 }
@@ -168,7 +168,7 @@
 	end := time.Now().Add(recoveryTime)
 	for range recoveryVersions {
 		time.Sleep(recoveryWritePause)
-		s.configure()
+		s.writeConfig()
 	}
 	time.Sleep(time.Until(end))
 }
@@ -184,7 +184,7 @@
 }
 
 // report fails the test by each finding, and then logs what happened.
-func (v *verdict) report(t *testing.T) {
+func (v *soakResult) report(t *testing.T) {
 	for _, finding := range v.findings {
 		t.Error(finding)
 	}
@@ -193,7 +193,7 @@
 			t.Logf("%6.3f s %s", e.at.Seconds(), e.name)
 		}
 	}
-	t.Logf("seed %d: %d events, %d requests, %d answered whole, %d findings", v.seed, len(v.events), v.asks, v.whole, len(v.findings))
+	t.Logf("seed %d: %d events, %d requests, %d answered whole, %d findings", v.seed, len(v.events), v.requests, v.whole, len(v.findings))
 }
 
 // checkRecovery: after the faults every box serves every kind of request, with the newest configuration.
@@ -233,8 +233,8 @@
 	return requests, findings
 }
 
-// keepLogs writes the logs of a seed that failed where they outlast the test.
-func (s *soakSite) keepLogs(seed uint64) {
+// saveLogs writes the logs of a seed that failed where they outlast the test.
+func (s *soakSite) saveLogs(seed uint64) {
 	folder := filepath.Join(os.TempDir(), fmt.Sprint("willowwick-soak-", seed))
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		s.t.Log(err)
@@ -248,23 +248,23 @@
 	s.t.Log("logs are in ", folder)
 }
 
-// reportOf is a table of all seeds, and a strip of time with what happened in those that failed.
-func reportOf(verdicts []verdict) string {
+// reportTable is a table of all seeds, and a strip of time with what happened in those that failed.
+func reportTable(results []soakResult) string {
 	var text strings.Builder
 	text.WriteString("| seed | events | requests | answered whole | findings |\n|---|---|---|---|---|\n")
-	for _, v := range verdicts {
-		fmt.Fprintf(&text, "| %d | %d | %d | %d | %d |\n", v.seed, len(v.events), v.asks, v.whole, len(v.findings))
+	for _, v := range results {
+		fmt.Fprintf(&text, "| %d | %d | %d | %d | %d |\n", v.seed, len(v.events), v.requests, v.whole, len(v.findings))
 	}
-	for _, v := range verdicts {
+	for _, v := range results {
 		if len(v.findings) > 0 {
-			v.writeStrip(&text)
+			v.writeTimeline(&text)
 		}
 	}
 	return text.String()
 }
 
-// writeStrip writes the findings and, one a line, the events; each stands a column further right for every 100 ms.
-func (v *verdict) writeStrip(text *strings.Builder) {
+// writeTimeline writes the findings and, one a line, the events; each stands a column further right for every 100 ms.
+func (v *soakResult) writeTimeline(text *strings.Builder) {
 	fmt.Fprintf(text, "\nSeed %d:\n\n", v.seed)
 	for _, finding := range v.findings {
 		fmt.Fprintf(text, "- %s\n", finding)
