--- a/cmd/e2e/restore_test.go
+++ b/cmd/e2e/restore_test.go
@@ -12,15 +12,15 @@
 
 const (
 	evacuatedKey = "evacuate/hall-a"
-	// restoreApplyLimit is the time in which what is declared must be in force once the store is back.
+	// restoreApplyLimit is the time after the store's return within which declarations must take effect.
 	restoreApplyLimit = 3 * time.Second
-	// restoreHoldTime is how long what stood before is held on to, where the copy lacks it, until the operator has had the time to write it
-	// again.
+	// restoreHoldTime is how long boxes keep earlier declarations that the copy lacks, so that the operator can rewrite
+	// them.
 	restoreHoldTime = 4 * time.Second
 )
 
-// newRestoreSite starts daemons before a store that has a copy of itself, and has taken more since; one service has an endpoint in each
-// of two halls.
+// newRestoreSite starts daemons with a store that has a copy of itself and newer records. The service app has endpoints
+// in two halls.
 func newRestoreSite(t *testing.T, before func(s *testSite)) *testSite {
 	s := newTestSite(t, 3)
 	settings := runnerSettings("app-b", "app", "v1", "")
@@ -31,14 +31,14 @@
 	for range 20 {
 		require.NoError(t, s.store.Put("keyed.op", "rollout/nobody", map[string]any{"service": "nobody", "target-version": "v9", "period-s": 1}))
 	}
-	time.Sleep(restoreApplyLimit / 2) // the boxes read all of it
+	time.Sleep(restoreApplyLimit / 2) // lets the boxes read all records
 	return s
 }
 
-// ranInHall counts which of some requests to all boxes run in the hall that may be evacuated.
+// ranInHall sends requests to all boxes and counts those run in hall-a, and those served.
 func (s *testSite) ranInHall(name string) (inHall, served int) {
-	const asks = 30
-	for i := range asks {
+	const requests = 30
+	for i := range requests {
 		id := fmt.Sprint(name, "-", i)
 		if status, _, err := s.boxes[i%len(s.boxes)].post("/lookup/x", id, false); err == nil && status == 200 {
 			served++
@@ -48,8 +48,9 @@
 	return inHall, served
 }
 
-// A store came back from a copy. What the operator declared then was not taken, since its offset had been read before or stood below
-// what had been read: a hall that was evacuated got all requests, one that was taken back got none, for good.
+// TestDeclarationsTakeEffectAfterStoreRestore guards against boxes that ignore declarations written after the store was
+// restored from a copy, because their offsets had been read before or were below what had been read. An evacuated hall
+// then permanently received all requests, and one whose evacuation was canceled received none.
 func TestDeclarationsTakeEffectAfterStoreRestore(t *testing.T) {
 	evacuate := func(s *testSite) { require.NoError(t, s.store.Put("keyed.op", evacuatedKey, map[string]any{})) }
 	fill := func(s *testSite) {
@@ -61,12 +62,12 @@
 		before, while, after func(s *testSite)
 		isEvacuated          bool
 	}{
-		"evacuated, at an offset below what was read":  {func(*testSite) {}, func(*testSite) {}, evacuate, true},
-		"evacuated, at an offset that had been read":   {func(*testSite) {}, func(s *testSite) { evacuate(s); fill(s) }, func(*testSite) {}, true},
-		"taken back, at an offset below what was read": {evacuate, func(*testSite) {}, func(s *testSite) { s.cancelEvacuation(t) }, false},
-		"taken back, at an offset that had been read":  {evacuate, func(s *testSite) { s.cancelEvacuation(t); fill(s) }, func(*testSite) {}, false},
-		"evacuated as the copy was taken, and left so": {evacuate, func(*testSite) {}, func(*testSite) {}, true},
-		"configured anew, at an offset below what was": {evacuate, func(*testSite) {}, func(s *testSite) { s.writeConfig(t, 5) }, true},
+		"evacuated, at an offset below what was read":                                          {func(*testSite) {}, func(*testSite) {}, evacuate, true},
+		"evacuated, at an offset that had been read":                                           {func(*testSite) {}, func(s *testSite) { evacuate(s); fill(s) }, func(*testSite) {}, true},
+		"evacuation canceled, at an offset below what was read":                                {evacuate, func(*testSite) {}, func(s *testSite) { s.cancelEvacuation(t) }, false},
+		"evacuation canceled, at an offset that had been read":                                 {evacuate, func(s *testSite) { s.cancelEvacuation(t); fill(s) }, func(*testSite) {}, false},
+		"evacuated before the copy was taken":                                                  {evacuate, func(*testSite) {}, func(*testSite) {}, true},
+		"evacuated before the copy, then a new configuration at an offset below what was read": {evacuate, func(*testSite) {}, func(s *testSite) { s.writeConfig(t, 5) }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newRestoreSite(t, test.before)
@@ -91,7 +92,7 @@
 	}
 }
 
-// cancelEvacuation declares the hall evacuated no longer.
+// cancelEvacuation cancels the evacuation of the hall.
 func (s *testSite) cancelEvacuation(t *testing.T) {
 	require.NoError(t, s.store.Put("keyed.op", evacuatedKey, nil))
 }
--- a/cmd/e2e/soak_box_test.go
+++ b/cmd/e2e/soak_box_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// superviseDaemon starts the daemon, and starts it again whenever it ends, as the platform does.
+// superviseDaemon starts the daemon and restarts it whenever it exits, as the platform does.
 func (b *soakBox) superviseDaemon(t *testing.T) {
 	defer close(b.supervisionEnded)
 	for number := 1; !b.isStopping.Load(); number++ {
@@ -32,7 +32,7 @@
 	b.incarnation = life
 }
 
-// incarnationNumber tells which life of the daemon runs; 0 if none does.
+// incarnationNumber returns the number of the running incarnation of the daemon; 0 if none is running.
 func (b *soakBox) incarnationNumber() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -42,21 +42,21 @@
 	return b.incarnation.number
 }
 
-// signal signals the daemon if it runs.
+// signal sends a signal to the daemon if it is running.
 func (b *soakBox) signal(signal syscall.Signal) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.incarnation != nil {
-		_ = b.incarnation.process.Signal(signal) // it may just have ended
+		_ = b.incarnation.process.Signal(signal) // it may just have exited
 	}
 }
 
-// isUndisturbed reports whether the box had no trouble, unplanned or planned, from some time before a moment to the given end.
+// isUndisturbed reports whether the box had no outage and no planned stop from settleTime before from until to.
 func (b *soakBox) isUndisturbed(from, to time.Time) bool {
 	return b.outages.isClear(from, to) && b.plannedStops.isClear(from, to)
 }
 
-// awaitReady waits until the daemon calls itself ready again, for some seconds at the most.
+// awaitReady waits at most shutdownGrace until the daemon reports that it is ready.
 func (b *soakBox) awaitReady() {
 	for limit := time.Now().Add(shutdownGrace); time.Now().Before(limit); time.Sleep(20 * time.Millisecond) {
 		response, err := http.Get("http://" + b.ready + "/ready")
@@ -70,7 +70,7 @@
 	}
 }
 
-// stop stops the daemon for good.
+// stop kills the daemon and ends its supervision.
 func (b *soakBox) stop() {
 	b.isStopping.Store(true)
 	for {
--- a/cmd/e2e/soak_callers_test.go
+++ b/cmd/e2e/soak_callers_test.go
@@ -14,50 +14,51 @@
 )
 
 const (
-	kindStream       requestKind = "stream" // may be resumed
-	kindOnce         requestKind = "once"   // runs at most once
-	kindIdempotent   requestKind = "again"  // may be repeated
-	kindForged       requestKind = "forged" // carries headers that only the router may set
-	kindUnknownRoute requestKind = "never"  // asks for a route that no configuration ever had
-	kindPoison       requestKind = "harm"   // ends the endpoint that runs it; always the same request
-
-	// callersPerBox and meanCallerPause, the mean pause of one caller, make some 300 requests a second at each box at the most.
+	kindStream       requestKind = "stream"        // may be resumed
+	kindOnce         requestKind = "once"          // runs at most once
+	kindIdempotent   requestKind = "idempotent"    // may be retried
+	kindForged       requestKind = "forged"        // carries headers that only the router may set
+	kindUnknownRoute requestKind = "unknown route" // addresses a route that no configuration ever had
+	kindPoison       requestKind = "poison"        // crashes the endpoint that runs it; always the same request
+
+	// callersPerBox is the number of callers of each box and meanCallerPause their mean pause between requests: together
+	// at most about 300 requests per second at each box.
 	callersPerBox   = 5
 	meanCallerPause = 15 * time.Millisecond
-	// answerGrace is how long after its deadline a caller gives an answer up.
+	// answerGrace is how long a caller still waits for an answer after its deadline.
 	answerGrace = 3 * time.Second
 )
 
-// errForeignBody tells that a cut answer holds what does not belong to its request.
-var errForeignBody = errors.New("what came of a cut answer is not its begin")
+// errForeignBody reports that an interrupted answer contains data of another request.
+var errForeignBody = errors.New("interrupted answer is not a prefix of the expected one")
 
 type (
 	requestKind string
 
-	// asked is one request of a caller with what came of it.
+	// soakRequest is one request of a caller and its outcome.
 	soakRequest struct {
 		id            string
 		kind          requestKind
-		version       int // of the configuration whose route or key it uses; 0 for the routes that always stand
+		version       int // of the configuration whose route or key it uses; 0 for the permanent routes
 		key           string
 		box           int
-		incarnation   int // of the daemon when it was sent
+		incarnation   int // of the daemon at the time of sending; 0 if it was not running
 		sentAt        time.Time
 		endedAt       time.Time
-		timeout       time.Duration // the caller's
-		status        int           // 0 if no answer came
-		isWhole       bool          // the body is the one of this request
-		isCut         bool          // the answer broke off
-		isAbandoned   bool          // the caller went away early
-		isConnRefused bool          // no connection
-		hasRetryAfter bool          // a refusal told when to return
+		timeout       time.Duration // set by the caller
+		status        int           // 0 without an answer
+		isWhole       bool          // the body is complete and belongs to this request
+		isCut         bool          // the answer was interrupted
+		isAbandoned   bool          // the caller disconnects early
+		isConnRefused bool          // the connection was refused
+		hasRetryAfter bool          // the answer has a Retry-After header
 		err           error
 	}
 
-	// callers ask all boxes until they are stopped, on connections that they keep.
+	// callers send requests to all boxes over kept-alive connections until they are stopped.
 	callers struct {
 		site *soakSite
-		draw func(box int, random *rand.Rand) *soakRequest // the next request
+		draw func(box int, random *rand.Rand) *soakRequest // returns the next request
 		stop chan struct{}
 		done sync.WaitGroup
 
@@ -76,7 +77,7 @@
 	return c
 }
 
-// stopAndCollect stops the callers and returns all that they asked.
+// stopAndCollect stops the callers and returns all their requests.
 func (c *callers) stopAndCollect() []*soakRequest {
 	close(c.stop)
 	c.done.Wait()
@@ -92,101 +93,101 @@
 			return
 		case <-time.After(time.Duration(random.Int64N(int64(2 * meanCallerPause)))):
 		}
-		a := c.draw(box, random)
-		a.id = fmt.Sprintf("b%d-c%d-%d", box, n, i)
+		r := c.draw(box, random)
+		r.id = fmt.Sprintf("b%d-c%d-%d", box, n, i)
 		c.mu.Lock()
-		c.requests = append(c.requests, a)
+		c.requests = append(c.requests, r)
 		c.mu.Unlock()
-		c.site.sendRequest(client, a, random)
+		c.site.sendRequest(client, r, random)
 	}
 }
 
-// newCaller returns a client that keeps its connections and sends nothing twice.
+// newCaller returns a client that reuses its connections, and a function that closes the idle ones.
 func newCaller() (*http.Client, func()) {
 	transport := &http.Transport{MaxIdleConnsPerHost: 4}
 	return &http.Client{Transport: transport}, transport.CloseIdleConnections
 }
 
-// drawAny chooses a kind of request; most ask for routes that always stand, some for one of the newest configuration or of
-// the newest that must be in force, or for an older one with the key that the newest took away.
+// drawAny draws a request. Most use permanent routes, some the route of the newest configuration or of the newest one
+// that must be in force, and some an older route with the key that the newest configuration removed.
 func (s *soakSite) drawAny(box int, random *rand.Rand) *soakRequest {
-	a := &soakRequest{box: box, key: siteKey, timeout: time.Duration(1500+random.IntN(2500)) * time.Millisecond}
+	r := &soakRequest{box: box, key: siteKey, timeout: time.Duration(1500+random.IntN(2500)) * time.Millisecond}
 	newest := s.newestVersion()
 	switch random.IntN(10) {
 	case 0, 1, 2, 3:
-		a.kind = kindStream
+		r.kind = kindStream
 	case 4, 5, 6:
-		a.kind = kindOnce
+		r.kind = kindOnce
 	case 7:
-		a.kind = kindForged
+		r.kind = kindForged
 	case 8:
-		a.kind, a.version = kindIdempotent, []int{newest, s.dueVersion()}[random.IntN(2)]
+		r.kind, r.version = kindIdempotent, []int{newest, s.dueVersion()}[random.IntN(2)]
 	default:
-		a.kind, a.version, a.key = kindIdempotent, max(newest-1, 1), versionKey(max(newest-1, 1))
+		r.kind, r.version, r.key = kindIdempotent, max(newest-1, 1), versionKey(max(newest-1, 1))
 	}
-	a.isAbandoned = random.IntN(25) == 0
-	return a
+	r.isAbandoned = random.IntN(25) == 0
+	return r
 }
 
-// sendRequest sends a request and notes what came of it.
-func (s *soakSite) sendRequest(client *http.Client, a *soakRequest, random *rand.Rand) {
-	wait := a.timeout + answerGrace
-	if a.isAbandoned {
+// sendRequest sends a request and records its outcome.
+func (s *soakSite) sendRequest(client *http.Client, r *soakRequest, random *rand.Rand) {
+	wait := r.timeout + answerGrace
+	if r.isAbandoned {
 		wait = time.Duration(random.IntN(60)) * time.Millisecond
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
-	box := s.boxes[a.box]
-	a.incarnation = box.incarnationNumber()
-	a.sentAt = time.Now()
-	defer func() { a.endedAt = time.Now() }()
-	response, err := client.Do(s.newRequest(ctx, a))
+	box := s.boxes[r.box]
+	r.incarnation = box.incarnationNumber()
+	r.sentAt = time.Now()
+	defer func() { r.endedAt = time.Now() }()
+	response, err := client.Do(s.newRequest(ctx, r))
 	if err != nil {
-		a.err, a.isConnRefused = err, errors.Is(err, syscall.ECONNREFUSED)
+		r.err, r.isConnRefused = err, errors.Is(err, syscall.ECONNREFUSED)
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
-	a.status, a.err, a.isCut = response.StatusCode, err, err != nil
-	a.hasRetryAfter = response.Header.Get("Retry-After") != ""
-	want := "answer of " + a.id
-	if a.kind == kindStream {
-		want = wholeStream(a.id)
+	r.status, r.err, r.isCut = response.StatusCode, err, err != nil
+	r.hasRetryAfter = response.Header.Get("Retry-After") != ""
+	want := "answer of " + r.id
+	if r.kind == kindStream {
+		want = wholeStream(r.id)
 	}
-	a.isWhole = err == nil && string(body) == want
-	if a.status == http.StatusOK && a.isCut && !strings.HasPrefix(want, string(body)) {
-		a.err = fmt.Errorf("%w: %q", errForeignBody, body)
+	r.isWhole = err == nil && string(body) == want
+	if r.status == http.StatusOK && r.isCut && !strings.HasPrefix(want, string(body)) {
+		r.err = fmt.Errorf("%w: %q", errForeignBody, body)
 	}
 }
 
-// body is what the caller sends.
-func (a *soakRequest) body() string {
-	if a.kind == kindPoison {
+// body returns the body that the caller sends.
+func (r *soakRequest) body() string {
+	if r.kind == kindPoison {
 		return poisonBody
 	}
-	return "body of " + a.id
+	return "body of " + r.id
 }
 
-func (s *soakSite) newRequest(ctx context.Context, a *soakRequest) *http.Request {
+func (s *soakSite) newRequest(ctx context.Context, r *soakRequest) *http.Request {
 	path := "/lookup/x"
 	switch {
-	case a.kind == kindStream, a.kind == kindPoison:
+	case r.kind == kindStream, r.kind == kindPoison:
 		path = "/explain/x"
-	case a.kind == kindUnknownRoute:
+	case r.kind == kindUnknownRoute:
 		path = "/never/x"
-	case a.version > 0:
-		path = fmt.Sprintf("/at-%d/x", a.version)
+	case r.version > 0:
+		path = fmt.Sprintf("/at-%d/x", r.version)
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.boxes[a.box].callers+path, strings.NewReader(a.body()))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.boxes[r.box].callers+path, strings.NewReader(r.body()))
 	if err != nil {
-		panic(err) // the addresses and paths are this file's own
+		panic(err) // addresses and paths are generated by this package
 	}
-	request.GetBody = nil // the transport sends nothing twice
+	request.GetBody = nil // prevents the transport from resending the request
 	request.Host = siteHost
-	request.Header.Set("Attempt-Id", a.id)
-	request.Header.Set("Credential", a.key)
-	request.Header.Set("Deadline-Ms", fmt.Sprint(a.timeout.Milliseconds()))
-	switch a.kind {
+	request.Header.Set("Attempt-Id", r.id)
+	request.Header.Set("Credential", r.key)
+	request.Header.Set("Deadline-Ms", fmt.Sprint(r.timeout.Milliseconds()))
+	switch r.kind {
 	case kindStream, kindPoison:
 		request.Header.Set("Accept", "text/event-stream")
 		request.Header.Set("Model", "*")
--- a/cmd/e2e/soak_changes_test.go
+++ b/cmd/e2e/soak_changes_test.go
@@ -12,27 +12,29 @@
 )
 
 const (
-	// versionsKept is for how many versions routes and keys stay: with minChangePause and changePauseSpread some four seconds, twice
-	// the time in which they must be in force.
+	// versionsKept is the number of versions for which routes and keys are kept: with minChangePause and
+	// changePauseSpread about four seconds, twice configApplyLimit.
 	versionsKept = 8
-	// minChangePause and changePauseSpread bound the pauses between two configurations from below, and by how much more.
+	// minChangePause is the shortest pause between two configurations; the longest is longer by changePauseSpread.
 	minChangePause    = 200 * time.Millisecond
 	changePauseSpread = 700 * time.Millisecond
-	// drawnVersions is how many of the newest versions requests are drawn from: those that come, are there, and have gone.
+	// drawnVersions is the number of newest versions from which requests are drawn: some are not yet in force, some are
+	// in force, and some are already removed.
 	drawnVersions = 2 * versionsKept
-	// minServedShare is the part of the requests for what must be in force that a box in touch serves, and minDueRequests how many
-	// there must be to judge by.
+	// minServedShare is the share of due requests that an undisturbed box must serve. The check needs at least
+	// minDueRequests of them.
 	minServedShare = 0.75
 	minDueRequests = 20
 )
 
-// TestSoakConfigChanges plays a storm of configurations beside faults of the store and of boxes, with requests to each box for
-// what was just added, was just taken away, or never existed.
+// TestSoakConfigChanges runs frequent configuration changes together with faults of the store and of boxes. Each box
+// gets requests for what was just added, was just removed, or never existed.
 func TestSoakConfigChanges(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, seed uint64) { runChangeSoak(t, seed, *soakLength, *soakBoxes) })
 }
 
-// failedChangeSeeds are seeds of it that failed once, by refusals for good that went by the age of the list of endpoints.
+// failedChangeSeeds are seeds of TestSoakConfigChanges that failed because permanent refusals depended on the age of the
+// endpoint list.
 var failedChangeSeeds = []failedSeed{
 	{11, 8 * time.Second, 3, endpointListAgeCause},
 	{12, 8 * time.Second, 3, endpointListAgeCause},
@@ -40,87 +42,87 @@
 	{4, 8 * time.Second, 3, endpointListAgeCause},
 }
 
-// TestPreviouslyFailedChangeSeeds plays them again.
+// TestPreviouslyFailedChangeSeeds replays failedChangeSeeds.
 func TestPreviouslyFailedChangeSeeds(t *testing.T) {
 	replaySeeds(t, failedChangeSeeds, func(t *testing.T, failed failedSeed) { runChangeSoak(t, failed.seed, failed.length, failed.boxes) })
 }
 
-// runChangeSoak plays one seed.
+// runChangeSoak runs one seed.
 func runChangeSoak(t *testing.T, seed uint64, length time.Duration, boxes int) {
 	site := startSoakSite(
 		&soakSite{t: t, store: standin.NewStore(), routesKept: versionsKept, keysKept: versionsKept}, boxes, hallCount(seed), runnersPerService)
 	runPlan(site, newChangePlan(site, seed, length), seed, site.drawChangeRequest, (*checker).checkServed)
 }
 
-// newChangePlan draws the events of such a soak.
+// newChangePlan draws the events of a soak with configuration changes.
 func newChangePlan(site *soakSite, seed uint64, length time.Duration) *faultPlan {
-	a := &faultPlan{site: site, random: rand.New(rand.NewPCG(seed, seed+1)), length: length}
-	for at := minChangePause; at < length; at += minChangePause + time.Duration(a.random.Int64N(int64(changePauseSpread))) {
-		a.reconfigure(at)
+	p := &faultPlan{site: site, random: rand.New(rand.NewPCG(seed, seed+1)), length: length}
+	for at := minChangePause; at < length; at += minChangePause + time.Duration(p.random.Int64N(int64(changePauseSpread))) {
+		p.reconfigure(at)
 	}
 	kinds := []func(time.Duration){
-		a.kill, a.terminate, a.freeze, a.disruptStoreLink, a.takeStoreDown, a.takeDeclarationsDown, a.silenceBoxConns, a.silenceStoreConns, a.loseStoreCalls,
-		a.returnStoreSilent, a.compactStore,
+		p.kill, p.terminate, p.freeze, p.disruptStoreLink, p.takeStoreDown, p.takeDeclarationsDown, p.silenceBoxConns, p.silenceStoreConns, p.loseStoreCalls,
+		p.returnStoreSilent, p.compactStore,
 	}
-	for at := 500 * time.Millisecond; at < length; at += time.Duration(200+a.random.IntN(1500)) * time.Millisecond {
-		kinds[a.random.IntN(len(kinds))](at)
+	for at := 500 * time.Millisecond; at < length; at += time.Duration(200+p.random.IntN(1500)) * time.Millisecond {
+		kinds[p.random.IntN(len(kinds))](at)
 	}
-	slices.SortStableFunc(a.events, func(x, y event) int { return int(x.at - y.at) })
-	return a
+	slices.SortStableFunc(p.events, func(x, y event) int { return int(x.at - y.at) })
+	return p
 }
 
-// takeDeclarationsDown takes the part of the store away that holds declarations; its other parts are served.
-func (a *faultPlan) takeDeclarationsDown(at time.Duration) {
-	duration := a.drawDuration() + configApplyLimit
-	a.add(at, fmt.Sprint("declarations away ", duration), func() {
-		defer a.storeOutages.begin()()
-		a.site.store.SetAway("keyed.op", true)
+// takeDeclarationsDown makes the part of the store that holds declarations unavailable; the other parts are served.
+func (p *faultPlan) takeDeclarationsDown(at time.Duration) {
+	duration := p.drawDuration() + configApplyLimit
+	p.add(at, fmt.Sprint("declarations unavailable ", duration), func() {
+		defer p.storeOutages.begin()()
+		p.site.store.SetAway("keyed.op", true)
 		time.Sleep(duration)
-		a.site.store.SetAway("keyed.op", false)
+		p.site.store.SetAway("keyed.op", false)
 	})
 }
 
-// drawChangeRequest chooses a route or a key of a version, or a route that never was.
+// drawChangeRequest draws a request with the route or the key of a version, or with a route that never existed.
 func (s *soakSite) drawChangeRequest(box int, random *rand.Rand) *soakRequest {
-	a := &soakRequest{kind: kindIdempotent, box: box, key: siteKey, timeout: time.Duration(1500+random.IntN(2500)) * time.Millisecond}
+	r := &soakRequest{kind: kindIdempotent, box: box, key: siteKey, timeout: time.Duration(1500+random.IntN(2500)) * time.Millisecond}
 	newest := s.newestVersion()
 	version := max(newest-random.IntN(drawnVersions), 1)
 	switch random.IntN(5) {
 	case 0:
-		a.kind = kindUnknownRoute
+		r.kind = kindUnknownRoute
 	case 1, 2:
-		a.version, a.key = newest, versionKey(version)
+		r.version, r.key = newest, versionKey(version)
 	default:
-		a.version = version
+		r.version = version
 	}
-	return a
+	return r
 }
 
-// checkServed: a box in touch serves what must be in force. One that only ever asked its callers to come again would refuse
-// nothing for good either.
-func (j *checker) checkServed(requests []*soakRequest) {
-	due, served := make([]int, len(j.site.boxes)), make([]int, len(j.site.boxes))
-	for _, a := range requests {
-		if !j.mustBeServed(a) {
+// checkServed checks that an undisturbed box serves what must be in force. Without it, a box that only ever asked its
+// callers to retry later would pass checkPermanentRefusal.
+func (c *checker) checkServed(requests []*soakRequest) {
+	due, served := make([]int, len(c.site.boxes)), make([]int, len(c.site.boxes))
+	for _, r := range requests {
+		if !c.mustBeServed(r) {
 			continue
 		}
-		due[a.box]++
-		if a.status == http.StatusOK {
-			served[a.box]++
+		due[r.box]++
+		if r.status == http.StatusOK {
+			served[r.box]++
 		}
 	}
 	for box := range due {
 		if due[box] >= minDueRequests && float64(served[box]) < minServedShare*float64(due[box]) {
-			j.report("box-%d served %d of %d requests for what must be in force", box, served[box], due[box])
+			c.report("box-%d served %d of %d requests for what must be in force", box, served[box], due[box])
 		}
 	}
 }
 
-// mustBeServed reports whether a request asks for what must be in force, of a box in touch.
-func (j *checker) mustBeServed(a *soakRequest) bool {
-	if a.version == 0 || a.key != siteKey || a.isAbandoned || j.site.isRemovedBy(a.version, j.site.routesKept, a.endedAt) {
+// mustBeServed reports whether a request uses a route that must be in force, at an undisturbed box.
+func (c *checker) mustBeServed(r *soakRequest) bool {
+	if r.version == 0 || r.key != siteKey || r.isAbandoned || c.site.isRemovedBy(r.version, c.site.routesKept, r.endedAt) {
 		return false
 	}
-	isWritten := a.sentAt.After(j.site.writtenAt(a.version).Add(configApplyLimit))
-	return isWritten && j.site.boxes[a.box].isUndisturbed(a.sentAt, a.sentAt) && j.plan.storeOutages.isClear(a.sentAt, a.sentAt)
+	isWritten := r.sentAt.After(c.site.writtenAt(r.version).Add(configApplyLimit))
+	return isWritten && c.site.boxes[r.box].isUndisturbed(r.sentAt, r.sentAt) && c.plan.storeOutages.isClear(r.sentAt, r.sentAt)
 }
--- a/cmd/e2e/soak_checker_test.go
+++ b/cmd/e2e/soak_checker_test.go
@@ -13,231 +13,235 @@
 )
 
 const (
-	// answerTolerance is how much later than a caller's deadline, or its route's limit, an answer may come.
+	// answerTolerance is how late an answer may arrive after the caller's deadline or the route's timeout.
 	answerTolerance = 800 * time.Millisecond
-	// maxFindings bounds what one soak reports.
+	// maxFindings is the largest number of findings that one soak reports.
 	maxFindings = 12
 )
 
 type (
-	// ran is a run of a request with the endpoint that ran it.
+	// endpointRun is one execution of a request and the endpoint that executed it.
 	endpointRun struct {
 		standin.BatchRun
 		runner *soakRunner
 	}
 
-	// judge checks what callers and endpoints saw against what willowwick promises.
+	// checker compares what callers and endpoints observed with what willowwick guarantees.
 	checker struct {
 		site           *soakSite
 		plan           *faultPlan
 		runs           map[string][]endpointRun
-		loggedRequests map[string]bool // requests that some line of a box's log names
+		loggedRequests map[string]bool // ids of the requests named in any box's log
 		findings       []string
 	}
 
-	// check looks at all requests together.
-	check func(j *checker, requests []*soakRequest)
+	// check examines all requests together.
+	check func(c *checker, requests []*soakRequest)
 )
 
-// requestInLog finds the request that a line of a log names.
+// requestInLog matches the request id in a log line.
 var requestInLog = regexp.MustCompile(`"request":"([^"]*)"`)
 
-// checkAll returns what broke a promise.
+// checkAll returns the violated guarantees.
 func checkAll(site *soakSite, plan *faultPlan, requests []*soakRequest, checks ...check) []string {
-	j := &checker{site: site, plan: plan, runs: map[string][]endpointRun{}, loggedRequests: map[string]bool{}}
+	c := &checker{site: site, plan: plan, runs: map[string][]endpointRun{}, loggedRequests: map[string]bool{}}
 	for _, box := range site.boxes {
 		for _, found := range requestInLog.FindAllStringSubmatch(box.output.text(), -1) {
-			j.loggedRequests[found[1]] = true
+			c.loggedRequests[found[1]] = true
 		}
 	}
 	for _, runner := range site.allRunners() {
 		for _, run := range runner.Runs() {
-			j.runs[run.Request] = append(j.runs[run.Request], endpointRun{run, runner})
+			c.runs[run.Request] = append(c.runs[run.Request], endpointRun{run, runner})
 		}
 	}
 	known := map[string]bool{}
-	slices.SortFunc(requests, func(a, b *soakRequest) int { return a.sentAt.Compare(b.sentAt) })
-	for _, a := range requests {
-		known[a.id] = true
-		j.checkAnswer(a)
-		j.checkRuns(a)
-		j.checkDeadline(a)
-		j.checkInterrupted(a)
-		j.checkVersion(a)
-		j.checkDraining(a)
-		j.checkPermanentRefusal(a)
-	}
-	for id := range j.runs {
+	slices.SortFunc(requests, func(r, b *soakRequest) int { return r.sentAt.Compare(b.sentAt) })
+	for _, r := range requests {
+		known[r.id] = true
+		c.checkAnswer(r)
+		c.checkRuns(r)
+		c.checkDeadline(r)
+		c.checkInterrupted(r)
+		c.checkVersion(r)
+		c.checkDraining(r)
+		c.checkPermanentRefusal(r)
+	}
+	for id := range c.runs {
 		if !known[id] {
-			j.report("a run of %s, which nobody asked for", id)
+			c.report("endpoint executed %s, which no caller sent", id)
 		}
 	}
-	j.checkNoRevert(requests)
-	j.checkRollOut()
+	c.checkNoRevert(requests)
+	c.checkRollOut()
 	for _, check := range checks {
-		check(j, requests)
+		check(c, requests)
 	}
-	return j.findings
+	return c.findings
 }
 
-func (j *checker) report(format string, args ...any) {
-	if len(j.findings) < maxFindings {
-		j.findings = append(j.findings, fmt.Sprintf(format, args...))
+func (c *checker) report(format string, args ...any) {
+	if len(c.findings) < maxFindings {
+		c.findings = append(c.findings, fmt.Sprintf(format, args...))
 	}
 }
 
-func (j *checker) reportRequest(a *soakRequest, what string) {
-	j.report("%.3f s: %s (%s at box-%d, %v): %s; status %d, error %v, %d runs", a.sentAt.Sub(j.site.started).Seconds(), a.id, a.kind,
-		a.box, a.endedAt.Sub(a.sentAt).Round(time.Millisecond), what, a.status, a.err, len(j.runs[a.id]))
+func (c *checker) reportRequest(r *soakRequest, what string) {
+	c.report("%.3f s: %s (%s at box-%d, %v): %s; status %d, error %v, %d runs", r.sentAt.Sub(c.site.started).Seconds(), r.id, r.kind,
+		r.box, r.endedAt.Sub(r.sentAt).Round(time.Millisecond), what, r.status, r.err, len(c.runs[r.id]))
 }
 
-// checkAnswer: a success is whole and the caller's own, a broken one does not look whole.
-func (j *checker) checkAnswer(a *soakRequest) {
+// checkAnswer checks that a successful answer is complete and belongs to the request, that an interrupted one is a
+// prefix of it, and that a 503 says when to retry.
+func (c *checker) checkAnswer(r *soakRequest) {
 	switch {
-	case a.status == http.StatusOK && !a.isCut && !a.isWhole:
-		j.reportRequest(a, "a success with another body")
-	case errors.Is(a.err, errForeignBody):
-		j.reportRequest(a, "a cut answer holds what is not its own")
-	case a.status == http.StatusServiceUnavailable && !a.hasRetryAfter:
-		j.reportRequest(a, "a refusal does not say when to return")
+	case r.status == http.StatusOK && !r.isCut && !r.isWhole:
+		c.reportRequest(r, "successful answer has a different body")
+	case errors.Is(r.err, errForeignBody):
+		c.reportRequest(r, "interrupted answer contains data of another request")
+	case r.status == http.StatusServiceUnavailable && !r.hasRetryAfter:
+		c.reportRequest(r, "refusal has no Retry-After")
 	}
 }
 
-// checkRuns: what may run once does, a refusal is true, and endpoints get what the caller sent with the right account.
-func (j *checker) checkRuns(a *soakRequest) {
-	runs := j.runs[a.id]
-	once := a.kind == kindOnce || a.kind == kindForged
+// checkRuns checks that non-idempotent requests run at most once, that requests refused as not run did not run, and that
+// endpoints receive the caller's body with the right account and without forged headers.
+func (c *checker) checkRuns(r *soakRequest) {
+	runs := c.runs[r.id]
+	once := r.kind == kindOnce || r.kind == kindForged
 	if once && len(runs) > 1 {
-		j.reportRequest(a, "ran more than once")
+		c.reportRequest(r, "ran more than once")
 	}
-	if once && a.status == http.StatusServiceUnavailable && len(runs) > 0 {
-		j.reportRequest(a, "was refused as not run, but ran")
+	if once && r.status == http.StatusServiceUnavailable && len(runs) > 0 {
+		c.reportRequest(r, "was refused as not run but ran")
 	}
 	for _, run := range runs {
-		if run.Account != "lab" || run.Body != a.body() || run.Hold != "" {
-			j.reportRequest(a, fmt.Sprintf("reached an endpoint as account %q with body %q and lease %q", run.Account, run.Body, run.Hold))
+		if run.Account != "lab" || run.Body != r.body() || run.Hold != "" {
+			c.reportRequest(r, fmt.Sprintf("reached an endpoint with account %q, body %q and lease %q", run.Account, run.Body, run.Hold))
 		}
 	}
 }
 
-// checkDeadline: a box that is in touch answers at the deadline.
-func (j *checker) checkDeadline(a *soakRequest) {
-	limit := a.timeout
-	if a.version > 0 {
+// checkDeadline checks that an undisturbed box answers by the deadline.
+func (c *checker) checkDeadline(r *soakRequest) {
+	limit := r.timeout
+	if r.version > 0 {
 		limit = min(limit, versionTimeout)
 	}
-	if !a.isAbandoned && a.endedAt.Sub(a.sentAt) > limit+answerTolerance && j.site.boxes[a.box].isUndisturbed(a.sentAt, a.endedAt) {
-		j.reportRequest(a, fmt.Sprint("was held beyond its limit of ", limit))
+	if !r.isAbandoned && r.endedAt.Sub(r.sentAt) > limit+answerTolerance && c.site.boxes[r.box].isUndisturbed(r.sentAt, r.endedAt) {
+		c.reportRequest(r, fmt.Sprint("was not answered within its limit of ", limit))
 	}
 }
 
-// checkInterrupted: a request that reached an endpoint is answered, also by a box that is told to stop; an answer breaks off
-// only where endpoints are in trouble.
-func (j *checker) checkInterrupted(a *soakRequest) {
-	isInTime := a.endedAt.Sub(a.sentAt) < a.timeout
-	if a.isAbandoned || a.kind == kindPoison || len(j.runs[a.id]) == 0 || !isInTime || !j.site.boxes[a.box].outages.isClear(a.sentAt, a.endedAt) {
+// checkInterrupted checks that a request that reached an endpoint is answered, even by a box that is shutting down, and
+// that an answer is interrupted only during endpoint faults.
+func (c *checker) checkInterrupted(r *soakRequest) {
+	isInTime := r.endedAt.Sub(r.sentAt) < r.timeout
+	if r.isAbandoned || r.kind == kindPoison || len(c.runs[r.id]) == 0 || !isInTime || !c.site.boxes[r.box].outages.isClear(r.sentAt, r.endedAt) {
 		return
 	}
-	hasNoAnswer := a.err != nil && a.status == 0 && !a.isConnRefused
+	hasNoAnswer := r.err != nil && r.status == 0 && !r.isConnRefused
 	switch {
 	case hasNoAnswer:
-		j.reportRequest(a, "ran, and the connection closed without an answer")
-	case a.isCut && j.plan.endpointFaults.isClear(a.sentAt, a.endedAt):
-		j.reportRequest(a, "its answer broke off")
+		c.reportRequest(r, "ran, but the connection closed without an answer")
+	case r.isCut && c.plan.endpointFaults.isClear(r.sentAt, r.endedAt):
+		c.reportRequest(r, "its answer was interrupted")
 	}
 }
 
-// checkVersion: a configuration is in force some seconds after it was written, and what it took away is gone. Trouble
-// that begins while the request is answered is no excuse: what is in force was settled before.
-func (j *checker) checkVersion(a *soakRequest) {
-	if a.version == 0 || !j.site.boxes[a.box].isUndisturbed(a.sentAt, a.sentAt) || !j.plan.storeOutages.isClear(a.sentAt, a.sentAt) {
+// checkVersion checks that a configuration is in force within configApplyLimit of its write, and that a key it removed
+// is rejected after keyRevokeLimit. An outage that begins while the request is handled is no excuse, since the
+// configuration in force was determined before.
+func (c *checker) checkVersion(r *soakRequest) {
+	if r.version == 0 || !c.site.boxes[r.box].isUndisturbed(r.sentAt, r.sentAt) || !c.plan.storeOutages.isClear(r.sentAt, r.sentAt) {
 		return
 	}
-	written := j.site.writtenAt(a.version)
-	isRouteGone := j.site.isRemovedBy(a.version, j.site.routesKept, a.endedAt)
-	if a.key == siteKey && a.status == http.StatusNotFound && a.sentAt.After(written.Add(configApplyLimit)) && !isRouteGone {
-		j.reportRequest(a, fmt.Sprintf("version %d was written %v before", a.version, a.sentAt.Sub(written)))
+	written := c.site.writtenAt(r.version)
+	isRouteGone := c.site.isRemovedBy(r.version, c.site.routesKept, r.endedAt)
+	if r.key == siteKey && r.status == http.StatusNotFound && r.sentAt.After(written.Add(configApplyLimit)) && !isRouteGone {
+		c.reportRequest(r, fmt.Sprintf("unknown route although version %d was written %v earlier", r.version, r.sentAt.Sub(written)))
 	}
-	if a.key == siteKey || a.status != http.StatusOK {
+	if r.key == siteKey || r.status != http.StatusOK {
 		return
 	}
-	if removed, isRemoved := j.site.removedAt(a.version, j.site.keysKept); isRemoved && a.sentAt.After(removed.Add(keyRevokeLimit)) {
-		j.reportRequest(a, fmt.Sprintf("its key was taken away %v before", a.sentAt.Sub(removed)))
+	if removed, isRemoved := c.site.removedAt(r.version, c.site.keysKept); isRemoved && r.sentAt.After(removed.Add(keyRevokeLimit)) {
+		c.reportRequest(r, fmt.Sprintf("was served although its key was removed %v earlier", r.sentAt.Sub(removed)))
 	}
 }
 
-// checkNoRevert: within one life of a daemon, what a newer configuration brought stays.
-func (j *checker) checkNoRevert(requests []*soakRequest) {
+// checkNoRevert checks that an incarnation of a daemon never returns to an older configuration.
+func (c *checker) checkNoRevert(requests []*soakRequest) {
 	type life struct{ box, number int }
 	newest := map[life]*soakRequest{}
 	ended := slices.Clone(requests)
-	slices.SortFunc(ended, func(a, b *soakRequest) int { return a.endedAt.Compare(b.endedAt) })
-	for _, a := range ended {
-		key := life{a.box, a.incarnation}
-		if a.version == 0 || a.key != siteKey || a.incarnation == 0 || j.site.boxes[a.box].incarnationNumber() != a.incarnation {
+	slices.SortFunc(ended, func(r, b *soakRequest) int { return r.endedAt.Compare(b.endedAt) })
+	for _, r := range ended {
+		key := life{r.box, r.incarnation}
+		if r.version == 0 || r.key != siteKey || r.incarnation == 0 || c.site.boxes[r.box].incarnationNumber() != r.incarnation {
 			continue
 		}
-		if j.site.isRemovedBy(a.version, j.site.routesKept, a.endedAt) {
+		if c.site.isRemovedBy(r.version, c.site.routesKept, r.endedAt) {
 			continue
 		}
 		seen := newest[key]
-		if a.status == http.StatusNotFound && seen != nil && seen.version >= a.version && a.sentAt.After(seen.endedAt) {
-			j.reportRequest(a, fmt.Sprintf("the box had version %d before", seen.version))
+		if r.status == http.StatusNotFound && seen != nil && seen.version >= r.version && r.sentAt.After(seen.endedAt) {
+			c.reportRequest(r, fmt.Sprintf("the box had served version %d before", seen.version))
 		}
-		if a.status == http.StatusOK && (seen == nil || a.version > seen.version) {
-			newest[key] = a
+		if r.status == http.StatusOK && (seen == nil || r.version > seen.version) {
+			newest[key] = r
 		}
 	}
 }
 
-// checkDraining: an endpoint that said it leaves gets nothing new some seconds later.
-func (j *checker) checkDraining(a *soakRequest) {
-	for _, run := range j.runs[a.id] {
+// checkDraining checks that an endpoint receives no new requests drainLimit after it reported that it is draining.
+func (c *checker) checkDraining(r *soakRequest) {
+	for _, run := range c.runs[r.id] {
 		left := run.runner.drainingSince()
-		if left.IsZero() || run.At.Before(left.Add(drainLimit)) || a.sentAt.Before(left) {
+		if left.IsZero() || run.At.Before(left.Add(drainLimit)) || r.sentAt.Before(left) {
 			continue
 		}
-		if j.site.boxes[a.box].isUndisturbed(run.At, run.At) && j.plan.storeOutages.isClear(run.At, run.At) {
-			j.reportRequest(a, fmt.Sprintf("reached %s %v after that said it leaves", run.runner.id, run.At.Sub(left)))
+		if c.site.boxes[r.box].isUndisturbed(run.At, run.At) && c.plan.storeOutages.isClear(run.At, run.At) {
+			c.reportRequest(r, fmt.Sprintf("reached %s %v after it reported draining", run.runner.id, run.At.Sub(left)))
 		}
 	}
 }
 
-// checkRollOut: a release whose answers are all failures is not completed.
-func (j *checker) checkRollOut() {
-	value, found := j.site.store.Get("keyed.status", "rollout/llm")
-	if found && j.plan.badRelease != "" && strings.Contains(string(value), "completed") {
-		j.report("the bad release %s was completed: %s", j.plan.badRelease, value)
+// checkRollOut checks that the roll-out of a release that always fails is not completed.
+func (c *checker) checkRollOut() {
+	value, found := c.site.store.Get("keyed.status", "rollout/llm")
+	if found && c.plan.badRelease != "" && strings.Contains(string(value), "completed") {
+		c.report("the roll-out of the failing release %s was completed: %s", c.plan.badRelease, value)
 	}
 }
 
-// checkPermanentRefusal: what was accepted long enough ago is not refused for good, unless it was taken away since, and a refusal for
-// good has its line in the log. No trouble is an excuse: a box that does not know what is in force has to say so.
-func (j *checker) checkPermanentRefusal(a *soakRequest) {
-	if a.status != http.StatusNotFound && a.status != http.StatusUnauthorized {
+// checkPermanentRefusal checks that a box does not permanently refuse (404 or 401) what was written more than
+// configApplyLimit ago and not removed since, and that it logs each permanent refusal. Outages are no excuse: a box that
+// does not know what is in force must say so.
+func (c *checker) checkPermanentRefusal(r *soakRequest) {
+	if r.status != http.StatusNotFound && r.status != http.StatusUnauthorized {
 		return
 	}
-	// What a box had not written when it was killed is lost.
-	if j.site.boxes[a.box].incarnationNumber() == a.incarnation && !j.loggedRequests[a.id] {
-		j.reportRequest(a, "no line of the log names it")
+	// Log lines that were not yet written when a box was killed are lost.
+	if c.site.boxes[r.box].incarnationNumber() == r.incarnation && !c.loggedRequests[r.id] {
+		c.reportRequest(r, "its permanent refusal was not logged")
 	}
 	var version int
-	_, err := fmt.Sscanf(a.key, versionKeyFormat, &version)
+	_, err := fmt.Sscanf(r.key, versionKeyFormat, &version)
 	switch {
-	case a.kind == kindUnknownRoute:
-	case a.status == http.StatusNotFound && a.version > 0:
-		j.checkNotInForce(a, a.version, j.site.routesKept)
-	case a.status == http.StatusUnauthorized && err == nil:
-		j.checkNotInForce(a, version, j.site.keysKept)
+	case r.kind == kindUnknownRoute:
+	case r.status == http.StatusNotFound && r.version > 0:
+		c.checkNotInForce(r, r.version, c.site.routesKept)
+	case r.status == http.StatusUnauthorized && err == nil:
+		c.checkNotInForce(r, version, c.site.keysKept)
 	default:
-		j.reportRequest(a, "what all configurations hold was refused for good")
+		c.reportRequest(r, "a route or key of all configurations was permanently refused")
 	}
 }
 
-// checkNotInForce: what a version brought had to be in force, and was not.
-func (j *checker) checkNotInForce(a *soakRequest, version, kept int) {
-	since := a.sentAt.Sub(j.site.writtenAt(version))
-	if since > configApplyLimit && !j.site.isRemovedBy(version, kept, a.endedAt) {
-		j.reportRequest(a, fmt.Sprintf("refused for good, though version %d was written %v before", version, since.Round(time.Millisecond)))
+// checkNotInForce reports a permanently refused request if what the version added had to be in force.
+func (c *checker) checkNotInForce(r *soakRequest, version, kept int) {
+	since := r.sentAt.Sub(c.site.writtenAt(version))
+	if since > configApplyLimit && !c.site.isRemovedBy(version, kept, r.endedAt) {
+		c.reportRequest(r, fmt.Sprintf("was permanently refused although version %d was written %v earlier", version, since.Round(time.Millisecond)))
 	}
 }
--- a/cmd/e2e/soak_conn_loss_test.go
+++ b/cmd/e2e/soak_conn_loss_test.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// maxBurstLosses is how many losses of connections come in a row at the most.
+	// maxBurstLosses is the largest number of connection losses in a burst.
 	maxBurstLosses = 3
-	// maxBurstPause is the most between two of a row: a read that failed is sent again meanwhile, or is not yet.
+	// maxBurstPause is the longest pause between two losses of a burst: a failed read may or may not be retried meanwhile.
 	maxBurstPause = 900 * time.Millisecond
-	// maxSilenceBeforeReturn is the most by which connections fall silent before the end of an outage: the limit of a read, 600 ms, and
-	// the pause after it, so that a box may notice before the end, after it, or not at all.
+	// maxSilenceBeforeReturn is the longest time by which connections go silent before the end of an outage: the timeout
+	// of a read, 600 ms, plus the pause after it, so that a box may notice before the end, after it, or not at all.
 	maxSilenceBeforeReturn = 900 * time.Millisecond
 )
 
-// connSubset is a part of a link's connections that goes silent together.
+// connSubset is a subset of a link's connections that are silenced together.
 type connSubset struct {
 	name     string
 	contains func(*linkConn) bool
 }
 
-// connSubsets are the parts that a soak draws from; its seeds go by their order. A box finds out soon that all its
-// connections are lost, by calls that fail; a part shows whether it looks at each.
+// connSubsets are the subsets that a soak draws from; seeds depend on their order. A box soon notices the loss of all its
+// connections by failed calls; the loss of a subset shows whether it checks each connection.
 var connSubsets = []connSubset{
 	{"all", func(*linkConn) bool { return true }},
 	{"waiting", func(c *linkConn) bool { return c.isAwaitingReply.Load() }},
@@ -32,99 +32,100 @@
 	{"odd", func(c *linkConn) bool { return c.number%2 == 1 }},
 }
 
-func (a *faultPlan) drawConnSubset() connSubset { return connSubsets[a.random.IntN(len(connSubsets))] }
+func (p *faultPlan) drawConnSubset() connSubset { return connSubsets[p.random.IntN(len(connSubsets))] }
 
 // addBurst adds an event up to maxBurstLosses times.
-func (a *faultPlan) addBurst(at time.Duration, name string, run func()) {
-	for range 1 + a.random.IntN(maxBurstLosses) {
-		a.add(at, name, run)
-		at += time.Duration(a.random.Int64N(int64(maxBurstPause)))
+func (p *faultPlan) addBurst(at time.Duration, name string, run func()) {
+	for range 1 + p.random.IntN(maxBurstLosses) {
+		p.add(at, name, run)
+		at += time.Duration(p.random.Int64N(int64(maxBurstPause)))
 	}
 }
 
-// silenceBoxConns lets the open connections of a box to the store go silent for good.
-func (a *faultPlan) silenceBoxConns(at time.Duration) {
-	box, part := a.drawBox(), a.drawConnSubset()
-	a.addBurst(at, "store link of "+box.name+" loses connections: "+part.name, func() {
+// silenceBoxConns permanently silences open connections of one box to the store.
+func (p *faultPlan) silenceBoxConns(at time.Duration) {
+	box, subset := p.drawBox(), p.drawConnSubset()
+	p.addBurst(at, "store link of "+box.name+" loses connections: "+subset.name, func() {
 		defer box.outages.begin()()
-		box.storeLink.silence(part.contains)
+		box.storeLink.silence(subset.contains)
 	})
 }
 
-// silenceStoreConns lets the open connections of all boxes to the store go silent for good.
-func (a *faultPlan) silenceStoreConns(at time.Duration) { a.silenceStoreSubset(at, a.drawConnSubset()) }
+// silenceStoreConns permanently silences open connections of all boxes to the store.
+func (p *faultPlan) silenceStoreConns(at time.Duration) { p.silenceStoreSubset(at, p.drawConnSubset()) }
 
-// silenceStoreSubset does so to a part of them.
-func (a *faultPlan) silenceStoreSubset(at time.Duration, part connSubset) {
-	a.addBurst(at, "store links lose connections: "+part.name, func() {
-		defer a.storeOutages.begin()()
-		a.silenceSubset(part)
+// silenceStoreSubset permanently silences a given subset of the open connections of all boxes to the store.
+func (p *faultPlan) silenceStoreSubset(at time.Duration, subset connSubset) {
+	p.addBurst(at, "store links lose connections: "+subset.name, func() {
+		defer p.storeOutages.begin()()
+		p.silenceSubset(subset)
 	})
 }
 
-func (a *faultPlan) silenceSubset(part connSubset) {
-	for _, box := range a.site.boxes {
-		box.storeLink.silence(part.contains)
+func (p *faultPlan) silenceSubset(subset connSubset) {
+	for _, box := range p.site.boxes {
+		box.storeLink.silence(subset.contains)
 	}
 }
 
-// silenceEndpointConns lets the open connections to an endpoint go silent for good.
-func (a *faultPlan) silenceEndpointConns(at time.Duration) {
-	runner, part := a.drawRunner(), a.drawConnSubset()
-	a.addBurst(at, "link of "+runner.id+" loses connections: "+part.name, func() {
-		defer a.endpointFaults.begin()()
-		runner.link.silence(part.contains)
+// silenceEndpointConns permanently silences open connections to an endpoint.
+func (p *faultPlan) silenceEndpointConns(at time.Duration) {
+	runner, subset := p.drawRunner(), p.drawConnSubset()
+	p.addBurst(at, "link of "+runner.id+" loses connections: "+subset.name, func() {
+		defer p.endpointFaults.begin()()
+		runner.link.silence(subset.contains)
 	})
 }
 
-// loseStoreCalls is an outage in which the store gets no call: each is lost with its connection.
-func (a *faultPlan) loseStoreCalls(at time.Duration) {
-	duration := a.drawDuration()
-	a.add(at, fmt.Sprint("store unheard ", duration), func() {
-		defer a.storeOutages.begin()()
-		a.dropStoreCalls(duration)
+// loseStoreCalls adds an outage in which no call reaches the store: each is lost with its connection.
+func (p *faultPlan) loseStoreCalls(at time.Duration) {
+	duration := p.drawDuration()
+	p.add(at, fmt.Sprint("store unreachable, calls lost ", duration), func() {
+		defer p.storeOutages.begin()()
+		p.dropStoreCalls(duration)
 	})
 }
 
-// dropStoreCalls lets all links to the store lose what is sent for a while.
-func (a *faultPlan) dropStoreCalls(duration time.Duration) {
-	a.setStoreLinks(linkLossy)
+// dropStoreCalls makes all links to the store lossy for the given duration.
+func (p *faultPlan) dropStoreCalls(duration time.Duration) {
+	p.setStoreLinks(linkLossy)
 	time.Sleep(duration)
-	a.setStoreLinks(linkClear)
+	p.setStoreLinks(linkClear)
 }
 
-func (a *faultPlan) setStoreLinks(state linkState) {
-	for _, box := range a.site.boxes {
+func (p *faultPlan) setStoreLinks(state linkState) {
+	for _, box := range p.site.boxes {
 		box.storeLink.set(state)
 	}
 }
 
-// returnStoreSilent is an outage in which the store refuses calls; shortly before its end, connections go silent for good.
-func (a *faultPlan) returnStoreSilent(at time.Duration) {
-	duration, part, isLossy := a.drawDuration(), a.drawConnSubset(), a.random.IntN(2) == 0
-	blockedState := time.Duration(a.random.Int64N(int64(maxSilenceBeforeReturn)))
-	a.add(at, fmt.Sprintf("store away %v, deaf for the last %v (lossy: %v) or lost: %s", duration, blockedState, isLossy, part.name), func() {
-		defer a.storeOutages.begin()()
-		a.site.store.SetFaults(standin.StoreFaults{Down: true})
-		defer a.site.store.SetFaults(standin.StoreFaults{})
+// returnStoreSilent adds an outage in which the store refuses calls and, shortly before its end, connections are
+// permanently silenced.
+func (p *faultPlan) returnStoreSilent(at time.Duration) {
+	duration, subset, isLossy := p.drawDuration(), p.drawConnSubset(), p.random.IntN(2) == 0
+	silence := time.Duration(p.random.Int64N(int64(maxSilenceBeforeReturn)))
+	p.add(at, fmt.Sprintf("store unavailable %v, connections silent for the last %v (lossy: %v) or lost: %s", duration, silence, isLossy, subset.name), func() {
+		defer p.storeOutages.begin()()
+		p.site.store.SetFaults(standin.StoreFaults{Down: true})
+		defer p.site.store.SetFaults(standin.StoreFaults{})
 		time.Sleep(duration)
 		if isLossy {
-			a.dropStoreCalls(blockedState)
+			p.dropStoreCalls(silence)
 			return
 		}
-		a.silenceSubset(part)
-		time.Sleep(blockedState)
+		p.silenceSubset(subset)
+		time.Sleep(silence)
 	})
 }
 
-// addFinalConnLoss adds a loss of connections after all other faults: what it does to a box is not mended by a later failure.
-func (a *faultPlan) addFinalConnLoss(at time.Duration) {
-	switch a.random.IntN(3) {
+// addFinalConnLoss adds a loss of connections after all other faults, so that no later failure hides its effect on a box.
+func (p *faultPlan) addFinalConnLoss(at time.Duration) {
+	switch p.random.IntN(3) {
 	case 0:
-		a.silenceStoreSubset(at, connSubsets[1+a.random.IntN(len(connSubsets)-1)]) // not all: calls that fail would show it
+		p.silenceStoreSubset(at, connSubsets[1+p.random.IntN(len(connSubsets)-1)]) // not all: failing calls would reveal the loss
 	case 1:
-		a.loseStoreCalls(at)
+		p.loseStoreCalls(at)
 	default:
-		a.returnStoreSilent(at)
+		p.returnStoreSilent(at)
 	}
 }
--- a/cmd/e2e/soak_intervals_test.go
+++ b/cmd/e2e/soak_intervals_test.go
@@ -6,17 +6,17 @@
 )
 
 type (
-	// span is a time during which something lasted; its end is zero as long as it does.
+	// interval is a period of time; its end is zero while it lasts.
 	interval struct{ from, to time.Time }
 
-	// spans are all the times of one sort of trouble.
+	// intervals records all periods of one kind of fault.
 	intervals struct {
 		mu  sync.Mutex
 		all []interval
 	}
 )
 
-// begin notes a span that lasts until the returned function is called.
+// begin records an interval that lasts until the returned function is called.
 func (s *intervals) begin() (end func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,7 +29,7 @@
 	}
 }
 
-// isClear reports whether there was no trouble from settleTime before a moment to the given end.
+// isClear reports whether no interval overlaps the time from settleTime before from until to.
 func (s *intervals) isClear(from, to time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/cmd/e2e/soak_limits_test.go
+++ b/cmd/e2e/soak_limits_test.go
@@ -10,32 +10,32 @@
 )
 
 const (
-	// limitWindow is the length of time over which what an endpoint gets is counted against its limit.
+	// limitWindow is the period over which the requests to an endpoint are counted against its limit.
 	limitWindow = 4 * time.Second
-	// limitFactor and limitSlack bound it: so many times what the limit allows, and so many requests more.
+	// limitFactor and limitSlack bound the count: limitFactor times what the limit allows, plus limitSlack requests.
 	limitFactor, limitSlack = 1.5, 5
-	// minLimitLength is the least length of the faults: windows are counted from settleTime after a limit was named.
+	// minLimitLength is the shortest duration of the faults: windows start settleTime after a limit is announced.
 	minLimitLength = settleTime + 2*limitWindow
-	// firstLimitAt is when the first endpoint names its limit.
+	// firstLimitAt is the earliest time at which an endpoint announces its limit.
 	firstLimitAt = 300 * time.Millisecond
 )
 
-// failedLimitSeeds are seeds that failed once, with what they found; they stay as they were played then.
+// failedLimitSeeds are seeds that failed in the past, with the parameters of that run and the cause.
 var failedLimitSeeds = []failedSeed{
-	{208, 5 * time.Second, 6, "a request was sent to a full endpoint eight times within a millisecond, since the others took no more"},
+	{208, 5 * time.Second, 6, "a request was sent to a full endpoint eight times within a millisecond because the others accepted no more"},
 }
 
-// limitRates are the limits that endpoints name, in requests a second.
+// limitRates are the limits that endpoints announce, in requests per second.
 var limitRates = []float64{0.5, 1.2, 2.3, 8}
 
 type (
-	// limits are what endpoints named in a soak.
+	// limits records the limits that endpoints announced in a soak.
 	limits struct {
 		mu        sync.Mutex
 		intervals []limitInterval
 	}
 
-	// limitInterval is the time for which an endpoint named a limit.
+	// limitInterval is the period during which an endpoint announced a limit.
 	limitInterval struct {
 		runner   *soakRunner
 		rate     float64
@@ -43,49 +43,50 @@
 	}
 )
 
-// TestSoakRateLimits lets all endpoints of a service but one name limits beside faults of boxes, the store and connections.
+// TestSoakRateLimits lets all but one endpoint of each service announce rate limits during faults of boxes, the store and
+// connections.
 func TestSoakRateLimits(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, seed uint64) { runLimitSoak(t, seed, *soakLength, *soakBoxes) })
 }
 
-// TestPreviouslyFailedLimitSeeds plays them again.
+// TestPreviouslyFailedLimitSeeds replays failedLimitSeeds.
 func TestPreviouslyFailedLimitSeeds(t *testing.T) {
 	replaySeeds(t, failedLimitSeeds, func(t *testing.T, failed failedSeed) { runLimitSoak(t, failed.seed, failed.length, failed.boxes) })
 }
 
-// runLimitSoak plays one seed.
+// runLimitSoak runs one seed.
 func runLimitSoak(t *testing.T, seed uint64, length time.Duration, boxes int) {
 	l := &limits{}
 	site := newSoakSite(t, boxes, hallCount(seed), runnersPerService)
 	plan := newLimitPlan(site, l, seed, max(length, minLimitLength))
-	// Endpoints that take no more make requests wait and fail as broken ones do.
+	// Requests wait and fail at endpoints that accept no more, as they do at broken ones.
 	defer plan.endpointFaults.begin()()
 	runPlan(site, plan, seed, site.drawAny, l.check)
 }
 
-// newLimitPlan draws the events of such a soak.
+// newLimitPlan draws the events of a soak with rate limits.
 func newLimitPlan(site *soakSite, l *limits, seed uint64, length time.Duration) *faultPlan {
-	a := &faultPlan{site: site, random: rand.New(rand.NewPCG(seed, seed+5)), length: length}
+	p := &faultPlan{site: site, random: rand.New(rand.NewPCG(seed, seed+5)), length: length}
 	kinds := []func(time.Duration){
-		a.kill, a.terminate, a.freeze, a.disruptStoreLink, a.takeStoreDown, a.reconfigure, a.silenceBoxConns, a.silenceStoreConns, a.compactStore,
-		a.silenceEndpointConns,
+		p.kill, p.terminate, p.freeze, p.disruptStoreLink, p.takeStoreDown, p.reconfigure, p.silenceBoxConns, p.silenceStoreConns, p.compactStore,
+		p.silenceEndpointConns,
 	}
-	for at := 500 * time.Millisecond; at < length; at += time.Duration(300+a.random.IntN(1500)) * time.Millisecond {
-		kinds[a.random.IntN(len(kinds))](at)
+	for at := 500 * time.Millisecond; at < length; at += time.Duration(300+p.random.IntN(1500)) * time.Millisecond {
+		kinds[p.random.IntN(len(kinds))](at)
 	}
 	for _, runner := range site.allRunners() {
 		if runner.id == "llm-0" || runner.id == "app-0" {
-			continue // others can take what is beyond the limits
+			continue // one endpoint of each service stays unlimited and can serve what exceeds the limits
 		}
-		rate := limitRates[a.random.IntN(len(limitRates))]
-		at := firstLimitAt + time.Duration(a.random.IntN(1000))*time.Millisecond
-		a.add(at, fmt.Sprintf("%s names a limit of %v", runner.id, rate), func() { l.announce(runner, rate, length-at) })
+		rate := limitRates[p.random.IntN(len(limitRates))]
+		at := firstLimitAt + time.Duration(p.random.IntN(1000))*time.Millisecond
+		p.add(at, fmt.Sprintf("%s announces a limit of %v/s", runner.id, rate), func() { l.announce(runner, rate, length-at) })
 	}
-	slices.SortStableFunc(a.events, func(x, y event) int { return int(x.at - y.at) })
-	return a
+	slices.SortStableFunc(p.events, func(x, y event) int { return int(x.at - y.at) })
+	return p
 }
 
-// announce lets an endpoint name a limit for a time.
+// announce lets an endpoint announce a limit for some time.
 func (l *limits) announce(runner *soakRunner, rate float64, length time.Duration) {
 	span := limitInterval{runner: runner, rate: rate, from: time.Now()}
 	runner.NameLimit(fmt.Sprint(rate))
@@ -97,13 +98,13 @@
 	l.intervals = append(l.intervals, span)
 }
 
-// check: boxes that are in touch send an endpoint no more than its limit allows once they have had time to hear of it.
-func (l *limits) check(j *checker, requests []*soakRequest) {
+// check checks that undisturbed boxes do not exceed an endpoint's limit once they have had settleTime to learn of it.
+func (l *limits) check(c *checker, requests []*soakRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	boxOf := map[string]*soakBox{}
-	for _, a := range requests {
-		boxOf[a.id] = j.site.boxes[a.box]
+	for _, r := range requests {
+		boxOf[r.id] = c.site.boxes[r.box]
 	}
 	for _, span := range l.intervals {
 		var all, inTouch []time.Time
@@ -118,15 +119,15 @@
 		}
 		allowed := limitFactor*span.rate*limitWindow.Seconds() + limitSlack
 		most := maxInWindow(inTouch)
-		j.site.t.Logf("%s: limit %v: most %d in %s of boxes in touch, %d of all (allowed %.1f); %d in %s",
+		c.site.t.Logf("%s: limit %v/s: at most %d in %s from undisturbed boxes, %d from all (allowed %.1f); %d in %s",
 			span.runner.id, span.rate, most, limitWindow, maxInWindow(all), allowed, len(all), span.to.Sub(span.from)-settleTime)
 		if float64(most) > allowed {
-			j.report("%s, which takes %v a second, got %d requests in %s of boxes in touch; allowed %.1f", span.runner.id, span.rate, most, limitWindow, allowed)
+			c.report("%s, limited to %v/s, received %d requests in %s from undisturbed boxes; allowed %.1f", span.runner.id, span.rate, most, limitWindow, allowed)
 		}
 	}
 }
 
-// maxInWindow is the most of the times, which are in order, that are in one window.
+// maxInWindow returns the largest number of the sorted times that lie within one limitWindow.
 func maxInWindow(times []time.Time) int {
 	most, first := 0, 0
 	for last := range times {
--- a/cmd/e2e/soak_link_test.go
+++ b/cmd/e2e/soak_link_test.go
@@ -15,17 +15,17 @@
 
 const (
 	linkClear linkState = iota
-	// linkSlow delays each piece of data on its way.
+	// linkSlow delays each chunk of data by linkDelay.
 	linkSlow
-	// linkReset resets what is open and what comes.
+	// linkReset resets open and new connections.
 	linkReset
-	// linkSilent takes connections and passes nothing either way.
+	// linkSilent accepts connections and forwards nothing in either direction.
 	linkSilent
-	// linkToServerBlocked passes nothing on to the server.
+	// linkToServerBlocked forwards nothing to the server.
 	linkToServerBlocked
-	// linkToClientBlocked passes nothing back to the client.
+	// linkToClientBlocked forwards nothing to the client.
 	linkToClientBlocked
-	// linkLossy loses what is sent, and with it for good the connection it is sent on.
+	// linkLossy drops what is sent and permanently silences the connection it is sent on.
 	linkLossy
 )
 
@@ -36,14 +36,14 @@
 )
 
 type (
-	// linkState is what a loopback proxy does to the connections through it.
+	// linkState is how a loopback proxy treats the connections through it.
 	linkState int
 
-	// link is a loopback proxy in front of a server; the programs on either side know nothing of it.
+	// link is a loopback proxy in front of a server, transparent to the programs on either side.
 	link struct {
 		address string
 		target  string
-		close   func() // takes no connection any more, as if there were no link and no server
+		close   func() // stops accepting and resets open connections, as if the server were gone
 
 		mu     sync.Mutex
 		state  linkState
@@ -53,15 +53,15 @@
 
 	// linkConn is a connection through a link.
 	linkConn struct {
-		number         int // in the order of the link's connections
+		number         int // counts the link's connections from 0
 		client, server net.Conn
 
-		isAwaitingReply atomic.Bool // the client has sent something that the server has not answered
-		isSilenced      atomic.Bool // it says nothing more, either way, and stays open
+		isAwaitingReply atomic.Bool // the client has sent data that the server has not answered
+		isSilenced      atomic.Bool // it stays open and forwards nothing more in either direction
 	}
 )
 
-// linkFaults are the states that a soak draws from; its seeds go by their order.
+// linkFaults are the states that a soak draws from. Seeds depend on their order.
 var linkFaults = []linkState{linkSlow, linkReset, linkSilent, linkToServerBlocked, linkToClientBlocked, linkLossy}
 
 var linkNames = map[linkState]string{
@@ -91,7 +91,8 @@
 	return l
 }
 
-// set changes the state; a reset ends what is open. What is lost stays silent then: no reset gets through either.
+// set changes the state. linkReset resets the open connections except the silenced ones: on those, no reset gets through
+// either.
 func (l *link) set(state linkState) {
 	l.mu.Lock()
 	l.state = state
@@ -110,7 +111,7 @@
 	}
 }
 
-// silence lets some of the open connections go silent for good, without a reset; new ones work as the link's state is.
+// silence permanently silences the matching open connections without a reset. New connections follow the link's state.
 func (l *link) silence(matches func(*linkConn) bool) {
 	for _, c := range l.open() {
 		if matches(c) {
@@ -119,7 +120,7 @@
 	}
 }
 
-// open lists the connections that neither side has ended.
+// open lists the connections that are not yet closed by both sides.
 func (l *link) open() []*linkConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -170,18 +171,18 @@
 	pumps.Go(func() { l.forward(c, server, client, linkToServerBlocked) })
 	pumps.Go(func() { l.forward(c, client, server, linkToClientBlocked) })
 	pumps.Wait()
-	_ = client.Close() // both sides have ended it
+	_ = client.Close() // both directions have ended
 	_ = server.Close()
 }
 
-// forward passes data one way. It holds them back while the link is silent, or deaf in this direction; of a connection that
-// is lost it passes nothing on, not even its end.
+// forward copies data in one direction. It holds data back while the link is silent or in blockedState. On a silenced
+// connection it forwards nothing, not even the end of the stream.
 func (l *link) forward(c *linkConn, to, from net.Conn, blockedState linkState) {
 	buffer := make([]byte, linkBufferSize)
 	for {
 		n, err := from.Read(buffer)
 		if !l.awaitForwarding(c, blockedState) {
-			_, _ = io.Copy(io.Discard, from) // until its own side ends it
+			_, _ = io.Copy(io.Discard, from) // until the sender closes it
 			return
 		}
 		c.isAwaitingReply.Store(from == c.client)
@@ -206,7 +207,7 @@
 	}
 }
 
-// awaitForwarding waits as long as the link holds data back, and reports whether they are passed on then.
+// awaitForwarding waits while the link holds data back, and reports whether the data may then be forwarded.
 func (l *link) awaitForwarding(c *linkConn, blockedState linkState) bool {
 	for !c.isSilenced.Load() {
 		switch state := l.currentState(); state {
--- a/cmd/e2e/soak_notices_test.go
+++ b/cmd/e2e/soak_notices_test.go
@@ -10,26 +10,27 @@
 )
 
 const (
-	// noticeGrace is how long after its caller has an answer that says that the endpoint leaves a box may still be about to send it
-	// requests: what answers say holds at once, and the daemons share the machine with many others.
+	// noticeGrace is how long a box may still send requests to an endpoint after a caller received an answer in which that
+	// endpoint reported draining. Notices in answers take effect at once, but the daemons run on a busy machine.
 	noticeGrace = 500 * time.Millisecond
-	// backoffGrace is how long after a 503 with rest requests of the box may still arrive, and backoffSlack how many may later.
+	// backoffGrace is how long requests of a box may still arrive after a 503 with a backoff, and backoffSlack is how many
+	// may arrive after that.
 	backoffGrace, backoffSlack = 500 * time.Millisecond, 2
-	// minNoticeLength is the least length of the faults.
+	// minNoticeLength is the shortest duration of the faults.
 	minNoticeLength = 8 * time.Second
 )
 
-// rests are what endpoints ask for, in seconds.
+// backoffs are the backoffs that endpoints request, in seconds.
 var backoffs = []string{"0.3", "1", "2.5", "3", "8"}
 
 type (
-	// boxIncarnation is one life of a box.
+	// boxIncarnation identifies one incarnation of a box.
 	boxIncarnation struct {
 		box    *soakBox
 		number int
 	}
 
-	// soakArrival is a request that came to an endpoint, with the caller's side of it and the life of the box that sent it.
+	// soakArrival is a request that arrived at an endpoint, with the caller's view of it and the box that sent it.
 	soakArrival struct {
 		at              time.Time
 		request         *soakRequest
@@ -39,86 +40,87 @@
 	}
 )
 
-// TestSoakNotices lets endpoints say in their answers that they leave, or ask for rest, beside faults of boxes, the store and
-// connections; their entries say throughout that they are ready.
+// TestSoakNotices lets endpoints report draining or request backoff in their answers during faults of boxes, the store
+// and connections. Their entries in the store show them as ready throughout.
 func TestSoakNotices(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, seed uint64) {
 		site := newSoakSite(t, *soakBoxes, hallCount(seed), runnersPerService)
 		plan := newNoticePlan(site, seed, max(*soakLength, minNoticeLength))
-		// Endpoints that take nothing make requests wait and fail as broken ones do.
+		// Requests wait and fail at endpoints that accept nothing, as they do at broken ones.
 		defer plan.endpointFaults.begin()()
 		runPlan(site, plan, seed, site.drawAny, checkNotices)
 	})
 }
 
-// newNoticePlan draws the events of such a soak.
+// newNoticePlan draws the events of a soak with notices.
 func newNoticePlan(site *soakSite, seed uint64, length time.Duration) *faultPlan {
-	a := &faultPlan{site: site, random: rand.New(rand.NewPCG(seed, seed+6)), length: length}
+	p := &faultPlan{site: site, random: rand.New(rand.NewPCG(seed, seed+6)), length: length}
 	kinds := []func(time.Duration){
-		a.kill, a.terminate, a.freeze, a.disruptStoreLink, a.takeStoreDown, a.reconfigure, a.silenceBoxConns, a.silenceStoreConns, a.compactStore,
-		a.silenceEndpointConns,
+		p.kill, p.terminate, p.freeze, p.disruptStoreLink, p.takeStoreDown, p.reconfigure, p.silenceBoxConns, p.silenceStoreConns, p.compactStore,
+		p.silenceEndpointConns,
 	}
-	for at := 500 * time.Millisecond; at < length; at += time.Duration(300+a.random.IntN(1500)) * time.Millisecond {
-		kinds[a.random.IntN(len(kinds))](at)
+	for at := 500 * time.Millisecond; at < length; at += time.Duration(300+p.random.IntN(1500)) * time.Millisecond {
+		kinds[p.random.IntN(len(kinds))](at)
 	}
 	for _, runner := range site.allRunners() {
-		at := time.Duration(a.random.Int64N(int64(length / 2)))
+		at := time.Duration(p.random.Int64N(int64(length / 2)))
 		switch {
 		case runner.id == "llm-0" || runner.id == "app-0":
-			a.requestBackoff(at, runner, "0.3") // others may leave, and rest for long
-		case a.random.IntN(2) == 0:
-			a.add(at, runner.id+" says that it leaves", func() {
+			p.requestBackoff(at, runner, "0.3") // the other endpoints may drain or back off for long
+		case p.random.IntN(2) == 0:
+			p.add(at, runner.id+" reports draining", func() {
 				site.addRunner(runner.id+"-new", runner.service, runner.release)
 				runner.SayLeaving()
 			})
 		default:
-			a.requestBackoff(at, runner, backoffs[a.random.IntN(len(backoffs))])
-			a.requestBackoff(at+length/3, runner, backoffs[a.random.IntN(len(backoffs))])
+			p.requestBackoff(at, runner, backoffs[p.random.IntN(len(backoffs))])
+			p.requestBackoff(at+length/3, runner, backoffs[p.random.IntN(len(backoffs))])
 		}
 	}
-	slices.SortStableFunc(a.events, func(x, y event) int { return int(x.at - y.at) })
-	return a
+	slices.SortStableFunc(p.events, func(x, y event) int { return int(x.at - y.at) })
+	return p
 }
 
-// requestBackoff lets an endpoint turn all requests away for a while.
-func (a *faultPlan) requestBackoff(at time.Duration, runner *soakRunner, seconds string) {
-	duration := a.drawDuration()
-	a.add(at, fmt.Sprintf("%s asks for %s s of rest, %s long", runner.id, seconds, duration), func() {
+// requestBackoff lets an endpoint refuse all requests with a backoff for a while.
+func (p *faultPlan) requestBackoff(at time.Duration, runner *soakRunner, seconds string) {
+	duration := p.drawDuration()
+	p.add(at, fmt.Sprintf("%s requests a backoff of %s s, for %s", runner.id, seconds, duration), func() {
 		runner.AskForRest(seconds)
 		time.Sleep(duration)
 		runner.AskForRest("")
 	})
 }
 
-// checkNotices: a box sends nothing to an endpoint that told it that it leaves, or that it wants rest, whatever its state; a new life
-// or a freeze of the box is an excuse.
-func checkNotices(j *checker, requests []*soakRequest) {
+// checkNotices checks that a box sends nothing to an endpoint that reported draining or requested backoff to it, during
+// any outage. Only a restart or a freeze of the box is an excuse.
+func checkNotices(c *checker, requests []*soakRequest) {
 	byID := map[string]*soakRequest{}
-	for _, a := range requests {
-		byID[a.id] = a
+	for _, r := range requests {
+		byID[r.id] = r
 	}
-	for _, runner := range j.site.allRunners() {
+	for _, runner := range c.site.allRunners() {
 		arrivals := map[boxIncarnation][]soakArrival{}
 		for _, arrival := range runner.Arrivals() {
-			a := byID[arrival.Request]
-			if a == nil {
-				continue // judged as a run that nobody asked for
+			r := byID[arrival.Request]
+			if r == nil {
+				continue // checkAll reports it as a request that no caller sent
 			}
-			from := boxIncarnation{j.site.boxes[a.box], a.incarnation}
+			from := boxIncarnation{c.site.boxes[r.box], r.incarnation}
 			seconds, _ := strconv.ParseFloat(arrival.Rest, 64)
-			arrivals[from] = append(arrivals[from], soakArrival{arrival.At, a, from, arrival.Leaving, time.Duration(seconds * float64(time.Second))})
+			arrivals[from] = append(arrivals[from], soakArrival{arrival.At, r, from, arrival.Leaving, time.Duration(seconds * float64(time.Second))})
 		}
 		told, rested := 0, 0
 		for _, ofBox := range arrivals {
-			told += j.checkReportedDraining(runner, ofBox)
-			rested += j.checkBackoff(runner, ofBox)
+			told += c.checkReportedDraining(runner, ofBox)
+			rested += c.checkBackoff(runner, ofBox)
 		}
-		j.site.t.Logf("%s told %d boxes that it leaves, and asked %d times for rest", runner.id, told, rested)
+		c.site.t.Logf("%s reported draining to %d boxes and requested backoff %d times", runner.id, told, rested)
 	}
 }
 
-// checkReportedDraining looks at what came from one life of a box, and counts the box if it was told.
-func (j *checker) checkReportedDraining(runner *soakRunner, arrivals []soakArrival) (told int) {
+// checkReportedDraining checks the requests of one incarnation of a box. It returns 1 if the endpoint reported draining
+// to that box, otherwise 0.
+func (c *checker) checkReportedDraining(runner *soakRunner, arrivals []soakArrival) (told int) {
 	var toldAt time.Time
 	for _, arrival := range arrivals {
 		if arrival.reportsDraining && arrival.request.isWhole && (toldAt.IsZero() || arrival.request.endedAt.Before(toldAt)) {
@@ -131,14 +133,14 @@
 	for _, arrival := range arrivals {
 		isLate := arrival.request.sentAt.After(toldAt.Add(noticeGrace))
 		if isLate && !arrival.sender.box.freezes.overlap(toldAt, arrival.at) {
-			j.reportRequest(arrival.request, fmt.Sprintf("reached %s %v after that had told the box that it leaves", runner.id, arrival.at.Sub(toldAt)))
+			c.reportRequest(arrival.request, fmt.Sprintf("reached %s %v after it had reported draining to the box", runner.id, arrival.at.Sub(toldAt)))
 		}
 	}
 	return 1
 }
 
-// checkBackoff looks at what came from one life of a box, and counts how often the box was asked for rest.
-func (j *checker) checkBackoff(runner *soakRunner, arrivals []soakArrival) (asked int) {
+// checkBackoff checks the requests of one incarnation of a box and returns how often it was asked to back off.
+func (c *checker) checkBackoff(runner *soakRunner, arrivals []soakArrival) (asked int) {
 	for _, answer := range arrivals {
 		if answer.backoff == 0 {
 			continue
@@ -151,13 +153,13 @@
 			}
 		}
 		if late > backoffSlack && !answer.sender.box.freezes.overlap(answer.at, until) {
-			j.reportRequest(answer.request, fmt.Sprintf("%s asked the box for %v of rest, and got %d requests of it in that time", runner.id, answer.backoff, late))
+			c.reportRequest(answer.request, fmt.Sprintf("%s requested a backoff of %v and received %d requests of the box in that time", runner.id, answer.backoff, late))
 		}
 	}
 	return asked
 }
 
-// overlap reports whether any of the spans was between two moments.
+// overlap reports whether any interval overlaps the time between from and to.
 func (s *intervals) overlap(from, to time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/cmd/e2e/soak_poison_test.go
+++ b/cmd/e2e/soak_poison_test.go
@@ -13,54 +13,55 @@
 )
 
 const (
-	// poisonBody is the body of the request that ends each endpoint that runs it.
+	// poisonBody is the body of the poison request, which crashes each endpoint that runs it.
 	poisonBody = "ends the endpoint that runs it"
-	// requestsPerPoison is one in so many requests: at most five a second at each box.
+	// requestsPerPoison: one in this many requests is the poison request, at most five per second at each box.
 	requestsPerPoison = 60
-	// poisonRunners is how many endpoints each service has: more than may end in the moments before all boxes know.
+	// poisonRunners is the number of endpoints of each service: more than can crash before all boxes have been informed.
 	poisonRunners = 8
-	// quarantineAfter is the number of ends after which the request is to be sent no more, and maxLateRuns how often it may be later.
+	// quarantineAfter is the number of crashes after which the request must not be sent any more, and maxLateRuns is how
+	// often it may be sent later than settleTime after that.
 	quarantineAfter, maxLateRuns = 3, 3
-	// crashDowntime is how long an endpoint that ended is missing.
+	// crashDowntime is the time between an endpoint's crash and its restart or replacement.
 	crashDowntime = 700 * time.Millisecond
 )
 
-// harm is what became of the harmful request.
+// poisonCrashes records the crashes that the poison request causes.
 type poisonCrashes struct {
 	mu     sync.Mutex
 	times  []time.Time
 	random *rand.Rand
 }
 
-// TestSoakPoisonRequest plays a request that ends the endpoints that run it beside faults of boxes and of the store. Some
-// endpoints are back under their own ids behind a link that goes on taking connections, others are replaced.
+// TestSoakPoisonRequest sends a request that crashes the endpoints that run it, during faults of boxes and of the store.
+// Some endpoints restart under their own ids behind a link that keeps accepting connections; others are replaced.
 func TestSoakPoisonRequest(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, seed uint64) {
-		h := &poisonCrashes{random: rand.New(rand.NewPCG(seed, seed+3))}
+		p := &poisonCrashes{random: rand.New(rand.NewPCG(seed, seed+3))}
 		site := &soakSite{t: t, store: standin.NewStore(), keysKept: 1}
-		site.onPoison = func(r *soakRunner) { h.crash(site, r) }
+		site.onPoison = func(r *soakRunner) { p.crash(site, r) }
 		startSoakSite(site, *soakBoxes, hallCount(seed), poisonRunners)
 		plan := newPoisonPlan(site, seed, *soakLength)
 		defer plan.endpointFaults.begin()()
-		runPlan(site, plan, seed, site.drawWithPoison, h.check)
+		runPlan(site, plan, seed, site.drawWithPoison, p.check)
 	})
 }
 
-// newPoisonPlan draws the events of such a soak.
+// newPoisonPlan draws the events of a soak with a poison request.
 func newPoisonPlan(site *soakSite, seed uint64, length time.Duration) *faultPlan {
-	a := &faultPlan{site: site, random: rand.New(rand.NewPCG(seed, seed+2)), length: length}
+	p := &faultPlan{site: site, random: rand.New(rand.NewPCG(seed, seed+2)), length: length}
 	kinds := []func(time.Duration){
-		a.kill, a.terminate, a.freeze, a.disruptStoreLink, a.takeStoreDown, a.reconfigure, a.silenceBoxConns, a.silenceStoreConns, a.compactStore,
-		a.disruptEndpointLink, a.drainEndpoint, a.silenceEndpointConns,
+		p.kill, p.terminate, p.freeze, p.disruptStoreLink, p.takeStoreDown, p.reconfigure, p.silenceBoxConns, p.silenceStoreConns, p.compactStore,
+		p.disruptEndpointLink, p.drainEndpoint, p.silenceEndpointConns,
 	}
-	for at := 500 * time.Millisecond; at < length; at += time.Duration(300+a.random.IntN(1500)) * time.Millisecond {
-		kinds[a.random.IntN(len(kinds))](at)
+	for at := 500 * time.Millisecond; at < length; at += time.Duration(300+p.random.IntN(1500)) * time.Millisecond {
+		kinds[p.random.IntN(len(kinds))](at)
 	}
-	slices.SortStableFunc(a.events, func(x, y event) int { return int(x.at - y.at) })
-	return a
+	slices.SortStableFunc(p.events, func(x, y event) int { return int(x.at - y.at) })
+	return p
 }
 
-// drawWithPoison mixes the harmful request into the others.
+// drawWithPoison draws the poison request once in requestsPerPoison times and any other request otherwise.
 func (s *soakSite) drawWithPoison(box int, random *rand.Rand) *soakRequest {
 	if random.IntN(requestsPerPoison) == 0 {
 		return &soakRequest{kind: kindPoison, box: box, key: siteKey, timeout: 2 * time.Second}
@@ -68,19 +69,19 @@
 	return s.drawAny(box, random)
 }
 
-// crash ends a runner that runs the harmful request, and lets it or another one come.
-func (h *poisonCrashes) crash(site *soakSite, r *soakRunner) {
-	h.mu.Lock()
-	h.times = append(h.times, time.Now())
-	isSame, number := h.random.IntN(2) == 0, len(h.times)
-	h.mu.Unlock()
+// crash stops a runner that runs the poison request and, after crashDowntime, restarts or replaces it.
+func (p *poisonCrashes) crash(site *soakSite, r *soakRunner) {
+	p.mu.Lock()
+	p.times = append(p.times, time.Now())
+	isSame, number := p.random.IntN(2) == 0, len(p.times)
+	p.mu.Unlock()
 	if !isSame {
 		r.link.close()
 	}
 	go r.stop()
 	time.AfterFunc(crashDowntime, func() {
 		if site.t.Context().Err() != nil || !isSame {
-			h.replace(site, r, number)
+			p.replace(site, r, number)
 			return
 		}
 		if listener, err := net.Listen("tcp", r.link.target); err == nil {
@@ -89,8 +90,8 @@
 	})
 }
 
-// replace adds a runner in the place of one that ended, whose entry goes.
-func (h *poisonCrashes) replace(site *soakSite, r *soakRunner, number int) {
+// replace adds a runner in place of a crashed one and removes the entry of that one.
+func (p *poisonCrashes) replace(site *soakSite, r *soakRunner, number int) {
 	if site.t.Context().Err() != nil {
 		return
 	}
@@ -100,27 +101,28 @@
 	}
 }
 
-// check: boxes that are in touch send the request no more than a few times once it has ended three endpoints.
-func (h *poisonCrashes) check(j *checker, requests []*soakRequest) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	j.site.t.Logf("%d endpoints ended", len(h.times))
-	if len(h.times) < quarantineAfter {
+// check checks that undisturbed boxes send the poison request at most maxLateRuns times after the settling time that
+// follows its third crash.
+func (p *poisonCrashes) check(c *checker, requests []*soakRequest) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	c.site.t.Logf("%d endpoints crashed", len(p.times))
+	if len(p.times) < quarantineAfter {
 		return
 	}
-	slices.SortFunc(h.times, time.Time.Compare)
-	known := h.times[quarantineAfter-1].Add(settleTime)
+	slices.SortFunc(p.times, time.Time.Compare)
+	quarantinedBy := p.times[quarantineAfter-1].Add(settleTime)
 	late := 0
-	for _, a := range requests {
-		for _, run := range j.runs[a.id] {
-			isLate := a.kind == kindPoison && run.At.After(known) && j.site.boxes[a.box].isUndisturbed(run.At, run.At)
-			if isLate && j.plan.storeOutages.isClear(run.At, run.At) {
+	for _, r := range requests {
+		for _, run := range c.runs[r.id] {
+			isLate := r.kind == kindPoison && run.At.After(quarantinedBy) && c.site.boxes[r.box].isUndisturbed(run.At, run.At)
+			if isLate && c.plan.storeOutages.isClear(run.At, run.At) {
 				late++
-				j.site.t.Logf("%.3f s: %s reached %s", run.At.Sub(j.site.started).Seconds(), a.id, run.runner.id)
+				c.site.t.Logf("%.3f s: %s reached %s", run.At.Sub(c.site.started).Seconds(), r.id, run.runner.id)
 			}
 		}
 	}
 	if late > maxLateRuns {
-		j.report("the harmful request reached endpoints %d times later than %s after its third end", late, settleTime)
+		c.report("the poison request reached endpoints %d times later than %s after its third crash", late, settleTime)
 	}
 }
--- a/cmd/e2e/soak_restore_test.go
+++ b/cmd/e2e/soak_restore_test.go
@@ -12,122 +12,123 @@
 )
 
 const (
-	// farHall is the hall that is evacuated, and evacuationLimit how long boxes may still send to its endpoints then.
-	farHall         = "hall-far"
+	// evacuatedHall is the hall that is evacuated, and evacuationLimit is how long boxes may still send to its endpoints.
+	evacuatedHall   = "hall-far"
 	evacuationLimit = 5 * time.Second
-	// maxRewriteTime is how long the operator takes at most to write again what the store lost.
+	// maxRewriteTime is the longest time in which the operator rewrites what the store lost.
 	maxRewriteTime = 2 * time.Second
-	// maxCopyAge is how much the copy may lack.
+	// maxCopyAge is the largest age of the copy.
 	maxCopyAge = 3 * time.Second
 )
 
-// copies is a store that comes back from copies of itself beside an operator that evacuates a hall.
+// storeRestores restores the store of a site from copies and evacuates a hall.
 type storeRestores struct {
 	site      *soakSite
-	restoring sync.Mutex // one return after the other
+	restoring sync.Mutex // held during a restore, so that restores don't overlap
 
 	mu        sync.Mutex
-	evacuated []interval // from the acknowledgement until the hall was taken back
+	evacuated []interval // from the acknowledged write until the evacuation was canceled
 }
 
-// TestSoakStoreRestore plays returns of the store from a copy, two within seconds among them, beside evacuations, configurations and
-// faults of boxes, their links and the store.
+// TestSoakStoreRestore restores the store from copies, sometimes twice within seconds, during evacuations, configuration
+// changes and faults of boxes, their links and the store.
 func TestSoakStoreRestore(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, seed uint64) {
-		c := &storeRestores{site: &soakSite{t: t, store: standin.NewStore(), keysKept: 1}}
-		c.site.store.SetEra(1)
-		startSoakSite(c.site, *soakBoxes, hallCount(seed), runnersPerService)
+		s := &storeRestores{site: &soakSite{t: t, store: standin.NewStore(), keysKept: 1}}
+		s.site.store.SetEra(1)
+		startSoakSite(s.site, *soakBoxes, hallCount(seed), runnersPerService)
 		for _, service := range []string{"llm", "app"} {
-			c.site.addRunnerIn(farHall, service+"-far", service, "v1")
+			s.site.addRunnerIn(evacuatedHall, service+"-far", service, "v1")
 		}
-		runPlan(c.site, c.newPlan(seed, *soakLength), seed, c.site.drawAny, c.check)
+		runPlan(s.site, s.newPlan(seed, *soakLength), seed, s.site.drawAny, s.check)
 	})
 }
 
-// newPlan draws the events of such a soak.
-func (c *storeRestores) newPlan(seed uint64, length time.Duration) *faultPlan {
-	a := &faultPlan{site: c.site, random: rand.New(rand.NewPCG(seed, seed+4)), length: length}
+// newPlan draws the events of a soak with restores.
+func (s *storeRestores) newPlan(seed uint64, length time.Duration) *faultPlan {
+	p := &faultPlan{site: s.site, random: rand.New(rand.NewPCG(seed, seed+4)), length: length}
 	kinds := []func(time.Duration){
-		a.kill, a.terminate, a.freeze, a.disruptStoreLink, a.takeStoreDown, a.silenceBoxConns, a.silenceStoreConns, a.compactStore, a.reconfigure,
-		a.reconfigureInBurst, a.drainEndpoint, a.crashEndpoint, a.loseStoreReplies,
+		p.kill, p.terminate, p.freeze, p.disruptStoreLink, p.takeStoreDown, p.silenceBoxConns, p.silenceStoreConns, p.compactStore, p.reconfigure,
+		p.reconfigureInBurst, p.drainEndpoint, p.crashEndpoint, p.loseStoreReplies,
 	}
-	for at := 500 * time.Millisecond; at < length; at += time.Duration(300+a.random.IntN(1500)) * time.Millisecond {
-		kinds[a.random.IntN(len(kinds))](at)
+	for at := 500 * time.Millisecond; at < length; at += time.Duration(300+p.random.IntN(1500)) * time.Millisecond {
+		kinds[p.random.IntN(len(kinds))](at)
 	}
 	for range 2 {
-		c.restore(a, time.Duration(a.random.Int64N(int64(length))))
+		s.restore(p, time.Duration(p.random.Int64N(int64(length))))
 	}
-	for at := time.Duration(0); at < length; at += time.Duration(1000+a.random.IntN(3000)) * time.Millisecond {
-		c.toggleEvacuation(a, at)
+	for at := time.Duration(0); at < length; at += time.Duration(1000+p.random.IntN(3000)) * time.Millisecond {
+		s.toggleEvacuation(p, at)
 	}
-	slices.SortStableFunc(a.events, func(x, y event) int { return int(x.at - y.at) })
-	return a
+	slices.SortStableFunc(p.events, func(x, y event) int { return int(x.at - y.at) })
+	return p
 }
 
-// restore takes the store away for a moment and brings it back from a copy, once or twice from the same one.
-func (c *storeRestores) restore(a *faultPlan, at time.Duration) {
-	age := time.Duration(a.random.Int64N(int64(maxCopyAge)))
-	away := time.Duration(100+a.random.IntN(1400)) * time.Millisecond
-	rewrite := time.Duration(a.random.Int64N(int64(maxRewriteTime)))
-	times := 1 + a.random.IntN(2)
-	order := rand.New(rand.NewPCG(a.random.Uint64(), 0))
-	a.add(at, fmt.Sprintf("store comes back from a copy %s old, after %s, %d times; written again within %s", age, away, times, rewrite), func() {
-		c.restoring.Lock()
-		defer c.restoring.Unlock()
-		c.site.store.TakeCopy()
+// restore takes the store down for a moment and restores it from a copy, once or twice from the same one. Lost records
+// are rewritten in random order.
+func (s *storeRestores) restore(p *faultPlan, at time.Duration) {
+	age := time.Duration(p.random.Int64N(int64(maxCopyAge)))
+	downtime := time.Duration(100+p.random.IntN(1400)) * time.Millisecond
+	rewriteTime := time.Duration(p.random.Int64N(int64(maxRewriteTime)))
+	times := 1 + p.random.IntN(2)
+	order := rand.New(rand.NewPCG(p.random.Uint64(), 0))
+	p.add(at, fmt.Sprintf("store is restored from a copy %s old, after an outage of %s, %d times; rewritten within %s", age, downtime, times, rewriteTime), func() {
+		s.restoring.Lock()
+		defer s.restoring.Unlock()
+		s.site.store.TakeCopy()
 		time.Sleep(age)
-		defer a.storeOutages.begin()()
+		defer p.storeOutages.begin()()
 		for range times {
-			c.site.store.SetFaults(standin.StoreFaults{Down: true})
-			time.Sleep(away)
-			lost := c.site.store.ComeBack()
-			c.site.store.SetFaults(standin.StoreFaults{})
+			s.site.store.SetFaults(standin.StoreFaults{Down: true})
+			time.Sleep(downtime)
+			lost := s.site.store.ComeBack()
+			s.site.store.SetFaults(standin.StoreFaults{})
 			order.Shuffle(len(lost), func(i, j int) { lost[i], lost[j] = lost[j], lost[i] })
 			for _, record := range lost {
-				time.Sleep(rewrite / time.Duration(len(lost)))
-				c.site.store.WriteAgain(record)
+				time.Sleep(rewriteTime / time.Duration(len(lost)))
+				s.site.store.WriteAgain(record)
 			}
 		}
 	})
 }
 
-// toggleEvacuation declares the hall evacuated, or takes it back where it is.
-func (c *storeRestores) toggleEvacuation(a *faultPlan, at time.Duration) {
-	a.add(at, "evacuation is declared or taken back", func() {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		last := len(c.evacuated) - 1
-		isEvacuated := last >= 0 && c.evacuated[last].to.IsZero()
+// toggleEvacuation declares the hall evacuated, or cancels its evacuation.
+func (s *storeRestores) toggleEvacuation(p *faultPlan, at time.Duration) {
+	p.add(at, "evacuation is declared or canceled", func() {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		last := len(s.evacuated) - 1
+		isEvacuated := last >= 0 && s.evacuated[last].to.IsZero()
 		var value any = map[string]any{}
 		if isEvacuated {
-			c.evacuated[last].to = time.Now()
+			s.evacuated[last].to = time.Now()
 			value = nil
 		}
-		if err := c.site.store.Put("keyed.op", "evacuate/"+farHall, value); err != nil {
-			c.site.t.Error(err)
+		if err := s.site.store.Put("keyed.op", "evacuate/"+evacuatedHall, value); err != nil {
+			s.site.t.Error(err)
 		}
 		if !isEvacuated {
-			c.evacuated = append(c.evacuated, interval{from: time.Now()})
+			s.evacuated = append(s.evacuated, interval{from: time.Now()})
 		}
 	})
 }
 
-// check: boxes that are in touch send nothing to endpoints of an evacuated hall.
-func (c *storeRestores) check(j *checker, requests []*soakRequest) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, a := range requests {
-		for _, run := range j.runs[a.id] {
-			if run.runner.hall == farHall && c.isEvacuated(run.At) && j.site.boxes[a.box].isUndisturbed(run.At, run.At) && j.plan.storeOutages.isClear(run.At, run.At) {
-				j.reportRequest(a, fmt.Sprintf("ran at %s in an evacuated hall at %.3f s", run.runner.id, run.At.Sub(j.site.started).Seconds()))
+// check checks that undisturbed boxes send nothing to endpoints of an evacuated hall.
+func (s *storeRestores) check(c *checker, requests []*soakRequest) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, r := range requests {
+		for _, run := range c.runs[r.id] {
+			if run.runner.hall == evacuatedHall && s.isEvacuated(run.At) && c.site.boxes[r.box].isUndisturbed(run.At, run.At) && c.plan.storeOutages.isClear(run.At, run.At) {
+				c.reportRequest(r, fmt.Sprintf("ran at %s in an evacuated hall at %.3f s", run.runner.id, run.At.Sub(c.site.started).Seconds()))
 			}
 		}
 	}
 }
 
-// isEvacuated reports whether the hall had been evacuated for longer than boxes may take; the caller holds the lock.
-func (c *storeRestores) isEvacuated(at time.Time) bool {
-	return slices.ContainsFunc(c.evacuated, func(s interval) bool {
-		return at.After(s.from.Add(evacuationLimit)) && (s.to.IsZero() || at.Before(s.to))
+// isEvacuated reports whether the hall had been evacuated for longer than evacuationLimit. The caller holds the lock.
+func (s *storeRestores) isEvacuated(at time.Time) bool {
+	return slices.ContainsFunc(s.evacuated, func(i interval) bool {
+		return at.After(i.from.Add(evacuationLimit)) && (i.to.IsZero() || at.Before(i.to))
 	})
 }
--- a/cmd/e2e/soak_site_test.go
+++ b/cmd/e2e/soak_site_test.go
@@ -18,55 +18,55 @@
 )
 
 const (
-	// drainLimit is how long boxes may still send to an endpoint that leaves, and shutdownGrace how long a daemon that is told
-	// to stop has; the boxes are told both.
+	// drainLimit is how long boxes may still send to a draining endpoint, and shutdownGrace is how long a daemon has to
+	// shut down. Both are also settings of the boxes.
 	drainLimit    = 2 * time.Second
 	shutdownGrace = 8 * time.Second
-	// configApplyLimit is how long after its write a configuration's routes must be served, and keyRevokeLimit how long a key that
-	// it took away may still be; the checks go by both.
+	// configApplyLimit is the time after the write of a configuration within which its routes must be served, and
+	// keyRevokeLimit is how long after the write a key that it removed may still be accepted.
 	configApplyLimit = 2 * time.Second
 	keyRevokeLimit   = 5 * time.Second
-	// versionTimeout is the limit of the routes that configurations add: within the range of the callers' deadlines.
+	// versionTimeout is the timeout of the routes that configurations add; it lies within the range of the callers' deadlines.
 	versionTimeout = 1500 * time.Millisecond
-	// settleTime is how long a box must have been free of trouble to be held to bounds of time.
+	// settleTime is how long a box must have been without outage before time limits are checked.
 	settleTime = 3 * time.Second
-	// restartPause is how long the platform takes to start a process again.
+	// restartPause is the time that the platform takes to restart a process.
 	restartPause = 200 * time.Millisecond
 )
 
 type (
-	// soakSite is a site whose boxes and endpoints are reached through links.
+	// soakSite is a site whose store and endpoints are reached through links.
 	soakSite struct {
 		t       *testing.T
 		store   *standin.Store
 		boxes   []*soakBox
-		started time.Time // of the traffic
+		started time.Time // start of the traffic
 
-		routesKept int               // of the newest versions that a configuration has routes of; 0: of all
-		keysKept   int               // of the newest versions whose keys it has
-		onPoison   func(*soakRunner) // ends a runner that runs the harmful request; nil where none comes
+		routesKept int               // number of newest versions whose routes a configuration contains; 0: all
+		keysKept   int               // number of newest versions whose keys it contains; 0: all
+		onPoison   func(*soakRunner) // crashes a runner that runs the poison request; nil in soaks without one
 
 		mu       sync.Mutex
 		runners  []*soakRunner
 		versions []time.Time // when each configuration was written; the first is version 1
 	}
 
-	// soakBox is a daemon that is started again whenever it ends.
+	// soakBox is a daemon that is restarted whenever it exits.
 	soakBox struct {
 		*siteBox
 		storeLink        *link
 		isStopping       atomic.Bool
 		supervisionEnded chan struct{}
 
-		outages      intervals // unplanned
-		freezes      intervals // those of them in which the daemon did not run
-		plannedStops intervals // planned
+		outages      intervals // unplanned faults of the box or its link to the store
+		freezes      intervals // the outages during which the daemon was suspended
+		plannedStops intervals // shutdowns by SIGTERM
 
 		mu          sync.Mutex
-		incarnation *daemonIncarnation // nil if no daemon runs
+		incarnation *daemonIncarnation // nil if no daemon is running
 	}
 
-	// daemonIncarnation is one life of a daemon.
+	// daemonIncarnation is one process of a box's daemon.
 	daemonIncarnation struct {
 		number  int // the first is 1
 		process *os.Process
@@ -76,17 +76,17 @@
 	soakRunner struct {
 		*standin.BatchRunner
 		id, service, release string
-		hall                 string // empty for the usual one
+		hall                 string // empty for the default hall
 		link                 *link
 		stop                 func()
 
 		mu            sync.Mutex
-		isStopClaimed bool      // it leaves, or has crashed
-		drainingAt    time.Time // when it said that it leaves; zero if it has not
+		isStopClaimed bool      // an event drains or crashes it
+		drainingAt    time.Time // when it reported draining; zero if it has not
 	}
 )
 
-// newSoakSite starts a site whose configurations keep the routes of all versions before and the key of the newest.
+// newSoakSite starts a site whose configurations contain the routes of all versions and the key of the newest only.
 func newSoakSite(t *testing.T, boxes, halls, runners int) *soakSite {
 	return startSoakSite(&soakSite{t: t, store: standin.NewStore(), keysKept: 1}, boxes, halls, runners)
 }
@@ -120,7 +120,7 @@
 	return s
 }
 
-// newSoakBox writes the settings of a box that knows those before it.
+// newSoakBox writes the settings of a box whose seeds are the boxes created before it.
 func newSoakBox(t *testing.T, number, hall int, storeLink *link, seeds []string) *soakBox {
 	settings := newSiteBox(t, number, storeLink.address,
 		fmt.Sprintf("bounds.drain-ms=%d", drainLimit.Milliseconds()), fmt.Sprintf("bounds.grace-s=%d", int(shutdownGrace.Seconds())),
@@ -149,7 +149,7 @@
 	return s.serveRunner(&soakRunner{id: id, service: service, release: release, hall: hall, link: newLink(s.t, listener.Addr().String())}, listener)
 }
 
-// serveRunner lets a runner begin its life behind its link.
+// serveRunner starts a runner behind its link.
 func (s *soakSite) serveRunner(r *soakRunner, listener net.Listener) *soakRunner {
 	settings := runnerSettings(r.id, r.service, r.release, r.link.address)
 	if r.hall != "" {
@@ -173,14 +173,14 @@
 	return r
 }
 
-// allRunners lists the runners that there ever were.
+// allRunners lists all runners, including stopped ones.
 func (s *soakSite) allRunners() []*soakRunner {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.runners)
 }
 
-// claimRunner returns the oldest runner of a release that no other event ends; the caller has just added one.
+// claimRunner claims the oldest runner of a release that no other event stops. The caller must have added one before.
 func (s *soakSite) claimRunner(service, release string) *soakRunner {
 	runners := s.allRunners()
 	at := slices.IndexFunc(runners, func(r *soakRunner) bool {
@@ -189,7 +189,7 @@
 	return runners[at]
 }
 
-// claimStop reports whether the runner may be ended; only one event may do so.
+// claimStop reports whether the caller may stop the runner. It returns true only once.
 func (r *soakRunner) claimStop() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -200,14 +200,14 @@
 	return true
 }
 
-// drainingSince is when the runner said that it leaves.
+// drainingSince returns when the runner reported draining; zero if it has not.
 func (r *soakRunner) drainingSince() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.drainingAt
 }
 
-// drain lets a runner say that it leaves, serve on for a while, and end.
+// drain makes a runner report draining, serve for another 2*drainLimit, and stop.
 func (r *soakRunner) drain(store *standin.Store) {
 	r.Leave()
 	r.mu.Lock()
@@ -217,15 +217,15 @@
 	r.crash(store)
 }
 
-// crash ends a runner at once; its entry goes some heartbeats later.
+// crash stops a runner at once and removes its entry from the store a second later.
 func (r *soakRunner) crash(store *standin.Store) {
 	r.stop()
 	time.Sleep(time.Second)
 	_ = store.Put("keyed.servers", r.id, nil)
 }
 
-// writeConfig writes the next configuration. Each version n brings the route /at-n/ and a key of its own, which stay for as
-// many versions as the site keeps them.
+// writeConfig writes the next configuration. Each version n adds the route /at-n/ and a key of its own. They are kept for
+// routesKept and keysKept versions.
 func (s *soakSite) writeConfig() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -249,7 +249,8 @@
 	s.versions = append(s.versions, time.Now())
 }
 
-// firstKept is the oldest version of which a newer one holds something, where that is kept for so many; 0: for good.
+// firstKept returns the oldest version whose additions the given version still contains, if they are kept for the given
+// number of versions; 0: forever.
 func firstKept(version, kept int) int {
 	if kept == 0 {
 		return 1
@@ -257,8 +258,7 @@
 	return max(version-kept+1, 1)
 }
 
-// removedAt tells when a version was written that no longer holds what the given one brought; false if none was, or that
-// is kept for good.
+// removedAt returns when the first version without the additions of the given one was written; false if there is none.
 func (s *soakSite) removedAt(version, kept int) (time.Time, bool) {
 	if kept == 0 || version+kept > s.newestVersion() {
 		return time.Time{}, false
@@ -266,18 +266,18 @@
 	return s.writtenAt(version + kept), true
 }
 
-// isRemovedBy reports whether one was until a moment.
+// isRemovedBy reports whether the additions of a version were removed by the given time.
 func (s *soakSite) isRemovedBy(version, kept int, by time.Time) bool {
 	at, isTaken := s.removedAt(version, kept)
 	return isTaken && !at.After(by)
 }
 
-// versionKeyFormat makes the key that a version brought.
+// versionKeyFormat is the format of the key that a version adds.
 const versionKeyFormat = "key-of-version-%d"
 
 func versionKey(version int) string { return fmt.Sprintf(versionKeyFormat, version) }
 
-// writtenAt tells when a version of the configuration was written.
+// writtenAt returns when a version of the configuration was written.
 func (s *soakSite) writtenAt(version int) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -290,7 +290,7 @@
 	return len(s.versions)
 }
 
-// dueVersion is the newest version that was written long enough ago to be in force, and 1 at the least.
+// dueVersion returns the newest version that must be in force, at least 1.
 func (s *soakSite) dueVersion() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/cmd/e2e/soak_test.go
+++ b/cmd/e2e/soak_test.go
@@ -16,46 +16,46 @@
 )
 
 const (
-	// recoveryVersions is how many configurations are written in the calm, one each recoveryWritePause, and the first after the first
-	// pause: a box that has not recovered when it is held to them again misses one at least.
+	// recoveryVersions is the number of configurations written during recovery, each after a recoveryWritePause.
+	// A box that has not recovered when the checks apply again misses at least one of them.
 	recoveryVersions   = 3
 	recoveryWritePause = 900 * time.Millisecond
-	// recoveryTime is how long the boxes have after the last fault until they must serve everything again.
+	// recoveryTime is the time after the last fault within which the boxes must serve everything again.
 	recoveryTime = 6 * time.Second
-	// recoveryRequests is how many requests each box then gets.
+	// recoveryRequests is the number of requests sent to each box after recoveryTime.
 	recoveryRequests = 15
-	// recoveryDeadline is the deadline of each: the boxes have nothing else to do then.
-	recoveryDeadline = 4 * time.Second
-	// runnersPerService is how many endpoints each service has at first.
+	// recoveryTimeout is the deadline of each of them; the boxes have no other load then.
+	recoveryTimeout = 4 * time.Second
+	// runnersPerService is the initial number of endpoints of each service.
 	runnersPerService = 3
-	// maxHalls is the most halls that the boxes are in.
+	// maxHalls is the largest number of halls over which the boxes are spread.
 	maxHalls = 2
 )
 
-// Causes of what seeds found.
+// Causes of past failures.
 const (
-	// lostReadCause: boxes waited 20 s for a held read of declarations that was lost with its connection, while reads of
-	// endpoints were answered; a hall whose reader did so got no new configuration.
-	lostReadCause = "a held read of declarations was lost"
-	// neverReadCause: a box that started while the store was away had never read declarations. The age that it told of its
-	// reads was the longest duration there is, and adding to it overflowed, so the others of its hall, and it itself, took
-	// each other for the reader, and none read.
-	neverReadCause = "a box that never read the store counted as its hall's reader"
-	// endpointListAgeCause: boxes refused for good what their configuration did not hold as long as their list of endpoints was fresh.
-	endpointListAgeCause = "a refusal for good went by how old the list of endpoints was"
+	// lostReadCause: boxes waited 20 s for a long poll of declarations that was lost with its connection, while reads of
+	// endpoints were answered. A hall whose hub waited so received no new configuration.
+	lostReadCause = "a long poll of declarations was lost"
+	// neverReadCause: a box that started during a store outage had never read declarations. It reported the longest
+	// possible duration as the age of its reads, and adding to it overflowed. The box and the others of its hall took
+	// each other for the hub, and none read the store.
+	neverReadCause = "a box that never read the store counted as its hall's hub"
+	// endpointListAgeCause: boxes permanently refused what their configuration lacked as long as their endpoint list was fresh.
+	endpointListAgeCause = "a permanent refusal depended on the age of the endpoint list"
 )
 
 var (
-	soakSeeds   = flag.Int("soak.seeds", 1, "number of seeds to play")
-	soakFirst   = flag.Uint64("soak.first", 1, "first seed; 0 draws one")
-	soakLength  = flag.Duration("soak.length", 5*time.Second, "length of the faults of one seed")
+	soakSeeds   = flag.Int("soak.seeds", 1, "number of seeds to run")
+	soakFirst   = flag.Uint64("soak.first", 1, "first seed; 0 picks a random one")
+	soakLength  = flag.Duration("soak.length", 5*time.Second, "duration of the faults of one seed")
 	soakBoxes   = flag.Int("soak.boxes", 3, "number of daemons")
-	soakReplays = flag.Int("soak.again", 1, "number of the seeds that failed once to play again")
-	soakReport  = flag.String("soak.report", "", "file that gets a table of verdicts and what happened in seeds that failed")
+	soakReplays = flag.Int("soak.again", 1, "number of previously failed seeds to replay")
+	soakReport  = flag.String("soak.report", "", "file for a table of results and the events of failed seeds")
 )
 
-// failedSeeds are seeds that failed once, with what they found; they stay as they were played then. The first shows its
-// cause most surely: CI plays no more, since one takes some 15 s.
+// failedSeeds are seeds that failed in the past, with the parameters of that run and the cause. The first reproduces its
+// cause most reliably; CI replays only that one, since a replay takes about 15 s.
 var failedSeeds = []failedSeed{
 	{4000, 5 * time.Second, 4, lostReadCause},
 	{4002, 5 * time.Second, 4, lostReadCause},
@@ -72,7 +72,7 @@
 }
 
 type (
-	// failedSeed is a seed that failed once, as it was played then.
+	// failedSeed is a seed that failed in the past, with the parameters of that run.
 	failedSeed struct {
 		seed   uint64
 		length time.Duration
@@ -80,7 +80,7 @@
 		cause  string
 	}
 
-	// verdict is what came of one seed.
+	// soakResult is the outcome of one seed.
 	soakResult struct {
 		seed     uint64
 		events   []event
@@ -101,7 +101,7 @@
 	}
 }
 
-// TestPreviouslyFailedSeeds plays them again.
+// TestPreviouslyFailedSeeds replays failedSeeds.
 func TestPreviouslyFailedSeeds(t *testing.T) {
 	replaySeeds(t, failedSeeds, func(t *testing.T, failed failedSeed) { runSoak(t, failed.seed, failed.length, failed.boxes) })
 }
@@ -118,7 +118,7 @@
 	}
 }
 
-// replaySeeds runs a test for as many of the seeds that failed once as the flags ask for.
+// replaySeeds runs a test for the first previously failed seeds, as many as the flags ask for.
 func replaySeeds(t *testing.T, seeds []failedSeed, test func(t *testing.T, failed failedSeed)) {
 	for _, failed := range seeds[:min(*soakReplays, len(seeds))] {
 		t.Run(fmt.Sprint("seed-", failed.seed), func(t *testing.T) {
@@ -128,18 +128,18 @@
 	}
 }
 
-// runSoak plays one seed.
+// runSoak runs one seed.
 func runSoak(t *testing.T, seed uint64, length time.Duration, boxes int) soakResult {
 	site := newSoakSite(t, boxes, hallCount(seed), runnersPerService)
 	return runPlan(site, newFaultPlan(site, seed, length), seed, site.drawAny)
 }
 
-// hallCount is the number of halls of a seed: one box of each hall reads the store, and where there is one hall, nobody else
-// makes up for it.
+// hallCount returns the number of halls of a seed. One box of each hall reads the store; with a single hall, no other box
+// makes up for its failed reads.
 func hallCount(seed uint64) int { return 1 + int(seed%maxHalls) }
 
-// runPlan plays an faultPlan beside callers that draw their requests, and judges what came of these; checks are those of one
-// sort of soak alone.
+// runPlan executes a fault plan while callers send drawn requests, and checks the outcome. The given checks are those
+// that apply to one kind of soak only.
 func runPlan(
 	site *soakSite, plan *faultPlan, seed uint64, draw func(box int, random *rand.Rand) *soakRequest, checks ...check,
 ) soakResult {
@@ -152,9 +152,9 @@
 	requests := slices.Concat(callers.stopAndCollect(), calm, never)
 	v := soakResult{seed: seed, events: plan.events, requests: len(requests), whole: countWhole(requests)}
 	v.findings = slices.Concat(findings, findingsNever, checkAll(site, plan, requests, checks...))
-	// A soak that asked next to nothing would find nothing either.
+	// A soak that sent almost no requests would not find violations either.
 	if v.requests < len(site.boxes)*recoveryRequests*2 || v.whole == 0 {
-		v.findings = append(v.findings, fmt.Sprintf("only %d requests, %d of them answered whole", v.requests, v.whole))
+		v.findings = append(v.findings, fmt.Sprintf("only %d requests, %d of them answered completely", v.requests, v.whole))
 	}
 	v.report(site.t)
 	if site.t.Failed() {
@@ -163,7 +163,7 @@
 	return v
 }
 
-// awaitRecovery lets time pass after the faults, with some changes of the configuration.
+// awaitRecovery waits for recoveryTime after the faults and writes some configurations meanwhile.
 func (s *soakSite) awaitRecovery() {
 	end := time.Now().Add(recoveryTime)
 	for range recoveryVersions {
@@ -175,15 +175,15 @@
 
 func countWhole(requests []*soakRequest) int {
 	whole := 0
-	for _, a := range requests {
-		if a.isWhole {
+	for _, r := range requests {
+		if r.isWhole {
 			whole++
 		}
 	}
 	return whole
 }
 
-// report fails the test by each finding, and then logs what happened.
+// report reports each finding as a test error and logs the events if the test failed.
 func (v *soakResult) report(t *testing.T) {
 	for _, finding := range v.findings {
 		t.Error(finding)
@@ -193,47 +193,47 @@
 			t.Logf("%6.3f s %s", e.at.Seconds(), e.name)
 		}
 	}
-	t.Logf("seed %d: %d events, %d requests, %d answered whole, %d findings", v.seed, len(v.events), v.requests, v.whole, len(v.findings))
+	t.Logf("seed %d: %d events, %d requests, %d answered completely, %d findings", v.seed, len(v.events), v.requests, v.whole, len(v.findings))
 }
 
-// checkRecovery: after the faults every box serves every kind of request, with the newest configuration.
+// checkRecovery checks that after the faults every box serves every kind of request with the newest configuration.
 func (s *soakSite) checkRecovery(seed uint64) (requests []*soakRequest, findings []string) {
 	client, closeClient := newCaller()
 	defer closeClient()
 	random := rand.New(rand.NewPCG(seed, 0))
 	for box := range s.boxes {
 		for n := range recoveryRequests {
-			a := &soakRequest{id: fmt.Sprintf("calm-%d-%d", box, n), box: box, key: siteKey, timeout: recoveryDeadline}
-			a.kind, a.version = kindIdempotent, s.newestVersion()
+			r := &soakRequest{id: fmt.Sprintf("recovery-%d-%d", box, n), box: box, key: siteKey, timeout: recoveryTimeout}
+			r.kind, r.version = kindIdempotent, s.newestVersion()
 			if n%3 == 0 {
-				a.kind, a.version = kindStream, 0
+				r.kind, r.version = kindStream, 0
 			}
-			requests = append(requests, a)
-			s.sendRequest(client, a, random)
-			if a.status != http.StatusOK || !a.isWhole {
-				findings = append(findings, fmt.Sprintf("%s after the faults: status %d, error %v", a.id, a.status, a.err))
+			requests = append(requests, r)
+			s.sendRequest(client, r, random)
+			if r.status != http.StatusOK || !r.isWhole {
+				findings = append(findings, fmt.Sprintf("%s after the faults: status %d, error %v", r.id, r.status, r.err))
 			}
 		}
 	}
 	return requests, findings
 }
 
-// checkUnknownRoute: a box that is up to date refuses for good what never existed.
+// checkUnknownRoute checks that an up-to-date box permanently refuses a route that never existed.
 func (s *soakSite) checkUnknownRoute() (requests []*soakRequest, findings []string) {
 	client, closeClient := newCaller()
 	defer closeClient()
 	for box := range s.boxes {
-		a := &soakRequest{id: fmt.Sprint("never-", box), kind: kindUnknownRoute, box: box, key: siteKey, timeout: recoveryDeadline}
-		requests = append(requests, a)
-		s.sendRequest(client, a, rand.New(rand.NewPCG(0, 0)))
-		if a.status != http.StatusNotFound {
-			findings = append(findings, fmt.Sprintf("%s after the faults: status %d for a route that never was", a.id, a.status))
+		r := &soakRequest{id: fmt.Sprint("unknown-route-", box), kind: kindUnknownRoute, box: box, key: siteKey, timeout: recoveryTimeout}
+		requests = append(requests, r)
+		s.sendRequest(client, r, rand.New(rand.NewPCG(0, 0)))
+		if r.status != http.StatusNotFound {
+			findings = append(findings, fmt.Sprintf("%s after the faults: status %d for a route that never existed", r.id, r.status))
 		}
 	}
 	return requests, findings
 }
 
-// saveLogs writes the logs of a seed that failed where they outlast the test.
+// saveLogs writes the logs of a failed seed to a folder that is kept after the test.
 func (s *soakSite) saveLogs(seed uint64) {
 	folder := filepath.Join(os.TempDir(), fmt.Sprint("willowwick-soak-", seed))
 	if err := os.MkdirAll(folder, 0o755); err != nil {
@@ -248,10 +248,10 @@
 	s.t.Log("logs are in ", folder)
 }
 
-// reportTable is a table of all seeds, and a strip of time with what happened in those that failed.
+// reportTable returns a table of all seeds and a timeline of events for those that failed.
 func reportTable(results []soakResult) string {
 	var text strings.Builder
-	text.WriteString("| seed | events | requests | answered whole | findings |\n|---|---|---|---|---|\n")
+	text.WriteString("| seed | events | requests | answered completely | findings |\n|---|---|---|---|---|\n")
 	for _, v := range results {
 		fmt.Fprintf(&text, "| %d | %d | %d | %d | %d |\n", v.seed, len(v.events), v.requests, v.whole, len(v.findings))
 	}
@@ -263,7 +263,7 @@
 	return text.String()
 }
 
-// writeTimeline writes the findings and, one a line, the events; each stands a column further right for every 100 ms.
+// writeTimeline writes the findings and then one event per line, indented by one column per 100 ms.
 func (v *soakResult) writeTimeline(text *strings.Builder) {
 	fmt.Fprintf(text, "\nSeed %d:\n\n", v.seed)
 	for _, finding := range v.findings {
--- a/proofs/proofs_test.go
+++ b/proofs/proofs_test.go
@@ -57,8 +57,8 @@
 	return names
 }
 
-// TestBreaksFit: every break still finds its text once, and its test exists.
-func TestBreaksFit(t *testing.T) {
+// TestBreaksApply: every break still finds its text once, and its test exists.
+func TestBreaksApply(t *testing.T) {
 	names := testNames(t)
 	for _, b := range readBreaks(t) {
 		data, err := os.ReadFile(filepath.Join(root, b.File))
