--- a/cmd/e2e/chat_test.go
+++ b/cmd/e2e/chat_test.go
@@ -10,13 +10,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRequestsAreAnsweredAndBilled sends requests through two daemons, whole and streamed, and finds them billed.
+// TestRequestsAreAnsweredAndBilled sends streamed and other requests through two daemons and checks that each is billed.
 func TestRequestsAreAnsweredAndBilled(t *testing.T) {
 	l := newLab(t, 2)
 	l.requireWhole(l.daemons[0], "first", nil)
 	l.requireWhole(l.daemons[1], "second", nil)
 
-	request, err := http.NewRequest(http.MethodPost, "http://"+l.daemons[0].callers+"/v1/chat/completions",
+	request, err := http.NewRequest(http.MethodPost, "http://"+l.daemons[0].callerAddress+"/v1/chat/completions",
 		bytes.NewBufferString(`{"model":"run-large","stream":true,"messages":[{"role":"user","content":"third"}]}`))
 	require.NoError(t, err)
 	request.Header.Set("Authorization", "Bearer "+labKey)
--- a/cmd/e2e/doc.go
+++ b/cmd/e2e/doc.go
@@ -1,2 +1,2 @@
-// Package e2e tests the two binaries as separate processes on loopback.
+// Package e2e tests willowwickd and willowctl as separate processes on loopback.
 package e2e
--- a/cmd/e2e/lab_test.go
+++ b/cmd/e2e/lab_test.go
@@ -28,7 +28,7 @@
 
 const (
 	startTimeout = 20 * time.Second
-	clusterKey   = "a key of the test fleet"
+	fleetKey     = "a key of the test fleet"
 	labKey       = "demo-lab-coimbra"
 	pollInterval = 50 * time.Millisecond
 )
@@ -39,7 +39,7 @@
 	err    error
 }
 
-// binary builds the two programs once and returns the path of one.
+// binary returns the path of a program; the first call builds both.
 func binary(t *testing.T, name string) string {
 	t.Helper()
 	binaries.once.Do(func() {
@@ -61,22 +61,22 @@
 	os.Exit(code)
 }
 
-// lab is a set of processes: the platform, endpoints and daemons.
+// lab is a set of processes: the stand-in platform, endpoints and daemons.
 type lab struct {
-	t         *testing.T
-	platform  string
-	daemons   []*daemonProcess
-	endpoints map[string]string
-	processes map[string]*exec.Cmd
+	t                 *testing.T
+	platformURL       string
+	daemons           []*daemonProcess
+	endpointAddresses map[string]string
+	processes         map[string]*exec.Cmd
 }
 
 type daemonProcess struct {
-	name, hall, callers, peer, admin string
-	cmd                              *exec.Cmd
-	log                              *bytes.Buffer
+	name, hall, callerAddress, peerAddress, adminAddress string
+	cmd                                                  *exec.Cmd
+	log                                                  *bytes.Buffer
 }
 
-// Ports below the range that the system gives to outgoing connections, each handed out once.
+// The ports that freeAddress chooses from lie below the ephemeral range of the system.
 const (
 	firstPort = 15_000
 	lastPort  = 30_000
@@ -84,6 +84,7 @@
 
 var nextPort atomic.Int32
 
+// freeAddress returns a loopback address that nothing listens on; it does not return the same one twice.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	for {
@@ -98,6 +99,7 @@
 	}
 }
 
+// start runs a program until the test ends.
 func (l *lab) start(name string, output io.Writer, args ...string) *exec.Cmd {
 	cmd := exec.Command(binary(l.t, name), args...)
 	cmd.Stdout, cmd.Stderr = output, output
@@ -113,60 +115,60 @@
 // newLab starts a platform, two runners, a service and the daemons, and applies the examples.
 func newLab(t *testing.T, daemons int) *lab {
 	t.Helper()
-	l := &lab{t: t, endpoints: map[string]string{}, processes: map[string]*exec.Cmd{}}
+	l := &lab{t: t, endpointAddresses: map[string]string{}, processes: map[string]*exec.Cmd{}}
 	var boxes []string
 	for i := range daemons {
 		d := &daemonProcess{
 			name: fmt.Sprintf("box%d", i+1), hall: fmt.Sprintf("hall-%c", 'a'+rune(i%3)),
-			callers: freeAddress(t), peer: freeAddress(t), admin: freeAddress(t), log: &bytes.Buffer{},
+			callerAddress: freeAddress(t), peerAddress: freeAddress(t), adminAddress: freeAddress(t), log: &bytes.Buffer{},
 		}
 		l.daemons = append(l.daemons, d)
-		boxes = append(boxes, strings.Join([]string{d.name, d.hall, d.peer, d.admin}, ","))
+		boxes = append(boxes, strings.Join([]string{d.name, d.hall, d.peerAddress, d.adminAddress}, ","))
 	}
 	address := freeAddress(t)
-	l.platform = "http://" + address
+	l.platformURL = "http://" + address
 	l.start("willowctl", io.Discard, "lab", "platform", "-listen", address, "-boxes", strings.Join(boxes, ";"))
-	l.waitFor(l.platform + "/live?known=")
+	l.waitFor(l.platformURL + "/live?known=")
 	versions := "run-small-1,run-small-2,run-large-1,scan-small-1,scan-small-2,scan-large-1"
 	for _, id := range []string{"runner1", "runner2"} {
-		l.endpoints[id] = freeAddress(t)
-		l.processes[id] = l.start("willowctl", io.Discard, "lab", "engine", "-id", id, "-listen", l.endpoints[id], "-platform", l.platform, "-versions", versions)
-		l.waitFor("http://" + l.endpoints[id] + "/load")
+		l.endpointAddresses[id] = freeAddress(t)
+		l.processes[id] = l.start("willowctl", io.Discard, "lab", "engine", "-id", id, "-listen", l.endpointAddresses[id], "-platform", l.platformURL, "-versions", versions)
+		l.waitFor("http://" + l.endpointAddresses[id] + "/load")
 	}
-	l.endpoints["books1"] = freeAddress(t)
-	l.start("willowctl", io.Discard, "lab", "service", "-id", "books1", "-service", "bookkeeping", "-listen", l.endpoints["books1"], "-platform", l.platform)
+	l.endpointAddresses["books1"] = freeAddress(t)
+	l.start("willowctl", io.Discard, "lab", "service", "-id", "books1", "-service", "bookkeeping", "-listen", l.endpointAddresses["books1"], "-platform", l.platformURL)
 	for _, d := range l.daemons {
 		l.startDaemon(d)
 	}
-	l.ctl(0, "apply", "-platform", l.platform, "-reason", "first", "../../examples")
+	l.ctl(0, "apply", "-platform", l.platformURL, "-reason", "first", "../../examples")
 	for _, d := range l.daemons {
-		l.waitFor("http://" + d.admin + "/readyz")
+		l.waitFor("http://" + d.adminAddress + "/readyz")
 		l.waitForEndpoints(d)
 	}
 	return l
 }
 
-// waitForEndpoints waits until a daemon has read of all endpoints; one that is ready may know only some.
+// waitForEndpoints waits until a daemon lists all endpoints; a ready daemon may not know all of them yet.
 func (l *lab) waitForEndpoints(d *daemonProcess) {
 	l.t.Helper()
 	require.Eventually(l.t, func() bool {
-		response, err := http.Get("http://" + d.admin + serve.PathStatus)
+		response, err := http.Get("http://" + d.adminAddress + serve.PathStatus)
 		if err != nil {
 			return false
 		}
 		defer func() { _ = response.Body.Close() }()
 		var status serve.Status
-		return json.NewDecoder(response.Body).Decode(&status) == nil && len(status.Endpoints) == len(l.endpoints)
+		return json.NewDecoder(response.Body).Decode(&status) == nil && len(status.Endpoints) == len(l.endpointAddresses)
 	}, startTimeout, pollInterval, "endpoints of %s", d.name)
 }
 
 func (l *lab) startDaemon(d *daemonProcess) {
 	d.cmd = l.start("willowwickd", d.log,
-		"-box", d.name, "-hall", d.hall, "-listen", d.callers, "-peer-listen", d.peer, "-peer-address", d.peer,
-		"-admin-listen", d.admin, "-platform", l.platform, "-key", clusterKey, "-drain-wait", "300ms", "-stall", "1s")
+		"-box", d.name, "-hall", d.hall, "-listen", d.callerAddress, "-peer-listen", d.peerAddress, "-peer-address", d.peerAddress,
+		"-admin-listen", d.adminAddress, "-platform", l.platformURL, "-key", fleetKey, "-drain-wait", "300ms", "-stall", "1s")
 }
 
-// ctl runs the operators' tool and returns its output.
+// ctl runs willowctl, requires its exit code to be wantCode, and returns its output.
 func (l *lab) ctl(wantCode int, args ...string) string {
 	l.t.Helper()
 	output, err := exec.Command(binary(l.t, "willowctl"), args...).CombinedOutput()
@@ -201,12 +203,13 @@
 	require.NoError(l.t, response.Body.Close())
 }
 
-// chat asks one daemon and returns the status, the answer and the version.
+// chat sends a prompt to one daemon and returns the status, the answer or error text, and the header. The status is 0 if
+// no valid answer arrived.
 func (l *lab) chat(d *daemonProcess, prompt string, header map[string]string) (int, string, http.Header) {
 	l.t.Helper()
 	body, err := json.Marshal(map[string]any{"model": "auto", "max_tokens": 400, "messages": []map[string]string{{"role": "user", "content": prompt}}})
 	require.NoError(l.t, err)
-	request, err := http.NewRequest(http.MethodPost, "http://"+d.callers+"/v1/chat/completions", bytes.NewReader(body))
+	request, err := http.NewRequest(http.MethodPost, "http://"+d.callerAddress+"/v1/chat/completions", bytes.NewReader(body))
 	require.NoError(l.t, err)
 	request.Header.Set("Authorization", "Bearer "+labKey)
 	request.Header.Set("Content-Type", "application/json")
@@ -233,6 +236,7 @@
 	return response.StatusCode, answer.Choices[0].Message.Content, response.Header
 }
 
+// requireWhole sends a prompt to one daemon, requires a complete answer and returns its header.
 func (l *lab) requireWhole(d *daemonProcess, prompt string, header map[string]string) http.Header {
 	l.t.Helper()
 	status, text, got := l.chat(d, prompt, header)
@@ -241,10 +245,10 @@
 	return got
 }
 
-// ledger reads the bills once the wanted number is there.
+// ledger waits until at least the given number of requests is billed and returns the bills.
 func (l *lab) ledger(atLeast int) *fleet.Ledger {
 	l.t.Helper()
-	client, closeClient := remote.NewClient(l.platform, nil)
+	client, closeClient := remote.NewClient(l.platformURL, nil)
 	defer closeClient()
 	var ledger *fleet.Ledger
 	require.Eventually(l.t, func() bool {
--- a/cmd/e2e/process_test.go
+++ b/cmd/e2e/process_test.go
@@ -17,10 +17,10 @@
 	"github.com/willowwick/willowwick/standin"
 )
 
-// TestOpenAIClient: the API's official client library works unchanged, streaming included.
+// TestOpenAIClient checks that the official OpenAI client library works unchanged, including streaming.
 func TestOpenAIClient(t *testing.T) {
 	l := newLab(t, 2)
-	client := openai.NewClient(option.WithBaseURL("http://"+l.daemons[0].callers+"/v1/"), option.WithAPIKey(labKey))
+	client := openai.NewClient(option.WithBaseURL("http://"+l.daemons[0].callerAddress+"/v1/"), option.WithAPIKey(labKey))
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	params := openai.ChatCompletionNewParams{
@@ -59,12 +59,12 @@
 	require.Equal(t, "unknown_model", apiError.Code)
 }
 
-// traffic keeps asking through the daemons that take requests until it is stopped.
+// traffic sends requests to the daemons that are not skipped until it is stopped.
 type traffic struct {
 	lab            *lab
 	answered       atomic.Int64
 	failures       sync.Map
-	skippedDaemons sync.Map // names of daemons that the balancer has turned away from
+	skippedDaemons sync.Map // names of daemons that get no new requests, as if a load balancer had removed them
 	stop           chan struct{}
 	callers        sync.WaitGroup
 }
@@ -101,7 +101,7 @@
 	}
 }
 
-// stopAndCollect stops the callers and returns what went wrong.
+// stopAndCollect stops the callers and returns the failed requests' statuses and texts.
 func (tr *traffic) stopAndCollect() []any {
 	close(tr.stop)
 	tr.callers.Wait()
@@ -113,7 +113,7 @@
 	return wrong
 }
 
-// TestPlannedStopUnderLoad: SIGTERM cuts no request, and the process ends by itself.
+// TestPlannedStopUnderLoad checks that SIGTERM interrupts no request and that the process then exits.
 func TestPlannedStopUnderLoad(t *testing.T) {
 	l := newLab(t, 3)
 	load := l.traffic(8)
@@ -121,7 +121,7 @@
 	stopped := l.daemons[2]
 	require.NoError(t, stopped.cmd.Process.Signal(syscall.SIGTERM))
 	require.Eventually(t, func() bool {
-		response, err := http.Get("http://" + stopped.admin + "/readyz")
+		response, err := http.Get("http://" + stopped.adminAddress + "/readyz")
 		if err != nil {
 			return true
 		}
@@ -137,7 +137,7 @@
 	require.Equal(t, answered, l.ledger(answered).TotalCount)
 }
 
-// TestKilledDaemonLosesNoBill: SIGKILL under load; the bills of answers that were given are all there, once.
+// TestKilledDaemonLosesNoBill kills a daemon under load and checks that each answered request is billed exactly once.
 func TestKilledDaemonLosesNoBill(t *testing.T) {
 	l := newLab(t, 3)
 	load := l.traffic(8)
@@ -150,32 +150,33 @@
 	require.Empty(t, load.stopAndCollect())
 	answered := int(load.answered.Load())
 	ledger := l.ledger(answered)
-	// A bill may stand for an answer whose last bytes died with the box; none is missing or double.
+	// There may be a bill for an answer that the killed box did not finish sending.
 	require.GreaterOrEqual(t, ledger.TotalCount, answered)
 	require.Zero(t, ledger.BilledTwice())
 }
 
-// TestSuspendedDaemonCatchesUp: a daemon that was stopped for longer than its lease takes no part meanwhile and catches up
-// before it serves, with a withdrawal that it slept through.
+// TestSuspendedDaemonCatchesUp suspends a daemon for longer than its lease and checks that it serves again after it has
+// applied a withdrawal declared meanwhile, and that only one lease is held.
 func TestSuspendedDaemonCatchesUp(t *testing.T) {
 	l := newLab(t, 3)
 	frozen := l.daemons[0]
 	require.NoError(t, frozen.cmd.Process.Signal(syscall.SIGSTOP))
-	l.ctl(4, "withdraw", "-platform", l.platform, "-reason", "while one sleeps", "-wait", "3s", "scan-small-2")
+	l.ctl(4, "withdraw", "-platform", l.platformURL, "-reason", "during suspension", "-wait", "3s", "scan-small-2")
 	time.Sleep(14 * time.Second)
 	require.NoError(t, frozen.cmd.Process.Signal(syscall.SIGCONT))
 	require.Eventually(t, func() bool {
-		return strings.Contains(l.ctl(0, "status", "-platform", l.platform), "withdrawn scan-small-2") && !strings.Contains(l.ctl(0, "status", "-platform", l.platform), "unreachable")
+		return strings.Contains(l.ctl(0, "status", "-platform", l.platformURL), "withdrawn scan-small-2") && !strings.Contains(l.ctl(0, "status", "-platform", l.platformURL), "unreachable")
 	}, startTimeout, pollInterval)
-	l.requireWhole(frozen, "after the sleep", nil)
-	status := l.ctl(0, "status", "-platform", l.platform)
-	require.LessOrEqual(t, strings.Count(status, " true  "), 4, status) // three ready, one lease
+	l.requireWhole(frozen, "after the suspension", nil)
+	status := l.ctl(0, "status", "-platform", l.platformURL)
+	require.LessOrEqual(t, strings.Count(status, " true  "), 4, status) // three daemons are ready, and one holds the lease
 }
 
-// TestRequestsContinueWhileLogIsDownOrSlow: requests go on while the log is down or slow, and are billed afterwards.
+// TestRequestsContinueWhileLogIsDownOrSlow checks that requests are served while the log is down or slow, and that they
+// are billed afterwards.
 func TestRequestsContinueWhileLogIsDownOrSlow(t *testing.T) {
 	l := newLab(t, 3)
-	l.setFaults(l.platform, standin.PlatformFaults{LogDown: true})
+	l.setFaults(l.platformURL, standin.PlatformFaults{LogDown: true})
 	for n := range 12 {
 		l.requireWhole(l.daemons[n%3], fmt.Sprint("down ", n), nil)
 	}
@@ -183,7 +184,7 @@
 	for n := range 12 {
 		l.requireWhole(l.daemons[n%3], fmt.Sprint("still down ", n), nil)
 	}
-	l.setFaults(l.platform, standin.PlatformFaults{SlowMs: 700})
+	l.setFaults(l.platformURL, standin.PlatformFaults{SlowMs: 700})
 	for n := range 6 {
 		l.requireWhole(l.daemons[n%3], fmt.Sprint("slow ", n), nil)
 	}
--- a/cmd/e2e/restore_test.go
+++ b/cmd/e2e/restore_test.go
@@ -62,12 +62,12 @@
 		before, while, after func(s *testSite)
 		isEvacuated          bool
 	}{
-		"evacuated, at an offset below what was read":                                          {func(*testSite) {}, func(*testSite) {}, evacuate, true},
-		"evacuated, at an offset that had been read":                                           {func(*testSite) {}, func(s *testSite) { evacuate(s); fill(s) }, func(*testSite) {}, true},
-		"evacuation canceled, at an offset below what was read":                                {evacuate, func(*testSite) {}, func(s *testSite) { s.cancelEvacuation(t) }, false},
-		"evacuation canceled, at an offset that had been read":                                 {evacuate, func(s *testSite) { s.cancelEvacuation(t); fill(s) }, func(*testSite) {}, false},
-		"evacuated before the copy was taken":                                                  {evacuate, func(*testSite) {}, func(*testSite) {}, true},
-		"evacuated before the copy, then a new configuration at an offset below what was read": {evacuate, func(*testSite) {}, func(s *testSite) { s.writeConfig(t, 5) }, true},
+		"evacuated, at an offset below what was read":                 {func(*testSite) {}, func(*testSite) {}, evacuate, true},
+		"evacuated, at an offset that had been read":                  {func(*testSite) {}, func(s *testSite) { evacuate(s); fill(s) }, func(*testSite) {}, true},
+		"evacuation canceled, at an offset below what was read":       {evacuate, func(*testSite) {}, func(s *testSite) { s.cancelEvacuation(t) }, false},
+		"evacuation canceled, at an offset that had been read":        {evacuate, func(s *testSite) { s.cancelEvacuation(t); fill(s) }, func(*testSite) {}, false},
+		"evacuated before the copy was taken":                         {evacuate, func(*testSite) {}, func(*testSite) {}, true},
+		"evacuated, then configured at an offset below what was read": {evacuate, func(*testSite) {}, func(s *testSite) { s.writeConfig(t, 5) }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newRestoreSite(t, test.before)
--- a/cmd/e2e/site_test.go
+++ b/cmd/e2e/site_test.go
@@ -28,7 +28,7 @@
 	siteEvents = 12
 )
 
-// siteConfig is the operator's configuration of the site.
+// siteConfig is the format of the operator's configuration of the site; its argument is the version.
 const siteConfig = `{"version":%d,"routes":[
  {"name":"explain","host":"scan.example","path-prefix":"/explain/","kind":"stream","timeout-ms":5000,"goal-ms":1000,"priority":1,
   "sizes":["small-1","large-1"],"service":"llm","max-attempts":3,"session-affinity":true,"resumable":true,"gap-target-ms":500},
@@ -37,21 +37,21 @@
  "limits":{"max-header-bytes":16384,"max-body-bytes":4194304,"header-timeout-ms":3000,"idle-timeout-ms":15000},
  "tenants":[{"name":"lab","api-keys":["key-of-the-lab"]}]}`
 
-// testSite is the platform's side of real daemons: its store, runners and settings files.
+// testSite is a set of daemon processes with a stand-in store and runners.
 type testSite struct {
-	store   *standin.Store
-	address string
-	runners map[string]*standin.BatchRunner
-	boxes   []*siteBox
+	store        *standin.Store
+	storeAddress string
+	runners      map[string]*standin.BatchRunner
+	boxes        []*siteBox
 }
 
 type siteBox struct {
-	name, callers, ready, peers, file string
-	command                           *exec.Cmd
-	output                            *lockedBuffer
+	name, callerAddress, readyAddress, peerAddress, settingsFile string
+	command                                                      *exec.Cmd
+	output                                                       *lockedBuffer
 }
 
-// lockedBuffer hides the buffer's other methods: a copy into it would go past the lock.
+// lockedBuffer is a buffer for concurrent use. It does not embed the buffer, whose ReadFrom would bypass the lock.
 type lockedBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -77,14 +77,14 @@
 		server.CloseClientConnections()
 		server.Close()
 	})
-	s.address = strings.TrimPrefix(server.URL, "http://")
+	s.storeAddress = strings.TrimPrefix(server.URL, "http://")
 	s.writeConfig(t, 1)
 	for i := range 2 {
 		s.addRunner(t, fmt.Sprintf("llm-%d", i), "llm", "v1")
 		s.addRunner(t, fmt.Sprintf("app-%d", i), "app", "v1")
 	}
 	for i := range boxes {
-		s.boxes = append(s.boxes, newSiteBox(t, i, s.address))
+		s.boxes = append(s.boxes, newSiteBox(t, i, s.storeAddress))
 	}
 	for _, box := range s.boxes {
 		box.start(t)
@@ -103,7 +103,7 @@
 	s.serveRunner(t, runnerSettings(id, service, release, ""))
 }
 
-// serveRunner starts a runner at an address of its own.
+// serveRunner starts a runner at a free address.
 func (s *testSite) serveRunner(t *testing.T, settings standin.BatchSettings) {
 	server := httptest.NewUnstartedServer(nil)
 	settings.Address = server.Listener.Addr().String()
@@ -118,7 +118,7 @@
 	s.runners[settings.ID] = runner
 }
 
-// runnerSettings are those of a runner that answers streams in some 60 ms.
+// runnerSettings returns the settings of a runner that streams its events in about 60 ms.
 func runnerSettings(id, service, release, address string) standin.BatchSettings {
 	return standin.BatchSettings{
 		ID: id, Service: service, Hall: "hall-a", Address: address, Release: release,
@@ -126,30 +126,30 @@
 	}
 }
 
-// newSiteBox writes the settings of a box; fields that come later take the place of its usual ones.
+// newSiteBox writes the settings file of a box; the given fields override the defaults.
 func newSiteBox(t *testing.T, i int, store string, fields ...string) *siteBox {
 	first := freeAddress(t)
 	_, port, err := net.SplitHostPort(first)
 	require.NoError(t, err)
 	box := &siteBox{
-		name: fmt.Sprintf("box-%d", i), callers: freeAddress(t), ready: freeAddress(t), peers: freeAddress(t),
-		file: filepath.Join(t.TempDir(), "node.conf"), output: &lockedBuffer{},
+		name: fmt.Sprintf("box-%d", i), callerAddress: freeAddress(t), readyAddress: freeAddress(t), peerAddress: freeAddress(t),
+		settingsFile: filepath.Join(t.TempDir(), "node.conf"), output: &lockedBuffer{},
 	}
 	lines := []string{
 		"node-name=" + box.name, "zone=hall-a", "ip=127.0.0.1", "zones.hall-a=region", "port-range=" + port + "," + port,
-		"listen.front-http=" + box.callers, "listen.ready=" + box.ready, "listen.control=" + box.peers,
+		"listen.front-http=" + box.callerAddress, "listen.ready=" + box.readyAddress, "listen.control=" + box.peerAddress,
 		"platform.address=" + store, "limits.memory-mb=200", "heartbeat-ms=200", "platform.ttl-min-ms=1000",
 		"bounds.drain-ms=600", "bounds.grace-s=6", "bounds.budget-ratio=0.9", "bounds.budget-slack=50", "bounds.budget-window-s=10",
-		"some.new-field=passed over",
+		"some.new-field=ignored",
 	}
 	lines = append(lines, fields...)
-	require.NoError(t, os.WriteFile(box.file, []byte(strings.Join(lines, "\n")), 0o600))
+	require.NoError(t, os.WriteFile(box.settingsFile, []byte(strings.Join(lines, "\n")), 0o600))
 	return box
 }
 
 func (b *siteBox) start(t *testing.T) {
 	b.command = exec.Command(binary(t, "willowwickd"), "-log-format", "json", "-key", "0123456789abcdef")
-	b.command.Env = append(os.Environ(), "WILLOWWICK_NODE_FILE="+b.file)
+	b.command.Env = append(os.Environ(), "WILLOWWICK_NODE_FILE="+b.settingsFile)
 	b.command.Stdout, b.command.Stderr = b.output, b.output
 	require.NoError(t, b.command.Start())
 	t.Cleanup(func() {
@@ -161,9 +161,10 @@
 	})
 }
 
+// awaitReadiness waits until the readiness endpoint answers with the given status.
 func (b *siteBox) awaitReadiness(t *testing.T, status int) {
 	require.Eventually(t, func() bool {
-		response, err := http.Get("http://" + b.ready + "/ready")
+		response, err := http.Get("http://" + b.readyAddress + "/ready")
 		if err != nil {
 			return false
 		}
@@ -172,9 +173,9 @@
 	}, startTimeout, 20*time.Millisecond)
 }
 
-// post sends one request and returns its status and body; a connection that ends early is an error.
+// post sends one request and returns its status and body; a truncated body is an error.
 func (b *siteBox) post(path, id string, stream bool) (status int, body string, err error) {
-	request, err := http.NewRequest(http.MethodPost, "http://"+b.callers+path, strings.NewReader("body"))
+	request, err := http.NewRequest(http.MethodPost, "http://"+b.callerAddress+path, strings.NewReader("body"))
 	if err != nil {
 		return 0, "", err
 	}
@@ -195,6 +196,7 @@
 	return response.StatusCode, string(data), err
 }
 
+// wholeStream returns the complete stream of events that answers a request.
 func wholeStream(id string) string {
 	text := ""
 	for number := 1; number <= siteEvents; number++ {
@@ -240,14 +242,14 @@
 	}
 }
 
-func TestSiteFollowsTheStore(t *testing.T) {
+func TestSiteRecoversFromStoreOutageAndCompaction(t *testing.T) {
 	s := newTestSite(t, 2)
 	s.store.SetFaults(standin.StoreFaults{Down: true})
 	time.Sleep(time.Second)
 	for _, box := range s.boxes {
-		status, _, err := box.post("/lookup/x", "while-away", false)
+		status, _, err := box.post("/lookup/x", "during-outage", false)
 		require.NoError(t, err)
-		require.Equal(t, http.StatusOK, status, "a box serves on while the store is away")
+		require.Equal(t, http.StatusOK, status, "a box keeps serving while the store is unavailable")
 	}
 	s.store.SetFaults(standin.StoreFaults{})
 	s.store.Forget("keyed.op")
@@ -311,7 +313,7 @@
 	return status.State
 }
 
-func TestSiteStopsOnASignalWithoutCuttingRequests(t *testing.T) {
+func TestSiteShutdownInterruptsNoRequests(t *testing.T) {
 	s := newTestSite(t, 2)
 	var callers sync.WaitGroup
 	for i := range 8 {
--- a/cmd/e2e/soak_box_test.go
+++ b/cmd/e2e/soak_box_test.go
@@ -13,7 +13,7 @@
 	defer close(b.supervisionEnded)
 	for number := 1; !b.isStopping.Load(); number++ {
 		command := exec.Command(binary(t, "willowwickd"), "-log-format", "json", "-key", "0123456789abcdef")
-		command.Env = append(command.Environ(), "WILLOWWICK_NODE_FILE="+b.file)
+		command.Env = append(command.Environ(), "WILLOWWICK_NODE_FILE="+b.settingsFile)
 		command.Stdout, command.Stderr = b.output, b.output
 		if err := command.Start(); err != nil {
 			t.Errorf("%s does not start: %v", b.name, err)
@@ -59,7 +59,7 @@
 // awaitReady waits at most shutdownGrace until the daemon reports that it is ready.
 func (b *soakBox) awaitReady() {
 	for limit := time.Now().Add(shutdownGrace); time.Now().Before(limit); time.Sleep(20 * time.Millisecond) {
-		response, err := http.Get("http://" + b.ready + "/ready")
+		response, err := http.Get("http://" + b.readyAddress + "/ready")
 		if err != nil {
 			continue
 		}
--- a/cmd/e2e/soak_link_test.go
+++ b/cmd/e2e/soak_link_test.go
@@ -41,9 +41,9 @@
 
 	// link is a loopback proxy in front of a server, transparent to the programs on either side.
 	link struct {
-		address string
-		target  string
-		close   func() // stops accepting and resets open connections, as if the server were gone
+		listenAddress string
+		serverAddress string
+		close         func() // stops accepting and resets open connections, as if the server were gone
 
 		mu     sync.Mutex
 		state  linkState
@@ -72,7 +72,7 @@
 func newLink(t *testing.T, target string) *link {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	l := &link{address: listener.Addr().String(), target: target, conns: map[*linkConn]bool{}}
+	l := &link{listenAddress: listener.Addr().String(), serverAddress: target, conns: map[*linkConn]bool{}}
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -160,7 +160,7 @@
 		reset(client)
 		return
 	}
-	server, err := net.Dial("tcp", l.target)
+	server, err := net.Dial("tcp", l.serverAddress)
 	if err != nil {
 		reset(client)
 		return
--- a/cmd/e2e/soak_plan_test.go
+++ b/cmd/e2e/soak_plan_test.go
@@ -57,8 +57,8 @@
 	p.events = append(p.events, event{at, name, run})
 }
 
-// play runs the events at their times and returns when all have ended.
-func (p *faultPlan) play(began time.Time) {
+// run runs the events at their times and returns when all have ended.
+func (p *faultPlan) run(began time.Time) {
 	var running sync.WaitGroup
 	for _, e := range p.events {
 		time.Sleep(time.Until(began.Add(e.at)))
--- a/cmd/e2e/soak_poison_test.go
+++ b/cmd/e2e/soak_poison_test.go
@@ -84,7 +84,7 @@
 			p.replace(site, r, number)
 			return
 		}
-		if listener, err := net.Listen("tcp", r.link.target); err == nil {
+		if listener, err := net.Listen("tcp", r.link.serverAddress); err == nil {
 			site.serveRunner(&soakRunner{id: r.id, service: r.service, release: r.release, link: r.link}, listener)
 		}
 	})
--- a/cmd/e2e/soak_restore_test.go
+++ b/cmd/e2e/soak_restore_test.go
@@ -26,8 +26,8 @@
 	site      *soakSite
 	restoring sync.Mutex // held during a restore, so that restores don't overlap
 
-	mu        sync.Mutex
-	evacuated []interval // from the acknowledged write until the evacuation was canceled
+	mu          sync.Mutex
+	evacuations []interval // from the acknowledged write until the evacuation was canceled
 }
 
 // TestSoakStoreRestore restores the store from copies, sometimes twice within seconds, during evacuations, configuration
@@ -97,18 +97,18 @@
 	p.add(at, "evacuation is declared or canceled", func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		last := len(s.evacuated) - 1
-		isEvacuated := last >= 0 && s.evacuated[last].to.IsZero()
+		last := len(s.evacuations) - 1
+		isEvacuated := last >= 0 && s.evacuations[last].to.IsZero()
 		var value any = map[string]any{}
 		if isEvacuated {
-			s.evacuated[last].to = time.Now()
+			s.evacuations[last].to = time.Now()
 			value = nil
 		}
 		if err := s.site.store.Put("keyed.op", "evacuate/"+evacuatedHall, value); err != nil {
 			s.site.t.Error(err)
 		}
 		if !isEvacuated {
-			s.evacuated = append(s.evacuated, interval{from: time.Now()})
+			s.evacuations = append(s.evacuations, interval{from: time.Now()})
 		}
 	})
 }
@@ -128,7 +128,7 @@
 
 // isEvacuated reports whether the hall had been evacuated for longer than evacuationLimit. The caller holds the lock.
 func (s *storeRestores) isEvacuated(at time.Time) bool {
-	return slices.ContainsFunc(s.evacuated, func(i interval) bool {
+	return slices.ContainsFunc(s.evacuations, func(i interval) bool {
 		return at.After(i.from.Add(evacuationLimit)) && (i.to.IsZero() || at.Before(i.to))
 	})
 }
--- a/cmd/e2e/soak_site_test.go
+++ b/cmd/e2e/soak_site_test.go
@@ -103,7 +103,7 @@
 	var seeds []string
 	for i := range boxes {
 		box := newSoakBox(t, i, i%halls, newLink(t, address), seeds)
-		seeds = append(seeds, box.peers)
+		seeds = append(seeds, box.peerAddress)
 		s.boxes = append(s.boxes, box)
 	}
 	for _, box := range s.boxes {
@@ -122,7 +122,7 @@
 
 // newSoakBox writes the settings of a box whose seeds are the boxes created before it.
 func newSoakBox(t *testing.T, number, hall int, storeLink *link, seeds []string) *soakBox {
-	settings := newSiteBox(t, number, storeLink.address,
+	settings := newSiteBox(t, number, storeLink.listenAddress,
 		fmt.Sprintf("bounds.drain-ms=%d", drainLimit.Milliseconds()), fmt.Sprintf("bounds.grace-s=%d", int(shutdownGrace.Seconds())),
 		fmt.Sprintf("zone=hall-%c", 'a'+rune(hall)), "zones.hall-b=region", "seeds="+strings.Join(seeds, ","))
 	return &soakBox{siteBox: settings, storeLink: storeLink, supervisionEnded: make(chan struct{})}
@@ -151,7 +151,7 @@
 
 // serveRunner starts a runner behind its link.
 func (s *soakSite) serveRunner(r *soakRunner, listener net.Listener) *soakRunner {
-	settings := runnerSettings(r.id, r.service, r.release, r.link.address)
+	settings := runnerSettings(r.id, r.service, r.release, r.link.listenAddress)
 	if r.hall != "" {
 		settings.Hall = r.hall
 	}
--- a/cmd/e2e/soak_test.go
+++ b/cmd/e2e/soak_test.go
@@ -145,7 +145,7 @@
 ) soakResult {
 	site.started = time.Now()
 	callers := site.startCallers(seed, draw)
-	plan.play(time.Now())
+	plan.run(time.Now())
 	site.awaitRecovery()
 	calm, findings := site.checkRecovery(seed)
 	never, findingsNever := site.checkUnknownRoute()
