--- a/cmd/e2e/soak_callers_test.go
+++ b/cmd/e2e/soak_callers_test.go
@@ -47,8 +47,8 @@
 		endedAt       time.Time
 		timeout       time.Duration // set by the caller
 		status        int           // 0 without an answer
-		isWhole       bool          // the body is complete and belongs to this request
-		isCut         bool          // the answer was interrupted
+		isComplete    bool          // the body is complete and belongs to this request
+		isInterrupted bool          // the answer was interrupted
 		isAbandoned   bool          // the caller disconnects early
 		isConnRefused bool          // the connection was refused
 		hasRetryAfter bool          // the answer has a Retry-After header
@@ -148,14 +148,14 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
-	r.status, r.err, r.isCut = response.StatusCode, err, err != nil
+	r.status, r.err, r.isInterrupted = response.StatusCode, err, err != nil
 	r.hasRetryAfter = response.Header.Get("Retry-After") != ""
 	want := "answer of " + r.id
 	if r.kind == kindStream {
 		want = wholeStream(r.id)
 	}
-	r.isWhole = err == nil && string(body) == want
-	if r.status == http.StatusOK && r.isCut && !strings.HasPrefix(want, string(body)) {
+	r.isComplete = err == nil && string(body) == want
+	if r.status == http.StatusOK && r.isInterrupted && !strings.HasPrefix(want, string(body)) {
 		r.err = fmt.Errorf("%w: %q", errForeignBody, body)
 	}
 }
--- a/cmd/e2e/soak_checker_test.go
+++ b/cmd/e2e/soak_checker_test.go
@@ -56,7 +56,7 @@
 		}
 	}
 	known := map[string]bool{}
-	slices.SortFunc(requests, func(r, b *soakRequest) int { return r.sentAt.Compare(b.sentAt) })
+	slices.SortFunc(requests, func(a, b *soakRequest) int { return a.sentAt.Compare(b.sentAt) })
 	for _, r := range requests {
 		known[r.id] = true
 		c.checkAnswer(r)
@@ -95,7 +95,7 @@
 // prefix of it, and that a 503 says when to retry.
 func (c *checker) checkAnswer(r *soakRequest) {
 	switch {
-	case r.status == http.StatusOK && !r.isCut && !r.isWhole:
+	case r.status == http.StatusOK && !r.isInterrupted && !r.isComplete:
 		c.reportRequest(r, "successful answer has a different body")
 	case errors.Is(r.err, errForeignBody):
 		c.reportRequest(r, "interrupted answer contains data of another request")
@@ -108,11 +108,11 @@
 // endpoints receive the caller's body with the right account and without forged headers.
 func (c *checker) checkRuns(r *soakRequest) {
 	runs := c.runs[r.id]
-	once := r.kind == kindOnce || r.kind == kindForged
-	if once && len(runs) > 1 {
+	isRunOnce := r.kind == kindOnce || r.kind == kindForged
+	if isRunOnce && len(runs) > 1 {
 		c.reportRequest(r, "ran more than once")
 	}
-	if once && r.status == http.StatusServiceUnavailable && len(runs) > 0 {
+	if isRunOnce && r.status == http.StatusServiceUnavailable && len(runs) > 0 {
 		c.reportRequest(r, "was refused as not run but ran")
 	}
 	for _, run := range runs {
@@ -144,7 +144,7 @@
 	switch {
 	case hasNoAnswer:
 		c.reportRequest(r, "ran, but the connection closed without an answer")
-	case r.isCut && c.plan.endpointFaults.isClear(r.sentAt, r.endedAt):
+	case r.isInterrupted && c.plan.endpointFaults.isClear(r.sentAt, r.endedAt):
 		c.reportRequest(r, "its answer was interrupted")
 	}
 }
@@ -171,12 +171,12 @@
 
 // checkNoRevert checks that an incarnation of a daemon never returns to an older configuration.
 func (c *checker) checkNoRevert(requests []*soakRequest) {
-	type life struct{ box, number int }
-	newest := map[life]*soakRequest{}
+	type boxKey struct{ box, number int }
+	newest := map[boxKey]*soakRequest{}
 	ended := slices.Clone(requests)
-	slices.SortFunc(ended, func(r, b *soakRequest) int { return r.endedAt.Compare(b.endedAt) })
+	slices.SortFunc(ended, func(a, b *soakRequest) int { return a.endedAt.Compare(b.endedAt) })
 	for _, r := range ended {
-		key := life{r.box, r.incarnation}
+		key := boxKey{r.box, r.incarnation}
 		if r.version == 0 || r.key != siteKey || r.incarnation == 0 || c.site.boxes[r.box].incarnationNumber() != r.incarnation {
 			continue
 		}
@@ -196,12 +196,12 @@
 // checkDraining checks that an endpoint receives no new requests drainLimit after it reported that it is draining.
 func (c *checker) checkDraining(r *soakRequest) {
 	for _, run := range c.runs[r.id] {
-		left := run.runner.drainingSince()
-		if left.IsZero() || run.At.Before(left.Add(drainLimit)) || r.sentAt.Before(left) {
+		since := run.runner.drainingSince()
+		if since.IsZero() || run.At.Before(since.Add(drainLimit)) || r.sentAt.Before(since) {
 			continue
 		}
 		if c.site.boxes[r.box].isUndisturbed(run.At, run.At) && c.plan.storeOutages.isClear(run.At, run.At) {
-			c.reportRequest(r, fmt.Sprintf("reached %s %v after it reported draining", run.runner.id, run.At.Sub(left)))
+			c.reportRequest(r, fmt.Sprintf("reached %s %v after it reported draining", run.runner.id, run.At.Sub(since)))
 		}
 	}
 }
--- a/cmd/e2e/soak_limits_test.go
+++ b/cmd/e2e/soak_limits_test.go
@@ -88,14 +88,14 @@
 
 // announce lets an endpoint announce a limit for some time.
 func (l *limits) announce(runner *soakRunner, rate float64, length time.Duration) {
-	span := limitInterval{runner: runner, rate: rate, from: time.Now()}
+	announced := limitInterval{runner: runner, rate: rate, from: time.Now()}
 	runner.NameLimit(fmt.Sprint(rate))
 	time.Sleep(length)
-	span.to = time.Now()
+	announced.to = time.Now()
 	runner.NameLimit("")
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.intervals = append(l.intervals, span)
+	l.intervals = append(l.intervals, announced)
 }
 
 // check checks that undisturbed boxes do not exceed an endpoint's limit once they have had settleTime to learn of it.
@@ -106,23 +106,23 @@
 	for _, r := range requests {
 		boxOf[r.id] = c.site.boxes[r.box]
 	}
-	for _, span := range l.intervals {
-		var all, inTouch []time.Time
-		for _, arrival := range span.runner.Arrivals() {
-			if arrival.At.Before(span.from.Add(settleTime)) || arrival.At.After(span.to) {
+	for _, announced := range l.intervals {
+		var all, fromUndisturbed []time.Time
+		for _, arrival := range announced.runner.Arrivals() {
+			if arrival.At.Before(announced.from.Add(settleTime)) || arrival.At.After(announced.to) {
 				continue
 			}
 			all = append(all, arrival.At)
 			if box := boxOf[arrival.Request]; box != nil && box.isUndisturbed(arrival.At, arrival.At) {
-				inTouch = append(inTouch, arrival.At)
+				fromUndisturbed = append(fromUndisturbed, arrival.At)
 			}
 		}
-		allowed := limitFactor*span.rate*limitWindow.Seconds() + limitSlack
-		most := maxInWindow(inTouch)
+		allowed := limitFactor*announced.rate*limitWindow.Seconds() + limitSlack
+		most := maxInWindow(fromUndisturbed)
 		c.site.t.Logf("%s: limit %v/s: at most %d in %s from undisturbed boxes, %d from all (allowed %.1f); %d in %s",
-			span.runner.id, span.rate, most, limitWindow, maxInWindow(all), allowed, len(all), span.to.Sub(span.from)-settleTime)
+			announced.runner.id, announced.rate, most, limitWindow, maxInWindow(all), allowed, len(all), announced.to.Sub(announced.from)-settleTime)
 		if float64(most) > allowed {
-			c.report("%s, limited to %v/s, received %d requests in %s from undisturbed boxes; allowed %.1f", span.runner.id, span.rate, most, limitWindow, allowed)
+			c.report("%s, limited to %v/s, received %d requests in %s from undisturbed boxes; allowed %.1f", announced.runner.id, announced.rate, most, limitWindow, allowed)
 		}
 	}
 }
--- a/cmd/e2e/soak_link_test.go
+++ b/cmd/e2e/soak_link_test.go
@@ -187,7 +187,7 @@
 		}
 		c.isAwaitingReply.Store(from == c.client)
 		if n > 0 {
-			if _, failed := to.Write(buffer[:n]); failed != nil {
+			if _, writeErr := to.Write(buffer[:n]); writeErr != nil {
 				reset(from)
 				return
 			}
--- a/cmd/e2e/soak_notices_test.go
+++ b/cmd/e2e/soak_notices_test.go
@@ -105,35 +105,35 @@
 			if r == nil {
 				continue // checkAll reports it as a request that no caller sent
 			}
-			from := boxIncarnation{c.site.boxes[r.box], r.incarnation}
+			sender := boxIncarnation{c.site.boxes[r.box], r.incarnation}
 			seconds, _ := strconv.ParseFloat(arrival.Rest, 64)
-			arrivals[from] = append(arrivals[from], soakArrival{arrival.At, r, from, arrival.Leaving, time.Duration(seconds * float64(time.Second))})
+			arrivals[sender] = append(arrivals[sender], soakArrival{arrival.At, r, sender, arrival.Leaving, time.Duration(seconds * float64(time.Second))})
 		}
-		told, rested := 0, 0
+		informedBoxes, backoffRequests := 0, 0
 		for _, ofBox := range arrivals {
-			told += c.checkReportedDraining(runner, ofBox)
-			rested += c.checkBackoff(runner, ofBox)
+			informedBoxes += c.checkReportedDraining(runner, ofBox)
+			backoffRequests += c.checkBackoff(runner, ofBox)
 		}
-		c.site.t.Logf("%s reported draining to %d boxes and requested backoff %d times", runner.id, told, rested)
+		c.site.t.Logf("%s reported draining to %d boxes and requested backoff %d times", runner.id, informedBoxes, backoffRequests)
 	}
 }
 
 // checkReportedDraining checks the requests of one incarnation of a box. It returns 1 if the endpoint reported draining
 // to that box, otherwise 0.
-func (c *checker) checkReportedDraining(runner *soakRunner, arrivals []soakArrival) (told int) {
-	var toldAt time.Time
+func (c *checker) checkReportedDraining(runner *soakRunner, arrivals []soakArrival) (informedBoxes int) {
+	var informedAt time.Time
 	for _, arrival := range arrivals {
-		if arrival.reportsDraining && arrival.request.isWhole && (toldAt.IsZero() || arrival.request.endedAt.Before(toldAt)) {
-			toldAt = arrival.request.endedAt
+		if arrival.reportsDraining && arrival.request.isComplete && (informedAt.IsZero() || arrival.request.endedAt.Before(informedAt)) {
+			informedAt = arrival.request.endedAt
 		}
 	}
-	if toldAt.IsZero() {
+	if informedAt.IsZero() {
 		return 0
 	}
 	for _, arrival := range arrivals {
-		isLate := arrival.request.sentAt.After(toldAt.Add(noticeGrace))
-		if isLate && !arrival.sender.box.freezes.overlap(toldAt, arrival.at) {
-			c.reportRequest(arrival.request, fmt.Sprintf("reached %s %v after it had reported draining to the box", runner.id, arrival.at.Sub(toldAt)))
+		isLate := arrival.request.sentAt.After(informedAt.Add(noticeGrace))
+		if isLate && !arrival.sender.box.freezes.overlap(informedAt, arrival.at) {
+			c.reportRequest(arrival.request, fmt.Sprintf("reached %s %v after it had reported draining to the box", runner.id, arrival.at.Sub(informedAt)))
 		}
 	}
 	return 1
--- a/cmd/e2e/soak_test.go
+++ b/cmd/e2e/soak_test.go
@@ -85,7 +85,7 @@
 		seed     uint64
 		events   []event
 		requests int
-		whole    int
+		complete int
 		findings []string
 	}
 )
@@ -147,20 +147,20 @@
 	callers := site.startCallers(seed, draw)
 	plan.run(time.Now())
 	site.awaitRecovery()
-	calm, findings := site.checkRecovery(seed)
-	never, findingsNever := site.checkUnknownRoute()
-	requests := slices.Concat(callers.stopAndCollect(), calm, never)
-	v := soakResult{seed: seed, events: plan.events, requests: len(requests), whole: countWhole(requests)}
-	v.findings = slices.Concat(findings, findingsNever, checkAll(site, plan, requests, checks...))
+	recovery, findings := site.checkRecovery(seed)
+	unknownRoute, unknownRouteFindings := site.checkUnknownRoute()
+	requests := slices.Concat(callers.stopAndCollect(), recovery, unknownRoute)
+	result := soakResult{seed: seed, events: plan.events, requests: len(requests), complete: countComplete(requests)}
+	result.findings = slices.Concat(findings, unknownRouteFindings, checkAll(site, plan, requests, checks...))
 	// A soak that sent almost no requests would not find violations either.
-	if v.requests < len(site.boxes)*recoveryRequests*2 || v.whole == 0 {
-		v.findings = append(v.findings, fmt.Sprintf("only %d requests, %d of them answered completely", v.requests, v.whole))
+	if result.requests < len(site.boxes)*recoveryRequests*2 || result.complete == 0 {
+		result.findings = append(result.findings, fmt.Sprintf("only %d requests, %d of them answered completely", result.requests, result.complete))
 	}
-	v.report(site.t)
+	result.report(site.t)
 	if site.t.Failed() {
 		site.saveLogs(seed)
 	}
-	return v
+	return result
 }
 
 // awaitRecovery waits for recoveryTime after the faults and writes some configurations meanwhile.
@@ -173,27 +173,27 @@
 	time.Sleep(time.Until(end))
 }
 
-func countWhole(requests []*soakRequest) int {
-	whole := 0
+func countComplete(requests []*soakRequest) int {
+	complete := 0
 	for _, r := range requests {
-		if r.isWhole {
-			whole++
+		if r.isComplete {
+			complete++
 		}
 	}
-	return whole
+	return complete
 }
 
 // report reports each finding as a test error and logs the events if the test failed.
-func (v *soakResult) report(t *testing.T) {
-	for _, finding := range v.findings {
+func (r *soakResult) report(t *testing.T) {
+	for _, finding := range r.findings {
 		t.Error(finding)
 	}
 	if t.Failed() {
-		for _, e := range v.events {
+		for _, e := range r.events {
 			t.Logf("%6.3f s %s", e.at.Seconds(), e.name)
 		}
 	}
-	t.Logf("seed %d: %d events, %d requests, %d answered completely, %d findings", v.seed, len(v.events), v.requests, v.whole, len(v.findings))
+	t.Logf("seed %d: %d events, %d requests, %d answered completely, %d findings", r.seed, len(r.events), r.requests, r.complete, len(r.findings))
 }
 
 // checkRecovery checks that after the faults every box serves every kind of request with the newest configuration.
@@ -210,7 +210,7 @@
 			}
 			requests = append(requests, r)
 			s.sendRequest(client, r, random)
-			if r.status != http.StatusOK || !r.isWhole {
+			if r.status != http.StatusOK || !r.isComplete {
 				findings = append(findings, fmt.Sprintf("%s after the faults: status %d, error %v", r.id, r.status, r.err))
 			}
 		}
@@ -252,25 +252,25 @@
 func reportTable(results []soakResult) string {
 	var text strings.Builder
 	text.WriteString("| seed | events | requests | answered completely | findings |\n|---|---|---|---|---|\n")
-	for _, v := range results {
-		fmt.Fprintf(&text, "| %d | %d | %d | %d | %d |\n", v.seed, len(v.events), v.requests, v.whole, len(v.findings))
+	for _, result := range results {
+		fmt.Fprintf(&text, "| %d | %d | %d | %d | %d |\n", result.seed, len(result.events), result.requests, result.complete, len(result.findings))
 	}
-	for _, v := range results {
-		if len(v.findings) > 0 {
-			v.writeTimeline(&text)
+	for _, result := range results {
+		if len(result.findings) > 0 {
+			result.writeTimeline(&text)
 		}
 	}
 	return text.String()
 }
 
 // writeTimeline writes the findings and then one event per line, indented by one column per 100 ms.
-func (v *soakResult) writeTimeline(text *strings.Builder) {
-	fmt.Fprintf(text, "\nSeed %d:\n\n", v.seed)
-	for _, finding := range v.findings {
+func (r *soakResult) writeTimeline(text *strings.Builder) {
+	fmt.Fprintf(text, "\nSeed %d:\n\n", r.seed)
+	for _, finding := range r.findings {
 		fmt.Fprintf(text, "- %s\n", finding)
 	}
 	text.WriteString("\n```\n")
-	for _, e := range v.events {
+	for _, e := range r.events {
 		fmt.Fprintf(text, "%7.3f s %s* %s\n", e.at.Seconds(), strings.Repeat(" ", int(e.at/(100*time.Millisecond))), e.name)
 	}
 	text.WriteString("```\n")
