--- a/examples/doc.go
+++ b/examples/doc.go
@@ -1,5 +1,5 @@
 // Package examples embeds the declarations of two example customers, which the
-// demo applies and which README explains.
+// demo applies and the README explains.
 package examples
 
 import "embed"
--- a/fixedseed/doc.go
+++ b/fixedseed/doc.go
@@ -1,3 +1,3 @@
-// Package fixedseed runs the tests of a package with the same random choices
-// each time, unless the command line asks for others.
+// Package fixedseed runs the property tests of a package with a fixed random
+// seed, unless the command line sets another one.
 package fixedseed
--- a/fixedseed/run.go
+++ b/fixedseed/run.go
@@ -6,17 +6,18 @@
 	"testing"
 )
 
-const usualSeed = "1"
+const defaultSeed = "1"
 
-// Run runs the tests with so many runs of each property and returns the exit code, for TestMain.
+// Run runs the tests with the given number of checks per property, a fixed seed and no fail files. Flags given on the
+// command line take precedence. It returns the exit code for TestMain.
 func Run(m *testing.M, checks int) int {
 	flag.Parse()
-	given := map[string]bool{}
-	flag.Visit(func(f *flag.Flag) { given[f.Name] = true })
+	isGiven := map[string]bool{}
+	flag.Visit(func(f *flag.Flag) { isGiven[f.Name] = true })
 	for name, value := range map[string]string{
-		"rapid.checks": strconv.Itoa(checks), "rapid.seed": usualSeed, "rapid.nofailfile": "true",
+		"rapid.checks": strconv.Itoa(checks), "rapid.seed": defaultSeed, "rapid.nofailfile": "true",
 	} {
-		if given[name] {
+		if isGiven[name] {
 			continue
 		}
 		if err := flag.Set(name, value); err != nil {
--- a/proofs/doc.go
+++ b/proofs/doc.go
@@ -1,5 +1,5 @@
-// Package proofs lists, for each promise, a break that takes its mechanism away
-// and the test that then fails.
+// Package proofs lists, for each guarantee, a source change that disables its
+// mechanism and the test that then fails.
 package proofs
 
 import "embed"
--- a/proofs/proofs_test.go
+++ b/proofs/proofs_test.go
@@ -13,9 +13,9 @@
 	"go.yaml.in/yaml/v3"
 )
 
-var runBreaks = flag.Bool("breaks", false, "take each mechanism away in a copy and expect its test to fail")
+var runBreaks = flag.Bool("breaks", false, "disable each mechanism in a copy of the project and expect its test to fail")
 
-// mechanismBreak is one entry of breaks.yaml.
+// mechanismBreak is one entry of breaks.yaml: a replacement of Old by New in File that makes Test of Package fail.
 type mechanismBreak struct {
 	Promise string `yaml:"promise"`
 	File    string `yaml:"file"`
@@ -36,7 +36,7 @@
 	return breaks
 }
 
-// testNames lists the tests of the project by package.
+// testNames returns the set of test names of the project.
 func testNames(t *testing.T) map[string]bool {
 	t.Helper()
 	names := map[string]bool{}
@@ -57,18 +57,18 @@
 	return names
 }
 
-// TestBreaksApply: every break still finds its text once, and its test exists.
+// TestBreaksApply checks that the old text of each break occurs exactly once and that its test exists.
 func TestBreaksApply(t *testing.T) {
 	names := testNames(t)
 	for _, b := range readBreaks(t) {
 		data, err := os.ReadFile(filepath.Join(root, b.File))
 		require.NoError(t, err)
 		require.Equal(t, 1, strings.Count(string(data), b.Old), "%s: %q in %s", b.Promise, b.Old, b.File)
-		require.True(t, names[strings.Split(b.Test, "/")[0]], "%s: no test is called %s", b.Promise, b.Test)
+		require.True(t, names[strings.Split(b.Test, "/")[0]], "%s: test %s does not exist", b.Promise, b.Test)
 	}
 }
 
-// TestProofsPageNamesTests: every test that the page names exists.
+// TestProofsPageNamesTests checks that each test named in docs/PROOFS.md exists.
 func TestProofsPageNamesTests(t *testing.T) {
 	data, err := os.ReadFile(filepath.Join(root, "docs/PROOFS.md"))
 	require.NoError(t, err)
@@ -76,14 +76,14 @@
 	found := regexp.MustCompile("`((?:Test|Fuzz|Benchmark)\\w+)").FindAllStringSubmatch(string(data), -1)
 	require.NotEmpty(t, found)
 	for _, match := range found {
-		require.True(t, names[match[1]], "docs/PROOFS.md names %s", match[1])
+		require.True(t, names[match[1]], "docs/PROOFS.md names %s, which does not exist", match[1])
 	}
 }
 
-// TestEachBreakFailsItsTest takes the mechanisms away, one at a time, in a copy of the project.
+// TestEachBreakFailsItsTest applies the breaks one at a time in a copy of the project and runs their tests.
 func TestEachBreakFailsItsTest(t *testing.T) {
 	if !*runBreaks {
-		t.Skip("takes minutes; run with -breaks")
+		t.Skip("takes several minutes; run with -breaks")
 	}
 	copied := t.TempDir()
 	require.NoError(t, os.CopyFS(copied, os.DirFS(root)))
@@ -99,8 +99,8 @@
 			cmd := exec.Command("go", "test", "-vet=off", "-count=1", "-run", pattern, b.Package)
 			cmd.Dir = copied
 			output, err := cmd.CombinedOutput()
-			require.NotContains(t, string(output), "failed]", "%s", output) // of the build or the set-up
-			require.Error(t, err, "%s still passes without its mechanism", b.Test)
+			require.NotContains(t, string(output), "failed]", "%s", output) // build or setup failure
+			require.Error(t, err, "%s passes although its mechanism is disabled", b.Test)
 		})
 	}
 }
