--- a/cmd/e2e/soak_box_test.go
+++ b/cmd/e2e/soak_box_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// superviseDaemon starts the daemon and restarts it whenever it exits, as the platform does.
-func (b *soakBox) superviseDaemon(t *testing.T) {
+// supervise starts the daemon and restarts it whenever it exits, as the platform does.
+func (b *soakBox) supervise(t *testing.T) {
 	defer close(b.supervisionEnded)
 	for number := 1; !b.isStopping.Load(); number++ {
 		command := exec.Command(binary(t, "willowwickd"), "-log-format", "json", "-key", "0123456789abcdef")
@@ -26,10 +26,10 @@
 	}
 }
 
-func (b *soakBox) setIncarnation(life *daemonIncarnation) {
+func (b *soakBox) setIncarnation(incarnation *daemonIncarnation) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.incarnation = life
+	b.incarnation = incarnation
 }
 
 // incarnationNumber returns the number of the running incarnation of the daemon; 0 if none is running.
--- a/cmd/e2e/soak_link_test.go
+++ b/cmd/e2e/soak_link_test.go
@@ -69,10 +69,10 @@
 	linkToServerBlocked: "one way, to the client", linkToClientBlocked: "one way, to the server", linkLossy: "lossy",
 }
 
-func newLink(t *testing.T, target string) *link {
+func newLink(t *testing.T, serverAddress string) *link {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	l := &link{listenAddress: listener.Addr().String(), serverAddress: target, conns: map[*linkConn]bool{}}
+	l := &link{listenAddress: listener.Addr().String(), serverAddress: serverAddress, conns: map[*linkConn]bool{}}
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -167,10 +167,10 @@
 	}
 	c := l.track(client, server)
 	defer l.untrack(c)
-	var pumps sync.WaitGroup
-	pumps.Go(func() { l.forward(c, server, client, linkToServerBlocked) })
-	pumps.Go(func() { l.forward(c, client, server, linkToClientBlocked) })
-	pumps.Wait()
+	var copying sync.WaitGroup
+	copying.Go(func() { l.forward(c, server, client, linkToServerBlocked) })
+	copying.Go(func() { l.forward(c, client, server, linkToClientBlocked) })
+	copying.Wait()
 	_ = client.Close() // both directions have ended
 	_ = server.Close()
 }
--- a/cmd/e2e/soak_plan_test.go
+++ b/cmd/e2e/soak_plan_test.go
@@ -198,14 +198,14 @@
 
 // replaceEndpoint starts an endpoint of release v1 and then stops another of its service, so that the service keeps its
 // number of endpoints.
-func (p *faultPlan) replaceEndpoint(at time.Duration, how string, end func(*soakRunner)) {
+func (p *faultPlan) replaceEndpoint(at time.Duration, how string, stop func(*soakRunner)) {
 	number := len(p.events)
 	service := []string{"llm", "app"}[p.random.IntN(2)]
 	p.add(at, "an endpoint of "+service+" "+how, func() {
 		p.site.addRunner(fmt.Sprintf("%s-n%d", service, number), service, "v1")
 		old := p.site.claimRunner(service, "v1")
 		defer p.endpointFaults.begin()()
-		end(old)
+		stop(old)
 	})
 }
 
--- a/cmd/e2e/soak_restore_test.go
+++ b/cmd/e2e/soak_restore_test.go
@@ -38,7 +38,7 @@
 		s.site.store.SetEra(1)
 		startSoakSite(s.site, *soakBoxes, hallCount(seed), runnersPerService)
 		for _, service := range []string{"llm", "app"} {
-			s.site.addRunnerIn(evacuatedHall, service+"-far", service, "v1")
+			s.site.addRunnerInHall(evacuatedHall, service+"-far", service, "v1")
 		}
 		runPlan(s.site, s.newPlan(seed, *soakLength), seed, s.site.drawAny, s.check)
 	})
--- a/cmd/e2e/soak_site_test.go
+++ b/cmd/e2e/soak_site_test.go
@@ -107,7 +107,7 @@
 		s.boxes = append(s.boxes, box)
 	}
 	for _, box := range s.boxes {
-		go box.superviseDaemon(t)
+		go box.supervise(t)
 	}
 	t.Cleanup(func() {
 		for _, box := range s.boxes {
@@ -139,11 +139,11 @@
 }
 
 func (s *soakSite) addRunner(id, service, release string) *soakRunner {
-	return s.addRunnerIn("", id, service, release)
+	return s.addRunnerInHall("", id, service, release)
 }
 
-// addRunnerIn adds a runner in a hall.
-func (s *soakSite) addRunnerIn(hall, id, service, release string) *soakRunner {
+// addRunnerInHall adds a runner in a hall.
+func (s *soakSite) addRunnerInHall(hall, id, service, release string) *soakRunner {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(s.t, err)
 	return s.serveRunner(&soakRunner{id: id, service: service, release: release, hall: hall, link: newLink(s.t, listener.Addr().String())}, listener)
@@ -158,12 +158,12 @@
 	if s.onPoison != nil {
 		settings.EndOn, settings.OnEnd = poisonBody, func() { s.onPoison(r) }
 	}
-	runner, stopBeats := standin.NewBatchRunner(settings, s.store)
+	runner, stopHeartbeats := standin.NewBatchRunner(settings, s.store)
 	r.BatchRunner = runner
 	server := &http.Server{Handler: runner, ReadHeaderTimeout: startTimeout}
 	go func() { _ = server.Serve(listener) }()
 	r.stop = sync.OnceFunc(func() {
-		stopBeats()
+		stopHeartbeats()
 		_ = server.Close()
 	})
 	s.t.Cleanup(r.stop)
@@ -268,8 +268,8 @@
 
 // isRemovedBy reports whether the additions of a version were removed by the given time.
 func (s *soakSite) isRemovedBy(version, kept int, by time.Time) bool {
-	at, isTaken := s.removedAt(version, kept)
-	return isTaken && !at.After(by)
+	at, isRemoved := s.removedAt(version, kept)
+	return isRemoved && !at.After(by)
 }
 
 // versionKeyFormat is the format of the key that a version adds.
