--- a/cmd/e2e/site_test.go
+++ b/cmd/e2e/site_test.go
@@ -28,7 +28,7 @@
 	siteEvents = 12
 )
 
-// siteConfig is the operator's configuration of the site.
+// siteConfig is the format of the operator's configuration of the site; its argument is the version.
 const siteConfig = `{"version":%d,"routes":[
  {"name":"explain","host":"scan.example","path-prefix":"/explain/","kind":"stream","timeout-ms":5000,"goal-ms":1000,"priority":1,
   "sizes":["small-1","large-1"],"service":"llm","max-attempts":3,"session-affinity":true,"resumable":true,"gap-target-ms":500},
@@ -37,21 +37,21 @@
  "limits":{"max-header-bytes":16384,"max-body-bytes":4194304,"header-timeout-ms":3000,"idle-timeout-ms":15000},
  "tenants":[{"name":"lab","api-keys":["key-of-the-lab"]}]}`
 
-// testSite is the platform's side of real daemons: its store, runners and settings files.
+// testSite is a set of daemon processes with a stand-in store and runners.
 type testSite struct {
-	store   *standin.Store
-	address string
-	runners map[string]*standin.BatchRunner
-	boxes   []*siteBox
+	store        *standin.Store
+	storeAddress string
+	runners      map[string]*standin.BatchRunner
+	boxes        []*siteBox
 }
 
 type siteBox struct {
-	name, callers, ready, peers, file string
-	command                           *exec.Cmd
-	output                            *lockedBuffer
+	name, callerAddress, readyAddress, peerAddress, settingsFile string
+	command                                                      *exec.Cmd
+	output                                                       *lockedBuffer
 }
 
-// lockedBuffer hides the buffer's other methods: a copy into it would go past the lock.
+// lockedBuffer is a buffer for concurrent use. It does not embed the buffer, whose ReadFrom would bypass the lock.
 type lockedBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -77,25 +77,25 @@
 		server.CloseClientConnections()
 		server.Close()
 	})
-	s.address = strings.TrimPrefix(server.URL, "http://")
-	s.configure(t, 1)
+	s.storeAddress = strings.TrimPrefix(server.URL, "http://")
+	s.writeConfig(t, 1)
 	for i := range 2 {
 		s.addRunner(t, fmt.Sprintf("llm-%d", i), "llm", "v1")
 		s.addRunner(t, fmt.Sprintf("app-%d", i), "app", "v1")
 	}
 	for i := range boxes {
-		s.boxes = append(s.boxes, newSiteBox(t, i, s.address))
+		s.boxes = append(s.boxes, newSiteBox(t, i, s.storeAddress))
 	}
 	for _, box := range s.boxes {
 		box.start(t)
 	}
 	for _, box := range s.boxes {
-		box.awaitReady(t, http.StatusOK)
+		box.awaitReadiness(t, http.StatusOK)
 	}
 	return s
 }
 
-func (s *testSite) configure(t *testing.T, version int) {
+func (s *testSite) writeConfig(t *testing.T, version int) {
 	require.NoError(t, s.store.Put("keyed.op", "config", json.RawMessage(fmt.Sprintf(siteConfig, version))))
 }
 
@@ -103,7 +103,7 @@
 	s.serveRunner(t, runnerSettings(id, service, release, ""))
 }
 
-// serveRunner starts a runner at an address of its own.
+// serveRunner starts a runner at a free address.
 func (s *testSite) serveRunner(t *testing.T, settings standin.BatchSettings) {
 	server := httptest.NewUnstartedServer(nil)
 	settings.Address = server.Listener.Addr().String()
@@ -118,7 +118,7 @@
 	s.runners[settings.ID] = runner
 }
 
-// runnerSettings are those of a runner that answers streams in some 60 ms.
+// runnerSettings returns the settings of a runner that streams its events in about 60 ms.
 func runnerSettings(id, service, release, address string) standin.BatchSettings {
 	return standin.BatchSettings{
 		ID: id, Service: service, Hall: "hall-a", Address: address, Release: release,
@@ -126,30 +126,30 @@
 	}
 }
 
-// newSiteBox writes the settings of a box; fields that come later take the place of its usual ones.
+// newSiteBox writes the settings file of a box; the given fields override the defaults.
 func newSiteBox(t *testing.T, i int, store string, fields ...string) *siteBox {
 	first := freeAddress(t)
 	_, port, err := net.SplitHostPort(first)
 	require.NoError(t, err)
 	box := &siteBox{
-		name: fmt.Sprintf("box-%d", i), callers: freeAddress(t), ready: freeAddress(t), peers: freeAddress(t),
-		file: filepath.Join(t.TempDir(), "node.conf"), output: &lockedBuffer{},
+		name: fmt.Sprintf("box-%d", i), callerAddress: freeAddress(t), readyAddress: freeAddress(t), peerAddress: freeAddress(t),
+		settingsFile: filepath.Join(t.TempDir(), "node.conf"), output: &lockedBuffer{},
 	}
 	lines := []string{
 		"node-name=" + box.name, "zone=hall-a", "ip=127.0.0.1", "zones.hall-a=region", "port-range=" + port + "," + port,
-		"listen.front-http=" + box.callers, "listen.ready=" + box.ready, "listen.control=" + box.peers,
+		"listen.front-http=" + box.callerAddress, "listen.ready=" + box.readyAddress, "listen.control=" + box.peerAddress,
 		"platform.address=" + store, "limits.memory-mb=200", "heartbeat-ms=200", "platform.ttl-min-ms=1000",
 		"bounds.drain-ms=600", "bounds.grace-s=6", "bounds.budget-ratio=0.9", "bounds.budget-slack=50", "bounds.budget-window-s=10",
-		"some.new-field=passed over",
+		"some.new-field=ignored",
 	}
 	lines = append(lines, fields...)
-	require.NoError(t, os.WriteFile(box.file, []byte(strings.Join(lines, "\n")), 0o600))
+	require.NoError(t, os.WriteFile(box.settingsFile, []byte(strings.Join(lines, "\n")), 0o600))
 	return box
 }
 
 func (b *siteBox) start(t *testing.T) {
 	b.command = exec.Command(binary(t, "willowwickd"), "-log-format", "json", "-key", "0123456789abcdef")
-	b.command.Env = append(os.Environ(), "WILLOWWICK_NODE_FILE="+b.file)
+	b.command.Env = append(os.Environ(), "WILLOWWICK_NODE_FILE="+b.settingsFile)
 	b.command.Stdout, b.command.Stderr = b.output, b.output
 	require.NoError(t, b.command.Start())
 	t.Cleanup(func() {
@@ -161,20 +161,21 @@
 	})
 }
 
-func (b *siteBox) awaitReady(t *testing.T, status int) {
+// awaitReadiness waits until the readiness endpoint answers with the given status.
+func (b *siteBox) awaitReadiness(t *testing.T, status int) {
 	require.Eventually(t, func() bool {
-		response, err := http.Get("http://" + b.ready + "/ready")
+		response, err := http.Get("http://" + b.readyAddress + "/ready")
 		if err != nil {
 			return false
 		}
 		_ = response.Body.Close()
 		return response.StatusCode == status
-	}, startWithin, 20*time.Millisecond)
+	}, startTimeout, 20*time.Millisecond)
 }
 
-// ask sends one request and returns its status and body; a connection that ends early is an error.
-func (b *siteBox) ask(path, id string, stream bool) (status int, body string, err error) {
-	request, err := http.NewRequest(http.MethodPost, "http://"+b.callers+path, strings.NewReader("body"))
+// post sends one request and returns its status and body; a truncated body is an error.
+func (b *siteBox) post(path, id string, stream bool) (status int, body string, err error) {
+	request, err := http.NewRequest(http.MethodPost, "http://"+b.callerAddress+path, strings.NewReader("body"))
 	if err != nil {
 		return 0, "", err
 	}
@@ -195,6 +196,7 @@
 	return response.StatusCode, string(data), err
 }
 
+// wholeStream returns the complete stream of events that answers a request.
 func wholeStream(id string) string {
 	text := ""
 	for number := 1; number <= siteEvents; number++ {
@@ -208,11 +210,11 @@
 	for i := range 20 {
 		box := s.boxes[i%2]
 		id := fmt.Sprint("stream-", i)
-		status, body, err := box.ask("/explain/x", id, true)
+		status, body, err := box.post("/explain/x", id, true)
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, status)
 		require.Equal(t, wholeStream(id), body)
-		status, body, err = box.ask("/lookup/x", fmt.Sprint("once-", i), false)
+		status, body, err = box.post("/lookup/x", fmt.Sprint("once-", i), false)
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, status)
 		require.Equal(t, fmt.Sprint("answer of once-", i), body)
@@ -220,17 +222,17 @@
 	assert.Contains(t, s.boxes[0].output.text(), `"request":"stream-0"`)
 }
 
-func TestSiteResumesBrokenStreamsAndRunsOnceWhatMayRunOnce(t *testing.T) {
+func TestSiteResumesStreamsAndRunsNonIdempotentRequestsOnce(t *testing.T) {
 	s := newTestSite(t, 1)
 	s.runners["llm-0"].SetFaults(standin.BatchFaults{BreakAfter: 4})
 	s.runners["app-0"].SetFaults(standin.BatchFaults{Full: true})
 	for i := range 12 {
 		id := fmt.Sprint("stream-", i)
-		status, body, err := s.boxes[0].ask("/explain/x", id, true)
+		status, body, err := s.boxes[0].post("/explain/x", id, true)
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, status)
 		require.Equal(t, wholeStream(id), body)
-		status, _, err = s.boxes[0].ask("/lookup/x", fmt.Sprint("once-", i), false)
+		status, _, err = s.boxes[0].post("/lookup/x", fmt.Sprint("once-", i), false)
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, status)
 	}
@@ -240,23 +242,23 @@
 	}
 }
 
-func TestSiteFollowsTheStore(t *testing.T) {
+func TestSiteRecoversFromStoreOutageAndCompaction(t *testing.T) {
 	s := newTestSite(t, 2)
 	s.store.SetFaults(standin.StoreFaults{Down: true})
 	time.Sleep(time.Second)
 	for _, box := range s.boxes {
-		status, _, err := box.ask("/lookup/x", "while-away", false)
+		status, _, err := box.post("/lookup/x", "during-outage", false)
 		require.NoError(t, err)
-		require.Equal(t, http.StatusOK, status, "a box serves on while the store is away")
+		require.Equal(t, http.StatusOK, status, "a box keeps serving while the store is unavailable")
 	}
 	s.store.SetFaults(standin.StoreFaults{})
 	s.store.TrimHistory("keyed.op")
 	s.store.TrimHistory("keyed.servers")
-	s.configure(t, 7)
+	s.writeConfig(t, 7)
 	for _, box := range s.boxes {
 		require.Eventually(t, func() bool {
 			return strings.Contains(box.output.text(), `"msg":"configuration in force","box":"`+box.name+`","version":7`)
-		}, startWithin, 20*time.Millisecond)
+		}, startTimeout, 20*time.Millisecond)
 	}
 }
 
@@ -274,7 +276,7 @@
 			stop := make(chan struct{})
 			var callers sync.WaitGroup
 			for caller := range 20 {
-				callers.Go(func() { s.askUntil(t, stop, caller) })
+				callers.Go(func() { s.postUntil(t, stop, caller) })
 			}
 			defer callers.Wait()
 			defer close(stop)
@@ -287,14 +289,14 @@
 	}
 }
 
-func (s *testSite) askUntil(t *testing.T, stop chan struct{}, caller int) {
+func (s *testSite) postUntil(t *testing.T, stop chan struct{}, caller int) {
 	for i := 0; ; i++ {
 		select {
 		case <-stop:
 			return
 		default:
 		}
-		_, _, err := s.boxes[i%len(s.boxes)].ask("/explain/x", fmt.Sprintf("r-%d-%d", caller, i), true)
+		_, _, err := s.boxes[i%len(s.boxes)].post("/explain/x", fmt.Sprintf("r-%d-%d", caller, i), true)
 		assert.NoError(t, err)
 	}
 }
@@ -311,13 +313,13 @@
 	return status.State
 }
 
-func TestSiteStopsOnASignalWithoutCuttingRequests(t *testing.T) {
+func TestSiteShutdownInterruptsNoRequests(t *testing.T) {
 	s := newTestSite(t, 2)
 	var callers sync.WaitGroup
 	for i := range 8 {
 		callers.Go(func() {
 			id := fmt.Sprint("stop-", i)
-			status, body, err := s.boxes[0].ask("/explain/x", id, true)
+			status, body, err := s.boxes[0].post("/explain/x", id, true)
 			assert.NoError(t, err)
 			assert.Equal(t, http.StatusOK, status)
 			assert.Equal(t, wholeStream(id), body)
@@ -326,7 +328,7 @@
 	time.Sleep(20 * time.Millisecond)
 	require.NoError(t, s.boxes[0].command.Process.Signal(syscall.SIGHUP))
 	require.NoError(t, s.boxes[0].command.Process.Signal(syscall.SIGTERM))
-	s.boxes[0].awaitReady(t, http.StatusServiceUnavailable)
+	s.boxes[0].awaitReadiness(t, http.StatusServiceUnavailable)
 	callers.Wait()
 	require.NoError(t, s.boxes[0].command.Wait())
 	assert.Contains(t, s.boxes[0].output.text(), "planned stop ended")
--- a/cmd/e2e/soak_changes_test.go
+++ b/cmd/e2e/soak_changes_test.go
@@ -12,115 +12,117 @@
 )
 
 const (
-	// changeKept is for how many versions routes and keys stay: with changePause and changeSpread some four seconds, twice
-	// the time in which they must be in force.
-	changeKept = 8
-	// changePause and changeSpread bound the pauses between two configurations from below, and by how much more.
-	changePause  = 200 * time.Millisecond
-	changeSpread = 700 * time.Millisecond
-	// changeWithin is how many of the newest versions requests are drawn from: those that come, are there, and have gone.
-	changeWithin = 2 * changeKept
-	// leastServed is the part of the requests for what must be in force that a box in touch serves, and enoughAsked how many
-	// there must be to judge by.
-	leastServed = 0.75
-	enoughAsked = 20
+	// versionsKept is the number of versions for which routes and keys are kept: with minChangePause and
+	// changePauseSpread about four seconds, twice configApplyLimit.
+	versionsKept = 8
+	// minChangePause is the shortest pause between two configurations; the longest is longer by changePauseSpread.
+	minChangePause    = 200 * time.Millisecond
+	changePauseSpread = 700 * time.Millisecond
+	// drawnVersions is the number of newest versions from which requests are drawn: some are not yet in force, some are
+	// in force, and some are already removed.
+	drawnVersions = 2 * versionsKept
+	// minServedShare is the share of due requests that an undisturbed box must serve. The check needs at least
+	// minDueRequests of them.
+	minServedShare = 0.75
+	minDueRequests = 20
 )
 
-// TestSoakOfChanges plays a storm of configurations beside faults of the store and of boxes, with requests to each box for
-// what was just added, was just taken away, or never existed.
-func TestSoakOfChanges(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) { soakOfChanges(t, seed, *soakLength, *soakBoxes) })
+// TestSoakConfigChanges runs frequent configuration changes together with faults of the store and of boxes. Each box
+// gets requests for what was just added, was just removed, or never existed.
+func TestSoakConfigChanges(t *testing.T) {
+	forEachSeed(t, func(t *testing.T, seed uint64) { runChangeSoak(t, seed, *soakLength, *soakBoxes) })
 }
 
-// failedChanges are seeds of it that failed once, by refusals for good that went by the age of the list of endpoints.
-var failedChanges = []failedSeed{
-	{11, 8 * time.Second, 3, wrongAge},
-	{12, 8 * time.Second, 3, wrongAge},
-	{3, 8 * time.Second, 3, wrongAge},
-	{4, 8 * time.Second, 3, wrongAge},
+// failedChangeSeeds are seeds of TestSoakConfigChanges that failed because permanent refusals depended on the age of the
+// endpoint list.
+var failedChangeSeeds = []failedSeed{
+	{11, 8 * time.Second, 3, endpointListAgeCause},
+	{12, 8 * time.Second, 3, endpointListAgeCause},
+	{3, 8 * time.Second, 3, endpointListAgeCause},
+	{4, 8 * time.Second, 3, endpointListAgeCause},
 }
 
-// TestChangesThatFailedOnce plays them again.
-func TestChangesThatFailedOnce(t *testing.T) {
-	playAgain(t, failedChanges, func(t *testing.T, failed failedSeed) { soakOfChanges(t, failed.seed, failed.length, failed.boxes) })
+// TestPreviouslyFailedChangeSeeds replays failedChangeSeeds.
+func TestPreviouslyFailedChangeSeeds(t *testing.T) {
+	replaySeeds(t, failedChangeSeeds, func(t *testing.T, failed failedSeed) { runChangeSoak(t, failed.seed, failed.length, failed.boxes) })
 }
 
-// soakOfChanges plays one seed.
-func soakOfChanges(t *testing.T, seed uint64, length time.Duration, boxes int) {
+// runChangeSoak runs one seed.
+func runChangeSoak(t *testing.T, seed uint64, length time.Duration, boxes int) {
 	site := startSoakSite(
-		&soakSite{t: t, store: standin.NewStore(), routesKept: changeKept, keysKept: changeKept}, boxes, hallsOf(seed), soakRunners)
-	playSoak(site, newChanges(site, seed, length), seed, site.drawChanged, (*judge).checkServed)
+		&soakSite{t: t, store: standin.NewStore(), routesKept: versionsKept, keysKept: versionsKept}, boxes, hallCount(seed), runnersPerService)
+	runPlan(site, newChangePlan(site, seed, length), seed, site.drawChangeRequest, (*checker).checkServed)
 }
 
-// newChanges draws the events of such a soak.
-func newChanges(site *soakSite, seed uint64, length time.Duration) *agenda {
-	a := &agenda{site: site, random: rand.New(rand.NewPCG(seed, seed+1)), length: length}
-	for at := changePause; at < length; at += changePause + time.Duration(a.random.Int64N(int64(changeSpread))) {
-		a.reconfigure(at)
+// newChangePlan draws the events of a soak with configuration changes.
+func newChangePlan(site *soakSite, seed uint64, length time.Duration) *faultPlan {
+	p := &faultPlan{site: site, random: rand.New(rand.NewPCG(seed, seed+1)), length: length}
+	for at := minChangePause; at < length; at += minChangePause + time.Duration(p.random.Int64N(int64(changePauseSpread))) {
+		p.reconfigure(at)
 	}
 	kinds := []func(time.Duration){
-		a.kill, a.terminate, a.freeze, a.harmStoreLink, a.storeAway, a.declarationsAway, a.loseBoxConns, a.loseStoreConns, a.storeUnheard,
-		a.storeReturnsDeaf, a.storeForgets,
+		p.kill, p.terminate, p.freeze, p.disruptStoreLink, p.takeStoreDown, p.takeDeclarationsDown, p.silenceBoxConns, p.silenceStoreConns, p.loseStoreCalls,
+		p.returnStoreSilent, p.compactStore,
 	}
-	for at := 500 * time.Millisecond; at < length; at += time.Duration(200+a.random.IntN(1500)) * time.Millisecond {
-		kinds[a.random.IntN(len(kinds))](at)
+	for at := 500 * time.Millisecond; at < length; at += time.Duration(200+p.random.IntN(1500)) * time.Millisecond {
+		kinds[p.random.IntN(len(kinds))](at)
 	}
-	slices.SortStableFunc(a.events, func(x, y event) int { return int(x.at - y.at) })
-	return a
+	slices.SortStableFunc(p.events, func(x, y event) int { return int(x.at - y.at) })
+	return p
 }
 
-// declarationsAway takes the part of the store away that holds declarations; its other parts are served.
-func (a *agenda) declarationsAway(at time.Duration) {
-	lasting := a.lasting() + soakApply
-	a.add(at, fmt.Sprint("declarations away ", lasting), func() {
-		defer a.storeDown.begin()()
-		a.site.store.SetUnavailable("keyed.op", true)
-		time.Sleep(lasting)
-		a.site.store.SetUnavailable("keyed.op", false)
+// takeDeclarationsDown makes the part of the store that holds declarations unavailable; the other parts are served.
+func (p *faultPlan) takeDeclarationsDown(at time.Duration) {
+	duration := p.drawDuration() + configApplyLimit
+	p.add(at, fmt.Sprint("declarations unavailable ", duration), func() {
+		defer p.storeOutages.begin()()
+		p.site.store.SetUnavailable("keyed.op", true)
+		time.Sleep(duration)
+		p.site.store.SetUnavailable("keyed.op", false)
 	})
 }
 
-// drawChanged chooses a route or a key of a version, or a route that never was.
-func (s *soakSite) drawChanged(box int, random *rand.Rand) *asked {
-	a := &asked{kind: kindAgain, box: box, key: siteKey, limit: time.Duration(1500+random.IntN(2500)) * time.Millisecond}
+// drawChangeRequest draws a request with the route or the key of a version, or with a route that never existed.
+func (s *soakSite) drawChangeRequest(box int, random *rand.Rand) *soakRequest {
+	r := &soakRequest{kind: kindIdempotent, box: box, key: siteKey, timeout: time.Duration(1500+random.IntN(2500)) * time.Millisecond}
 	newest := s.newestVersion()
-	version := max(newest-random.IntN(changeWithin), 1)
+	version := max(newest-random.IntN(drawnVersions), 1)
 	switch random.IntN(5) {
 	case 0:
-		a.kind = kindNever
+		r.kind = kindUnknownRoute
 	case 1, 2:
-		a.version, a.key = newest, versionKey(version)
+		r.version, r.key = newest, versionKey(version)
 	default:
-		a.version = version
+		r.version = version
 	}
-	return a
+	return r
 }
 
-// checkServed: a box in touch serves what must be in force. One that only ever asked its callers to come again would refuse
-// nothing for good either.
-func (j *judge) checkServed(asks []*asked) {
-	due, served := make([]int, len(j.site.boxes)), make([]int, len(j.site.boxes))
-	for _, a := range asks {
-		if !j.isDue(a) {
+// checkServed checks that an undisturbed box serves what must be in force. Without it, a box that only ever asked its
+// callers to retry later would pass checkPermanentRefusal.
+func (c *checker) checkServed(requests []*soakRequest) {
+	due, served := make([]int, len(c.site.boxes)), make([]int, len(c.site.boxes))
+	for _, r := range requests {
+		if !c.mustBeServed(r) {
 			continue
 		}
-		due[a.box]++
-		if a.status == http.StatusOK {
-			served[a.box]++
+		due[r.box]++
+		if r.status == http.StatusOK {
+			served[r.box]++
 		}
 	}
 	for box := range due {
-		if due[box] >= enoughAsked && float64(served[box]) < leastServed*float64(due[box]) {
-			j.report("box-%d served %d of %d requests for what must be in force", box, served[box], due[box])
+		if due[box] >= minDueRequests && float64(served[box]) < minServedShare*float64(due[box]) {
+			c.report("box-%d served %d of %d requests for what must be in force", box, served[box], due[box])
 		}
 	}
 }
 
-// isDue reports whether a request asks for what must be in force, of a box in touch.
-func (j *judge) isDue(a *asked) bool {
-	if a.version == 0 || a.key != siteKey || a.left || j.site.isTakenAway(a.version, j.site.routesKept, a.to) {
+// mustBeServed reports whether a request uses a route that must be in force, at an undisturbed box.
+func (c *checker) mustBeServed(r *soakRequest) bool {
+	if r.version == 0 || r.key != siteKey || r.isAbandoned || c.site.isRemovedBy(r.version, c.site.routesKept, r.endedAt) {
 		return false
 	}
-	isWritten := a.from.After(j.site.writtenAt(a.version).Add(soakApply))
-	return isWritten && j.site.boxes[a.box].inTouch(a.from, a.from) && j.agenda.storeDown.isQuiet(a.from, a.from)
+	isWritten := r.sentAt.After(c.site.writtenAt(r.version).Add(configApplyLimit))
+	return isWritten && c.site.boxes[r.box].isUndisturbed(r.sentAt, r.sentAt) && c.plan.storeOutages.isClear(r.sentAt, r.sentAt)
 }
--- a/cmd/e2e/soak_link_test.go
+++ b/cmd/e2e/soak_link_test.go
@@ -15,35 +15,35 @@
 
 const (
 	linkClear linkState = iota
-	// linkSlow delays each piece of data on its way.
+	// linkSlow delays each chunk of data by linkDelay.
 	linkSlow
-	// linkReset resets what is open and what comes.
+	// linkReset resets open and new connections.
 	linkReset
-	// linkSilent takes connections and passes nothing either way.
+	// linkSilent accepts connections and forwards nothing in either direction.
 	linkSilent
-	// linkDeafServer passes nothing on to the server.
-	linkDeafServer
-	// linkDeafClient passes nothing back to the client.
-	linkDeafClient
-	// linkLossy loses what is sent, and with it for good the connection it is sent on.
+	// linkToServerBlocked forwards nothing to the server.
+	linkToServerBlocked
+	// linkToClientBlocked forwards nothing to the client.
+	linkToClientBlocked
+	// linkLossy drops what is sent and permanently silences the connection it is sent on.
 	linkLossy
 )
 
 const (
-	linkDelay  = 60 * time.Millisecond
-	linkPoll   = 5 * time.Millisecond
-	linkBuffer = 16 << 10
+	linkDelay        = 60 * time.Millisecond
+	linkPollInterval = 5 * time.Millisecond
+	linkBufferSize   = 16 << 10
 )
 
 type (
-	// linkState is what a loopback proxy does to the connections through it.
+	// linkState is how a loopback proxy treats the connections through it.
 	linkState int
 
-	// link is a loopback proxy in front of a server; the programs on either side know nothing of it.
+	// link is a loopback proxy in front of a server, transparent to the programs on either side.
 	link struct {
-		address string
-		target  string
-		end     func() // takes no connection any more, as if there were no link and no server
+		listenAddress string
+		serverAddress string
+		close         func() // stops accepting and resets open connections, as if the server were gone
 
 		mu     sync.Mutex
 		state  linkState
@@ -53,73 +53,74 @@
 
 	// linkConn is a connection through a link.
 	linkConn struct {
-		number         int // in the order of the link's connections
+		number         int // counts the link's connections from 0
 		client, server net.Conn
 
-		isAsked atomic.Bool // the client has sent something that the server has not answered
-		isLost  atomic.Bool // it says nothing more, either way, and stays open
+		isAwaitingReply atomic.Bool // the client has sent data that the server has not answered
+		isSilenced      atomic.Bool // it stays open and forwards nothing more in either direction
 	}
 )
 
-// linkFaults are the states that a soak draws from; its seeds go by their order.
-var linkFaults = []linkState{linkSlow, linkReset, linkSilent, linkDeafServer, linkDeafClient, linkLossy}
+// linkFaults are the states that a soak draws from. Seeds depend on their order.
+var linkFaults = []linkState{linkSlow, linkReset, linkSilent, linkToServerBlocked, linkToClientBlocked, linkLossy}
 
 var linkNames = map[linkState]string{
 	linkClear: "clear", linkSlow: "slow", linkReset: "reset", linkSilent: "silent",
-	linkDeafServer: "one way, to the client", linkDeafClient: "one way, to the server", linkLossy: "lossy",
+	linkToServerBlocked: "one way, to the client", linkToClientBlocked: "one way, to the server", linkLossy: "lossy",
 }
 
-func newLink(t *testing.T, target string) *link {
+func newLink(t *testing.T, serverAddress string) *link {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	l := &link{address: listener.Addr().String(), target: target, conns: map[*linkConn]bool{}}
+	l := &link{listenAddress: listener.Addr().String(), serverAddress: serverAddress, conns: map[*linkConn]bool{}}
 	go func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go l.carry(conn)
+			go l.proxy(conn)
 		}
 	}()
-	l.end = func() {
+	l.close = func() {
 		_ = listener.Close()
 		l.set(linkReset)
 		l.resetOpen(func(*linkConn) bool { return true })
 	}
-	t.Cleanup(l.end)
+	t.Cleanup(l.close)
 	return l
 }
 
-// set changes the state; a reset ends what is open. What is lost stays silent then: no reset gets through either.
+// set changes the state. linkReset resets the open connections except the silenced ones: on those, no reset gets through
+// either.
 func (l *link) set(state linkState) {
 	l.mu.Lock()
 	l.state = state
 	l.mu.Unlock()
 	if state == linkReset {
-		l.resetOpen(func(c *linkConn) bool { return !c.isLost.Load() })
+		l.resetOpen(func(c *linkConn) bool { return !c.isSilenced.Load() })
 	}
 }
 
-func (l *link) resetOpen(isMeant func(*linkConn) bool) {
+func (l *link) resetOpen(matches func(*linkConn) bool) {
 	for _, c := range l.open() {
-		if isMeant(c) {
+		if matches(c) {
 			reset(c.client)
 			reset(c.server)
 		}
 	}
 }
 
-// lose lets some of the open connections go silent for good, without a reset; new ones work as the link's state is.
-func (l *link) lose(isMeant func(*linkConn) bool) {
+// silence permanently silences the matching open connections without a reset. New connections follow the link's state.
+func (l *link) silence(matches func(*linkConn) bool) {
 	for _, c := range l.open() {
-		if isMeant(c) {
-			c.isLost.Store(true)
+		if matches(c) {
+			c.isSilenced.Store(true)
 		}
 	}
 }
 
-// open lists the connections that neither side has ended.
+// open lists the connections that are not yet closed by both sides.
 func (l *link) open() []*linkConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -133,7 +134,7 @@
 	_ = conn.Close()
 }
 
-func (l *link) current() linkState {
+func (l *link) currentState() linkState {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state
@@ -148,45 +149,45 @@
 	return c
 }
 
-func (l *link) forget(c *linkConn) {
+func (l *link) untrack(c *linkConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.conns, c)
 }
 
-func (l *link) carry(client net.Conn) {
-	if l.current() == linkReset {
+func (l *link) proxy(client net.Conn) {
+	if l.currentState() == linkReset {
 		reset(client)
 		return
 	}
-	server, err := net.Dial("tcp", l.target)
+	server, err := net.Dial("tcp", l.serverAddress)
 	if err != nil {
 		reset(client)
 		return
 	}
 	c := l.track(client, server)
-	defer l.forget(c)
-	var pumps sync.WaitGroup
-	pumps.Go(func() { l.pump(c, server, client, linkDeafServer) })
-	pumps.Go(func() { l.pump(c, client, server, linkDeafClient) })
-	pumps.Wait()
-	_ = client.Close() // both sides have ended it
+	defer l.untrack(c)
+	var copying sync.WaitGroup
+	copying.Go(func() { l.forward(c, server, client, linkToServerBlocked) })
+	copying.Go(func() { l.forward(c, client, server, linkToClientBlocked) })
+	copying.Wait()
+	_ = client.Close() // both directions have ended
 	_ = server.Close()
 }
 
-// pump passes data one way. It holds them back while the link is silent, or deaf in this direction; of a connection that
-// is lost it passes nothing on, not even its end.
-func (l *link) pump(c *linkConn, to, from net.Conn, deaf linkState) {
-	buffer := make([]byte, linkBuffer)
+// forward copies data in one direction. It holds data back while the link is silent or in blockedState. On a silenced
+// connection it forwards nothing, not even the end of the stream.
+func (l *link) forward(c *linkConn, to, from net.Conn, blockedState linkState) {
+	buffer := make([]byte, linkBufferSize)
 	for {
 		n, err := from.Read(buffer)
-		if !l.admits(c, deaf) {
-			_, _ = io.Copy(io.Discard, from) // until its own side ends it
+		if !l.awaitForwarding(c, blockedState) {
+			_, _ = io.Copy(io.Discard, from) // until the sender closes it
 			return
 		}
-		c.isAsked.Store(from == c.client)
+		c.isAwaitingReply.Store(from == c.client)
 		if n > 0 {
-			if _, failed := to.Write(buffer[:n]); failed != nil {
+			if _, writeErr := to.Write(buffer[:n]); writeErr != nil {
 				reset(from)
 				return
 			}
@@ -206,17 +207,17 @@
 	}
 }
 
-// admits waits as long as the link holds data back, and reports whether they are passed on then.
-func (l *link) admits(c *linkConn, deaf linkState) bool {
-	for !c.isLost.Load() {
-		switch state := l.current(); state {
-		case linkSilent, deaf:
-			time.Sleep(linkPoll)
+// awaitForwarding waits while the link holds data back, and reports whether the data may then be forwarded.
+func (l *link) awaitForwarding(c *linkConn, blockedState linkState) bool {
+	for !c.isSilenced.Load() {
+		switch state := l.currentState(); state {
+		case linkSilent, blockedState:
+			time.Sleep(linkPollInterval)
 		case linkSlow:
 			time.Sleep(linkDelay)
-			return !c.isLost.Load()
+			return !c.isSilenced.Load()
 		case linkLossy:
-			c.isLost.Store(true)
+			c.isSilenced.Store(true)
 		default:
 			return true
 		}
--- a/cmd/e2e/soak_notices_test.go
+++ b/cmd/e2e/soak_notices_test.go
@@ -10,156 +10,158 @@
 )
 
 const (
-	// noticeHeard is how long after its caller has an answer that says that the endpoint leaves a box may still be about to send it
-	// requests: what answers say holds at once, and the daemons share the machine with many others.
-	noticeHeard = 500 * time.Millisecond
-	// restGrace is how long after a 503 with rest requests of the box may still arrive, and restSlack how many may later.
-	restGrace, restSlack = 500 * time.Millisecond, 2
-	// noticeLength is the least length of the faults.
-	noticeLength = 8 * time.Second
+	// noticeGrace is how long a box may still send requests to an endpoint after a caller received an answer in which that
+	// endpoint reported draining. Notices in answers take effect at once, but the daemons run on a busy machine.
+	noticeGrace = 500 * time.Millisecond
+	// backoffGrace is how long requests of a box may still arrive after a 503 with a backoff, and backoffSlack is how many
+	// may arrive after that.
+	backoffGrace, backoffSlack = 500 * time.Millisecond, 2
+	// minNoticeLength is the shortest duration of the faults.
+	minNoticeLength = 8 * time.Second
 )
 
-// rests are what endpoints ask for, in seconds.
-var rests = []string{"0.3", "1", "2.5", "3", "8"}
+// backoffs are the backoffs that endpoints request, in seconds.
+var backoffs = []string{"0.3", "1", "2.5", "3", "8"}
 
 type (
-	// boxLife is one life of a box.
-	boxLife struct {
-		box  *soakBox
-		life int
+	// boxIncarnation identifies one incarnation of a box.
+	boxIncarnation struct {
+		box    *soakBox
+		number int
 	}
 
-	// heardArrival is a request that came to an endpoint, with the caller's side of it and the life of the box that sent it.
-	heardArrival struct {
-		at      time.Time
-		asked   *asked
-		from    boxLife
-		leaving bool
-		rest    time.Duration
+	// soakArrival is a request that arrived at an endpoint, with the caller's view of it and the box that sent it.
+	soakArrival struct {
+		at              time.Time
+		request         *soakRequest
+		sender          boxIncarnation
+		reportsDraining bool
+		backoff         time.Duration
 	}
 )
 
-// TestSoakOfNotices lets endpoints say in their answers that they leave, or ask for rest, beside faults of boxes, the store and
-// connections; their entries say throughout that they are ready.
-func TestSoakOfNotices(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		site := newSoakSite(t, *soakBoxes, hallsOf(seed), soakRunners)
-		plan := newNoticePlan(site, seed, max(*soakLength, noticeLength))
-		// Endpoints that take nothing make requests wait and fail as broken ones do.
-		defer plan.endpoints.begin()()
-		playSoak(site, plan, seed, site.drawAny, checkNotices)
+// TestSoakNotices lets endpoints report draining or request backoff in their answers during faults of boxes, the store
+// and connections. Their entries in the store show them as ready throughout.
+func TestSoakNotices(t *testing.T) {
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		site := newSoakSite(t, *soakBoxes, hallCount(seed), runnersPerService)
+		plan := newNoticePlan(site, seed, max(*soakLength, minNoticeLength))
+		// Requests wait and fail at endpoints that accept nothing, as they do at broken ones.
+		defer plan.endpointFaults.begin()()
+		runPlan(site, plan, seed, site.drawAny, checkNotices)
 	})
 }
 
-// newNoticePlan draws the events of such a soak.
-func newNoticePlan(site *soakSite, seed uint64, length time.Duration) *agenda {
-	a := &agenda{site: site, random: rand.New(rand.NewPCG(seed, seed+6)), length: length}
+// newNoticePlan draws the events of a soak with notices.
+func newNoticePlan(site *soakSite, seed uint64, length time.Duration) *faultPlan {
+	p := &faultPlan{site: site, random: rand.New(rand.NewPCG(seed, seed+6)), length: length}
 	kinds := []func(time.Duration){
-		a.kill, a.terminate, a.freeze, a.harmStoreLink, a.storeAway, a.reconfigure, a.loseBoxConns, a.loseStoreConns, a.storeForgets,
-		a.loseEndpointConns,
+		p.kill, p.terminate, p.freeze, p.disruptStoreLink, p.takeStoreDown, p.reconfigure, p.silenceBoxConns, p.silenceStoreConns, p.compactStore,
+		p.silenceEndpointConns,
 	}
-	for at := 500 * time.Millisecond; at < length; at += time.Duration(300+a.random.IntN(1500)) * time.Millisecond {
-		kinds[a.random.IntN(len(kinds))](at)
+	for at := 500 * time.Millisecond; at < length; at += time.Duration(300+p.random.IntN(1500)) * time.Millisecond {
+		kinds[p.random.IntN(len(kinds))](at)
 	}
 	for _, runner := range site.allRunners() {
-		at := time.Duration(a.random.Int64N(int64(length / 2)))
+		at := time.Duration(p.random.Int64N(int64(length / 2)))
 		switch {
 		case runner.id == "llm-0" || runner.id == "app-0":
-			a.askForRest(at, runner, "0.3") // others may leave, and rest for long
-		case a.random.IntN(2) == 0:
-			a.add(at, runner.id+" says that it leaves", func() {
+			p.requestBackoff(at, runner, "0.3") // the other endpoints may drain or back off for long
+		case p.random.IntN(2) == 0:
+			p.add(at, runner.id+" reports draining", func() {
 				site.addRunner(runner.id+"-new", runner.service, runner.release)
 				runner.AnnounceDraining()
 			})
 		default:
-			a.askForRest(at, runner, rests[a.random.IntN(len(rests))])
-			a.askForRest(at+length/3, runner, rests[a.random.IntN(len(rests))])
+			p.requestBackoff(at, runner, backoffs[p.random.IntN(len(backoffs))])
+			p.requestBackoff(at+length/3, runner, backoffs[p.random.IntN(len(backoffs))])
 		}
 	}
-	slices.SortStableFunc(a.events, func(x, y event) int { return int(x.at - y.at) })
-	return a
+	slices.SortStableFunc(p.events, func(x, y event) int { return int(x.at - y.at) })
+	return p
 }
 
-// askForRest lets an endpoint turn all requests away for a while.
-func (a *agenda) askForRest(at time.Duration, runner *soakRunner, seconds string) {
-	lasting := a.lasting()
-	a.add(at, fmt.Sprintf("%s asks for %s s of rest, %s long", runner.id, seconds, lasting), func() {
+// requestBackoff lets an endpoint refuse all requests with a backoff for a while.
+func (p *faultPlan) requestBackoff(at time.Duration, runner *soakRunner, seconds string) {
+	duration := p.drawDuration()
+	p.add(at, fmt.Sprintf("%s requests a backoff of %s s, for %s", runner.id, seconds, duration), func() {
 		runner.SetBackoff(seconds)
-		time.Sleep(lasting)
+		time.Sleep(duration)
 		runner.SetBackoff("")
 	})
 }
 
-// checkNotices: a box sends nothing to an endpoint that told it that it leaves, or that it wants rest, whatever its state; a new life
-// or a freeze of the box is an excuse.
-func checkNotices(j *judge, asks []*asked) {
-	byID := map[string]*asked{}
-	for _, a := range asks {
-		byID[a.id] = a
+// checkNotices checks that a box sends nothing to an endpoint that reported draining or requested backoff to it, during
+// any outage. Only a restart or a freeze of the box is an excuse.
+func checkNotices(c *checker, requests []*soakRequest) {
+	byID := map[string]*soakRequest{}
+	for _, r := range requests {
+		byID[r.id] = r
 	}
-	for _, runner := range j.site.allRunners() {
-		arrivals := map[boxLife][]heardArrival{}
+	for _, runner := range c.site.allRunners() {
+		arrivals := map[boxIncarnation][]soakArrival{}
 		for _, arrival := range runner.Arrivals() {
-			a := byID[arrival.Request]
-			if a == nil {
-				continue // judged as a run that nobody asked for
+			r := byID[arrival.Request]
+			if r == nil {
+				continue // checkAll reports it as a request that no caller sent
 			}
-			from := boxLife{j.site.boxes[a.box], a.life}
+			sender := boxIncarnation{c.site.boxes[r.box], r.incarnation}
 			seconds, _ := strconv.ParseFloat(arrival.Backoff, 64)
-			arrivals[from] = append(arrivals[from], heardArrival{arrival.At, a, from, arrival.Draining, time.Duration(seconds * float64(time.Second))})
+			arrivals[sender] = append(arrivals[sender], soakArrival{arrival.At, r, sender, arrival.Draining, time.Duration(seconds * float64(time.Second))})
 		}
-		told, rested := 0, 0
+		informedBoxes, backoffRequests := 0, 0
 		for _, ofBox := range arrivals {
-			told += j.checkSaidLeaving(runner, ofBox)
-			rested += j.checkRest(runner, ofBox)
+			informedBoxes += c.checkReportedDraining(runner, ofBox)
+			backoffRequests += c.checkBackoff(runner, ofBox)
 		}
-		j.site.t.Logf("%s told %d boxes that it leaves, and asked %d times for rest", runner.id, told, rested)
+		c.site.t.Logf("%s reported draining to %d boxes and requested backoff %d times", runner.id, informedBoxes, backoffRequests)
 	}
 }
 
-// checkSaidLeaving looks at what came from one life of a box, and counts the box if it was told.
-func (j *judge) checkSaidLeaving(runner *soakRunner, arrivals []heardArrival) (told int) {
-	var toldAt time.Time
+// checkReportedDraining checks the requests of one incarnation of a box. It returns 1 if the endpoint reported draining
+// to that box, otherwise 0.
+func (c *checker) checkReportedDraining(runner *soakRunner, arrivals []soakArrival) (informedBoxes int) {
+	var informedAt time.Time
 	for _, arrival := range arrivals {
-		if arrival.leaving && arrival.asked.whole && (toldAt.IsZero() || arrival.asked.to.Before(toldAt)) {
-			toldAt = arrival.asked.to
+		if arrival.reportsDraining && arrival.request.isComplete && (informedAt.IsZero() || arrival.request.endedAt.Before(informedAt)) {
+			informedAt = arrival.request.endedAt
 		}
 	}
-	if toldAt.IsZero() {
+	if informedAt.IsZero() {
 		return 0
 	}
 	for _, arrival := range arrivals {
-		isLate := arrival.asked.from.After(toldAt.Add(noticeHeard))
-		if isLate && !arrival.from.box.freezes.touches(toldAt, arrival.at) {
-			j.tell(arrival.asked, fmt.Sprintf("reached %s %v after that had told the box that it leaves", runner.id, arrival.at.Sub(toldAt)))
+		isLate := arrival.request.sentAt.After(informedAt.Add(noticeGrace))
+		if isLate && !arrival.sender.box.freezes.overlap(informedAt, arrival.at) {
+			c.reportRequest(arrival.request, fmt.Sprintf("reached %s %v after it had reported draining to the box", runner.id, arrival.at.Sub(informedAt)))
 		}
 	}
 	return 1
 }
 
-// checkRest looks at what came from one life of a box, and counts how often the box was asked for rest.
-func (j *judge) checkRest(runner *soakRunner, arrivals []heardArrival) (asked int) {
+// checkBackoff checks the requests of one incarnation of a box and returns how often it was asked to back off.
+func (c *checker) checkBackoff(runner *soakRunner, arrivals []soakArrival) (asked int) {
 	for _, answer := range arrivals {
-		if answer.rest == 0 {
+		if answer.backoff == 0 {
 			continue
 		}
 		asked++
-		until, late := answer.at.Add(answer.rest), 0
+		until, late := answer.at.Add(answer.backoff), 0
 		for _, arrival := range arrivals {
-			if arrival.at.After(answer.at.Add(restGrace)) && arrival.at.Before(until) {
+			if arrival.at.After(answer.at.Add(backoffGrace)) && arrival.at.Before(until) {
 				late++
 			}
 		}
-		if late > restSlack && !answer.from.box.freezes.touches(answer.at, until) {
-			j.tell(answer.asked, fmt.Sprintf("%s asked the box for %v of rest, and got %d requests of it in that time", runner.id, answer.rest, late))
+		if late > backoffSlack && !answer.sender.box.freezes.overlap(answer.at, until) {
+			c.reportRequest(answer.request, fmt.Sprintf("%s requested a backoff of %v and received %d requests of the box in that time", runner.id, answer.backoff, late))
 		}
 	}
 	return asked
 }
 
-// touches reports whether any of the spans was between two moments.
-func (s *spans) touches(from, to time.Time) bool {
+// overlap reports whether any interval overlaps the time between from and to.
+func (s *intervals) overlap(from, to time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.ContainsFunc(s.list, func(one span) bool { return one.overlaps(from, to) })
+	return slices.ContainsFunc(s.all, func(each interval) bool { return each.overlaps(from, to) })
 }
--- a/cmd/e2e/soak_test.go
+++ b/cmd/e2e/soak_test.go
@@ -16,63 +16,63 @@
 )
 
 const (
-	// calmVersions is how many configurations are written in the calm, one each calmPause, and the first after the first
-	// pause: a box that has not recovered when it is held to them again misses one at least.
-	calmVersions = 3
-	calmPause    = 900 * time.Millisecond
-	// soakCalm is how long the boxes have after the last fault until they must serve everything again.
-	soakCalm = 6 * time.Second
-	// calmAsks is how many requests each box then gets.
-	calmAsks = 15
-	// calmLimit is the deadline of each: the boxes have nothing else to do then.
-	calmLimit = 4 * time.Second
-	// soakRunners is how many endpoints each service has at first.
-	soakRunners = 3
-	// soakHalls is the most halls that the boxes are in.
-	soakHalls = 2
+	// recoveryVersions is the number of configurations written during recovery, each after a recoveryWritePause.
+	// A box that has not recovered when the checks apply again misses at least one of them.
+	recoveryVersions   = 3
+	recoveryWritePause = 900 * time.Millisecond
+	// recoveryTime is the time after the last fault within which the boxes must serve everything again.
+	recoveryTime = 6 * time.Second
+	// recoveryRequests is the number of requests sent to each box after recoveryTime.
+	recoveryRequests = 15
+	// recoveryTimeout is the deadline of each of them; the boxes have no other load then.
+	recoveryTimeout = 4 * time.Second
+	// runnersPerService is the initial number of endpoints of each service.
+	runnersPerService = 3
+	// maxHalls is the largest number of halls over which the boxes are spread.
+	maxHalls = 2
 )
 
-// Causes of what seeds found.
+// Causes of past failures.
 const (
-	// lostRead: boxes waited 20 s for a held read of declarations that was lost with its connection, while reads of
-	// endpoints were answered; a hall whose reader did so got no new configuration.
-	lostRead = "a held read of declarations was lost"
-	// relyOnNever: a box that started while the store was away had never read declarations. The age that it told of its
-	// reads was the longest duration there is, and adding to it overflowed, so the others of its hall, and it itself, took
-	// each other for the reader, and none read.
-	relyOnNever = "a box that never read the store counted as its hall's reader"
-	// wrongAge: boxes refused for good what their configuration did not hold as long as their list of endpoints was fresh.
-	wrongAge = "a refusal for good went by how old the list of endpoints was"
+	// lostReadCause: boxes waited 20 s for a long poll of declarations that was lost with its connection, while reads of
+	// endpoints were answered. A hall whose hub waited so received no new configuration.
+	lostReadCause = "a long poll of declarations was lost"
+	// neverReadCause: a box that started during a store outage had never read declarations. It reported the longest
+	// possible duration as the age of its reads, and adding to it overflowed. The box and the others of its hall took
+	// each other for the hub, and none read the store.
+	neverReadCause = "a box that never read the store counted as its hall's hub"
+	// endpointListAgeCause: boxes permanently refused what their configuration lacked as long as their endpoint list was fresh.
+	endpointListAgeCause = "a permanent refusal depended on the age of the endpoint list"
 )
 
 var (
-	soakSeeds  = flag.Int("soak.seeds", 1, "number of seeds to play")
-	soakFirst  = flag.Uint64("soak.first", 1, "first seed; 0 draws one")
-	soakLength = flag.Duration("soak.length", 5*time.Second, "length of the faults of one seed")
-	soakBoxes  = flag.Int("soak.boxes", 3, "number of daemons")
-	soakAgain  = flag.Int("soak.again", 1, "number of the seeds that failed once to play again")
-	soakReport = flag.String("soak.report", "", "file that gets a table of verdicts and what happened in seeds that failed")
+	soakSeeds   = flag.Int("soak.seeds", 1, "number of seeds to run")
+	soakFirst   = flag.Uint64("soak.first", 1, "first seed; 0 picks a random one")
+	soakLength  = flag.Duration("soak.length", 5*time.Second, "duration of the faults of one seed")
+	soakBoxes   = flag.Int("soak.boxes", 3, "number of daemons")
+	soakReplays = flag.Int("soak.again", 1, "number of previously failed seeds to replay")
+	soakReport  = flag.String("soak.report", "", "file for a table of results and the events of failed seeds")
 )
 
-// failedSeeds are seeds that failed once, with what they found; they stay as they were played then. The first shows its
-// cause most surely: CI plays no more, since one takes some 15 s.
+// failedSeeds are seeds that failed in the past, with the parameters of that run and the cause. The first reproduces its
+// cause most reliably; CI replays only that one, since a replay takes about 15 s.
 var failedSeeds = []failedSeed{
-	{4000, 5 * time.Second, 4, lostRead},
-	{4002, 5 * time.Second, 4, lostRead},
-	{6000, 5 * time.Second, 4, lostRead},
-	{6006, 5 * time.Second, 4, lostRead},
-	{4003, 5 * time.Second, 4, lostRead},
-	{4107, 5 * time.Second, 4, lostRead},
-	{6003, 5 * time.Second, 4, lostRead},
-	{6012, 5 * time.Second, 4, lostRead},
-	{6024, 5 * time.Second, 4, lostRead},
-	{6028, 5 * time.Second, 4, lostRead},
-	{5000, 5 * time.Second, 4, relyOnNever},
-	{8003, 5 * time.Second, 4, relyOnNever},
+	{4000, 5 * time.Second, 4, lostReadCause},
+	{4002, 5 * time.Second, 4, lostReadCause},
+	{6000, 5 * time.Second, 4, lostReadCause},
+	{6006, 5 * time.Second, 4, lostReadCause},
+	{4003, 5 * time.Second, 4, lostReadCause},
+	{4107, 5 * time.Second, 4, lostReadCause},
+	{6003, 5 * time.Second, 4, lostReadCause},
+	{6012, 5 * time.Second, 4, lostReadCause},
+	{6024, 5 * time.Second, 4, lostReadCause},
+	{6028, 5 * time.Second, 4, lostReadCause},
+	{5000, 5 * time.Second, 4, neverReadCause},
+	{8003, 5 * time.Second, 4, neverReadCause},
 }
 
 type (
-	// failedSeed is a seed that failed once, as it was played then.
+	// failedSeed is a seed that failed in the past, with the parameters of that run.
 	failedSeed struct {
 		seed   uint64
 		length time.Duration
@@ -80,34 +80,34 @@
 		cause  string
 	}
 
-	// verdict is what came of one seed.
-	verdict struct {
+	// soakResult is the outcome of one seed.
+	soakResult struct {
 		seed     uint64
 		events   []event
-		asks     int
-		whole    int
+		requests int
+		complete int
 		findings []string
 	}
 )
 
 // TestSoak plays random faults against real daemons and checks what callers and endpoints see.
 func TestSoak(t *testing.T) {
-	var verdicts []verdict
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		verdicts = append(verdicts, soak(t, seed, *soakLength, *soakBoxes))
+	var results []soakResult
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		results = append(results, runSoak(t, seed, *soakLength, *soakBoxes))
 	})
 	if *soakReport != "" {
-		require.NoError(t, os.WriteFile(*soakReport, []byte(reportOf(verdicts)), 0o600))
+		require.NoError(t, os.WriteFile(*soakReport, []byte(reportTable(results)), 0o600))
 	}
 }
 
-// TestSeedsThatFailedOnce plays them again.
-func TestSeedsThatFailedOnce(t *testing.T) {
-	playAgain(t, failedSeeds, func(t *testing.T, failed failedSeed) { soak(t, failed.seed, failed.length, failed.boxes) })
+// TestPreviouslyFailedSeeds replays failedSeeds.
+func TestPreviouslyFailedSeeds(t *testing.T) {
+	replaySeeds(t, failedSeeds, func(t *testing.T, failed failedSeed) { runSoak(t, failed.seed, failed.length, failed.boxes) })
 }
 
-// eachSeed runs a test for each seed that the flags ask for.
-func eachSeed(t *testing.T, test func(t *testing.T, seed uint64)) {
+// forEachSeed runs a test for each seed that the flags ask for.
+func forEachSeed(t *testing.T, test func(t *testing.T, seed uint64)) {
 	first := *soakFirst
 	if first == 0 {
 		first = rand.Uint64N(1 << 40)
@@ -118,9 +118,9 @@
 	}
 }
 
-// playAgain runs a test for as many of the seeds that failed once as the flags ask for.
-func playAgain(t *testing.T, seeds []failedSeed, test func(t *testing.T, failed failedSeed)) {
-	for _, failed := range seeds[:min(*soakAgain, len(seeds))] {
+// replaySeeds runs a test for the first previously failed seeds, as many as the flags ask for.
+func replaySeeds(t *testing.T, seeds []failedSeed, test func(t *testing.T, failed failedSeed)) {
+	for _, failed := range seeds[:min(*soakReplays, len(seeds))] {
 		t.Run(fmt.Sprint("seed-", failed.seed), func(t *testing.T) {
 			t.Log(failed.cause)
 			test(t, failed)
@@ -128,113 +128,113 @@
 	}
 }
 
-// soak plays one seed.
-func soak(t *testing.T, seed uint64, length time.Duration, boxes int) verdict {
-	site := newSoakSite(t, boxes, hallsOf(seed), soakRunners)
-	return playSoak(site, newAgenda(site, seed, length), seed, site.drawAny)
+// runSoak runs one seed.
+func runSoak(t *testing.T, seed uint64, length time.Duration, boxes int) soakResult {
+	site := newSoakSite(t, boxes, hallCount(seed), runnersPerService)
+	return runPlan(site, newFaultPlan(site, seed, length), seed, site.drawAny)
 }
 
-// hallsOf is the number of halls of a seed: one box of each hall reads the store, and where there is one hall, nobody else
-// makes up for it.
-func hallsOf(seed uint64) int { return 1 + int(seed%soakHalls) }
+// hallCount returns the number of halls of a seed. One box of each hall reads the store; with a single hall, no other box
+// makes up for its failed reads.
+func hallCount(seed uint64) int { return 1 + int(seed%maxHalls) }
 
-// playSoak plays an agenda beside callers that draw their requests, and judges what came of these; checks are those of one
-// sort of soak alone.
-func playSoak(
-	site *soakSite, plan *agenda, seed uint64, draw func(box int, random *rand.Rand) *asked, checks ...check,
-) verdict {
+// runPlan executes a fault plan while callers send drawn requests, and checks the outcome. The given checks are those
+// that apply to one kind of soak only.
+func runPlan(
+	site *soakSite, plan *faultPlan, seed uint64, draw func(box int, random *rand.Rand) *soakRequest, checks ...check,
+) soakResult {
 	site.started = time.Now()
 	callers := site.startCallers(seed, draw)
-	plan.play(time.Now())
-	site.passCalm()
-	calm, findings := site.checkCalm(seed)
-	never, findingsNever := site.checkNever()
-	asks := slices.Concat(callers.end(), calm, never)
-	v := verdict{seed: seed, events: plan.events, asks: len(asks), whole: countWhole(asks)}
-	v.findings = slices.Concat(findings, findingsNever, judgeAll(site, plan, asks, checks...))
-	// A soak that asked next to nothing would find nothing either.
-	if v.asks < len(site.boxes)*calmAsks*2 || v.whole == 0 {
-		v.findings = append(v.findings, fmt.Sprintf("only %d requests, %d of them answered whole", v.asks, v.whole))
+	plan.run(time.Now())
+	site.awaitRecovery()
+	recovery, findings := site.checkRecovery(seed)
+	unknownRoute, unknownRouteFindings := site.checkUnknownRoute()
+	requests := slices.Concat(callers.stopAndCollect(), recovery, unknownRoute)
+	result := soakResult{seed: seed, events: plan.events, requests: len(requests), complete: countComplete(requests)}
+	result.findings = slices.Concat(findings, unknownRouteFindings, checkAll(site, plan, requests, checks...))
+	// A soak that sent almost no requests would not find violations either.
+	if result.requests < len(site.boxes)*recoveryRequests*2 || result.complete == 0 {
+		result.findings = append(result.findings, fmt.Sprintf("only %d requests, %d of them answered completely", result.requests, result.complete))
 	}
-	v.report(site.t)
+	result.report(site.t)
 	if site.t.Failed() {
-		site.keepLogs(seed)
+		site.saveLogs(seed)
 	}
-	return v
+	return result
 }
 
-// passCalm lets time pass after the faults, with some changes of the configuration.
-func (s *soakSite) passCalm() {
-	end := time.Now().Add(soakCalm)
-	for range calmVersions {
-		time.Sleep(calmPause)
-		s.configure()
+// awaitRecovery waits for recoveryTime after the faults and writes some configurations meanwhile.
+func (s *soakSite) awaitRecovery() {
+	end := time.Now().Add(recoveryTime)
+	for range recoveryVersions {
+		time.Sleep(recoveryWritePause)
+		s.writeConfig()
 	}
 	time.Sleep(time.Until(end))
 }
 
-func countWhole(asks []*asked) int {
-	whole := 0
-	for _, a := range asks {
-		if a.whole {
-			whole++
+func countComplete(requests []*soakRequest) int {
+	complete := 0
+	for _, r := range requests {
+		if r.isComplete {
+			complete++
 		}
 	}
-	return whole
+	return complete
 }
 
-// report fails the test by each finding, and then logs what happened.
-func (v *verdict) report(t *testing.T) {
-	for _, finding := range v.findings {
+// report reports each finding as a test error and logs the events if the test failed.
+func (r *soakResult) report(t *testing.T) {
+	for _, finding := range r.findings {
 		t.Error(finding)
 	}
 	if t.Failed() {
-		for _, e := range v.events {
+		for _, e := range r.events {
 			t.Logf("%6.3f s %s", e.at.Seconds(), e.name)
 		}
 	}
-	t.Logf("seed %d: %d events, %d requests, %d answered whole, %d findings", v.seed, len(v.events), v.asks, v.whole, len(v.findings))
+	t.Logf("seed %d: %d events, %d requests, %d answered completely, %d findings", r.seed, len(r.events), r.requests, r.complete, len(r.findings))
 }
 
-// checkCalm: after the faults every box serves every kind of request, with the newest configuration.
-func (s *soakSite) checkCalm(seed uint64) (asks []*asked, findings []string) {
+// checkRecovery checks that after the faults every box serves every kind of request with the newest configuration.
+func (s *soakSite) checkRecovery(seed uint64) (requests []*soakRequest, findings []string) {
 	client, closeClient := newCaller()
 	defer closeClient()
 	random := rand.New(rand.NewPCG(seed, 0))
 	for box := range s.boxes {
-		for n := range calmAsks {
-			a := &asked{id: fmt.Sprintf("calm-%d-%d", box, n), box: box, key: siteKey, limit: calmLimit}
-			a.kind, a.version = kindAgain, s.newestVersion()
+		for n := range recoveryRequests {
+			r := &soakRequest{id: fmt.Sprintf("recovery-%d-%d", box, n), box: box, key: siteKey, timeout: recoveryTimeout}
+			r.kind, r.version = kindIdempotent, s.newestVersion()
 			if n%3 == 0 {
-				a.kind, a.version = kindStream, 0
+				r.kind, r.version = kindStream, 0
 			}
-			asks = append(asks, a)
-			s.ask(client, a, random)
-			if a.status != http.StatusOK || !a.whole {
-				findings = append(findings, fmt.Sprintf("%s after the faults: status %d, error %v", a.id, a.status, a.err))
+			requests = append(requests, r)
+			s.sendRequest(client, r, random)
+			if r.status != http.StatusOK || !r.isComplete {
+				findings = append(findings, fmt.Sprintf("%s after the faults: status %d, error %v", r.id, r.status, r.err))
 			}
 		}
 	}
-	return asks, findings
+	return requests, findings
 }
 
-// checkNever: a box that is up to date refuses for good what never existed.
-func (s *soakSite) checkNever() (asks []*asked, findings []string) {
+// checkUnknownRoute checks that an up-to-date box permanently refuses a route that never existed.
+func (s *soakSite) checkUnknownRoute() (requests []*soakRequest, findings []string) {
 	client, closeClient := newCaller()
 	defer closeClient()
 	for box := range s.boxes {
-		a := &asked{id: fmt.Sprint("never-", box), kind: kindNever, box: box, key: siteKey, limit: calmLimit}
-		asks = append(asks, a)
-		s.ask(client, a, rand.New(rand.NewPCG(0, 0)))
-		if a.status != http.StatusNotFound {
-			findings = append(findings, fmt.Sprintf("%s after the faults: status %d for a route that never was", a.id, a.status))
+		r := &soakRequest{id: fmt.Sprint("unknown-route-", box), kind: kindUnknownRoute, box: box, key: siteKey, timeout: recoveryTimeout}
+		requests = append(requests, r)
+		s.sendRequest(client, r, rand.New(rand.NewPCG(0, 0)))
+		if r.status != http.StatusNotFound {
+			findings = append(findings, fmt.Sprintf("%s after the faults: status %d for a route that never existed", r.id, r.status))
 		}
 	}
-	return asks, findings
+	return requests, findings
 }
 
-// keepLogs writes the logs of a seed that failed where they outlast the test.
-func (s *soakSite) keepLogs(seed uint64) {
+// saveLogs writes the logs of a failed seed to a folder that is kept after the test.
+func (s *soakSite) saveLogs(seed uint64) {
 	folder := filepath.Join(os.TempDir(), fmt.Sprint("willowwick-soak-", seed))
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		s.t.Log(err)
@@ -248,29 +248,29 @@
 	s.t.Log("logs are in ", folder)
 }
 
-// reportOf is a table of all seeds, and a strip of time with what happened in those that failed.
-func reportOf(verdicts []verdict) string {
+// reportTable returns a table of all seeds and a timeline of events for those that failed.
+func reportTable(results []soakResult) string {
 	var text strings.Builder
-	text.WriteString("| seed | events | requests | answered whole | findings |\n|---|---|---|---|---|\n")
-	for _, v := range verdicts {
-		fmt.Fprintf(&text, "| %d | %d | %d | %d | %d |\n", v.seed, len(v.events), v.asks, v.whole, len(v.findings))
+	text.WriteString("| seed | events | requests | answered completely | findings |\n|---|---|---|---|---|\n")
+	for _, result := range results {
+		fmt.Fprintf(&text, "| %d | %d | %d | %d | %d |\n", result.seed, len(result.events), result.requests, result.complete, len(result.findings))
 	}
-	for _, v := range verdicts {
-		if len(v.findings) > 0 {
-			v.writeStrip(&text)
+	for _, result := range results {
+		if len(result.findings) > 0 {
+			result.writeTimeline(&text)
 		}
 	}
 	return text.String()
 }
 
-// writeStrip writes the findings and, one a line, the events; each stands a column further right for every 100 ms.
-func (v *verdict) writeStrip(text *strings.Builder) {
-	fmt.Fprintf(text, "\nSeed %d:\n\n", v.seed)
-	for _, finding := range v.findings {
+// writeTimeline writes the findings and then one event per line, indented by one column per 100 ms.
+func (r *soakResult) writeTimeline(text *strings.Builder) {
+	fmt.Fprintf(text, "\nSeed %d:\n\n", r.seed)
+	for _, finding := range r.findings {
 		fmt.Fprintf(text, "- %s\n", finding)
 	}
 	text.WriteString("\n```\n")
-	for _, e := range v.events {
+	for _, e := range r.events {
 		fmt.Fprintf(text, "%7.3f s %s* %s\n", e.at.Seconds(), strings.Repeat(" ", int(e.at/(100*time.Millisecond))), e.name)
 	}
 	text.WriteString("```\n")
