--- a/exchange/keep_alive_test.go
+++ b/exchange/keep_alive_test.go
@@ -11,7 +11,7 @@
 )
 
 // Connections to endpoints with a long keep-alive were closed after half a second and dialed anew: reply.writeHead
-// strips the hop-by-hop headers from the answer's own header map (StripHop), and Answer.Done looked for Keep-Alive
+// strips the hop-by-hop headers from the answer's own header map (StripHopHeaders), and Answer.Done looked for Keep-Alive
 // there afterwards.
 func TestConnectionsAreKeptAsLongAsTheEndpointSays(t *testing.T) {
 	r := newRunner(t, "r1", func(w http.ResponseWriter, _ *http.Request) {
