--- a/clock/clock.go
+++ b/clock/clock.go
@@ -15,7 +15,7 @@
 	// minClockJump is the drift between the time of day and the monotonic clock that triggers a check for a
 	// suspension: more than regular clock corrections add up to between two checks, less than any limit on an age.
 	minClockJump = 20 * time.Millisecond
-	// checkInterval is how often suspensions are checked for regardless: a step of the time of day may hide one.
+	// checkInterval is how often suspensions are checked for without such a jump: a step of the time of day may hide one.
 	checkInterval = time.Second
 	// readAttempts is how often two clocks are read for one difference, since the process may be paused between the
 	// reads.
@@ -24,7 +24,7 @@
 
 type (
 	// Clock is the monotonic clock plus the time for which the machine was suspended, which the monotonic clock
-	// leaves out. Without it, a box that was suspended would take its data for younger than it is, and forward
+	// leaves out. Without it, a box that was suspended would underestimate the age of its data, and forward
 	// requests whose deadline has passed.
 	//
 	// Its times compare only with each other. Their time of day is meaningless: it is ahead by the suspended time.
@@ -41,8 +41,8 @@
 	// reading is the result of a check for suspensions.
 	reading struct {
 		at        time.Time     // by the monotonic clock
-		drift     time.Duration // measured duration: drift of the time of day from the monotonic clock since start
-		suspended time.Duration // measured duration: suspended time since start
+		drift     time.Duration // drift of the time of day from the monotonic clock since start
+		suspended time.Duration // suspended time since start
 	}
 )
 
--- a/cmd/willowctl/declare.go
+++ b/cmd/willowctl/declare.go
@@ -312,7 +312,7 @@
 		set.StringVar(&to, "to", "", "version to roll out")
 		set.StringVar(&steps, "steps", "5,25,100", "shares of sessions at each step, in percent")
 		set.IntVar(&minRequests, "min-requests", 100, "least number of requests at a step before the next step")
-		set.IntVar(&maxExposure, "max-exposure", 0, "number of requests at a step without a verdict before the roll-out is held; 0 for 20 times -min-requests")
+		set.IntVar(&maxExposure, "max-exposure", 0, "number of requests at a step without a verdict before the roll-out pauses; 0 for 20 times -min-requests")
 	}
 	return t.command("rollout", "NAME", "start a roll-out", flags, func(ctx context.Context, args []string) error {
 		name, err := oneArgument(args, "name of the roll-out")
--- a/cmd/willowctl/losses.go
+++ b/cmd/willowctl/losses.go
@@ -15,7 +15,7 @@
 	"github.com/pkg/errors"
 )
 
-// Causes of a loss, as the report prints them.
+// Causes of a loss, as the report prints them: "no place" means no free slot, "read its prompt" the prefill.
 const (
 	causeNoSlot           lossCause = "refused: no place in time"
 	causeStopping         lossCause = "refused: the box was stopping"
@@ -57,17 +57,17 @@
 		Status      int       `json:"status"`
 		Cause       string    `json:"cause"`
 		Outcome     string    `json:"outcome"`
-		DurationMs  int64     `json:"ms"`
+		DurationMs  int64     `json:"ms"` // duration of the request or of the send
 		GoalMs      int64     `json:"goal_ms"`
-		FirstMs     *int64    `json:"first_ms"`
-		PauseMs     int64     `json:"pause_ms"`
+		FirstMs     *int64    `json:"first_ms"` // from the arrival to the first event of a stream; nil without one
+		PauseMs     int64     `json:"pause_ms"` // longest pause between events of a stream
 		PauseGoalMs int64     `json:"pause_goal_ms"`
-		SentAfterMs int64     `json:"send_ms"`
-		AheadMs     int64     `json:"ahead_ms"`
-		ReadingMs   int64     `json:"reading_ms"`
+		SentAfterMs int64     `json:"send_ms"`    // from the arrival to the send that was answered
+		AheadMs     int64     `json:"ahead_ms"`   // forecast backlog of the endpoint when the request was sent
+		ReadingMs   int64     `json:"reading_ms"` // forecast prefill time
 		Confidence  int       `json:"confidence"`
-		Stage       int       `json:"stage"`
-		Stages      int       `json:"stages"`
+		Stage       int       `json:"stage"`  // position of the answering model in the cascade, from 1
+		Stages      int       `json:"stages"` // length of the cascade
 	}
 
 	// history holds the log lines about one request.
@@ -200,6 +200,7 @@
 	}
 }
 
+// refusalCause derives the cause from the text that the daemon logged with the refusal.
 func (h *history) refusalCause() (cause lossCause, lost bool) {
 	switch text := h.end.Cause; {
 	case strings.Contains(text, "stopping"):
@@ -227,13 +228,14 @@
 	return h.firstTokenMs() > h.end.GoalMs || h.end.PauseGoalMs > 0 && h.end.PauseMs > h.end.PauseGoalMs
 }
 
-// latenessCause returns the cause of most of the time until the answer began, or causeStreamPause if it began in time.
+// latenessCause returns the cause of the largest part of the time until the answer began, or causeStreamPause if the
+// answer began in time.
 func (h *history) latenessCause() lossCause {
 	if h.firstTokenMs() <= h.end.GoalMs {
 		return causeStreamPause
 	}
 	spent := map[lossCause]int64{}
-	var sending int64
+	var sending int64 // total duration of the sends that brought no answer
 	for _, send := range h.sends {
 		spent[send.delayCause()] += send.DurationMs
 		sending += send.DurationMs
@@ -264,6 +266,7 @@
 	}
 }
 
+// countLosses counts the losses by group and cause; rows are sorted by group, the most frequent cause first.
 func countLosses(losses []loss, group func(loss) string) []lossRow {
 	type key struct {
 		cause lossCause
--- a/cmd/willowctl/show.go
+++ b/cmd/willowctl/show.go
@@ -27,7 +27,7 @@
 	unreachable   = "unreachable"
 )
 
-// boxStatus is the status that a box reported, or the error why it reported none.
+// boxStatus is the status that a box reported, or the error of a box that did not report it.
 type boxStatus struct {
 	serve.Status
 	Error string `json:"error,omitempty"`
--- a/cmd/willowwickd/node.go
+++ b/cmd/willowwickd/node.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// waitForStop returns at the first signal to stop; SIGHUP rereads the settings file at path instead.
+// waitForStop returns at the first signal to stop; SIGHUP only makes it reread the settings file at path.
 func waitForStop(signals <-chan os.Signal, path string) {
 	for received := range signals {
 		if received != syscall.SIGHUP {
--- a/config/fold.go
+++ b/config/fold.go
@@ -117,6 +117,7 @@
 	return ""
 }
 
+// lastModified returns the offset at which the object was last changed or deleted, or 0 if none is known.
 func (s *State) lastModified(key Key) willowwick.Offset {
 	if object, ok := s.Objects[key]; ok {
 		return object.Modified
@@ -172,6 +173,7 @@
 	s.addAuditEntry(entry)
 }
 
+// tryRolloutStep applies the step if it is valid, and otherwise returns the reason for its rejection.
 func (s *State) tryRolloutStep(step *RolloutStep) string {
 	if step.Fence != s.Lease.Fence {
 		return fmt.Sprintf("fenced off: the lease has fence %d, the step was written under %d", s.Lease.Fence, step.Fence)
@@ -201,7 +203,7 @@
 	return ""
 }
 
-// applyLeaseClaim grants a claim if the lease has not changed since the claimant last read it.
+// applyLeaseClaim acquires, renews or releases the lease as claimed, if it has not changed since the claimant read it.
 func (s *State) applyLeaseClaim(claim *LeaseClaim) {
 	if claim.After != s.Lease.Renewed {
 		return
@@ -241,7 +243,8 @@
 	s.addAuditEntry(entry)
 }
 
-// checkSnapshot compares a snapshot with the local state before it, and only records the result.
+// checkSnapshot compares a snapshot with the state before its record and adds the result to the audit; the snapshot does
+// not replace the state.
 func (s *State) checkSnapshot(before *State, data json.RawMessage) {
 	entry := AuditEntry{Offset: s.Offset, Kind: RecordSnapshot, Author: systemAuthor, Accepted: true}
 	snapshot, err := DecodeState(data)
--- a/config/specs.go
+++ b/config/specs.go
@@ -80,7 +80,7 @@
 		To          willowwick.VersionID `json:"to" yaml:"to"`
 		Steps       []float64            `json:"steps" yaml:"steps"` // shares of sessions, in per cent
 		MinRequests int                  `json:"minRequests" yaml:"minRequests"`
-		MaxExposure int                  `json:"maxExposure,omitempty" yaml:"maxExposure"` // requests on one step before it is evaluated
+		MaxExposure int                  `json:"maxExposure,omitempty" yaml:"maxExposure"` // requests on a step without a verdict before it pauses
 	}
 
 	// Limit is a rate limit of a client account over the whole fleet.
--- a/config/state.go
+++ b/config/state.go
@@ -66,7 +66,7 @@
 		Kind     RecordKind          `json:"kind"`
 		Author   string              `json:"author"`
 		Reason   string              `json:"reason"`
-		Objects  []string            `json:"objects,omitempty"`
+		Objects  []string            `json:"objects,omitempty"` // their keys, with "-" before that of a deleted object
 		Accepted bool                `json:"accepted"`
 		Why      string              `json:"why,omitempty"` // reason of a rejection
 	}
--- a/remote/engine.go
+++ b/remote/engine.go
@@ -91,10 +91,11 @@
 		Total willowwick.Tokens `json:"total_tokens"`
 	}
 
+	// engineStream implements willowwick.ChunkStream over the server-sent events of an answer.
 	engineStream struct {
 		load  willowwick.EndpointLoad
 		next  func() (sse.Event, error, bool)
-		ended bool
+		ended bool // streamEndMarker was received
 	}
 )
 
@@ -150,14 +151,14 @@
 	return response, wrapSendError(err)
 }
 
-// reportNotice passes the endpoint state in the response headers to heard.
-func reportNotice(heard func(willowwick.Notice), response *http.Response) {
-	if heard != nil {
-		heard(noticeHeaders.Read(response.StatusCode, response.Header, clock.Now()))
+// reportNotice passes the endpoint state in the response headers to onNotice, which may be nil.
+func reportNotice(onNotice func(willowwick.Notice), response *http.Response) {
+	if onNotice != nil {
+		onNotice(noticeHeaders.Read(response.StatusCode, response.Header, clock.Now()))
 	}
 }
 
-// wrapSendError wraps a send error; it is willowwick.ErrNotSent if the request can't have reached the endpoint.
+// wrapSendError wraps an error of a send; the result wraps willowwick.ErrNotSent if the request can't have reached the endpoint.
 func wrapSendError(err error) error {
 	if err == nil {
 		return nil
--- a/replay/simulate.go
+++ b/replay/simulate.go
@@ -17,9 +17,9 @@
 	wrongRatingShare      = 0.03 // share of ratings that are wrong
 	evidenceInterval      = time.Second
 	sampledShare          = 0.5 // share of answers whose ratings count as evidence on their version
-	failureQuality        = 0.1
-	failureErrorRate      = 0.5
-	failureSlowdown       = 8
+	failureQuality        = 0.1 // share of good answers that stay good under FailureRatings
+	failureErrorRate      = 0.5 // share of requests that fail under FailureErrors
+	failureSlowdown       = 8   // factor on all durations under FailureSlow
 	slowFirstToken        = 1800 * time.Millisecond
 	slowTokenGap          = 39 * time.Millisecond
 	timedStepInterval     = 60 * time.Second
@@ -47,7 +47,7 @@
 		learner         *route.Learner
 		revision        *config.Revision
 		monitor         *rollout.Monitor
-		pendingEvidence map[willowwick.VersionID]rollout.Evidence
+		pendingEvidence map[willowwick.VersionID]rollout.Evidence // since the last evaluation of the roll-out
 		step            int
 		stepStarted     time.Time
 		withdrawn       bool // the new version is withdrawn
@@ -177,7 +177,7 @@
 	s.dispatchOrQueue(t, s.firstVersion(t))
 }
 
-// firstVersion returns the version that is asked first, and sets whether its answer needs a rating.
+// firstVersion returns the version that the request is sent to first, and sets whether its answer needs a rating.
 func (s *simulation) firstVersion(t *task) Version {
 	cheap := s.cheapVersion(t)
 	t.subject = route.Subject{Account: t.Account, Class: t.Class, Version: cheap.ID}
@@ -274,8 +274,8 @@
 	t.router.inFlight[t.version.ID]++
 	t.router.queueOf(t.version.ID).SetInFlight(t.router.inFlight[t.version.ID])
 	r := s.runners[slot.Endpoint.ID]
-	bad := t.version.ID == s.trace.New.ID && s.trace.Rollout.Failure != "" && s.since(s.trace.Rollout.FailureStartMs) >= 0
-	if bad {
+	failing := t.version.ID == s.trace.New.ID && s.trace.Rollout.Failure != "" && s.since(s.trace.Rollout.FailureStartMs) >= 0
+	if failing {
 		s.result.exposure++
 	}
 	j := &job{version: t.version, prompt: t.Prompt, output: t.Output, prefix: t.Prefix, slowdown: 1}
@@ -365,14 +365,14 @@
 	}
 }
 
-// handleAnswer has the answer rated if it needs a rating, then returns it to the caller or asks the strong model.
+// handleAnswer has the answer rated if it needs a rating, then returns it to the caller or sends the request to the strong model.
 func (s *simulation) handleAnswer(t *task, first time.Time) {
 	good := s.isGood(t)
-	rated := good != (t.Draw < wrongRatingShare)
+	passed := good != (t.Draw < wrongRatingShare)
 	if !t.needsRating {
 		if t.Draw < sampledShare {
 			t.subject.Version = t.version.ID
-			s.recordRating(t, rated)
+			s.recordRating(t, passed)
 		}
 		if expected, known := s.learner.ExpectedPassRate(route.Subject{Account: t.Account, Class: t.Class, Version: t.version.ID}); known {
 			s.learner.RecordQuality(t.Account, expected)
@@ -381,8 +381,8 @@
 		return
 	}
 	s.schedule(s.now.Add(raterDelay), func() {
-		s.recordRating(t, rated)
-		if rated {
+		s.recordRating(t, passed)
+		if passed {
 			s.learner.RecordQuality(t.Account, 1)
 			// An answer that needs a rating is held back and reaches the caller whole.
 			s.result.add(t, s.now.Sub(t.arrivedAt), s.now, good)
@@ -405,8 +405,8 @@
 	}
 }
 
-// recordRating passes a rating to the learner. The evidence on versions counts only a sample of the ratings, which does
-// not depend on why an answer was rated.
+// recordRating passes a rating to the learner. As evidence on the version it counts only if the request belongs to a
+// random sample, so that the evidence does not depend on which answers needed a rating.
 func (s *simulation) recordRating(t *task, passed bool) {
 	s.learner.Rated(t.subject, passed)
 	if t.Draw >= sampledShare {
--- a/standin/store.go
+++ b/standin/store.go
@@ -35,17 +35,17 @@
 		unavailable map[string]bool // topics that are not served
 		topics      map[string]*storeTopic
 		groups      map[string]*storeGroup
-		calls       map[string]int
+		calls       map[string]int         // number of calls by path
 		era         uint64                 // 0 if answers name no era
 		backup      map[string]*storeTopic // what SaveBackup saved
 		mux         *http.ServeMux
 	}
 
 	storeTopic struct {
-		first      uint64
+		first      uint64 // offset of the first record that is kept
 		records    [][]byte
-		newest     map[string]storeRecord
-		lastWrites map[string]uint64 // offset of each key's last write or deletion
+		newest     map[string]storeRecord // newest value of each key that is not deleted
+		lastWrites map[string]uint64      // offset of each key's last write or deletion
 	}
 
 	storeRecord struct {
@@ -54,9 +54,9 @@
 	}
 
 	storeGroup struct {
-		generation uint64
+		generation uint64               // counts the changes of the members
 		members    map[string]time.Time // expiry of each member
-		topic      string
+		topic      string               // the member that owns its only part is the leader
 	}
 
 	joinRequest struct {
@@ -68,7 +68,7 @@
 
 	storeItem struct {
 		Key    string `json:"key-file"`
-		Value  string `json:"value"`
+		Value  string `json:"value"` // base64
 		Offset uint64 `json:"offset"`
 	}
 )
@@ -111,7 +111,7 @@
 	s.faults = faults
 }
 
-// SetUnavailable takes one topic out of service or puts it back; the others stay in service.
+// SetUnavailable makes calls for one topic fail, or ends that; calls for other topics are still served.
 func (s *Store) SetUnavailable(topic string, unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,7 +146,7 @@
 	return nil
 }
 
-// PutRaw appends bytes that need not be a record of a key and a value, as a writer of another format might.
+// PutRaw appends bytes as they are, as a writer of another format does; they need not hold a key and a value.
 func (s *Store) PutRaw(topic string, record []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -188,6 +188,7 @@
 	return t.first + uint64(len(t.records))
 }
 
+// append appends a record: a byte with the length of the key, the key and the value, which is empty for a deletion.
 func (t *storeTopic) append(record []byte) {
 	keyEnd := 1 + int(record[0])
 	key, value := string(record[1:keyEnd]), record[keyEnd:]
@@ -342,6 +343,7 @@
 	writeJSONStatus(w, http.StatusOK, map[string]any{"generation": generation, "ttl-ms": call.TTLMs, "parts": parts})
 }
 
+// expire removes the members whose time to live has passed; the caller holds the lock.
 func (g *storeGroup) expire() {
 	for member, expiry := range g.members {
 		if time.Now().After(expiry) {
--- a/wire/doc.go
+++ b/wire/doc.go
@@ -1,3 +1,4 @@
 // Package wire sends HTTP/1.1 requests to endpoints over its own pool of persistent connections, and reports for each
-// failure whether the endpoint may have executed the request.
+// failure whether the endpoint may have executed the request. Begin with Pool: its Open returns a Conn, which sends a
+// Message and receives an Answer.
 package wire
--- a/wire/fetch.go
+++ b/wire/fetch.go
@@ -10,16 +10,16 @@
 type (
 	// FetchLimits holds the limits of one call whose whole body is read.
 	FetchLimits struct {
-		HeadTimeout  time.Duration // setting: maximum time until the head of the answer is received
-		IdleTimeout  time.Duration // maximum size of the body; the rest is not read
-		MaxBodyBytes int64         // of the body
+		HeadTimeout  time.Duration // maximum time until the head of the answer is received
+		IdleTimeout  time.Duration // maximum pause between two reads of the body that return data
+		MaxBodyBytes int64         // maximum size of the body; the rest is not read
 	}
 
 	// progressReader resets a timer whenever a read returns data.
 	progressReader struct {
 		io.Reader
 		timer   *time.Timer
-		timeout time.Duration // setting: duration to which the timer is reset
+		timeout time.Duration // duration to which the timer is reset
 	}
 )
 
--- a/wire/pool.go
+++ b/wire/pool.go
@@ -36,8 +36,8 @@
 type (
 	// Settings holds the timeouts of connections.
 	Settings struct {
-		DialTimeout time.Duration // setting: maximum time to establish a connection
-		AckTimeout  time.Duration // setting: maximum time that sent bytes may stay unacknowledged
+		DialTimeout time.Duration // maximum time to establish a connection
+		AckTimeout  time.Duration // maximum time that sent bytes may stay unacknowledged
 	}
 
 	// Stats counts the connections and skipped answers of a pool.
@@ -66,9 +66,9 @@
 		raw          syscall.RawConn
 		reader       *bufio.Reader
 		address      string
-		idleDeadline time.Time // when the endpoint may close the idle connection
-		idleSince    time.Time // when its last answer was complete
-		writeResult  chan error
+		idleDeadline time.Time  // when the endpoint may close the idle connection
+		idleSince    time.Time  // when its last answer was complete
+		writeResult  chan error // receives the result of a write that runs concurrently; nil if there is none
 	}
 )
 
@@ -186,14 +186,14 @@
 	closeAll(conns)
 }
 
-// CloseIdleBefore closes the idle connections to an address that have had no answer since the given time, when a
-// request was sent that got no answer: they may have stalled together with its connection. Otherwise each of them
-// could cost another request.
+// CloseIdleBefore closes the idle connections to an address whose last answer was complete before the given time: that
+// at which a request was sent that got no answer. They may have stalled together with the connection of that request,
+// and each stalled connection could cost another request.
 func (p *Pool) CloseIdleBefore(address string, sent time.Time) {
 	p.closeIdleWhere(func(at string, c *Conn) bool { return at == address && c.idleSince.Before(sent) })
 }
 
-// CloseExpired closes the idle connections that their endpoints are about to close.
+// CloseExpired closes the idle connections whose idle deadline has passed: their endpoints may soon close them.
 func (p *Pool) CloseExpired(now time.Time) {
 	p.closeIdleWhere(func(_ string, c *Conn) bool { return !now.Before(c.idleDeadline) })
 }
@@ -244,17 +244,18 @@
 	if c.raw == nil {
 		return true
 	}
-	quiet := false
+	hasNoData := false
 	err := c.raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(err, syscall.EAGAIN)
+		hasNoData = errors.Is(err, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && hasNoData
 }
 
-// Release returns the connection to the pool after a complete answer, or closes it if it can't be reused.
+// Release returns the connection to the pool after a complete answer, or closes it if it can't be reused; keepAlive is
+// the Keep-Alive header of the answer.
 func (c *Conn) Release(keepAlive string) {
 	c.idleSince = clock.Now()
 	c.idleDeadline = c.idleSince.Add(parseIdleTime(keepAlive))
