--- a/cmd/willowctl/demo.go
+++ b/cmd/willowctl/demo.go
@@ -44,16 +44,16 @@
 	Answered       int                            `json:"answered"`
 	Refused        int                            `json:"refused"`
 	RefusedByKind  map[willowwick.RefusalKind]int `json:"refused_by_kind"`
-	Lost           int                            `json:"lost"`
-	Crossed        int                            `json:"crossed"`
-	Doubled        int                            `json:"doubled"`
+	Lost           int                            `json:"lost"`    // got neither an answer nor a refusal
+	Crossed        int                            `json:"crossed"` // got an answer that is not the complete answer to their prompt
+	Doubled        int                            `json:"doubled"` // entries that took effect on plain services more than once
 	Billed         int                            `json:"billed"`
 	BilledTwice    int                            `json:"billed_twice"`
 	Cost           willowwick.MicroUnits          `json:"cost"`
 	P50            int64                          `json:"first_token_p50_ms"`
 	P95            int64                          `json:"first_token_p95_ms"`
 	P99            int64                          `json:"first_token_p99_ms"`
-	Exposure       int                            `json:"exposure"`
+	Exposure       int                            `json:"exposure"` // calls of the bad version after it began to fail
 	Withdrawn      []willowwick.VersionID         `json:"withdrawn"`
 	RolledOut      []willowwick.RolloutID         `json:"rolled_out"`
 	Answers        map[willowwick.VersionID]int   `json:"answers_by_version"`
--- a/cmd/willowwickd/doc.go
+++ b/cmd/willowwickd/doc.go
@@ -1,3 +1,4 @@
 // Willowwickd is the daemon that runs on every box. Its settings are in options. With -node-file it serves opaque
-// requests on the users' platform (runNode), and otherwise model requests and plain services (run).
+// requests on the users' platform (runNode, package exchange), and otherwise chat completions and plain services (run,
+// package serve).
 package main
--- a/lab/caller.go
+++ b/lab/caller.go
@@ -30,9 +30,9 @@
 		MaxTokens   int
 		Stream      bool
 		Session     string
-		Token       string
+		Token       string // session token of an earlier reply
 		Class       string
-		Idempotency string
+		Idempotency string        // idempotency key; empty for none
 		Deadline    time.Duration // relative to the time of the call
 	}
 
@@ -71,9 +71,9 @@
 const (
 	OutcomeComplete    Outcome = "whole"
 	OutcomeRefused     Outcome = "refused"
-	OutcomeMismatched  Outcome = "crossed" // looked complete, but was not the complete answer to this prompt
-	OutcomeLost        Outcome = "lost"    // neither an answer nor a refusal
-	OutcomeNotAccepted Outcome = "not taken"
+	OutcomeMismatched  Outcome = "crossed"   // looked complete, but was not the complete answer to this prompt
+	OutcomeLost        Outcome = "lost"      // neither an answer nor a refusal
+	OutcomeNotAccepted Outcome = "not taken" // the box accepted no connection, or no box is ready
 )
 
 // Ask sends a chat request to a box and checks the answer against the prompt.
--- a/lab/handover_test.go
+++ b/lab/handover_test.go
@@ -11,10 +11,9 @@
 
 // TestReturnedUsageRecordsAreAppendedOnce guards against an endless append loop: while the log was down, a box that
 // held another's usage records was stopped as planned and handed them to their owner. The owner kept them as held for
-// another box, which are due after heldAppendDelay
-// and are cleared only by a record of another boot, so it appended them again
-// and again without a pause. TestFleetAgainstOracle hung, with virtual time standing still, in 1 of 22 runs with the
-// usual seed and with 4 of 7 others.
+// another box, which are due after heldAppendDelay and are cleared only by a record of another boot, so it appended them
+// again and again without a pause. TestFleetAgainstOracle hung, with virtual time standing still, in 1 of 22 runs with
+// the usual seed and with 4 of 7 others.
 func TestReturnedUsageRecordsAreAppendedOnce(t *testing.T) {
 	withTestFleet(t, 2, func(s *testFleet) {
 		s.setLogDown(true)
--- a/lab/isolated_config_test.go
+++ b/lab/isolated_config_test.go
@@ -11,8 +11,8 @@
 )
 
 // TestIsolatedBoxRefusesUnknownNamesTemporarily: a name that an isolated box does not know may have been declared
-// since, and is in force elsewhere within the promised time. The box refused such names for good, because the exchange
-// compared the wrong age and this interface none at all.
+// since, and is in force elsewhere within the promised time. The box refused such names for good, because package
+// exchange compared the wrong age with the limit, and package serve compared none.
 func TestIsolatedBoxRefusesUnknownNamesTemporarily(t *testing.T) {
 	withTestFleet(t, 3, func(s *testFleet) {
 		s.requireAnswer(2, Chat{})
--- a/lab/promises_test.go
+++ b/lab/promises_test.go
@@ -393,7 +393,8 @@
 	})
 }
 
-// TestDrainingEndpointGetsNoNewWork within 3 s, although the list lags by a minute; requests under way finish.
+// TestDrainingEndpointGetsNoNewWork: a draining endpoint gets no new request after 3 s, although the list lags by a
+// minute; requests under way finish.
 func TestDrainingEndpointGetsNoNewWork(t *testing.T) {
 	t.Run("rejects new work", func(t *testing.T) { checkDraining(t, standin.EngineFaults{Draining: true}) })
 	t.Run("accepts new work", func(t *testing.T) { checkDraining(t, standin.EngineFaults{Draining: true, DrainsSilently: true}) })
--- a/lab/rollout_test.go
+++ b/lab/rollout_test.go
@@ -78,7 +78,7 @@
 	return 0
 }
 
-// TestBadVersionIsWithdrawn by the fleet itself, whether it fails, rates low or is slow.
+// TestBadVersionIsWithdrawn: the fleet itself withdraws a version that fails, is rated low or is slow.
 func TestBadVersionIsWithdrawn(t *testing.T) {
 	for _, bad := range []struct {
 		name      string
@@ -120,7 +120,7 @@
 	}
 }
 
-// TestRolloutWaitsWhileTheLogIsDown and completes afterwards.
+// TestRolloutWaitsWhileTheLogIsDown: a roll-out waits while the log is down, and completes afterwards.
 func TestRolloutWaitsWhileTheLogIsDown(t *testing.T) {
 	withTestFleet(t, 3, func(s *testFleet) {
 		s.startRollout(30, 100)
--- a/replay/report.go
+++ b/replay/report.go
@@ -23,10 +23,10 @@
 		refused     int
 		good        int
 		inTime      int
-		exposure    int
+		exposure    int // requests sent to the new version after it began to fail
 		cost        willowwick.MicroUnits
 		firstToken  *hdrhistogram.Histogram
-		withdrawnAt time.Duration
+		withdrawnAt time.Duration // from the start of the trace; 0 if the new version was not withdrawn
 	}
 
 	// PolicyResult holds the metrics of a policy.
@@ -40,7 +40,7 @@
 		Goodput     float64 `json:"goodput"`  // share of requests answered within their deadline
 		Exposure    int     `json:"exposure"` // requests sent to the new version after it began to fail
 		Refused     int     `json:"refused"`
-		WithdrawnMs int64   `json:"withdrawn_ms,omitempty"`
+		WithdrawnMs int64   `json:"withdrawn_ms,omitempty"` // from the start of the trace
 	}
 
 	// Checked is an expected outcome with its measured value.
@@ -128,7 +128,8 @@
 	return PolicyResult{}, false
 }
 
-// check compares a metric of willowwick's policy with that of a baseline, or with 1 if the outcome names none.
+// check divides a metric of willowwick's policy by that of a baseline, or by 1 if the outcome names none, and compares the
+// ratio with the bounds of the outcome; if the baseline's is 0, the metric itself.
 func (r *Report) check(o Outcome) (Checked, error) {
 	result, _ := r.Result(PolicyWillowwick)
 	value, err := result.metric(o.Metric)
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -28,12 +28,12 @@
 	PlatformFaults struct {
 		LogDown        bool `json:"logDown"`
 		DroppedAnswers int  `json:"loseAnswer"` // appends that take effect without an answer
-		SlowMs         int  `json:"slowMs"`
+		SlowMs         int  `json:"slowMs"`     // delay of every answer of the log, the list and the rater
 		ListDown       bool `json:"listDown"`
-		ListLagMs      int  `json:"listLagMs"`
+		ListLagMs      int  `json:"listLagMs"` // time until a change of the list becomes visible
 		RaterDown      bool `json:"raterDown"`
-		RaterMs        int  `json:"raterMs"`
-		Retain         int  `json:"retain"` // records kept on the configuration stream; 0 keeps all
+		RaterMs        int  `json:"raterMs"` // duration of a rating
+		Retain         int  `json:"retain"`  // records kept on the configuration stream; 0 keeps all
 	}
 
 	// Platform stands in for the log, the list of boxes and endpoints, and the rater.
@@ -43,13 +43,13 @@
 		streams   map[willowwick.StreamID]*stream
 		boxes     map[willowwick.BoxID]willowwick.Box
 		endpoints map[willowwick.EndpointID]willowwick.Endpoint
-		listings  []timedListing
+		listings  []timedListing // oldest first; ListLagMs selects an older one
 		appends   int
 		mux       *http.ServeMux
 	}
 
 	stream struct {
-		first   willowwick.Offset
+		first   willowwick.Offset // of the first entry that is kept
 		entries []willowwick.Entry
 	}
 
