--- a/standin/stalling_proxy.go
+++ b/standin/stalling_proxy.go
@@ -31,7 +31,7 @@
 func NewStallingProxy(target string) (*StallingProxy, func(), error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, nil, errors.Wrap(err, "stalling proxy")
+		return nil, nil, errors.Wrap(err, "silencer")
 	}
 	s := &StallingProxy{listener: listener, target: target}
 	go s.accept()
