--- a/gate/doc.go
+++ b/gate/doc.go
@@ -1,3 +1,3 @@
-// Package gate lets requests to endpoints in fair turns between client accounts,
-// and refuses at once what could not make its deadline.
+// Package gate admits requests to endpoints in fair order between client accounts, and refuses at once what could not
+// meet its deadline.
 package gate
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -12,50 +12,51 @@
 )
 
 const (
-	// tickInterval is how often the queues are looked through for expired requests and free places.
+	// tickInterval is how often the queues are checked for expired requests and free slots.
 	tickInterval = 20 * time.Millisecond
-	// OverloadRetryDelay is when a request refused for lack of places should come back at the earliest.
+	// OverloadRetryDelay is the least time after which a request refused for lack of slots should retry.
 	OverloadRetryDelay = time.Second
-	// noEndpointRetryDelay is when a request that no endpoint serves should come back.
+	// noEndpointRetryDelay is the time after which a request that no endpoint serves should retry.
 	noEndpointRetryDelay = 2 * time.Second
-	// minShortageRetryDelay is when a request that no endpoint takes now should come back at the earliest.
+	// minShortageRetryDelay is the least time after which a request refused in a shortage should retry.
 	minShortageRetryDelay = 300 * time.Millisecond
-	// maxShortageRetryDelay is when it should at the latest: it is likely to come to another box, which may have its turn sooner.
+	// maxShortageRetryDelay is the longest such time: the retry probably reaches another box, which may serve it
+	// sooner.
 	maxShortageRetryDelay = 3 * time.Second
-	// shortageWaitDivisor is the part of the time that a request may wait within which endpoints must take requests again for it to do so: at
-	// the end of their rest they take few at first, and others wait, too.
+	// shortageWaitDivisor bounds waiting in a shortage: endpoints must accept requests again within the request's
+	// remaining time divided by it, since at first they accept few and other requests wait as well.
 	shortageWaitDivisor = 2
 )
 
 type (
-	// Gate lets requests to endpoints in fair turns, one queue for each kind of work.
+	// Gate admits requests to endpoints in fair order, with one queue for each kind of work.
 	Gate struct {
 		mu     sync.Mutex
 		queues map[string]*route.Queue
 		inUse  map[string]int
 	}
 
-	// Request is one request's wish for a place.
+	// Request asks for a slot.
 	Request struct {
 		Work     string // the version or service
 		Account  willowwick.AccountID
 		Weight   int
 		Cost     willowwick.Tokens
 		Deadline time.Time
-		// Acquire takes a place if there is one; known is false if nothing serves the work.
+		// Acquire acquires a slot if one is free; known is false if no endpoint serves the work.
 		Acquire func(now time.Time) (slot *route.Slot, known bool)
-		// Shortage reports whether no place can come before a time, though some endpoint serves the work; nil if it always may.
+		// Shortage returns the current shortage if no slot can become free before it ends; nil if that never happens.
 		Shortage func(now time.Time) (shortage route.Shortage, isShort bool)
 	}
 
-	// waiter is a wish with what came of it.
+	// waiter is a request with its result.
 	waiter struct {
 		Request
 		slot   *route.Slot
 		result chan *willowwick.Refusal
 	}
 
-	// Ticket is a place with what is needed to give it back.
+	// Ticket is an acquired slot with what is needed to release it.
 	Ticket struct {
 		*route.Slot
 		gate       *Gate
@@ -65,14 +66,14 @@
 	}
 )
 
-// New returns a gate that nothing waits at.
+// New returns a gate with empty queues.
 func New() *Gate {
 	return &Gate{queues: map[string]*route.Queue{}, inUse: map[string]int{}}
 }
 
-// Enter returns a place, at once or after the request's turn has come.
+// Enter returns a slot, at once or when the request reaches the head of its queue.
 //
-// A request that cannot make its deadline is refused at once.
+// A request that cannot be dispatched before its deadline is refused at once.
 func (g *Gate) Enter(ctx context.Context, request Request) (*Ticket, *willowwick.Refusal) {
 	w, placed, refusal := g.acquireOrQueue(request)
 	if refusal != nil {
@@ -91,7 +92,7 @@
 	return &Ticket{Slot: w.slot, gate: g, work: request.Work, cost: request.Cost, acquiredAt: clock.Now()}, nil
 }
 
-// acquireOrQueue takes a place if there is one, and otherwise a turn in the queue.
+// acquireOrQueue acquires a slot if one is free, and otherwise queues the request.
 func (g *Gate) acquireOrQueue(request Request) (w *waiter, acquired bool, refusal *willowwick.Refusal) {
 	now := clock.Now()
 	g.mu.Lock()
@@ -121,7 +122,7 @@
 	return w, false, nil
 }
 
-// mustRefuse reports whether no place can come in time for the request to wait for it.
+// mustRefuse reports whether no slot can become free in time for the request to wait for it.
 func (w *Request) mustRefuse(now time.Time) (shortage route.Shortage, refuse bool) {
 	if w.Shortage == nil {
 		return route.Shortage{}, false
@@ -133,8 +134,8 @@
 	return shortage, !mayWait
 }
 
-// shortageRefusal is that of a request that no endpoint takes before a time. Callers that are refused for the same rest come back
-// apart from each other: all at once would be more than endpoints take at its end.
+// shortageRefusal returns the refusal for a request in a shortage. Retries after the same backoff are spread, since
+// all at once would be more than the endpoints accept at its end.
 func shortageRefusal(now time.Time, shortage route.Shortage, work string) *willowwick.Refusal {
 	after := shortage.Until.Sub(now)
 	if shortage.IsCertain {
@@ -142,12 +143,12 @@
 	}
 	until := now.Add(min(max(after, minShortageRetryDelay), maxShortageRetryDelay))
 	if shortage.IsCertain {
-		return willowwick.NotRun(willowwick.CodeOverloaded, until, "every endpoint that serves %q has asked for rest", work)
+		return willowwick.NotRun(willowwick.CodeOverloaded, until, "every endpoint that serves %q has asked for a backoff", work)
 	}
-	return willowwick.NotRun(willowwick.CodeRateLimited, until, "every endpoint that serves %q names a limit, and takes no more now", work)
+	return willowwick.NotRun(willowwick.CodeRateLimited, until, "every endpoint that serves %q is rate-limited and accepts no more requests now", work)
 }
 
-// cancel takes back a wish whose caller is gone.
+// cancel withdraws a request whose caller has left or whose deadline has passed.
 func (g *Gate) cancel(w *waiter) *willowwick.Refusal {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -158,7 +159,7 @@
 	} else {
 		q.RemoveValue(w.Account, w)
 	}
-	return willowwick.NotRun(willowwick.CodeDeadline, time.Time{}, "the caller went away, or the deadline passed, before a place was free")
+	return willowwick.NotRun(willowwick.CodeDeadline, time.Time{}, "the caller disconnected or the deadline passed before a slot was free")
 }
 
 func (g *Gate) queue(work string) *route.Queue {
@@ -181,7 +182,7 @@
 	g.queue(work).SetInFlight(g.inUse[work])
 }
 
-// dispatch gives free places to the requests whose turn it is.
+// dispatch gives free slots to the requests at the head of the queue.
 func (g *Gate) dispatch(work string, now time.Time) {
 	q := g.queue(work)
 	for {
@@ -210,7 +211,8 @@
 	}
 }
 
-// refuseInShortage refuses a request at the head of its queue for which no place can come, and reports whether it did.
+// refuseInShortage refuses the request at the head of its queue if no slot can become free in time, and reports
+// whether it did.
 func (w *waiter) refuseInShortage(q *route.Queue, now time.Time) bool {
 	shortage, refuse := w.mustRefuse(now)
 	if !refuse {
@@ -221,14 +223,14 @@
 	return true
 }
 
-// sweep refuses what has run out of time and looks for free places.
+// sweep refuses expired requests and dispatches to free slots.
 func (g *Gate) sweep(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for work, q := range g.queues {
 		for _, expired := range q.Expired(now) {
 			if w, ok := expired.Value.(*waiter); ok {
-				w.result <- willowwick.NotRun(willowwick.CodeDeadline, now.Add(OverloadRetryDelay), "the deadline passed before a place was free")
+				w.result <- willowwick.NotRun(willowwick.CodeDeadline, now.Add(OverloadRetryDelay), "the deadline passed before a slot was free")
 			}
 		}
 		if q.Len() > 0 {
@@ -237,7 +239,7 @@
 	}
 }
 
-// Run keeps the queues moving until the context ends.
+// Run dispatches and expires queued requests until the context ends.
 func (g *Gate) Run(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -251,7 +253,7 @@
 	}
 }
 
-// WaitingCount counts the requests in all queues.
+// WaitingCount returns the number of requests in all queues.
 func (g *Gate) WaitingCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -262,7 +264,7 @@
 	return total
 }
 
-// Done gives the place back and lets the next request have it.
+// Done releases the slot and dispatches the next request.
 func (t *Ticket) Done(outcome route.Outcome) {
 	now := clock.Now()
 	t.Release(now, outcome)
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -1,4 +1,3 @@
-// Package policy compiles and evaluates the operators' short programs: ordered
-// rules in the Common Expression Language, checked when they are published,
-// with a bound on what one evaluation may cost.
+// Package policy compiles and evaluates operators' policies: ordered rules in the Common Expression Language, checked
+// when they are published, with a bound on the cost of an evaluation.
 package policy
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// CostLimit bounds one expression, in the cost units of the expression language.
+	// CostLimit bounds one expression, in CEL cost units.
 	CostLimit = 10_000
 	// MaxRules bounds the rules of one policy.
 	MaxRules = 64
@@ -20,7 +20,7 @@
 	maxInputTextLength = 256
 )
 
-// Names of the variables that an expression may use.
+// Names of the variables available to expressions.
 const (
 	varAccount      = "account"
 	varClass        = "class"
@@ -33,26 +33,26 @@
 )
 
 type (
-	// Spec is a policy as it is declared.
+	// Spec is a policy as declared.
 	Spec struct {
 		Let   []Binding `json:"let,omitempty" yaml:"let"`
 		Rules []Rule    `json:"rules" yaml:"rules"`
 	}
 
-	// Binding names the value of an expression for the bindings and rules after it.
+	// Binding names the value of an expression for the later bindings and the rules.
 	Binding struct {
 		Name  string `json:"name" yaml:"name"`
 		Value string `json:"value" yaml:"value"`
 	}
 
-	// Rule applies its action to the requests for which its condition holds.
+	// Rule applies its action to the requests that match its condition.
 	Rule struct {
 		Name string `json:"name,omitempty" yaml:"name"`
 		When string `json:"when" yaml:"when"`
 		Then Action `json:"then" yaml:"then"`
 	}
 
-	// Action says what becomes of a request; exactly one of Cascade, Model and Deny is set.
+	// Action is what happens to a request; exactly one of Cascade, Model and Deny is set.
 	Action struct {
 		Cascade willowwick.CascadeID   `json:"cascade,omitempty" yaml:"cascade"`
 		Model   willowwick.ModelID     `json:"model,omitempty" yaml:"model"`
@@ -60,7 +60,7 @@
 		Exclude []willowwick.VersionID `json:"exclude,omitempty" yaml:"exclude"`
 	}
 
-	// Input is what a policy may look at.
+	// Input holds the properties of a request that a policy can use.
 	Input struct {
 		Account      willowwick.AccountID
 		Class        willowwick.Class
@@ -72,14 +72,14 @@
 		SecondsLeft  float64
 	}
 
-	// Decision is the action of the first rule that held.
+	// Decision is the action of the first matching rule.
 	Decision struct {
 		Action
 		Rule    string
 		Matched bool
 	}
 
-	// Problem is a fault in a policy, with the path of its field.
+	// Problem is an error in a policy, with the path of its field.
 	Problem struct {
 		Path    string
 		Message string
@@ -109,7 +109,7 @@
 	}
 )
 
-// Compile checks a policy and makes it ready to run; it returns every problem found.
+// Compile checks and compiles a policy; it returns every problem found.
 func Compile(spec Spec) (*Program, []Problem) {
 	c := &compiler{}
 	env, err := cel.NewEnv(
@@ -209,7 +209,7 @@
 	return program, ast.OutputType(), true
 }
 
-// EstimateSize implements checker.CostEstimator: texts of a request are short.
+// EstimateSize implements checker.CostEstimator with the length limit of a request's strings.
 func (sizeEstimator) EstimateSize(element checker.AstNode) *checker.SizeEstimate {
 	if element.Type().Kind() == types.StringKind {
 		return &checker.SizeEstimate{Min: 0, Max: maxInputTextLength}
@@ -217,12 +217,12 @@
 	return nil
 }
 
-// EstimateCallCost implements checker.CostEstimator with the language's own costs.
+// EstimateCallCost implements checker.CostEstimator with the default costs of CEL.
 func (sizeEstimator) EstimateCallCost(string, string, *checker.AstNode, []checker.AstNode) *checker.CallEstimate {
 	return nil
 }
 
-// Evaluate returns the decision of the first rule that holds.
+// Evaluate returns the decision of the first matching rule; it is zero if none matches.
 func (p *Program) Evaluate(in Input) (Decision, error) {
 	vars := map[string]any{
 		varAccount:      string(in.Account),
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -10,7 +10,7 @@
 	// Signal is one way in which an answer can be bad.
 	Signal int
 
-	// Evidence counts what was seen of a version.
+	// Evidence counts the answers seen from a version.
 	Evidence struct {
 		Requests uint64 `json:"requests"`
 		Errors   uint64 `json:"errors"`
@@ -26,7 +26,7 @@
 	}
 )
 
-// Signals that are watched.
+// Signals that are monitored.
 const (
 	SignalErrors Signal = iota
 	SignalSlow
@@ -41,7 +41,7 @@
 	return signalNames[s]
 }
 
-// Add returns the sum of two pieces of evidence.
+// Add returns the sum of both.
 func (e Evidence) Add(other Evidence) Evidence {
 	return Evidence{
 		Requests: e.Requests + other.Requests,
@@ -52,7 +52,7 @@
 	}
 }
 
-// Since returns what came after an earlier count; a count that fell has nothing new to tell.
+// Since returns the counts added since an earlier reading; zero if the requests have fallen, as after a restart.
 func (e Evidence) Since(earlier Evidence) Evidence {
 	if e.Requests < earlier.Requests {
 		return Evidence{}
@@ -85,55 +85,55 @@
 	}
 }
 
-// add returns the sum of two counts.
+// add returns the sum of both.
 func (c Counts) add(other Counts) Counts {
 	return Counts{Total: c.Total + other.Total, Bad: c.Bad + other.Bad}
 }
 
 const (
-	// withdrawThreshold is the height at which the cumulated log likelihood ratio withdraws a version.
+	// withdrawThreshold is the cumulated log-likelihood ratio at which a version is withdrawn.
 	withdrawThreshold = 11.0
-	// acceptThreshold is the depth at which a signal is taken to be as good as the baseline.
+	// acceptThreshold is the log-likelihood ratio at which a signal counts as good as the baseline.
 	acceptThreshold = -3.0
 
 	minBadRate = 0.01
 	// minSlowRate is the share of slow answers that the promised latency allows: 5 in 100.
 	minSlowRate = 0.05
-	// fleetSlowDecay forgets how slow all other versions were within some observations.
+	// fleetSlowDecay is the decay, for each observation, of how slow all other versions were.
 	fleetSlowDecay = 0.7
 	maxBadRate     = 0.6
 	badFactor      = 2.0
 	badAddend      = 0.08
 	baselineDecay  = 0.995
-	// minBaselineSamples is how much must be known of the others before a version is compared with them.
+	// minBaselineSamples is how many answers of the baseline must be known before a version is compared with it.
 	minBaselineSamples = 40
-	// baselineDeviations is by how many standard deviations the baseline is taken to be worse than it looks.
+	// baselineDeviations is by how many standard deviations the baseline is assumed to be worse than its estimate.
 	baselineDeviations = 1.0
 )
 
-// Finding is what the evidence says of a version.
+// Finding is the result of a test of a version.
 type Finding struct {
 	Bad      bool
-	Good     bool // shown to be as good as the baseline, on every signal that was seen
+	Good     bool // shown to be as good as the baseline, on every signal seen
 	Signal   Signal
 	Requests uint64
 }
 
-// Monitor watches one version against a baseline, by a cumulated-sum test for
-// turning bad and a sequential test for being good.
+// Monitor compares one version with a baseline, by a cumulative-sum test for turning bad and a sequential test for
+// being good.
 type Monitor struct {
 	version    willowwick.VersionID
-	cusums     logRatios // against turning bad; never below zero
+	cusums     logRatios // for turning bad; never below zero
 	stepRatios logRatios // since the step began
 	seen       [signalCount]bool
 	requests   uint64
-	hasRatings bool // ratings are to be had, so a version is not good without them
+	hasRatings bool // ratings exist, so a version is not good without them
 	baselines  [signalCount]decayingRate
-	fleetSlow  decayingRate        // slow answers of all other versions of late
-	pending    [signalCount]Counts // seen of the version before enough was known to compare it with
+	fleetSlow  decayingRate        // slow answers of all other versions lately
+	pending    [signalCount]Counts // counts held until the baseline is large enough
 }
 
-// logRatios are log likelihood logRatios of "bad" against "as the baseline", by signal.
+// logRatios holds the log-likelihood ratio of "bad" to "as the baseline" for each signal.
 type logRatios [signalCount]float64
 
 type decayingRate struct {
@@ -141,26 +141,25 @@
 	bad   float64
 }
 
-// NewMonitor returns a monitor that has seen nothing.
+// NewMonitor returns a monitor without evidence.
 func NewMonitor(version willowwick.VersionID) *Monitor {
 	return &Monitor{version: version}
 }
 
-// BeginStep forgets what was seen on the step before, but not the suspicion.
+// BeginStep resets the test for being good at the start of a step; the test for turning bad continues.
 func (m *Monitor) BeginStep() {
 	m.requests = 0
 	m.stepRatios = logRatios{}
 	m.seen = [signalCount]bool{}
 }
 
-// Observe adds new evidence on the version and, from the same time, on what it
-// is compared with and on all other versions.
+// Observe adds new evidence on the version and, from the same period, on the baseline and on all other versions.
 func (m *Monitor) Observe(version, others, all Evidence) Finding {
 	m.add(version, others, all)
 	return m.finding()
 }
 
-// add weighs new evidence and returns what it adds for each signal.
+// add adds new evidence and returns the log-likelihood ratio it contributes for each signal.
 func (m *Monitor) add(version, others, all Evidence) logRatios {
 	m.requests += version.Requests
 	m.fleetSlow.add(all.CountsOf(SignalSlow), fleetSlowDecay)
@@ -197,7 +196,7 @@
 	b.bad = b.bad*fade + float64(counts.Bad)
 }
 
-// logRatio is the log likelihood logRatio of "bad" against "as the baseline".
+// logRatio returns the log-likelihood ratio of "bad" to "as the baseline" for the counts.
 func (m *Monitor) logRatio(signal Signal, counts Counts) float64 {
 	good := m.baselines[signal].upperBound()
 	if signal == SignalSlow {
@@ -210,7 +209,7 @@
 	return failures*math.Log(bad/good) + passes*math.Log((1-bad)/(1-good))
 }
 
-// upperBound is the rate of bad answers that the others may well have.
+// upperBound returns the rate of bad answers, baselineDeviations above its estimate.
 func (b decayingRate) upperBound() float64 {
 	if b.total == 0 {
 		return 0
--- a/rollout/kindmonitor.go
+++ b/rollout/kindmonitor.go
@@ -3,31 +3,32 @@
 import "github.com/willowwick/willowwick"
 
 type (
-	// Kind names requests whose answers compare with each other.
+	// Kind groups requests whose answers are comparable.
 	Kind string
 
-	// KindEvidence is what was newly seen of one kind of request, on the version and on what it is compared with.
+	// KindEvidence is the new evidence on one kind of request, on the version and on its baseline.
 	KindEvidence struct {
 		Version Evidence
 		Others  Evidence
 	}
 
-	// KindMonitor watches one version by kinds of request: each by a monitor of its own, since a version may be bad for one
-	// kind only, and all of them together, since a version that is bad for all is found with a third of the bad answers
-	// where three kinds share the traffic.
+	// KindMonitor monitors one version by kind of request: each kind by its own monitor, since a version may be bad
+	// for one kind only, and all kinds together, since with three kinds a version that is bad for all is found after
+	// a third of the bad answers.
 	KindMonitor struct {
 		version  willowwick.VersionID
 		monitors map[Kind]*Monitor
-		cusums   logRatios // over all kinds, against turning bad; never below zero
+		cusums   logRatios // over all kinds, for turning bad; never below zero
 	}
 )
 
-// NewKindMonitor returns a panel that has seen nothing.
+// NewKindMonitor returns a monitor without evidence.
 func NewKindMonitor(version willowwick.VersionID) *KindMonitor {
 	return &KindMonitor{version: version, monitors: map[Kind]*Monitor{}}
 }
 
-// Observe adds new evidence; all is that on all other versions. Kind is empty where the kinds show it together only.
+// Observe adds new evidence; all is the evidence on all other versions. The returned kind is empty if only the kinds
+// together show the version to be bad.
 func (k *KindMonitor) Observe(evidence map[Kind]KindEvidence, all Evidence) (finding Finding, kind Kind) {
 	var steps logRatios
 	for name, n := range evidence {
--- a/rollout/kindmonitor_test.go
+++ b/rollout/kindmonitor_test.go
@@ -9,7 +9,8 @@
 
 var testKinds = []Kind{"long", "short", "plain"}
 
-// simulateKinds shows a panel one new answer of each kind and tick, and returns how many it took to find the version bad.
+// simulateKinds observes one new answer of each kind per tick, and returns how many answers it took to find the
+// version bad.
 func simulateKinds(seed uint64, version rates, ticks int) (answers int, found bool) {
 	random := rand.New(rand.NewPCG(seed, seed))
 	p := NewKindMonitor("new")
@@ -51,7 +52,7 @@
 	assert.LessOrEqual(t, blamed, trials/50)
 }
 
-// A version may be bad for one kind of request alone; the others must not hide it.
+// A version may be bad for one kind of request only; the other kinds must not hide it.
 func TestKindMonitorFindsVersionBadForOneKind(t *testing.T) {
 	p := NewKindMonitor("new")
 	good := Evidence{Requests: 300}
--- a/route/availability.go
+++ b/route/availability.go
@@ -7,35 +7,37 @@
 )
 
 const (
-	// reasonNone: the endpoint may be given a request, if it has room.
+	// reasonNone: the endpoint may be given a request if it has capacity.
 	reasonNone unavailableReason = iota
-	// reasonOutOfService: it leaves, or its hall is evacuated, or it is not where its entry says.
+	// reasonOutOfService: it is shutting down, its hall is evacuated, or another endpoint answers at its address.
 	reasonOutOfService
-	// reasonBackoff: it asked for rest.
+	// reasonBackoff: it asked for a backoff that has not ended.
 	reasonBackoff
-	// reasonRateLimit: it names a limit, and a request needs a permit, which may be denied.
+	// reasonRateLimit: it declares a rate limit, and a request needs a permit, which may be denied.
 	reasonRateLimit
 )
 
 type (
-	// unavailableReason is why an endpoint is given no request for certain, whatever it has to do.
+	// unavailableReason is why an endpoint is given no request, whatever its load.
 	unavailableReason int
 
 	// availability is whether an endpoint may be given a request.
 	availability struct {
 		reason      unavailableReason
-		availableAt time.Time // when it may be, where that is known: the end of its rest, or the next chance of a permit
+		availableAt time.Time // end of the backoff or the next chance of a permit, where known
 	}
 
-	// Shortage is that no endpoint that could take a request takes one now, whatever they have to do.
+	// Shortage describes a moment at which every endpoint that could serve a request is unavailable, whatever its
+	// load.
 	Shortage struct {
-		Until     time.Time // the first of them may be given one then
-		IsCertain bool      // it may be, as far as is known; a permit may be denied
+		Until     time.Time // when the first of them becomes available
+		IsCertain bool      // false if a permit is needed at Until, which may be denied
 	}
 )
 
-// availability is the one place that knows on which grounds an endpoint is given no request: choice, refusals and forecasts go by
-// it. Places that are taken, suspicions and pauses of cold endpoints are no such grounds: they may end at any moment.
+// availability returns whether an endpoint may be given a request; selection, refusals and forecasts all rely on it.
+// Occupied slots, ejections and the pauses of cold endpoints do not count, since they may end at any moment. The
+// caller holds the lock.
 func (p *Pool) availability(now time.Time, m *member) availability {
 	switch {
 	case !m.isInService():
@@ -49,8 +51,8 @@
 	return availability{}
 }
 
-// AllUnavailable reports whether every one of the service's endpoints that stay and are allowed takes no request now: one that
-// waited for a place would wait in vain. There is no shortage where none stays.
+// AllUnavailable reports whether all of the service's allowed endpoints that are in service are unavailable now, so
+// that waiting for a slot would be in vain. There is no shortage if none is in service.
 func (p *Pool) AllUnavailable(now time.Time, service willowwick.ServiceID, allow func(willowwick.Endpoint) bool) (Shortage, bool) {
 	return p.allUnavailable(now, workKey{service: service}, allow)
 }
@@ -60,7 +62,7 @@
 	return p.allUnavailable(now, workKey{version: version}, nil)
 }
 
-// NoneAvailable reports whether none of the service's endpoints that are allowed and not excluded may be given a request now.
+// NoneAvailable reports whether none of the service's allowed endpoints outside exclude may be given a request now.
 func (p *Pool) NoneAvailable(
 	now time.Time, service willowwick.ServiceID, exclude map[willowwick.EndpointID]bool, allow func(willowwick.Endpoint) bool,
 ) bool {
@@ -70,8 +72,7 @@
 	})
 }
 
-// RemainingUnavailable reports whether those of the service's endpoints that stay, are allowed and are not excluded all take no
-// request now.
+// RemainingUnavailable is AllUnavailable for the allowed endpoints outside exclude.
 func (p *Pool) RemainingUnavailable(
 	now time.Time, service willowwick.ServiceID, exclude map[willowwick.EndpointID]bool, allow func(willowwick.Endpoint) bool,
 ) bool {
@@ -104,13 +105,14 @@
 	return first, all
 }
 
-// HasAvailable reports whether one of the service's endpoints that are allowed may be given a request for certain, if it has room.
+// HasAvailable reports whether one of the service's allowed endpoints may be given a request without a permit, if it
+// has capacity.
 func (p *Pool) HasAvailable(now time.Time, service willowwick.ServiceID, allow func(willowwick.Endpoint) bool) bool {
 	return p.anyMember(service, func(m *member) bool { return allow(m.endpoint) && p.availability(now, m).reason == reasonNone })
 }
 
-// pressureFilter returns which members show how much a service has to do: one that rests or names a limit has little to do because it
-// takes little, so that it counts only where there is no other.
+// pressureFilter returns which members count for the load of a service. Endpoints in backoff or with a rate limit
+// have little load because they accept little, so they count only if there are no others.
 func (p *Pool) pressureFilter(now time.Time, set *candidateSet) func(m *member) bool {
 	isFree := func(m *member) bool { return p.availability(now, m).reason == reasonNone }
 	for _, m := range set.members {
--- a/route/bench_test.go
+++ b/route/bench_test.go
@@ -48,7 +48,7 @@
 	return config.NewRevision(state)
 }
 
-// BenchmarkDecision is one whole decision: policy, plan, version and endpoint.
+// BenchmarkDecision measures one whole decision: policy, plan, version and endpoint.
 func BenchmarkDecision(b *testing.B) {
 	for _, runners := range []int{18, 670, 2700} {
 		b.Run(fmt.Sprintf("runners=%d", runners), func(b *testing.B) {
@@ -92,7 +92,8 @@
 	}
 }
 
-// BenchmarkAcquire is the choice of an endpoint for a long prompt by the forecast, and giving the place back.
+// BenchmarkAcquire measures the choice of an endpoint for a long prompt by the prefill forecast, and the release of
+// the slot.
 func BenchmarkAcquire(b *testing.B) {
 	for _, runners := range []int{18, 140, 670, 2700} {
 		b.Run(fmt.Sprintf("runners=%d", runners), func(b *testing.B) {
--- a/route/candidates.go
+++ b/route/candidates.go
@@ -8,13 +8,13 @@
 )
 
 type (
-	// workKey names the endpoints that can take the same work.
+	// workKey identifies the endpoints that can serve the same work, by version or by service.
 	workKey struct {
 		version willowwick.VersionID
 		service willowwick.ServiceID
 	}
 
-	// candidateSet implements willowwick.CandidateSet at a moment.
+	// candidateSet implements willowwick.CandidateSet for one selection; the pool's lock is held.
 	candidateSet struct {
 		members      []*member
 		ring         []ringPoint
@@ -23,7 +23,7 @@
 		allow        func(willowwick.Endpoint) bool
 		pool         *Pool
 		estimator    prefillEstimator
-		allowEjected bool // endpoints under suspicion count as open
+		allowEjected bool // ejected, probed and silent endpoints count as open
 	}
 
 	ringPoint struct {
@@ -68,7 +68,7 @@
 	return s.ring[at].index
 }
 
-// allExcluded reports whether no endpoint that stays is left to try.
+// allExcluded reports whether all endpoints in service that are allowed are excluded.
 func (s *candidateSet) allExcluded() bool {
 	for _, m := range s.members {
 		if m.isInService() && s.allows(m) && !s.exclude[m.endpoint.ID] {
--- a/route/cold.go
+++ b/route/cold.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// coldRateShare is the part of what a cold endpoint bears that all boxes together send it: each box keeps its own pauses, so
-	// that in some seconds more of them come due than in others.
+	// coldRateShare is the share of a cold endpoint's declared rate that all boxes together send it. Boxes pace
+	// independently, so in some seconds more of their requests coincide than in others.
 	coldRateShare = 0.6
-	// coldAgainMargin is by how much later a cold endpoint must say that it is cold to have become so again: what is left of the
-	// same time is told with each heartbeat, and read up to some 1.2 s later.
+	// coldAgainMargin is by how much ColdUntil must move for the endpoint to count as cold anew: each heartbeat
+	// reports the remaining time afresh, and is read up to about 1.2 s later.
 	coldAgainMargin = 2 * time.Second
 )
 
-// ColdPause is the pause that each of so many boxes keeps between its requests to a cold endpoint that bears so many a
-// second; 0 if it bears any.
+// ColdPause returns the pause that each of a number of boxes keeps between its requests to a cold endpoint that
+// accepts perSecond requests a second; 0 if perSecond is 0, which means no limit.
 func ColdPause(perSecond float64, boxes int) time.Duration {
 	if perSecond <= 0 {
 		return 0
@@ -25,25 +25,25 @@
 	return time.Duration(float64(boxes) / (coldRateShare * perSecond) * float64(time.Second))
 }
 
-// IsColdAgain reports whether an endpoint that was cold until the one time has become cold anew until the other.
+// IsColdAgain reports whether an endpoint that was cold until before has become cold anew, until until.
 func IsColdAgain(before, until time.Time) bool {
 	return until.After(before.Add(coldAgainMargin))
 }
 
-// SetColdPauses sets the pauses between this box's requests to one cold endpoint, by service.
+// SetColdPauses sets the pause between this box's requests to one cold endpoint, by service.
 func (p *Pool) SetColdPauses(pauses map[willowwick.ServiceID]time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.coldPauses = pauses
 }
 
-// isCold reports whether the endpoint bears little yet.
+// isCold reports whether the endpoint is still warming up.
 func (m *member) isCold(now time.Time) bool {
 	return now.Before(m.endpoint.ColdUntil)
 }
 
-// isColdPaused reports whether the endpoint is cold and this box's next request to it must wait. The first one waits for a
-// random part of the pause: all boxes hear of the endpoint at the same time.
+// isColdPaused reports whether the endpoint is cold and this box must wait before its next request to it. The first
+// request waits for a random part of the pause, since all boxes learn of the endpoint at the same time.
 func (p *Pool) isColdPaused(now time.Time, m *member) bool {
 	if !m.isCold(now) {
 		return false
@@ -54,7 +54,7 @@
 	return now.Before(m.nextColdSendAt)
 }
 
-// startColdPause begins the pause after a request to a cold endpoint.
+// startColdPause starts the pause that follows a request to a cold endpoint.
 func (p *Pool) startColdPause(now time.Time, m *member) {
 	if m.isCold(now) {
 		m.nextColdSendAt = now.Add(p.coldPauses[m.endpoint.Service])
--- a/route/cold_test.go
+++ b/route/cold_test.go
@@ -14,12 +14,13 @@
 
 const (
 	coldPerSecond = 10.0
-	// maxColdPerSecond is what is allowed in one second beyond which the endpoint falls over.
+	// maxColdPerSecond is the number of requests in one second above which the endpoint is overloaded.
 	maxColdPerSecond = 1.5*coldPerSecond + 5
 	coldDuration     = 3 * time.Second
 )
 
-// newColdPool is a box's pool with one warm endpoint that has much to do and one that is cold, and takes all work otherwise.
+// newColdPool returns a box's pool with one loaded warm endpoint and one idle cold endpoint, which would otherwise
+// get all work.
 func newColdPool(begin time.Time, boxes int) *Pool {
 	p := NewPoolWith(NewHallFirst("a", rand.Uint64()), PoolOptions{StartLimit: 64, QueueShare: 1})
 	p.Update([]willowwick.Endpoint{
@@ -31,7 +32,7 @@
 	return p
 }
 
-// busiestSecond is the most that any second has of the times, in order.
+// busiestSecond returns the largest number of the sorted times that lie within one second.
 func busiestSecond(at []time.Time) int {
 	most := 0
 	for first, from := range at {
@@ -44,7 +45,7 @@
 	return most
 }
 
-// Boxes that all heard of a new endpoint at the same time once sent it all that they had, since it was the least loaded.
+// Guards against overloading a cold endpoint: all boxes learn of it at the same time, and it is the least loaded.
 func TestColdEndpointRateAcrossBoxesIsBounded(t *testing.T) {
 	begin := time.Now()
 	for _, boxes := range []int{1, 6, 61, 295} {
@@ -55,7 +56,7 @@
 				var sent []time.Time
 				for range boxes {
 					p := newColdPool(begin, boxes)
-					// Each box has a request every 40 ms, which is over at once.
+					// Each box has a request every 40 ms, which ends at once.
 					for now := begin.Add(time.Duration(rand.IntN(40)) * time.Millisecond); now.Before(begin.Add(coldDuration)); now = now.Add(40 * time.Millisecond) {
 						place, known := p.AcquireAllowed(now, "work", Work{}, nil, nil)
 						require.True(t, known)
@@ -88,7 +89,7 @@
 	}
 }
 
-// What is left of the same time comes with each heartbeat, a little late; it is no new beginning.
+// Each heartbeat reports the remaining cold time, slightly late; that must not count as becoming cold anew.
 func TestHeartbeatDoesNotRestartColdPause(t *testing.T) {
 	begin := time.Now()
 	p := newColdPool(begin, 20)
--- a/route/doc.go
+++ b/route/doc.go
@@ -1,4 +1,3 @@
-// Package route makes the decisions about one request: which cascade, which
-// version, which endpoint, when, and whether to try again. It does no I/O and
-// starts no goroutines; the time is always an argument.
+// Package route makes the decisions about one request: which cascade, version and endpoint serve it, when, and
+// whether to retry. It does no I/O and starts no goroutines; the time is always an argument.
 package route
--- a/route/evacuation_test.go
+++ b/route/evacuation_test.go
@@ -9,7 +9,8 @@
 	"github.com/willowwick/willowwick"
 )
 
-// Endpoints of an evacuated hall count for nothing: not as open, not as the last ones to trust, not in what is usual.
+// Endpoints of an evacuated hall must not count anywhere: not as open, not as a fallback to ejected endpoints, not in
+// the pressure.
 func TestEvacuatedHallGetsNoNewWork(t *testing.T) {
 	now := time.Unix(0, 0)
 	pool := NewPoolWith(NewHallFirst("a", 1), PoolOptions{StartLimit: 64, FallBackToEjected: true})
@@ -27,7 +28,7 @@
 	assert.InDelta(t, 20, pool.Pressure(now, "s", all).Requests, 0, "what runs in the evacuated hall makes no other crowded")
 	assert.Equal(t, 21, pool.InFlight(), "what runs there goes on")
 	assert.Empty(t, pool.Leaving(), "a hall can be taken back, and other boxes are told of endpoints that leave for good")
-	// With the other endpoint tried and its failure known, it is tried again rather than one in the evacuated hall.
+	// Once the other endpoint has failed the request, it is tried again rather than one in the evacuated hall.
 	place, _ := pool.AcquireService(now, "s", map[willowwick.EndpointID]bool{"other": true})
 	require.NotNil(t, place)
 	assert.Equal(t, willowwick.EndpointID("other"), place.Endpoint.ID)
--- a/route/hall.go
+++ b/route/hall.go
@@ -7,23 +7,24 @@
 )
 
 const (
-	// remoteHallPenalty is the load that a request rather joins than leave its hall: bytes between halls cost more
-	// than the wait behind half of what an endpoint does well at once.
+	// remoteHallPenalty is added to the score of endpoints in other halls: traffic between halls costs more than
+	// waiting behind half of an endpoint's effective capacity.
 	remoteHallPenalty = 0.5
-	// delayPerRequest is what one request at an endpoint adds to the wait of the next one, as the batch's tokens get slower.
+	// delayPerRequest is how much one running request delays the next one, since each token of a larger batch takes
+	// longer.
 	delayPerRequest = 40 * time.Millisecond
-	// prefillWeight is how many times the reading of the request itself counts against what it waits for: a prompt that is
-	// read where it is not kept takes its time from all that come after.
+	// prefillWeight multiplies the request's own prefill time: a prompt that is read where it is not cached delays
+	// all later requests there.
 	prefillWeight = 4
-	// maxEffectiveSlots is how many requests at once an endpoint does well, however many slots it has: a batch makes each
-	// token slower, and long prompts hold up all of them.
+	// maxEffectiveSlots is how many concurrent requests an endpoint serves well, however many slots it has: larger
+	// batches make each token slower, and long prompts hold up all requests of the batch.
 	maxEffectiveSlots = 16
-	// failureWeight turns the share of failed calls into load.
+	// failureWeight converts the failure rate into load.
 	failureWeight = 3.0
 )
 
-// HallFirst takes the least loaded endpoint of its own hall, what it has to read included; other halls come in when their
-// endpoints are less loaded by more than the way there is worth.
+// HallFirst picks the least loaded endpoint of its own hall, counting pending prefills; another hall's endpoint is
+// picked if its load is lower by more than remoteHallPenalty.
 type HallFirst struct {
 	hall   willowwick.HallID
 	random *lockedRandom
@@ -55,7 +56,7 @@
 	return best
 }
 
-// score is how much work stands before a new request, in shares of what an endpoint does well at once.
+// score returns the load ahead of a new request, as a share of the endpoint's effective capacity; lower is better.
 func (p *HallFirst) score(c willowwick.Candidate) float64 {
 	taken := max(float64(c.Load.Running+c.Load.Waiting+c.Recent), float64(c.InFlight))
 	taken += float64(c.Ahead+prefillWeight*c.Reading) / float64(delayPerRequest)
--- a/route/lateness.go
+++ b/route/lateness.go
@@ -3,25 +3,25 @@
 import "time"
 
 const (
-	// latenessQuantile is the part of the answers that come within the lateness.
+	// latenessQuantile is the share of answers that begin within the lateness.
 	latenessQuantile = 0.98
-	// latenessStep is the part by which an answer that comes later raises it; the others lower it by as much less as
-	// they are more.
+	// latenessStep is the share by which a later answer raises the lateness; other answers lower it by less, in
+	// proportion to their larger number.
 	latenessStep = 0.25
-	// initialLateness is what it is taken for before answers were seen: what a loaded runner's first event varies by.
+	// initialLateness is the lateness before any answer was seen: how much a loaded runner's first event varies.
 	initialLateness = 500 * time.Millisecond
-	// maxLateness is the most that it rises to: dead endpoints make it rise, and are to be left all the same.
+	// maxLateness bounds the lateness: dead endpoints raise it, and must be given up on nevertheless.
 	maxLateness = 3 * time.Second
-	// minLateness is the least that it falls to: a turn of the scheduler on a box with a part of a core.
+	// minLateness is the least lateness: one scheduler turn on a box that has a fraction of a core.
 	minLateness = 20 * time.Millisecond
 )
 
-// Lateness learns how much later than forecast all but a few answers come; its zero value has seen none.
+// Lateness estimates how much later than forecast answers begin, for all but 2 in 100; its zero value has seen none.
 type Lateness struct {
-	estimate time.Duration // measured length; 0 before the first
+	estimate time.Duration // 0 before the first answer
 }
 
-// Learn takes how much later than forecast an answer came; negative if it came sooner.
+// Learn records by how much an answer began later than forecast; negative if it began earlier.
 func (l *Lateness) Learn(late time.Duration) {
 	known := l.Value()
 	if late > known {
@@ -32,7 +32,7 @@
 	l.estimate = max(known-time.Duration(down*float64(known)), minLateness)
 }
 
-// Value is the lateness that one in fifty answers exceeds, as far as was seen.
+// Value returns the lateness that an estimated one in fifty answers exceeds; initialLateness if none was seen.
 func (l *Lateness) Value() time.Duration {
 	if l == nil || l.estimate == 0 {
 		return initialLateness
--- a/route/learner.go
+++ b/route/learner.go
@@ -11,30 +11,30 @@
 const (
 	// wilsonZ is the normal quantile of the one-sided 95% confidence bound.
 	wilsonZ = 1.645
-	// ratingWindow is the number of ratings after which older ones fade.
+	// ratingWindow is the number of ratings after which older ones decay.
 	ratingWindow      = 400
 	durationSmoothing = 0.1
 	priorPassRate     = 0.6
 	priorStrength     = 4
 	exploreEvery      = 50
 	minRatings        = 20
-	// minAnswersForSlack is how many answers an account was given before its average says something.
+	// minAnswersForSlack is how many answers an account must have received before its average counts.
 	minAnswersForSlack = 40
 	// maxTrustDeficit is how far below the target the pass rate of a trusted answer may lie.
 	maxTrustDeficit = 0.2
-	// slackMargin keeps the average above the target, whatever the rater's own mistakes.
+	// slackMargin keeps the average above the target despite the rater's own errors.
 	slackMargin = 0.02
 )
 
 type (
-	// Subject is what a pass rate is learnt of.
+	// Subject identifies the answers that share a pass rate.
 	Subject struct {
 		Account willowwick.AccountID
 		Class   willowwick.Class
 		Version willowwick.VersionID
 	}
 
-	// passCount is a fading count of ratings.
+	// passCount is a decaying count of ratings.
 	passCount struct {
 		rated  float64
 		passed float64
@@ -44,25 +44,25 @@
 	Learner struct {
 		mu        sync.Mutex
 		counts    map[Subject]*passCount
-		seconds   map[Subject]float64 // smoothed length of a whole answer
+		seconds   map[Subject]float64 // smoothed duration of a whole answer
 		skipped   map[Subject]int
-		delivered map[willowwick.AccountID]*passCount // expected quality of the answers given
+		delivered map[willowwick.AccountID]*passCount // expected quality of the answers delivered
 	}
 
-	// StageChoice is what the first stages of a cascade are worth to a request.
+	// StageChoice holds what decides whether a request tries a cheap stage of a cascade.
 	StageChoice struct {
 		Subject       Subject
 		Cheap         willowwick.MicroUnits // expected cost of the cheap answer
-		Strong        willowwick.MicroUnits // expected cost of the answer after it
+		Strong        willowwick.MicroUnits // expected cost of the stronger stage's answer
 		StrongSubject Subject
-		HasJudge      bool // a judge will look at the cheap answer
+		HasJudge      bool // a judge checks the cheap answer
 		Quality       willowwick.Score
 		Now           time.Time
 		Deadline      time.Time
 		CanExplore    bool
 	}
 
-	// Verdict says what to do with a cheap stage.
+	// Verdict is what to do with a cheap stage.
 	Verdict int
 )
 
@@ -72,11 +72,11 @@
 	SkipStage Verdict = iota
 	// TryStage asks the cheap model and the judge.
 	TryStage
-	// TrustStage asks the cheap model and takes its answer unjudged.
+	// TrustStage asks the cheap model and uses its answer unjudged.
 	TrustStage
 )
 
-// NewLearner returns a learner that knows nothing.
+// NewLearner returns a learner without data.
 func NewLearner() *Learner {
 	return &Learner{
 		counts:    map[Subject]*passCount{},
@@ -86,7 +86,7 @@
 	}
 }
 
-// RecordRating notes whether an answer passed.
+// RecordRating records whether an answer passed.
 func (l *Learner) RecordRating(subject Subject, passed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -94,7 +94,7 @@
 	l.count(subject.forAllAccounts()).add(passed)
 }
 
-// RecordDuration notes how long a whole answer took.
+// RecordDuration records how long a whole answer took.
 func (l *Learner) RecordDuration(subject Subject, duration time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -112,7 +112,7 @@
 	return l.passRate(subject)
 }
 
-// Choose weighs a cheap stage against going straight to the stronger one.
+// Choose decides between a cheap stage and the stronger one, by deadline, pass rate and cost.
 func (l *Learner) Choose(c StageChoice) Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -122,7 +122,7 @@
 	}
 	mean, lower := l.passRate(c.Subject)
 	if lower >= float64(c.Quality) || l.hasSlack(c, lower) {
-		// Nothing is gained by waiting for the judge.
+		// The judge would only add delay.
 		return TrustStage
 	}
 	if !c.HasJudge {
@@ -138,9 +138,8 @@
 	return SkipStage
 }
 
-// hasSlack reports whether the account's answers are so far above the target
-// that an unjudged answer of this kind leaves them above it. Kinds that fail
-// much more often than the target allows are never trusted.
+// hasSlack reports whether the quality of the account's answers is so far above the target that an unjudged answer of
+// this subject keeps it there. Subjects with a pass rate far below the target are never trusted.
 func (l *Learner) hasSlack(c StageChoice, lower float64) bool {
 	given := l.delivered[c.Subject.Account]
 	if given == nil || given.rated < minAnswersForSlack || lower < float64(c.Quality)-maxTrustDeficit {
@@ -150,7 +149,7 @@
 	return after >= float64(c.Quality)+slackMargin
 }
 
-// RecordQuality notes the expected quality of an answer that the account was given.
+// RecordQuality records the expected quality of an answer that was delivered to the account.
 func (l *Learner) RecordQuality(account willowwick.AccountID, quality float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -164,7 +163,7 @@
 	given.passed += quality
 }
 
-// ExpectedPassRate returns the pass rate of a subject, if enough is known of it.
+// ExpectedPassRate returns the pass rate of a subject; known is false with fewer than minRatings ratings.
 func (l *Learner) ExpectedPassRate(subject Subject) (mean float64, known bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -206,7 +205,7 @@
 	}
 }
 
-// decay makes room for one more rating once the memory is full.
+// decay makes room for one more rating once the window is full.
 func (c *passCount) decay() {
 	if c.rated >= ratingWindow {
 		c.rated *= 1 - 1.0/ratingWindow
@@ -214,12 +213,12 @@
 	}
 }
 
-// forAllAccounts is the same class and version over all client accounts.
+// forAllAccounts returns the subject of the same class and version over all client accounts.
 func (s Subject) forAllAccounts() Subject {
 	return Subject{Class: s.Class, Version: s.Version}
 }
 
-// wilsonLower is the lower bound of the Wilson score interval.
+// wilsonLower returns the lower bound of the Wilson score interval.
 func wilsonLower(passed, rated float64) float64 {
 	if rated == 0 {
 		return 0
--- a/route/limits.go
+++ b/route/limits.go
@@ -14,8 +14,8 @@
 	retryReserve    = 10
 	demandSmoothing = 0.3
 	minRetryWait    = time.Millisecond
-	// demandSettleTime is how long demand must have lasted before it claims a part of the limit: by then all boxes know
-	// of it, since digests of halls are renewed every 5 s and reach the last box some ticks of a second later.
+	// demandSettleTime is how long demand must last before it claims a part of the limit. By then all boxes know of
+	// it: hall digests are renewed every 5 s and reach the last box a few one-second ticks later.
 	demandSettleTime = 8 * time.Second
 )
 
@@ -26,13 +26,13 @@
 		at    time.Time
 	}
 
-	// RetryBudget lets a share of the successes be retries, so that a bad endpoint does not double the load.
+	// RetryBudget limits retries to a share of the successes, so that a bad endpoint does not double the load.
 	RetryBudget struct {
 		mu    sync.Mutex
 		level float64
 	}
 
-	// Demand is what one box was asked for, per client account, in tokens a second.
+	// Demand is the load requested of one box, in tokens a second per client account.
 	Demand map[willowwick.AccountID]float64
 
 	// Peer is another box of the fleet as the limiter sees it.
@@ -41,26 +41,25 @@
 		Demand Demand
 	}
 
-	// AccountLimiter holds client accounts to their limits over the whole fleet.
+	// AccountLimiter enforces client accounts' limits over the whole fleet.
 	//
-	// Each box takes a share of the limit. Boxes whose digests are fresh divide
-	// by demand what the others leave; one that is cut off is taken to use the
-	// equal share, which is also what it gives itself. A box claims by the least
-	// demand that it had of late, which the others know of, and leaves them what
-	// they last told. So the shares never add up to more than the limit.
+	// Each box takes a share of each limit. Boxes with fresh digests divide by demand what the others leave; a box
+	// that is cut off is assumed to use the equal share, which is also what it gives itself. A box claims by the
+	// least demand it had during demandSettleTime, which the others know of, and leaves them what they last reported.
+	// The shares therefore never add up to more than the limit.
 	AccountLimiter struct {
 		mu         sync.Mutex
 		buckets    map[willowwick.AccountID]*accountBuckets
 		requested  map[willowwick.AccountID]float64
 		demand     Demand
-		history    []measuredDemand // of the last demandSettle, the oldest first
-		settled    Demand           // the least of the history once it is as long
+		history    []measuredDemand // of the last demandSettleTime, oldest first
+		settled    Demand           // least demand of the history once it spans demandSettleTime
 		measured   time.Time
 		shares     map[willowwick.AccountID]float64
 		equalShare float64
 	}
 
-	// measuredDemand is the demand as it was measured at a time.
+	// measuredDemand is the demand measured at a time.
 	measuredDemand struct {
 		at     time.Time
 		demand Demand
@@ -72,10 +71,10 @@
 	}
 )
 
-// Take takes an amount if the bucket holds it, and otherwise says when it will.
+// Take takes an amount if the bucket holds it, and otherwise returns when it will.
 func (b *Bucket) Take(now time.Time, rate, burst, amount float64) (retryAt time.Time, ok bool) {
 	b.fill(now, rate, burst)
-	// A request larger than the burst may pass when the bucket is full, and leaves a debt.
+	// A request larger than the burst passes when the bucket is full, and leaves a debt.
 	if b.level >= min(amount, burst) {
 		b.level -= amount
 		return time.Time{}, true
@@ -94,19 +93,19 @@
 	b.at = now
 }
 
-// NewRetryBudget returns a budget with its reserve.
+// NewRetryBudget returns a budget filled to its reserve.
 func NewRetryBudget() *RetryBudget {
 	return &RetryBudget{level: retryReserve}
 }
 
-// Succeeded adds to the budget.
+// Succeeded adds the share of one success to the budget.
 func (r *RetryBudget) Succeeded() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.level = min(retryReserve, r.level+retryShare)
 }
 
-// Take reports whether one more retry is within the budget.
+// Take reports whether one more retry is within the budget, and takes it.
 func (r *RetryBudget) Take() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -117,7 +116,7 @@
 	return true
 }
 
-// NewAccountLimiter returns a limiter that takes itself to be alone.
+// NewAccountLimiter returns a limiter that assumes a fleet of one box.
 func NewAccountLimiter() *AccountLimiter {
 	return &AccountLimiter{
 		buckets:    map[willowwick.AccountID]*accountBuckets{},
@@ -129,7 +128,7 @@
 	}
 }
 
-// Take counts the demand and takes tokens from the account's share of its limit.
+// Take counts the demand and takes tokens from this box's share of the account's limit, or returns when to retry.
 func (l *AccountLimiter) Take(now time.Time, account willowwick.AccountID, limit config.Limit, tokens willowwick.Tokens) (retryAt time.Time, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -156,7 +155,7 @@
 	return time.Time{}, true
 }
 
-// Refund gives back tokens that an estimate took too many of; a negative amount takes more.
+// Refund returns tokens that an estimate took in excess; a negative amount takes more.
 func (l *AccountLimiter) Refund(account willowwick.AccountID, tokens willowwick.Tokens) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -165,7 +164,7 @@
 	}
 }
 
-// Measure closes a period of demand and returns the smoothed rates.
+// Measure closes a measuring period and returns the smoothed demand.
 func (l *AccountLimiter) Measure(now time.Time) Demand {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -183,7 +182,7 @@
 		}
 	}
 	for account, before := range l.demand {
-		// Demand that rises is told at once: until the others know of it, it claims nothing.
+		// Rising demand is reported at once, but claims nothing until the others know of it.
 		measured := l.requested[account] / seconds
 		rate := max(measured, before+demandSmoothing*(measured-before))
 		if rate < 1 && l.requested[account] == 0 {
@@ -198,7 +197,8 @@
 	return maps.Clone(l.demand)
 }
 
-// updateSettled keeps the least demand since the newest measure that is at least demandSettle old; there is none before.
+// updateSettled keeps the least demand since the newest measurement that is at least demandSettleTime old; there is
+// none before.
 func (l *AccountLimiter) updateSettled(now time.Time) {
 	l.history = append(l.history, measuredDemand{at: now, demand: maps.Clone(l.demand)})
 	for len(l.history) > 1 && now.Sub(l.history[1].at) >= demandSettleTime {
@@ -217,8 +217,7 @@
 	}
 }
 
-// Divide sets this box's shares; peers are all other boxes, and connected says
-// whether this box itself still reaches the others.
+// Divide sets this box's shares. Peers are all other boxes; connected reports whether this box itself reaches them.
 func (l *AccountLimiter) Divide(peers []Peer, connected bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -247,7 +246,7 @@
 		even := available / fresh / 2
 		l.shares[account] = even + available/2*ratio(own, total, 1/fresh)
 	}
-	// An account without demand here takes only the even half of its share.
+	// An account without demand here takes only the equal half of its share.
 	l.equalShare = available / fresh / 2
 }
 
--- a/route/notice.go
+++ b/route/notice.go
@@ -9,44 +9,45 @@
 )
 
 const (
-	// reportedStateTTL is how long what an endpoint said is kept once it is not listed: its entry may come back as it was before, since a
-	// store that comes back from a copy of itself has lost what was written last.
+	// reportedStateTTL is how long the reported state of an unlisted endpoint is kept: its old entry may return,
+	// since a store that is restored from a copy of itself has lost the latest writes.
 	reportedStateTTL = 10 * time.Minute
-	// maxBackoffJitter bounds the time by which a box comes back later than it might, a random one: an endpoint that is short of room
-	// asks many boxes for the same rest at about the same time. restSpreadPart is the part of the rest that it is at most.
+	// maxBackoffJitter bounds the random delay by which a box resumes after a backoff, since an overloaded endpoint
+	// asks many boxes for the same backoff at about the same time. The jitter is at most the backoff divided by
+	// backoffJitterDivisor.
 	maxBackoffJitter     = time.Second
 	backoffJitterDivisor = 5
 )
 
 type (
-	// reportedState is what is known of one life of an endpoint beside its entry, mostly from its own answers. It holds whatever the
-	// entry says, now or later: the store may be away, or behind.
+	// reportedState is what is known of one incarnation of an endpoint besides its entry, mostly from its own
+	// answers. It holds whatever the entry says now or later: the store may be unreachable or behind.
 	reportedState struct {
 		incarnation   willowwick.Incarnation
 		address       string
-		leaving       bool          // it takes no new requests any more; for good
+		leaving       bool          // it accepts no new requests; permanent
 		misplaced     bool          // another endpoint answers at its address
-		backoffUntil  time.Time     // it wants no request of this box before; zero if it never asked for rest
-		backoffJitter time.Duration // random length: by which this box comes back later
-		unlistedAt    time.Time     // it was listed until then; zero if it is
+		backoffUntil  time.Time     // it accepts no request of this box before; zero if it asked for no backoff
+		backoffJitter time.Duration // random delay after the backoff, for this box
+		unlistedAt    time.Time     // when it was first found missing from the list; zero while listed
 	}
 
-	// NoticeChanges is what of a notice was not known yet.
+	// NoticeChanges is what a notice changed.
 	NoticeChanges struct {
-		Leaving bool // the endpoint leaves
-		Backoff bool // it asked for rest while it did not rest
-		Limit   bool // it names another limit, or none any more
+		Leaving bool // the endpoint began to shut down
+		Backoff bool // it asked for a backoff while in none
+		Limit   bool // it declared another rate limit, or dropped it
 	}
 
-	// LeavingRow names the life of an endpoint that leaves, as boxes tell each other.
+	// LeavingRow is the wire form of an endpoint's incarnation that is shutting down.
 	LeavingRow struct {
 		Endpoint    willowwick.EndpointID
 		Incarnation willowwick.Incarnation
 	}
 )
 
-// ApplyNotice takes what an answer says of the endpoint that gave it, to a request that was sent at the given time, and returns what of
-// it is news. What an earlier life of the endpoint said holds no more.
+// ApplyNotice applies the notice in an endpoint's answer to a request that was sent at sentAt, and returns what it
+// changed. Notices of earlier incarnations are ignored.
 func (p *Pool) ApplyNotice(now, sentAt time.Time, endpoint willowwick.Endpoint, notice willowwick.Notice) NoticeChanges {
 	changes := NoticeChanges{Limit: p.options.Limits.Heard(now, sentAt, endpoint, notice.RateLimit)}
 	if !notice.Leaving && notice.RestUntil.IsZero() {
@@ -64,17 +65,17 @@
 	if changes.Backoff {
 		s.backoffJitter = time.Duration(rand.Float64() * float64(min(maxBackoffJitter, notice.RestUntil.Sub(now)/backoffJitterDivisor)))
 	}
-	// A shorter rest that is asked for later takes nothing back: each answer binds by itself.
+	// A shorter backoff that is asked for later does not shorten the first: each answer binds by itself.
 	if until := notice.RestUntil.Add(s.backoffJitter); notice.RestUntil.After(now) && until.After(s.backoffUntil) {
 		s.backoffUntil = until
 	}
 	if m := p.endpoints[endpoint.ID]; m != nil && s.isInBackoff(now) {
-		m.limit = 1 // by the end of its rest its load is not known, and it gets one request of this box first
+		m.limit = 1 // by the end of the backoff its load is unknown, so it gets one request of this box first
 	}
 	return changes
 }
 
-// MarkLeaving notes that an endpoint is leaving, whoever said so.
+// MarkLeaving records that an endpoint is shutting down, whatever the source.
 func (p *Pool) MarkLeaving(id willowwick.EndpointID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,7 +84,7 @@
 	}
 }
 
-// MarkMisplaced notes that another endpoint answers at an endpoint's address.
+// MarkMisplaced records that another endpoint answers at the endpoint's address.
 func (p *Pool) MarkMisplaced(endpoint willowwick.Endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -92,7 +93,8 @@
 	}
 }
 
-// MergeLeaving takes which endpoints leave from another box, and returns those of which this one did not know it.
+// MergeLeaving applies another box's list of endpoints that are shutting down, and returns those that were new to
+// this one.
 func (p *Pool) MergeLeaving(rows []LeavingRow) []willowwick.EndpointID {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,7 +109,8 @@
 	return added
 }
 
-// LeavingUnlisted lists the endpoints that leave though the list does not say so yet: what other boxes do not know from it.
+// LeavingUnlisted lists the endpoints that are shutting down but whose entries do not say so yet, which other boxes
+// cannot learn from the list.
 func (p *Pool) LeavingUnlisted() []LeavingRow {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -121,7 +124,7 @@
 	return rows
 }
 
-// Leaving lists the endpoints known to be leaving.
+// Leaving lists the endpoints known to be shutting down.
 func (p *Pool) Leaving() []willowwick.EndpointID {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -135,7 +138,7 @@
 	return ids
 }
 
-// IsLeaving reports whether the newest known life of an endpoint leaves, or left.
+// IsLeaving reports whether the newest known incarnation of an endpoint is shutting down or has shut down.
 func (p *Pool) IsLeaving(id willowwick.EndpointID) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -143,7 +146,8 @@
 	return s != nil && s.leaving
 }
 
-// reportedStateOf returns what is known of the life that an entry tells of, and takes the entry's own leaving; the caller holds the lock.
+// reportedStateOf returns the reported state of the incarnation in an entry, and applies the entry's own leaving. The
+// caller holds the lock.
 func (p *Pool) reportedStateOf(entry willowwick.Endpoint) *reportedState {
 	s := p.reported[entry.ID]
 	if s == nil || !s.matches(entry) {
@@ -155,8 +159,8 @@
 	return s
 }
 
-// expireReportedStates drops what endpoints said that are not listed any more, after a time; at once where nothing would tell the next life
-// from this one. The caller holds the lock.
+// expireReportedStates drops the state of endpoints that have been unlisted for reportedStateTTL; at once for those
+// without an incarnation, since the next one could not be told apart. The caller holds the lock.
 func (p *Pool) expireReportedStates(now time.Time, listed map[willowwick.EndpointID]*member) {
 	for id, s := range p.reported {
 		if listed[id] != nil {
@@ -171,17 +175,17 @@
 	}
 }
 
-// matches reports whether this is of the life that an entry tells of.
+// matches reports whether the state belongs to the incarnation in an entry.
 func (s *reportedState) matches(entry willowwick.Endpoint) bool {
 	return s.incarnation == entry.Incarnation && s.address == entry.Address
 }
 
-// isInBackoff reports whether the endpoint wants no request yet.
+// isInBackoff reports whether the endpoint's backoff has not ended.
 func (s *reportedState) isInBackoff(now time.Time) bool {
 	return now.Before(s.backoffUntil)
 }
 
-// CountNotices counts the listed endpoints that leave, and those that asked for rest which has not ended.
+// CountNotices counts the listed endpoints that are shutting down, and those in backoff.
 func (p *Pool) CountNotices(now time.Time) (leaving, resting int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/route/notice_test.go
+++ b/route/notice_test.go
@@ -25,10 +25,10 @@
 	return willowwick.Endpoint{ID: id, Hall: "a", Address: string(id) + ":1", Service: "work", Slots: 16, Incarnation: incarnation}
 }
 
-// backoffNotice is a notice that asks for backoffNotice until a time.
+// backoffNotice returns a notice that asks for a backoff until a time.
 func backoffNotice(until time.Time) willowwick.Notice { return willowwick.Notice{RestUntil: until} }
 
-// usable lists the endpoints that may be given work, each once.
+// usable lists the endpoints that may be given work.
 func usable(pool *Pool, now time.Time) []willowwick.EndpointID {
 	var ids []willowwick.EndpointID
 	for _, endpoint := range pool.Endpoints() {
@@ -87,7 +87,8 @@
 	assert.True(t, known, "they serve the work")
 }
 
-// An endpoint that rests runs nothing, and made its service look idle: small models' answers were dropped for the large model's.
+// An endpoint in backoff runs nothing. If it counted, its service would look idle, and answers of small models would
+// be dropped for the large model's.
 func TestEndpointsInBackoffDoNotLowerPressure(t *testing.T) {
 	now := time.Now()
 	pool, first := newNoticePool(1, "e1", "e2")
@@ -96,7 +97,8 @@
 	assert.InDelta(t, 12, pool.Pressure(now, "work", anyEndpoint).Requests, 0.01)
 }
 
-// backoffSimulation is an endpoint at the end of a rest that it has asked many boxes for, which all have work for it.
+// backoffSimulation is an endpoint at the end of a backoff that it has asked of many boxes, which all have work for
+// it.
 type backoffSimulation struct {
 	endpoint           willowwick.Endpoint
 	boxes              []*Pool
@@ -105,14 +107,15 @@
 	served, turnedAway int
 }
 
-// simulatedRequest is a request at the endpoint.
+// simulatedRequest is a request running at the endpoint.
 type simulatedRequest struct {
 	box   *Pool
 	place *Slot
 	until time.Time
 }
 
-// step lets a moment pass: answers go out, with the endpoint's load, and boxes send what they may.
+// step advances the simulation: finished requests are answered with the endpoint's load, and boxes send what they
+// may.
 func (r *backoffSimulation) step(now time.Time, slots int) {
 	const serves = 100 * time.Millisecond
 	for len(r.running) > 0 && !now.Before(r.running[0].until) {
@@ -145,8 +148,8 @@
 	}
 }
 
-// An endpoint that asks for rest asks all boxes that send to it, and looks idle to each of them at its end. If they sent what they
-// have at once, it would have to turn most of it away, on the fleet's budget of repeats, and rest again.
+// After a backoff the endpoint looks idle to every box that it asked. If all boxes sent their waiting requests at
+// once, it would turn most of them away, which uses up the fleet's retry budget, and back off again.
 func TestBoxesReturnGraduallyAfterABackoff(t *testing.T) {
 	const boxes, waiting, slots = 30, 4, 16
 	for seed := range uint64(5) {
--- a/route/picker.go
+++ b/route/picker.go
@@ -10,7 +10,7 @@
 
 const (
 	sampleTries    = 4
-	hallPenalty    = 0.05 // of a slot's worth of load
+	hallPenalty    = 0.05 // of one slot's load
 	prefixBonus    = 0.1
 	ownerLoadLimit = 0.9
 	defaultSlots   = 8
@@ -19,17 +19,17 @@
 )
 
 type (
-	// PowerOfTwo samples two endpoints and the owner of the prompt prefix, and takes the least loaded.
+	// PowerOfTwo samples two endpoints and the owner of the prompt prefix, and picks the least loaded.
 	PowerOfTwo struct {
 		Hall     willowwick.HallID
 		Affinity bool
 		random   *lockedRandom
 	}
 
-	// LeastLoaded takes the endpoint that last reported the least load.
+	// LeastLoaded picks the endpoint that last reported the least load.
 	LeastLoaded struct{}
 
-	// RoundRobin takes endpoints in turn.
+	// RoundRobin picks the endpoints one after the other.
 	RoundRobin struct {
 		mu   sync.Mutex
 		next int
@@ -130,7 +130,7 @@
 	return noCandidate
 }
 
-// loadOf is the share of an endpoint's slots that is taken, by its last report and what was sent since.
+// loadOf returns the share of an endpoint's slots in use, by its last report and the requests sent since.
 func loadOf(c willowwick.Candidate) float64 {
 	slots := c.Load.Slots
 	if slots == 0 {
--- a/route/plan.go
+++ b/route/plan.go
@@ -9,7 +9,7 @@
 )
 
 type (
-	// Plan is the row of models that may answer a request, cheap to strong.
+	// Plan is the sequence of models that may answer a request, from cheap to strong.
 	Plan struct {
 		Cascade willowwick.CascadeID
 		Stages  []willowwick.ModelID
@@ -18,13 +18,13 @@
 		Judge   config.JudgeKind
 		Exclude []willowwick.VersionID
 		Rule    string // rule of the policy that decided
-		Failure error  // of the policy; the account's default cascade was used
+		Failure error  // of the policy; the account's default cascade is used then
 	}
 )
 
 // MakePlan runs the account's policy and returns what may answer the request.
 //
-// A policy can only narrow: models of which the account may use nothing are left out.
+// A policy can only restrict: models that the account may not use are left out.
 func MakePlan(r *config.Revision, request *willowwick.Request, now time.Time) (Plan, *willowwick.Refusal) {
 	account, ok := r.Account(request.Account)
 	if !ok {
@@ -42,7 +42,7 @@
 	plan.Stages = allowedStages(r, account, plan.Stages)
 	if len(plan.Stages) == 0 {
 		return plan, willowwick.Invalid(willowwick.CodeNotAllowed, "model",
-			"client account %q may use nothing of %q; GET /v1/models lists what it may use", request.Account, request.Target)
+			"client account %q is not allowed to use %q; GET /v1/models lists what it may use", request.Account, request.Target)
 	}
 	return plan, nil
 }
@@ -64,8 +64,8 @@
 	})
 }
 
-// setStages sets the plan's stages: the caller's own choice of a model or cascade
-// stands, unless the policy names another; auto goes by policy or default.
+// setStages sets the plan's stages: the policy's choice of a model or cascade comes first, then the caller's; a
+// request for auto uses the account's default.
 func (p *Plan) setStages(r *config.Revision, account *config.ClientAccount, request *willowwick.Request, decision policy.Decision) *willowwick.Refusal {
 	switch {
 	case decision.Model != "":
--- a/route/pool.go
+++ b/route/pool.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// ringPoints is the number of points of an endpoint on the ring of consistent hashing.
+	// ringPoints is the number of points of an endpoint on the consistent-hashing ring.
 	ringPoints = 16
-	// startLimit is the limit on own requests at an endpoint that is not known yet.
+	// startLimit is the limit of own requests at an endpoint without history.
 	startLimit = 4
-	// loadMaxAge is how long a load report counts.
+	// loadMaxAge is how long a load report is valid.
 	loadMaxAge = 10 * time.Second
 )
 
 type (
-	// Pool knows the endpoints, their load and their health, and hands out places at them.
+	// Pool tracks the endpoints, their load and their health, and hands out slots at them.
 	Pool struct {
 		mu         sync.Mutex
 		picker     willowwick.Picker
@@ -31,31 +31,32 @@
 		byHash     map[uint32]*member
 		candidates map[workKey]*candidateSet
 		inFlight   int
-		occupied   map[*member]bool // endpoints with places taken, those gone from the list among them
+		occupied   map[*member]bool // endpoints with slots in use, including unlisted ones
 		speeds     map[speedKey]*prefillSpeed
 		lateness   map[speedKey]*Lateness // of first events against their forecasts
 		evacuated  map[willowwick.HallID]bool
 		reported   map[willowwick.EndpointID]*reportedState
-		// coldPauses are lengths: between this box's requests to one cold endpoint of a service.
-		coldPauses map[willowwick.ServiceID]time.Duration // setting
+		// coldPauses holds the pause between this box's requests to one cold endpoint, by service.
+		coldPauses map[willowwick.ServiceID]time.Duration
 	}
 
-	// PoolOptions set how much a pool gives to endpoints; zero values take the defaults.
+	// PoolOptions bound the work that a pool gives to endpoints; zero values of StartLimit and LoadMaxAge take
+	// defaults.
 	PoolOptions struct {
-		StartLimit float64       // own requests at an endpoint before it is known
-		LoadMaxAge time.Duration // setting: how long a load report counts
-		// FallBackToEjected gives work to endpoints under suspicion where there are no others; the caller bounds its tries.
+		StartLimit float64       // limit of own requests at an endpoint without history
+		LoadMaxAge time.Duration // how long a load report is valid
+		// FallBackToEjected gives work to ejected endpoints if no other is open; the caller bounds its attempts.
 		FallBackToEjected bool
-		// QueueShare bounds what an endpoint holds beyond its slots, as a share of them; what is more waits for its
-		// fair turn here. 0 leaves it to the limit that adapts.
+		// QueueShare bounds the requests queued at an endpoint beyond its slots, as a share of the slots; the rest
+		// waits in the fair queue of this box. If 0, only the adaptive limit bounds them.
 		QueueShare float64
-		// SilentAfter is how long an endpoint with work may say nothing before others are preferred; 0 never.
-		SilentAfter time.Duration // setting
-		// Limits knows what endpoints take from all boxes together; nil if none names a limit.
+		// SilentAfter is how long an endpoint with work may be silent before others are preferred; 0 means forever.
+		SilentAfter time.Duration
+		// Limits tracks the endpoints' rate limits over all boxes; nil if no endpoint declares one.
 		Limits willowwick.RateLimiter
 	}
 
-	// member is an endpoint with what the box knows of it.
+	// member is an endpoint with what this box knows of it.
 	member struct {
 		endpoint        willowwick.Endpoint
 		reported        *reportedState
@@ -64,19 +65,19 @@
 		sentSinceReport int
 		failures        int
 		ejectedUntil    time.Time
-		evacuated       bool // its hall is
+		evacuated       bool // its hall is evacuated
 		limit           float64
 		hash            uint64
 		failureRateThen float64
 		failureRateAt   time.Time
-		lastAliveAt     time.Time // last sign of life, or when it was given work after having none
-		nextColdSendAt  time.Time // while it is cold, when this box may send it its next request; zero if not chosen yet
-		isProbing       bool      // the suspicion has run out, and one request is to show whether it was right
+		lastAliveAt     time.Time // when data last arrived, or when it got work after having none
+		nextColdSendAt  time.Time // when this box may send a cold endpoint its next request; zero if not yet chosen
+		isProbing       bool      // the ejection has run out, and one request probes the endpoint
 		prefills        prefillQueue
 	}
 )
 
-// NewPool returns an empty pool that chooses by the picker.
+// NewPool returns an empty pool that selects endpoints by the picker.
 func NewPool(picker willowwick.Picker) *Pool {
 	return NewPoolWith(picker, PoolOptions{})
 }
@@ -99,7 +100,7 @@
 	}
 }
 
-// Update takes the platform's list; endpoints that are gone get no new work.
+// Update replaces the list of endpoints; endpoints that are no longer listed get no new work.
 func (p *Pool) Update(listing []willowwick.Endpoint) {
 	p.options.Limits.Keep(listing)
 	p.mu.Lock()
@@ -124,7 +125,7 @@
 	p.rebuild()
 }
 
-// hasRestarted reports whether an entry is of a later life of its endpoint, of which nothing is known yet.
+// hasRestarted reports whether an entry is of another incarnation of its endpoint, of which nothing is known yet.
 func hasRestarted(old, entry willowwick.Endpoint) bool {
 	return old.Incarnation != 0 && old.Incarnation != entry.Incarnation
 }
@@ -163,7 +164,7 @@
 	set.members = append(set.members, m)
 }
 
-// Report takes a load report; older reports than the one known change nothing.
+// Report applies a load report, unless it is older than the last one.
 func (p *Pool) Report(load willowwick.EndpointLoad) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -176,7 +177,7 @@
 	m.reported.leaving = m.reported.leaving || load.Leaving
 }
 
-// ApplyPrefillUpdate takes what another box has sent to an endpoint.
+// ApplyPrefillUpdate applies another box's prefill update to its endpoint.
 func (p *Pool) ApplyPrefillUpdate(now time.Time, update PrefillUpdate) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -188,7 +189,8 @@
 	m.prefills.markCached(now, update.Parts)
 }
 
-// PrefillBacklog is how long the endpoint will be reading what it was sent, as forecast; 0 if it is not known.
+// PrefillBacklog returns the forecast time until the endpoint has read all prompts sent to it; 0 if the endpoint is
+// unknown.
 func (p *Pool) PrefillBacklog(now time.Time, id willowwick.EndpointID) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -217,7 +219,7 @@
 	return m != nil && m.isInService()
 }
 
-// SetEvacuated leaves the endpoints of these halls without new work, and no others; running work goes on.
+// SetEvacuated replaces the set of evacuated halls, whose endpoints get no new work; running work continues.
 func (p *Pool) SetEvacuated(halls []willowwick.HallID) {
 	evacuated := make(map[willowwick.HallID]bool, len(halls))
 	for _, hall := range halls {
@@ -231,7 +233,7 @@
 	}
 }
 
-// Endpoints lists the endpoints of the platform's list; each that is known to be leaving says so, whatever its entry says.
+// Endpoints lists the endpoints; each that is known to be shutting down has Leaving set, whatever its entry says.
 func (p *Pool) Endpoints() []willowwick.Endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -245,14 +247,14 @@
 	return list
 }
 
-// InFlight returns the number of places taken.
+// InFlight returns the number of slots in use.
 func (p *Pool) InFlight() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.inFlight
 }
 
-// queueAllowance is how many requests beyond its slots the endpoint may hold.
+// queueAllowance returns how many requests beyond its slots the endpoint may hold.
 func (m *member) queueAllowance(options PoolOptions) int {
 	if options.QueueShare == 0 {
 		return int(m.limit)
@@ -260,18 +262,19 @@
 	return int(min(m.limit, options.QueueShare*float64(m.load.Slots)))
 }
 
-// isInService reports whether the endpoint may be given new work at all: it is where its entry says and not leaving, and its hall is
-// not evacuated.
+// isInService reports whether the endpoint may be given new work at all: it is not shutting down, its own process
+// answers at its address, and its hall is not evacuated.
 func (m *member) isInService() bool {
 	return !m.reported.leaving && !m.reported.misplaced && !m.evacuated
 }
 
-// refusesWork reports whether the endpoint takes no work now, whatever it has to do: it does not stay, or rests.
+// refusesWork reports whether the endpoint accepts no work now, whatever its load: it is out of service or in
+// backoff.
 func (m *member) refusesWork(now time.Time) bool {
 	return !m.isInService() || m.reported.isInBackoff(now)
 }
 
-// isSilentOrProbing reports whether the endpoint owes an answer for long, or is on trial after a suspicion.
+// isSilentOrProbing reports whether the endpoint has work and is silent, or is being probed after an ejection.
 func (m *member) isSilentOrProbing(now time.Time, options PoolOptions) bool {
 	if m.inFlight == 0 {
 		return false
@@ -279,7 +282,7 @@
 	return m.isProbing || m.isSilent(now, options)
 }
 
-// isSilent reports whether the endpoint has said nothing for long, and is not reading what it was sent.
+// isSilent reports whether the endpoint has been silent for longer than SilentAfter while it is not reading a prompt.
 func (m *member) isSilent(now time.Time, options PoolOptions) bool {
 	heardAt := m.lastAliveAt
 	if until := m.prefills.busyUntil(); until.After(heardAt) {
@@ -288,19 +291,18 @@
 	return now.Sub(heardAt) > options.SilentAfter
 }
 
-// AcquireVersion takes a place at a runner that serves the version; known tells
-// whether any runner serves it at all.
+// AcquireVersion acquires a slot at a runner that serves the version; slot is nil if none is open, and known reports
+// whether any runner serves the version.
 func (p *Pool) AcquireVersion(now time.Time, version willowwick.VersionID, prefix uint64, exclude map[willowwick.EndpointID]bool) (slot *Slot, known bool) {
 	return p.acquire(now, workKey{version: version}, Work{}, prefix, exclude, nil)
 }
 
-// AcquireService takes a place at an instance of a plain service.
+// AcquireService acquires a slot at an instance of a plain service; the results are those of AcquireVersion.
 func (p *Pool) AcquireService(now time.Time, service willowwick.ServiceID, exclude map[willowwick.EndpointID]bool) (slot *Slot, known bool) {
 	return p.acquire(now, workKey{service: service}, Work{}, 0, exclude, nil)
 }
 
-// AcquireAllowed takes a place at one of the service's endpoints that are allowed; known
-// tells whether there is any such endpoint.
+// AcquireAllowed acquires a slot at one of the service's allowed endpoints; known reports whether there is any.
 func (p *Pool) AcquireAllowed(
 	now time.Time, service willowwick.ServiceID, work Work,
 	exclude map[willowwick.EndpointID]bool, allow func(willowwick.Endpoint) bool,
@@ -320,7 +322,7 @@
 	}
 	set.now, set.estimator, set.exclude, set.allow = now, p.estimatorFor(key.service, work), exclude, allow
 	if len(exclude) > 0 && set.allExcluded() {
-		// Every endpoint failed this request once; a second try beats none.
+		// Every endpoint has failed this request once; a second attempt is better than none.
 		set.exclude = nil
 	}
 	index := p.picker.Pick(now, set, prefix)
@@ -345,7 +347,7 @@
 	return &Slot{Endpoint: m.endpoint, pool: p, member: m, work: work, estimator: set.estimator, acquiredAt: now, permission: permission}, true
 }
 
-// estimatorFor is what the work's prompt asks of any of the service's endpoints.
+// estimatorFor returns the prefill estimator for work at the endpoints of a service.
 func (p *Pool) estimatorFor(service willowwick.ServiceID, work Work) prefillEstimator {
 	if len(work.Prompt) == 0 {
 		return prefillEstimator{}
@@ -353,15 +355,15 @@
 	return prefillEstimator{work.Prompt, work.partHashes(), p.speeds[speedKey{service, work.Model}].secondsPerToken()}
 }
 
-// HasOpen reports whether one of the service's endpoints that are allowed may be given work; those that name limits do not
-// count, since a permit may be denied.
+// HasOpen reports whether one of the service's allowed endpoints is open; those with rate limits do not count, since
+// a permit may be denied.
 func (p *Pool) HasOpen(now time.Time, service willowwick.ServiceID, allow func(willowwick.Endpoint) bool) bool {
 	return p.anyMember(service, func(m *member) bool {
 		return p.availability(now, m).reason == reasonNone && allow(m.endpoint) && !p.isColdPaused(now, m) && m.isOpen(now, p.options, false)
 	})
 }
 
-// anyMember reports whether one of the service's endpoints is as asked.
+// anyMember reports whether one of the service's endpoints matches; it acquires the lock.
 func (p *Pool) anyMember(service willowwick.ServiceID, matches func(m *member) bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -369,12 +371,12 @@
 	return set != nil && slices.ContainsFunc(set.members, matches)
 }
 
-// HasInService reports whether one of the service's endpoints that are allowed is not leaving, in a hall that is not evacuated.
+// HasInService reports whether one of the service's allowed endpoints is in service.
 func (p *Pool) HasInService(service willowwick.ServiceID, allow func(willowwick.Endpoint) bool) bool {
 	return p.anyMember(service, func(m *member) bool { return m.isInService() && allow(m.endpoint) })
 }
 
-// InFlightWhere counts the places taken at those of the service's endpoints that are counted.
+// InFlightWhere counts the slots in use at the service's endpoints for which counts returns true.
 func (p *Pool) InFlightWhere(service willowwick.ServiceID, counts func(willowwick.Endpoint) bool) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -387,7 +389,7 @@
 	return n
 }
 
-// knownLoad is the last report, or only the slots once the report is too old to count.
+// knownLoad returns the last report, or only the slots if the report is too old.
 func (m *member) knownLoad(now time.Time, options PoolOptions) willowwick.EndpointLoad {
 	if now.Sub(m.load.At) < options.LoadMaxAge {
 		return m.load
@@ -404,7 +406,7 @@
 	}
 	fresh := m.load.Slots > 0 && now.Sub(m.load.At) < options.LoadMaxAge
 	if fresh {
-		// The report counts everybody's requests; what was sent since is known only of oneself.
+		// The report counts the requests of all boxes; of those sent since, only this box's own are known.
 		return m.load.Running+m.load.Waiting+m.sentSinceReport < m.load.Slots+m.queueAllowance(options) && float64(m.inFlight) < max(m.limit, options.StartLimit)
 	}
 	return float64(m.inFlight) < m.limit
--- a/route/prefill.go
+++ b/route/prefill.go
@@ -9,76 +9,79 @@
 )
 
 const (
-	// prefixCacheTTL is how long an endpoint is taken to keep what it has read of a prompt: runners with room for some twenty
-	// long prompts turn their memory over in about this time.
+	// prefixCacheTTL is how long an endpoint is assumed to cache a part of a prompt that it has read: runners with
+	// memory for about twenty long prompts replace it in about this time.
 	prefixCacheTTL = 30 * time.Second
-	// maxCachedParts bounds the parts remembered of one endpoint; it is above what one reads within keptFor.
+	// maxCachedParts bounds the parts remembered for one endpoint; it is more than one reads within prefixCacheTTL.
 	maxCachedParts = 4096
-	// speedSmoothingFactor is how much of what is known of a reading speed one reading replaces: the last twenty or so count.
+	// speedSmoothingFactor is the weight of one prefill in the known speed, so that about the last 20 count.
 	speedSmoothingFactor = 0.05
-	// DefaultAnswerTimeout is how long a request waits for its answer to begin where nothing is known yet of how long that
-	// takes: a large model reads a long prompt in it. A box that gave up sooner would have it read by several endpoints.
+	// DefaultAnswerTimeout is how long a request waits for its answer to begin while no speed is known: a large model
+	// reads a long prompt in this time. A box that gave up sooner would have several endpoints read it.
 	DefaultAnswerTimeout = 3 * time.Second
-	// reportedSpeedTokens is how many tokens another box's speed counts for: a reading or two of this one weigh as much.
+	// reportedSpeedTokens is the weight of a speed reported by another box, in tokens; one or two prefills seen by
+	// this box weigh as much.
 	reportedSpeedTokens = 10000
-	// maxOutlierFactor bounds one reading by how many times longer than expected it counts: a slow one may have waited unseen.
+	// maxOutlierFactor bounds how many times longer than expected one prefill counts, since a slow one may have
+	// waited behind work that this box does not know of.
 	maxOutlierFactor = 3.0
 )
 
 type (
-	// Work is what a request asks of a model's endpoint before its answer begins: a prompt to read. Plain services have none.
+	// Work is what an endpoint must do before the answer begins: read the prompt for a model. Plain services have
+	// none.
 	Work struct {
 		Model  willowwick.ModelID
-		Prompt []willowwick.PromptPart // in order; the last part is the request's own
+		Prompt []willowwick.PromptPart // in order; the last part is unique to the request
 	}
 
-	// PartHash is a hash that names a part of a prompt as a model has read it; another model reads it anew.
+	// PartHash identifies a part of a prompt as read by one model; another model must read it anew.
 	PartHash uint32
 
-	// PrefillUpdate is what a box finds of an endpoint's reading, as boxes tell each other: a prompt that it was sent, or that
-	// all it was sent is read sooner or later than forecast.
+	// PrefillUpdate is a change of an endpoint's prefill queue that boxes send each other: a prompt that was sent to
+	// it, or a shift of the forecast of all that it has to read.
 	PrefillUpdate struct {
-		Endpoint uint32        // hash of its name
-		Duration time.Duration // measured length: how long it reads, or by how much later than forecast
-		IsShift  bool          // it is the latter
-		Parts    []PartHash    // the shared parts that it has then
+		Endpoint uint32        // hash of its ID
+		Duration time.Duration // prefill time added, or the shift if IsShift
+		IsShift  bool          // Duration shifts the whole forecast
+		Parts    []PartHash    // shared parts that it has cached from now on
 	}
 
-	// prefillEstimator is what is the same of a request's prompt at all endpoints of its service.
+	// prefillEstimator holds what the prefill time of a request depends on at every endpoint of its service.
 	prefillEstimator struct {
 		prompt          []willowwick.PromptPart
 		hashes          []PartHash
-		secondsPerToken float64 // seconds
+		secondsPerToken float64 // 0 if unknown
 	}
 
-	// speedKey names readings that take alike.
+	// speedKey identifies prefills of comparable speed.
 	speedKey struct {
 		service willowwick.ServiceID
 		model   willowwick.ModelID
 	}
 
-	// SpeedRow is how fast the endpoints of a service read prompts for a model, as boxes tell each other.
+	// SpeedRow is the wire form of a prefill speed.
 	SpeedRow struct {
 		Service  willowwick.ServiceID
 		Model    willowwick.ModelID
-		PerToken time.Duration // measured length
+		PerToken time.Duration // time per token
 	}
 
 	// prefillSpeed is how fast the endpoints of a service read prompts for a model.
 	prefillSpeed struct {
-		seconds float64 // of the readings that were seen, older ones faded
+		seconds float64 // sum over the prefills seen, decaying
 		tokens  float64
 	}
 
-	// prefillQueue forecasts when an endpoint has read what it was sent: in the order of sending, one prompt at a time.
+	// prefillQueue forecasts when an endpoint has read the prompts sent to it, one at a time in the order of sending.
 	prefillQueue struct {
-		idleAt   time.Time // when all of it is read
+		idleAt   time.Time // when all prompts are read
 		pending  []*Slot   // own requests whose answer has not begun, in the order of sending
 		cachedAt map[PartHash]time.Time
 	}
 )
 
-// partHashes names the partHashes of the prompt as the work's model reads them.
+// partHashes returns the hashes of the prompt's parts as read by the work's model.
 func (w Work) partHashes() []PartHash {
 	names := make([]PartHash, 0, len(w.Prompt))
 	for _, part := range w.Prompt {
@@ -87,7 +90,7 @@
 	return names
 }
 
-// secondsPerToken is the time that reading one token takes, in seconds; 0 if nothing was seen yet.
+// secondsPerToken returns the time to read one token, in seconds; 0 if no prefill was seen.
 func (s *prefillSpeed) secondsPerToken() float64 {
 	if s == nil || s.tokens == 0 {
 		return 0
@@ -95,7 +98,7 @@
 	return s.seconds / s.tokens
 }
 
-// learn takes one reading.
+// learn records the duration of one prefill.
 func (s *prefillSpeed) learn(took time.Duration, tokens float64) {
 	seconds := took.Seconds()
 	if known := s.secondsPerToken(); known > 0 {
@@ -105,7 +108,8 @@
 	s.tokens += tokens - speedSmoothingFactor*s.tokens
 }
 
-// uncachedTokens is the part of the prompt that the endpoint has not kept: an endpoint uses a kept part if it has all before it.
+// uncachedTokens returns how many tokens of the prompt the endpoint must read: it uses a cached part only if all
+// parts before it are cached.
 func (q *prefillQueue) uncachedTokens(now time.Time, prompt []willowwick.PromptPart, names []PartHash) willowwick.Tokens {
 	var tokens willowwick.Tokens
 	prefixCached := true
@@ -121,7 +125,7 @@
 	return tokens
 }
 
-// markCached notes that the endpoint has read parts of prompts.
+// markCached records that the endpoint has read these parts.
 func (q *prefillQueue) markCached(now time.Time, parts []PartHash) {
 	if q.cachedAt == nil {
 		q.cachedAt = map[PartHash]time.Time{}
@@ -139,17 +143,18 @@
 	}
 }
 
-// backlog is how long the endpoint will be reading what it was sent before.
+// backlog returns how long the endpoint will be busy with prefills already sent to it.
 func (q *prefillQueue) backlog(now time.Time) time.Duration {
 	backlog := max(q.idleAt.Sub(now), 0)
 	if len(q.pending) > 0 {
-		// A reading that should have ended by now has been held up, and is expected to take as long again.
+		// An overdue prefill is held up, and is expected to take as long again as it is overdue.
 		backlog += max(now.Sub(q.pending[0].due), 0)
 	}
 	return backlog
 }
 
-// busyUntil is until when an endpoint may say nothing since it reads the first of what it was sent.
+// busyUntil returns until when an endpoint may be silent because it reads the first pending prompt; zero if none is
+// pending.
 func (q *prefillQueue) busyUntil() time.Time {
 	if len(q.pending) == 0 {
 		return time.Time{}
@@ -160,7 +165,7 @@
 	return q.pending[0].due
 }
 
-// enqueue puts a reading at the end of the queue.
+// enqueue appends a prefill.
 func (q *prefillQueue) enqueue(now time.Time, s *Slot, prefillTime time.Duration) {
 	if q.idleAt.Before(now) {
 		q.idleAt = now
@@ -170,7 +175,7 @@
 	q.pending = append(q.pending, s)
 }
 
-// applyUpdate takes what another box has found: a reading that was added, or that all of them are done sooner or later.
+// applyUpdate applies another box's update: an added prefill, or a shift of all of them.
 func (q *prefillQueue) applyUpdate(now time.Time, update PrefillUpdate) {
 	if q.idleAt.Before(now) {
 		q.idleAt = now
@@ -182,7 +187,7 @@
 	q.shift(now, nil, update.Duration)
 }
 
-// complete takes a reading out of the queue whose answer has complete, and returns by how much the others move with it.
+// complete removes a prefill whose answer has begun, and returns by how much the forecast of the others shifts.
 func (q *prefillQueue) complete(now time.Time, s *Slot) time.Duration {
 	at := slices.Index(q.pending, s)
 	if at < 0 {
@@ -197,7 +202,7 @@
 	return by
 }
 
-// remove takes a reading out of the queue that ends without an answer, and returns by how much the others move with it.
+// remove removes a prefill that ends without an answer, and returns by how much the forecast of the others shifts.
 func (q *prefillQueue) remove(now time.Time, s *Slot) time.Duration {
 	at := slices.Index(q.pending, s)
 	if at < 0 {
@@ -208,7 +213,7 @@
 	return -s.prefillTime
 }
 
-// shift moves the forecast from some of the readings on.
+// shift moves the forecast of the given prefills and of the end of the queue.
 func (q *prefillQueue) shift(now time.Time, from []*Slot, by time.Duration) {
 	for _, s := range from {
 		s.due = s.due.Add(by)
@@ -219,7 +224,7 @@
 	}
 }
 
-// estimate forecasts how long the endpoint reads for the request, and how many tokens: those that it has not kept.
+// estimate returns the prefill time of the request at an endpoint, and the number of tokens not cached there.
 func (e *prefillEstimator) estimate(now time.Time, m *member) (time.Duration, willowwick.Tokens) {
 	if len(e.prompt) == 0 {
 		return 0, 0
@@ -228,10 +233,10 @@
 	return time.Duration(e.secondsPerToken * float64(tokens) * float64(time.Second)), tokens
 }
 
-// learnSpeed takes the reading of a request whose answer has begun.
+// learnSpeed records the prefill of a request whose answer has begun.
 //
-// What was ahead of it counts as tokens of its own, by the speed that is known: a speed that is wrong makes all forecasts
-// wrong alike, and readings that found nothing ahead are too few where it is taken for too slow.
+// The backlog before it is converted to tokens at the known speed. A wrong speed makes all forecasts wrong alike, and
+// if it is taken for too slow, too few requests find no backlog to correct it.
 func (p *Pool) learnSpeed(now time.Time, slot *Slot) {
 	if slot.uncached == 0 {
 		return
@@ -251,7 +256,7 @@
 	known.learn(now.Sub(slot.sentAt), tokens)
 }
 
-// Speeds lists the reading speeds that are known.
+// Speeds lists the known prefill speeds.
 func (p *Pool) Speeds() []SpeedRow {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -262,7 +267,7 @@
 	return rows
 }
 
-// MergeSpeeds takes the speeds that another box knows where this one knows none: one that has just started.
+// MergeSpeeds adopts the speeds of another box where this one has none, as after its start.
 func (p *Pool) MergeSpeeds(rows []SpeedRow) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -274,7 +279,7 @@
 	}
 }
 
-// learnLateness takes how much later than forecast an answer began.
+// learnLateness records how much later than forecast an answer began.
 func (p *Pool) learnLateness(now time.Time, slot *Slot) {
 	key := slot.speedKey()
 	known := p.lateness[key]
--- a/route/prefill_test.go
+++ b/route/prefill_test.go
@@ -12,12 +12,12 @@
 
 const testTimePerToken = 100 * time.Microsecond // for each token
 
-// promptOf has one part that is shared with others and one of its own.
+// promptOf returns work with one part that is shared with others and one of its own.
 func promptOf(shared, own string, tokens willowwick.Tokens) Work {
 	return Work{Model: "m", Prompt: []willowwick.PromptPart{{ID: shared, Tokens: tokens}, {ID: own, Tokens: 1000}}}
 }
 
-// newPrefillPool is a pool of runners in one hall whose reading speed is known.
+// newPrefillPool returns a pool of runners in one hall whose prefill speed is known.
 func newPrefillPool(t *testing.T, names ...willowwick.EndpointID) *Pool {
 	t.Helper()
 	pool := NewPoolWith(NewHallFirst("h", 1), PoolOptions{StartLimit: 64})
@@ -32,7 +32,7 @@
 
 func all(willowwick.Endpoint) bool { return true }
 
-// acquireAndSend takes a place for the work and sends it.
+// acquireAndSend acquires a slot for the work and sends it.
 func acquireAndSend(t *testing.T, pool *Pool, now time.Time, work Work) (*Slot, PrefillUpdate) {
 	t.Helper()
 	place, _ := pool.AcquireAllowed(now, "s", work, nil, all)
@@ -42,7 +42,7 @@
 	return place, reading
 }
 
-// uncachedTokensAt is how much of the work's prompt the endpoint has to read.
+// uncachedTokensAt returns how many tokens of the work's prompt the endpoint must read.
 func uncachedTokensAt(pool *Pool, now time.Time, name willowwick.EndpointID, work Work) willowwick.Tokens {
 	return pool.endpoints[name].prefills.uncachedTokens(now, work.Prompt, work.partHashes())
 }
@@ -90,7 +90,7 @@
 	assert.EqualValues(t, 9000, uncachedTokensAt(pool, now.Add(prefixCacheTTL), holder, promptOf("x", "4", 8000)))
 }
 
-// Reading anew was once weighed by its own time alone; each part of a prompt then ended up at every endpoint.
+// If the prefill time of the request counted only once, each part of a prompt would end up cached at every endpoint.
 func TestCacheHolderIsPreferredUnlessItsBacklogIsMuchLonger(t *testing.T) {
 	for ahead, leaves := range map[willowwick.Tokens]bool{3000: false, 30000: true} {
 		pool, now := newPrefillPool(t, "a", "b"), noon
@@ -113,7 +113,8 @@
 	assert.NotPanics(t, func() { other.ApplyPrefillUpdate(noon, PrefillUpdate{Endpoint: 1, Duration: time.Second}) })
 }
 
-// Speeds were once learnt only where nothing was ahead: taken for too slow after a restart, a model always had some.
+// If speeds were learnt only from prefills without a backlog, a model whose speed was taken for too slow after a
+// restart would never be corrected, since it always has a backlog.
 func TestPrefillSpeedIsLearntUnderLoadFromAnyStart(t *testing.T) {
 	key := speedKey{"s", "m"}
 	const tokens, truth = 4000, 100 * time.Microsecond
@@ -125,7 +126,7 @@
 		}
 		var queue []*Slot
 		for n := range 300 {
-			// Three are always being read, one after the other.
+			// Three prompts are always pending, one read after the other.
 			for len(queue) < 3 {
 				place, _ := acquireAndSend(t, pool, now, promptOf(fmt.Sprint("part", n, len(queue)), "own", tokens-1000))
 				queue = append(queue, place)
@@ -150,7 +151,8 @@
 	assert.Less(t, known.secondsPerToken(), 1.2/5000)
 }
 
-// With 91 boxes, forecasts once grew and grew: each box heard of the others' readings, and of none that was done sooner.
+// If boxes reported only prefills and not those that finished early, forecasts would keep growing, as seen with 91
+// boxes.
 func TestPrefillForecastIsCorrectedAtAllBoxes(t *testing.T) {
 	one, other := newPrefillPool(t, "a"), newPrefillPool(t, "a")
 	place, reading := acquireAndSend(t, one, noon, promptOf("x", "1", 9000))
--- a/route/pressure.go
+++ b/route/pressure.go
@@ -6,13 +6,13 @@
 	"github.com/willowwick/willowwick"
 )
 
-// Pressure is how much the endpoints of a service have to do, in the mean.
+// Pressure is the mean load of a service's endpoints.
 type Pressure struct {
-	Requests float64       // at one endpoint, by its newest report; own requests count where there is none
-	Backlog  time.Duration // measured length: how long it will be reading what it was sent
+	Requests float64       // at one endpoint, by its newest report or, without one, this box's own requests
+	Backlog  time.Duration // forecast time to read the prompts sent to it
 }
 
-// Pressure is that of those of the service's endpoints that are allowed.
+// Pressure returns the pressure on the service's allowed endpoints.
 func (p *Pool) Pressure(now time.Time, service willowwick.ServiceID, allow func(willowwick.Endpoint) bool) Pressure {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/route/queue.go
+++ b/route/queue.go
@@ -9,27 +9,27 @@
 const (
 	quantumTokens        = 512 // tokens that an account of weight 1 is given each round
 	speedSmoothing       = 0.05
-	minServiceSeconds    = 0.001 // seconds
-	maxUnmeasuredBacklog = 64    // requests taken in before the rate of service is known
+	minServiceSeconds    = 0.001
+	maxUnmeasuredBacklog = 64 // requests queued before the service rate is known
 )
 
 type (
-	// Waiter is a request in the queue.
+	// Waiter is a queued request.
 	Waiter struct {
 		Account  willowwick.AccountID
 		Weight   int
 		Cost     willowwick.Tokens
 		Deadline time.Time
-		Value    any // the caller's own
+		Value    any // opaque value of the caller
 	}
 
-	// Queue gives client accounts their turns by deficit round robin in estimated tokens.
+	// Queue orders the requests of client accounts by deficit round robin in estimated tokens.
 	Queue struct {
 		flows    map[willowwick.AccountID]*flow
 		ring     []*flow
 		length   int
 		backlog  willowwick.Tokens
-		speed    float64 // tokens a second that one place works off, smoothed
+		speed    float64 // tokens a second that one slot processes, smoothed
 		inFlight int
 	}
 
@@ -47,14 +47,14 @@
 	return &Queue{flows: map[willowwick.AccountID]*flow{}}
 }
 
-// Len returns the number of waiting requests.
+// Len returns the number of queued requests.
 func (q *Queue) Len() int {
 	return q.length
 }
 
-// EstimateDispatch estimates when a request of the account would get its turn.
+// EstimateDispatch estimates when a new request of the account would be dispatched.
 //
-// An account waits behind its own backlog and the share of the others'.
+// An account waits for its own backlog at its share of the rate, but never longer than for the whole backlog.
 func (q *Queue) EstimateDispatch(now time.Time, account willowwick.AccountID, weight int, cost willowwick.Tokens) time.Time {
 	rate := q.rate()
 	if rate <= 0 {
@@ -76,7 +76,7 @@
 	return now.Add(time.Duration(min(fair, whole) * float64(time.Second)))
 }
 
-// Push adds a request, or says when its account should come back if it could not make its deadline.
+// Push queues a request, or returns when to retry if it could not be dispatched before its deadline.
 func (q *Queue) Push(now time.Time, w *Waiter) (retryAt time.Time, ok bool) {
 	dispatchAt := q.EstimateDispatch(now, w.Account, w.Weight, w.Cost)
 	isUnmeasuredFull := q.rate() <= 0 && q.length >= maxUnmeasuredBacklog
@@ -100,7 +100,7 @@
 	return time.Time{}, true
 }
 
-// Head returns the request whose turn is next, or nil; it stays in the queue.
+// Head returns the next request without removing it, or nil.
 func (q *Queue) Head() *Waiter {
 	for len(q.ring) > 0 {
 		f := q.ring[0]
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// Pop takes out the request whose turn is next, or returns nil.
+// Pop removes and returns the next request, or nil.
 func (q *Queue) Pop() *Waiter {
 	head := q.Head()
 	if head == nil {
@@ -128,7 +128,7 @@
 	return head
 }
 
-// Remove takes out a request that no longer waits.
+// Remove removes a request, and reports whether it was queued.
 func (q *Queue) Remove(w *Waiter) bool {
 	f := q.flows[w.Account]
 	if f == nil {
@@ -147,7 +147,7 @@
 	return false
 }
 
-// RemoveValue takes out the account's request with the given value.
+// RemoveValue removes the account's request with the given value.
 func (q *Queue) RemoveValue(account willowwick.AccountID, value any) bool {
 	f := q.flows[account]
 	if f == nil {
@@ -161,7 +161,7 @@
 	return false
 }
 
-// Expired takes out the requests whose deadline has passed.
+// Expired removes and returns the requests whose deadline has passed.
 func (q *Queue) Expired(now time.Time) []*Waiter {
 	var expired []*Waiter
 	for _, f := range q.ring {
@@ -177,7 +177,7 @@
 	return expired
 }
 
-// RecordServed notes that one place worked off a request of the given size in the given time.
+// RecordServed records how long one slot took for a request of the given cost.
 func (q *Queue) RecordServed(cost willowwick.Tokens, took time.Duration) {
 	speed := float64(cost) / max(took.Seconds(), minServiceSeconds)
 	if q.speed == 0 {
@@ -186,12 +186,12 @@
 	q.speed += speedSmoothing * (speed - q.speed)
 }
 
-// SetInFlight tells how many requests are being worked on.
+// SetInFlight sets the number of requests in progress.
 func (q *Queue) SetInFlight(inFlight int) {
 	q.inFlight = inFlight
 }
 
-// rate is the speed of the whole pool in tokens a second, or 0 if it is not known yet.
+// rate returns the service rate of the whole pool in tokens a second, or 0 if unknown.
 func (q *Queue) rate() float64 {
 	return q.speed * float64(max(q.inFlight, 1))
 }
--- a/route/ratelimit.go
+++ b/route/ratelimit.go
@@ -6,7 +6,7 @@
 	"github.com/willowwick/willowwick"
 )
 
-// unlimited implements willowwick.RateLimiter where no endpoint names a limit.
+// unlimited implements willowwick.RateLimiter for endpoints without limits.
 type unlimited struct{}
 
 func (unlimited) MayUse(time.Time, willowwick.EndpointID) bool { return true }
--- a/route/ratelimit_test.go
+++ b/route/ratelimit_test.go
@@ -10,7 +10,8 @@
 	"github.com/willowwick/willowwick/ratelimit"
 )
 
-// newLimitedPool returns a pool of endpoints of one service, of which some name a limit and were denied permits until a time.
+// newLimitedPool returns a pool of endpoints of one service; the limited ones declare a rate limit and were denied
+// permits until a time.
 func newLimitedPool(now, deniedUntil time.Time, all []willowwick.EndpointID, limited ...willowwick.EndpointID) *Pool {
 	ledger := ratelimit.NewLedger()
 	pool := NewPoolWith(NewHallFirst("a", 1), PoolOptions{StartLimit: 64, FallBackToEjected: true, Limits: ledger})
@@ -71,7 +72,7 @@
 	assert.False(t, pool.RemainingUnavailable(now, "work", map[willowwick.EndpointID]bool{"e1": true, "e2": true}, anyEndpoint))
 }
 
-// An endpoint that takes two a second runs next to nothing, and is not idle.
+// An endpoint with a limit of two requests a second runs almost nothing without being idle.
 func TestLimitedEndpointsDoNotLowerPressure(t *testing.T) {
 	now := time.Now()
 	pool := newLimitedPool(now, now.Add(time.Second), []willowwick.EndpointID{"e1", "e2", "e3"}, "e1", "e2")
@@ -82,7 +83,7 @@
 	assert.InDelta(t, 2, all.Pressure(now, "work", anyEndpoint).Requests, 0.01, "where there is no other, it counts")
 }
 
-// A caller that leaves before a permit was asked for keeps nobody else from asking.
+// A caller that leaves before a permit was requested must not keep others from requesting one.
 func TestSlotReleasedBeforeAskingLetsOthersAskForAPermit(t *testing.T) {
 	now := time.Now()
 	pool := newLimitedPool(now, now, []willowwick.EndpointID{"e1"}, "e1")
--- a/route/retries.go
+++ b/route/retries.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// RetryKind orders repeats by what is lost without them.
+// RetryKind orders retries by what is lost without them.
 type RetryKind int
 
-// Kinds of repeat.
+// Kinds of retry.
 const (
 	// RetryFailover sends a request again that would otherwise fail.
 	RetryFailover RetryKind = iota
@@ -17,24 +17,24 @@
 )
 
 const (
-	// windowBuckets is the number of parts of the window; one part is the error of the count.
+	// windowBuckets is the number of buckets of the window; the count is inexact by up to one bucket.
 	windowBuckets = 10
-	// retryMargin is the share of the operator's allowance that is used: boxes count by clocks of their own,
-	// and a request may arrive in another part of the window than it was counted in.
+	// retryMargin is the share of the operator's allowance that is used: boxes count by their own clocks, and a
+	// request may arrive in another bucket than the one it was counted in.
 	retryMargin = 0.85
-	// escalationShare is the share of it that escalations may use up; the rest stays for failover.
+	// escalationShare is the share of the used allowance open to escalations; the rest is reserved for failover.
 	escalationShare = 0.8
 )
 
 type (
-	// RetryLimits are the operator's bound on arrivals beyond the first of each request.
+	// RetryLimits are the operator's bound on attempts beyond the first of each request.
 	RetryLimits struct {
-		Ratio  float64       // repeats allowed for each request of the window
-		Slack  int           // repeats allowed beyond that, for all boxes together
-		Window time.Duration // setting: window in which they are counted
+		Ratio  float64       // retries allowed for each request of the window
+		Slack  int           // retries allowed beyond that, for all boxes together
+		Window time.Duration // window in which both are counted
 	}
 
-	// WindowedRetryBudget holds one box to its part of the bound, for one service.
+	// WindowedRetryBudget enforces one box's part of the bound for one service.
 	WindowedRetryBudget struct {
 		mu      sync.Mutex
 		limits  RetryLimits
@@ -43,25 +43,25 @@
 
 	// retryBucket counts one part of the window.
 	retryBucket struct {
-		index    int64 // which part of time it counts
+		index    int64 // number of the part since the Unix epoch
 		requests int
 		retries  int
 	}
 )
 
-// NewWindowedRetryBudget returns a budget with nothing counted.
+// NewWindowedRetryBudget returns a budget without requests or retries.
 func NewWindowedRetryBudget(limits RetryLimits) *WindowedRetryBudget {
 	return &WindowedRetryBudget{limits: limits}
 }
 
-// Request counts a request of a caller.
+// Request counts a caller's request.
 func (b *WindowedRetryBudget) Request(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.bucket(now).requests++
 }
 
-// Take counts a repeat if this box's part of the bound allows it.
+// Take counts a retry and returns true if this box's part of the bound allows it.
 func (b *WindowedRetryBudget) Take(now time.Time, kind RetryKind, boxes int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -72,7 +72,7 @@
 	return true
 }
 
-// Allows reports whether Take would allow a repeat.
+// Allows reports whether Take would allow a retry.
 func (b *WindowedRetryBudget) Allows(now time.Time, kind RetryKind, boxes int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/route/retries_test.go
+++ b/route/retries_test.go
@@ -43,7 +43,7 @@
 	})
 }
 
-// countInWindow counts what lies in the window before now, less the part of it that a box may not count any more.
+// countInWindow counts the times within the window before now.
 func countInWindow(times []time.Time, now time.Time) int {
 	n := 0
 	for _, at := range times {
--- a/route/slot.go
+++ b/route/slot.go
@@ -8,20 +8,21 @@
 )
 
 const (
-	// baseEjection is how long an endpoint is first avoided after failures, suspectMost the longest time.
+	// baseEjection is how long an endpoint is first avoided after repeated failures, maxEjection the longest time.
 	baseEjection = 2 * time.Second
 	maxEjection  = 16 * time.Second
-	// ejectAfterFailures is how many failures in a row bring an endpoint under suspicion.
+	// ejectAfterFailures is how many consecutive failures eject an endpoint.
 	ejectAfterFailures = 3
-	// limitDecrease is what is left of the limit on own requests after a slow, busy or failed call.
+	// limitDecrease is the factor on the limit of own requests after a slow, busy or failed call.
 	limitDecrease = 0.7
-	// slowStartLimit is the limit on own requests from which good calls no longer raise it.
+	// slowStartLimit is the limit of own requests from which good calls no longer raise it.
 	slowStartLimit = 64
-	// failureHalfLife is the time in which half of the failing share is forgotten without calls.
+	// failureHalfLife is the time after which the failure rate has halved without calls.
 	failureHalfLife = 3 * time.Second
-	// minReportedShift is the least change of a forecast that other boxes are told of: a short prompt's reading.
+	// minReportedShift is the least shift of a forecast that is reported to other boxes: the prefill of a short
+	// prompt.
 	minReportedShift = 20 * time.Millisecond
-	// failureRateStep is how much of the failing share one call replaces: the last ten or so count.
+	// failureRateStep is the weight of one call in the failure rate, so that about the last 10 count.
 	failureRateStep = 0.1
 )
 
@@ -29,7 +30,7 @@
 	// Outcome is how a call to an endpoint ended.
 	Outcome int
 
-	// Slot is one request's place at an endpoint.
+	// Slot is a request's reservation at an endpoint.
 	Slot struct {
 		Endpoint   willowwick.Endpoint
 		pool       *Pool
@@ -38,14 +39,14 @@
 		estimator  prefillEstimator
 		acquiredAt time.Time
 		released   bool
-		permission willowwick.Permission // what it needs to be sent
+		permission willowwick.Permission // permit that the request needs before it is sent
 
 		sentAt      time.Time         // when the work was sent; zero before
-		uncached    willowwick.Tokens // tokens of the prompt that the endpoint has to read, as forecast
-		hasForecast bool              // the model's speed was known then, and so the forecast is worth something
-		prefillTime time.Duration     // forecast of how long it reads them
-		due         time.Time         // forecast of when it has
-		backlog     time.Duration     // forecast of how long it was still reading then
+		uncached    willowwick.Tokens // tokens that the endpoint must read, as forecast
+		hasForecast bool              // the model's speed was known when the work was sent
+		prefillTime time.Duration     // forecast time to read them
+		due         time.Time         // forecast time at which they are read
+		backlog     time.Duration     // forecast of the endpoint's backlog when the work was sent
 	}
 )
 
@@ -55,12 +56,13 @@
 	OutcomeSlow
 	OutcomeBusy
 	OutcomeFailed
-	OutcomeError       // a whole answer that tells of a failure
+	OutcomeError       // a complete answer that reports a failure
 	OutcomeUnreachable // nothing listens at the endpoint's address
 	OutcomeCancelled
 )
 
-// MustRequestPermit reports whether a permit must be asked for before the request is sent; the caller then asks for one.
+// MustRequestPermit reports whether the caller must request a permit before it sends the request; it returns true
+// once.
 func (s *Slot) MustRequestPermit() bool {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
@@ -71,21 +73,22 @@
 	return true
 }
 
-// ReportedState reports whether the endpoint has said in its answers that it leaves, and whether it has asked for rest that has not ended.
+// ReportedState reports whether the endpoint has said in its answers that it is shutting down, and whether it is in a
+// backoff that it asked for.
 func (s *Slot) ReportedState(now time.Time) (leaving, inBackoff bool) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
 	return s.member.reported.leaving, s.member.reported.isInBackoff(now)
 }
 
-// EndpointRefusesWork reports whether the endpoint takes no requests since the place was taken: it leaves by now, or rests.
+// EndpointRefusesWork reports whether the endpoint has begun to shut down or to back off since the slot was acquired.
 func (s *Slot) EndpointRefusesWork(now time.Time) bool {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
 	return s.member.refusesWork(now)
 }
 
-// Sent notes that the endpoint has the request's prompt to read, and returns what is to be told to other boxes of it.
+// Sent records that the request was sent, and returns the update for other boxes if it has a prompt.
 func (s *Slot) Sent(now time.Time) (update PrefillUpdate, hasUpdate bool) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
@@ -98,12 +101,12 @@
 	prefillTime, s.uncached = s.estimator.estimate(now, s.member)
 	s.hasForecast = prefillTime > 0 || s.uncached == 0
 	prefills.enqueue(now, s, prefillTime)
-	parts := s.estimator.hashes[:len(s.estimator.hashes)-1] // the last one is the request's own
+	parts := s.estimator.hashes[:len(s.estimator.hashes)-1] // the last one is unique to the request
 	prefills.markCached(now, parts)
 	return PrefillUpdate{Endpoint: uint32(s.member.hash), Duration: prefillTime, Parts: parts}, true
 }
 
-// AnswerStarted notes that the answer has begun: the prompt is read. It returns what is to be told to other boxes of it.
+// AnswerStarted records that the answer has begun, so the prompt is read, and returns the update for other boxes.
 func (s *Slot) AnswerStarted(now time.Time) (shift PrefillUpdate, hasShift bool) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
@@ -116,16 +119,16 @@
 	return PrefillUpdate{}, false
 }
 
-// Cancelled notes that the request is taken back from the endpoint, if its answer has not begun, and returns what is to be
-// told to other boxes of it.
+// Cancelled records that the request was withdrawn from the endpoint. It returns the update for other boxes if the
+// answer had not begun.
 func (s *Slot) Cancelled(now time.Time) (shift PrefillUpdate, hasShift bool) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
 	return s.shiftUpdate(s.member.prefills.remove(now, s))
 }
 
-// TimedOut notes that the request is taken back from an endpoint that says nothing, and returns what is to be told to other
-// boxes of it: that its answers come later by as much as this one would have, so that they try others meanwhile.
+// TimedOut records that the request was withdrawn from a silent endpoint. It returns an update that delays the
+// endpoint's forecast by as much as this answer is overdue, so that other boxes try other endpoints meanwhile.
 func (s *Slot) TimedOut(now time.Time) (shift PrefillUpdate, hasShift bool) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
@@ -137,7 +140,7 @@
 	return s.shiftUpdate(max(now.Sub(s.due), 0))
 }
 
-// shiftUpdate is what is told of a forecast that has moved by more than others would notice.
+// shiftUpdate returns the update for a shift of at least minReportedShift.
 func (s *Slot) shiftUpdate(by time.Duration) (shift PrefillUpdate, hasShift bool) {
 	if by.Abs() < minReportedShift {
 		return PrefillUpdate{}, false
@@ -145,29 +148,30 @@
 	return PrefillUpdate{Endpoint: uint32(s.member.hash), Duration: by, IsShift: true}, true
 }
 
-// MarkAlive notes a sign of life of the endpoint.
+// MarkAlive records that data arrived from the endpoint.
 func (s *Slot) MarkAlive(now time.Time) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
 	s.member.lastAliveAt = now
 }
 
-// IsSilent reports whether the endpoint has said nothing for long, and is not reading what it was sent.
+// IsSilent reports whether the endpoint has been silent for longer than SilentAfter while it is not reading a prompt.
 func (s *Slot) IsSilent(now time.Time) bool {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
 	return s.member.isSilent(now, s.pool.options)
 }
 
-// Due is when the answer should have begun, as forecast, and how much later it may well begin; ok is false if nothing
-// was forecast.
+// Due returns when the answer should have begun by the forecast, and how much later it may begin; ok is false without
+// a forecast.
 func (s *Slot) Due() (at time.Time, lateness time.Duration, ok bool) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
 	return s.due, s.pool.lateness[s.speedKey()].Value(), s.hasForecast
 }
 
-// Forecast is how long the endpoint was still reading when the request was sent, and then read for it, as forecast.
+// Forecast returns the endpoint's forecast backlog when the request was sent, and the forecast prefill time of the
+// request.
 func (s *Slot) Forecast() (backlog, prefillTime time.Duration) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
@@ -178,7 +182,7 @@
 	return speedKey{s.Endpoint.Service, s.work.Model}
 }
 
-// Release gives the place back with how the call ended; a second release changes nothing.
+// Release frees the slot and records how the call ended; later calls do nothing.
 func (s *Slot) Release(now time.Time, outcome Outcome) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
@@ -194,14 +198,14 @@
 	if s.member.inFlight--; s.member.inFlight == 0 {
 		delete(s.pool.occupied, s.member)
 	}
-	// What came and went since the report takes no slot any more.
+	// A request that was sent and has ended since the last report occupies no slot.
 	if s.member.sentSinceReport > 0 && !s.acquiredAt.Before(s.member.load.At) {
 		s.member.sentSinceReport--
 	}
 	s.member.recordOutcome(now, outcome)
 }
 
-// recordOutcome adapts the number of own requests that the endpoint is given at once.
+// recordOutcome adapts the limit of own requests, the failure rate and the ejection to the outcome.
 func (m *member) recordOutcome(now time.Time, outcome Outcome) {
 	switch outcome {
 	case OutcomeGood:
@@ -216,7 +220,7 @@
 		m.limit = max(1, m.limit*limitDecrease)
 		m.failures++
 		if outcome == OutcomeUnreachable {
-			m.failures = max(m.failures, ejectAfterFailures) // it has ended, or has not started again
+			m.failures = max(m.failures, ejectAfterFailures) // it crashed or has not restarted
 		}
 		m.recordFailure(now, 1)
 		if m.failures >= ejectAfterFailures && !now.Before(m.ejectedUntil) {
@@ -228,7 +232,7 @@
 	}
 }
 
-// ejectionTime doubles with each failure in a row beyond the first that were needed.
+// ejectionTime doubles with each consecutive failure beyond ejectAfterFailures, up to maxEjection.
 func (m *member) ejectionTime() time.Duration {
 	return min(maxEjection, baseEjection<<min(m.failures-ejectAfterFailures, 8))
 }
@@ -239,7 +243,7 @@
 	m.failureRateAt = now
 }
 
-// failureRate fades with time, so that an endpoint that is avoided is tried again.
+// failureRate returns the failure rate, which decays with time so that an avoided endpoint is tried again.
 func (m *member) failureRate(now time.Time) float64 {
 	if m.failureRateThen == 0 {
 		return 0
--- a/route/version.go
+++ b/route/version.go
@@ -16,15 +16,15 @@
 )
 
 type (
-	// VersionQuery asks which version of a model answers a request.
+	// VersionQuery holds what decides which version of a model answers a request.
 	VersionQuery struct {
 		Account   willowwick.AccountID
 		Model     willowwick.ModelID
-		Seed      string                          // session or request, whichever keeps its version
+		Seed      string                          // session or request ID, whichever keeps its version
 		Pinned    willowwick.VersionID            // version of the session, if it has one
 		Confirmed bool                            // the configuration is known to be current
-		Stopped   func(willowwick.VersionID) bool // found bad here: not for anyone
-		HeldBack  func(willowwick.VersionID) bool // not for new sessions
+		Stopped   func(willowwick.VersionID) bool // reports versions found bad on this box, which answer nobody
+		HeldBack  func(willowwick.VersionID) bool // reports versions that take no new sessions
 		Exclude   []willowwick.VersionID
 		Now       time.Time
 	}
@@ -32,8 +32,8 @@
 
 // ChooseVersion returns the version that answers, or why there is none.
 //
-// A session keeps its version while the account may use it. New sessions are
-// spread over a roll-out by the hash of their seed.
+// A session keeps its version while the account may use it. New sessions are spread over a roll-out by the hash of
+// their seed.
 func ChooseVersion(r *config.Revision, q VersionQuery) (willowwick.VersionID, *willowwick.Refusal) {
 	if q.Pinned != "" && q.mayKeep(r, q.Pinned) {
 		if r.IsRollingOut(q.Pinned) && !q.Confirmed {
