--- a/exchange/call.go
+++ b/exchange/call.go
@@ -271,21 +271,21 @@
 		until = earliest(until, now.Add(scale(c.route.Goal, queueWaitShare)))
 	}
 	work := c.work()
-	return c.router.gate.Enter(c.ctx, gate.Wish{
+	return c.router.gate.Enter(c.ctx, gate.Request{
 		Work: string(c.service), Account: c.accountName(), Weight: 1, Cost: c.cost(), Deadline: until,
-		Acquire: func(now time.Time) (*route.Place, bool) {
+		Acquire: func(now time.Time) (*route.Slot, bool) {
 			slot, known := c.acquireSlot(now, work, c.choice.allows)
 			if slot == nil && !known && c.choice.release != "" {
 				return c.acquireSlot(now, work, c.choice.allowsFallback)
 			}
 			return slot, known
 		},
-		Hopeless: c.areAllUnavailable,
+		Unavailable: c.areAllUnavailable,
 	})
 }
 
 // acquireSlot takes a slot at an allowed endpoint, preferring halls with fewer than maxMissesPerHall misses.
-func (c *call) acquireSlot(now time.Time, work route.Work, allow func(willowwick.Endpoint) bool) (*route.Place, bool) {
+func (c *call) acquireSlot(now time.Time, work route.Work, allow func(willowwick.Endpoint) bool) (*route.Slot, bool) {
 	if c.avoidsLimitedEndpoints() {
 		allowed := allow
 		allow = func(endpoint willowwick.Endpoint) bool {
@@ -363,9 +363,9 @@
 	case notSent, unreached, escalated, withheld:
 		return true // the budget for an escalation was taken before the answer was dropped
 	case notRun:
-		return c.canAwaitFreeSlot(now) && c.router.takeRetryBudget(c, route.RepeatFailover, now)
+		return c.canAwaitFreeSlot(now) && c.router.takeRetryBudget(c, route.RetryFailover, now)
 	default:
-		return c.trialRelease == "" && c.allowsAnotherRun() && c.router.takeRetryBudget(c, route.RepeatFailover, now)
+		return c.trialRelease == "" && c.allowsAnotherRun() && c.router.takeRetryBudget(c, route.RetryFailover, now)
 	}
 }
 
@@ -374,7 +374,7 @@
 func (c *call) mustAwaitFreeSlot(now time.Time) bool {
 	pool, allowedEndpoints := c.router.pool, c.allowedEndpoints()
 	_, isShort := pool.AllUnavailable(now, c.service, allowedEndpoints)
-	return !isShort && pool.NoneLeft(now, c.service, c.triedEndpoints, allowedEndpoints)
+	return !isShort && pool.NoneAvailable(now, c.service, c.triedEndpoints, allowedEndpoints)
 }
 
 // canAwaitFreeSlot reports whether there is time for the delay of mustAwaitFreeSlot, or no need for it: a request
--- a/exchange/hints.go
+++ b/exchange/hints.go
@@ -84,7 +84,7 @@
 		Endpoint uint32
 		Micros   int32 // duration of the reading, or the delay of all readings against the forecast
 		IsShift  bool  // Micros is a delay
-		Parts    [maxHintParts]route.PartName
+		Parts    [maxHintParts]route.PartHash
 	}
 
 	// hintKind is the first byte of a datagram.
@@ -103,17 +103,17 @@
 }
 
 // publish queues a reading for the other boxes if isReading is set; it never blocks.
-func (h *hints) publish(reading route.Reading, isReading bool) {
+func (h *hints) publish(reading route.PrefillUpdate, isReading bool) {
 	if h.conn == nil || !isReading {
 		return
 	}
-	if !h.takeRowToken(reading.Length, h.router.peers.boxes(), clock.Now()) {
+	if !h.takeRowToken(reading.Added, h.router.peers.boxes(), clock.Now()) {
 		h.router.metrics.hintDropped()
 		return
 	}
 	row := hintRow{
 		Endpoint: reading.Endpoint, IsShift: reading.IsShift,
-		Micros: int32(min(max(reading.Length.Microseconds(), math.MinInt32), math.MaxInt32)),
+		Micros: int32(min(max(reading.Added.Microseconds(), math.MinInt32), math.MaxInt32)),
 	}
 	copy(row.Parts[:], reading.Parts[max(len(reading.Parts)-maxHintParts, 0):])
 	h.enqueue(hint{row: row})
@@ -255,13 +255,13 @@
 
 func (h *hints) apply(kind hintKind, rows []hintRow, now time.Time) {
 	for _, row := range rows {
-		reading := route.Reading{Endpoint: row.Endpoint, Length: time.Duration(row.Micros) * time.Microsecond, IsShift: row.IsShift}
+		reading := route.PrefillUpdate{Endpoint: row.Endpoint, Added: time.Duration(row.Micros) * time.Microsecond, IsShift: row.IsShift}
 		for _, part := range row.Parts {
 			if part != 0 {
 				reading.Parts = append(reading.Parts, part)
 			}
 		}
-		h.router.pool.NoteReading(now, reading)
+		h.router.pool.ApplyPrefillUpdate(now, reading)
 		if kind == hintForward {
 			h.enqueue(hint{row: row, isForwarded: true})
 		}
--- a/exchange/known.go
+++ b/exchange/known.go
@@ -134,7 +134,7 @@
 	p.router.admissions.receive(digest.Admitted, "peer "+string(digest.Box))
 	p.router.receiveLeaving(digest.Leaving, "peer "+string(digest.Box))
 	p.router.releases.receiveVerdicts(digest.Verdicts)
-	p.router.pool.HearSpeeds(digest.Speeds)
+	p.router.pool.MergeSpeeds(digest.Speeds)
 	for _, row := range digest.Progress {
 		p.router.releases.applyOrder(row.Order, time.Duration(row.AgeMs)*time.Millisecond, now)
 		p.router.releases.applyStatus(row.Status, false, "peer "+string(digest.Box))
--- a/exchange/notices.go
+++ b/exchange/notices.go
@@ -29,11 +29,11 @@
 		return
 	}
 	x, endpoint, now := s.router, s.ticket.Endpoint, clock.Now()
-	changes := x.pool.Hear(now, sentAt, endpoint, notice)
+	changes := x.pool.ApplyNotice(now, sentAt, endpoint, notice)
 	if changes.Leaving {
 		slog.Info("endpoint says that it leaves", "endpoint", endpoint.ID, "source", "answer", "request", s.call.head.ID)
 	}
-	if changes.Rest {
+	if changes.Backoff {
 		slog.Info("endpoint asks for rest", "endpoint", endpoint.ID, "request", s.call.head.ID,
 			"ms", notice.RestUntil.Sub(now).Milliseconds())
 	}
@@ -45,7 +45,7 @@
 // receiveLeaving applies the draining endpoints reported by another box. An endpoint shuts down some time after its
 // answers have begun to report it, and requests sent late may be cut off.
 func (x *Router) receiveLeaving(rows []route.LeavingRow, source string) {
-	for _, endpoint := range x.pool.HearLeaving(rows) {
+	for _, endpoint := range x.pool.MergeLeaving(rows) {
 		slog.Info("endpoint says that it leaves", "endpoint", endpoint, "source", source)
 	}
 }
--- a/exchange/permits.go
+++ b/exchange/permits.go
@@ -35,7 +35,7 @@
 
 // obtainPermit reports whether the request may be sent to the endpoint of its slot.
 func (c *call) obtainPermit(ticket *gate.Ticket) bool {
-	if !ticket.MustAsk() {
+	if !ticket.MustRequestPermit() {
 		return true
 	}
 	x, id := c.router, ticket.Endpoint.ID
@@ -167,7 +167,7 @@
 // allowedEndpoints returns the filter for the request's endpoints, whatever their load: the chosen release if it
 // has endpoints, or the other releases.
 func (c *call) allowedEndpoints() func(willowwick.Endpoint) bool {
-	if c.router.pool.HasStaying(c.service, c.choice.allows) {
+	if c.router.pool.HasInService(c.service, c.choice.allows) {
 		return c.choice.allows
 	}
 	return c.choice.allowsFallback
@@ -181,7 +181,7 @@
 		return c.router.pool.AllUnavailable(now, c.service, allow)
 	}
 	isFree := func(endpoint willowwick.Endpoint) bool { return allow(endpoint) && !c.router.isLimited(now, endpoint) }
-	if !c.router.pool.HasStaying(c.service, isFree) {
+	if !c.router.pool.HasInService(c.service, isFree) {
 		return route.Shortage{Until: now}, true
 	}
 	return c.router.pool.AllUnavailable(now, c.service, isFree)
@@ -195,7 +195,7 @@
 
 // hasOnlyUnavailableLeft reports whether the request was already sent to all endpoints that are available now.
 func (c *call) hasOnlyUnavailableLeft(now time.Time) bool {
-	return len(c.triedEndpoints) > 0 && c.router.pool.OnlyUnavailableLeft(now, c.service, c.triedEndpoints, c.allowedEndpoints())
+	return len(c.triedEndpoints) > 0 && c.router.pool.RemainingUnavailable(now, c.service, c.triedEndpoints, c.allowedEndpoints())
 }
 
 // excludedEndpoints returns the endpoints that the request must not use again. If no other endpoint is available
--- a/exchange/relay.go
+++ b/exchange/relay.go
@@ -132,7 +132,7 @@
 		buffer = grow(buffer)
 		n, err := s.answer.Read(buffer[len(buffer):cap(buffer)])
 		buffer = buffer[:len(buffer)+n]
-		s.ticket.Heard(clock.Now())
+		s.ticket.MarkAlive(clock.Now())
 		whole := bytes.LastIndex(buffer, eventEnd) + len(eventEnd)
 		if whole >= len(eventEnd) {
 			if !s.relayEvents(buffer[:whole]) {
@@ -184,7 +184,7 @@
 	if !s.allowsAnotherRun() || !s.router.hasRetryBudget(s.call, now) || !s.router.hasOtherEndpoint(s.call, s.ticket.Endpoint.ID) {
 		return false
 	}
-	return s.runs+1 < s.route.MaxRuns || s.ticket.IsQuiet(now)
+	return s.runs+1 < s.route.MaxRuns || s.ticket.IsSilent(now)
 }
 
 // relayEvents sends complete events to the caller, and the head before the first of them.
--- a/exchange/release.go
+++ b/exchange/release.go
@@ -52,7 +52,7 @@
 		startedAt     time.Time
 		state         willowwick.ReleaseState
 		persisted     bool // the state is in the store
-		panel         *rollout.Panel
+		panel         *rollout.KindMonitor
 		evidence      map[evidenceKey]rollout.Evidence
 		targetAnswers uint64 // answers of the target known to this box
 	}
@@ -113,7 +113,7 @@
 	delete(r.verdicts, releaseKey{order.Service, order.Target})
 	r.rollouts[order.Service] = &rolloutState{
 		order: order, startedAt: now.Add(-age), state: willowwick.ReleaseRunning,
-		panel: rollout.NewPanel(willowwick.VersionID(order.Target)), evidence: map[evidenceKey]rollout.Evidence{},
+		panel: rollout.NewKindMonitor(willowwick.VersionID(order.Target)), evidence: map[evidenceKey]rollout.Evidence{},
 	}
 	slog.Info("roll-out ordered", "service", order.Service, "release", order.Target,
 		"period_ms", order.Period.Milliseconds(), "age_ms", age.Milliseconds())
--- a/exchange/router.go
+++ b/exchange/router.go
@@ -54,7 +54,7 @@
 		Confidence int // a small model's answer below this confidence is dropped for the largest model's
 		// LateConfidence replaces Confidence where the largest model's answer would come after the goal.
 		LateConfidence   int
-		RetryBudget      route.RepeatLimits
+		RetryBudget      route.RetryLimits
 		Releases         ReleaseSettings
 		Grace            time.Duration // time from the stop signal until the process is killed
 		UnreadyDelay     time.Duration // how long a stopping box waits for the load balancer to send callers elsewhere
@@ -91,7 +91,7 @@
 		stopAt      atomic.Int64 // nanoseconds since 1970
 
 		mu           sync.Mutex
-		retryBudgets map[willowwick.ServiceID]*route.RepeatBudget
+		retryBudgets map[willowwick.ServiceID]*route.WindowedRetryBudget
 	}
 )
 
@@ -103,10 +103,10 @@
 		settings: settings, codec: codec, conns: conns, gate: gate.New(), warm: make(chan struct{}),
 		poison: quarantine.New(), limits: limits, shortages: newShortages(),
 		pool: route.NewPoolWith(route.NewHallFirst(settings.Hall, settings.Seed), route.PoolOptions{
-			StartLimit: initialEndpointLimit, LoadFresh: loadReportMaxAge, TrustLast: true, QuietAfter: quietAfter, QueueShare: endpointQueueShare,
+			StartLimit: initialEndpointLimit, LoadMaxAge: loadReportMaxAge, FallBackToEjected: true, SilentAfter: quietAfter, QueueShare: endpointQueueShare,
 			Limits: limits,
 		}),
-		retryBudgets: map[willowwick.ServiceID]*route.RepeatBudget{},
+		retryBudgets: map[willowwick.ServiceID]*route.WindowedRetryBudget{},
 	}
 	x.evacuations = newEvacuations(x.pool)
 	x.admissions = newAdmissions(x.poison)
@@ -204,19 +204,19 @@
 	}
 }
 
-func (x *Router) retryBudget(service willowwick.ServiceID) *route.RepeatBudget {
+func (x *Router) retryBudget(service willowwick.ServiceID) *route.WindowedRetryBudget {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	b := x.retryBudgets[service]
 	if b == nil {
-		b = route.NewRepeatBudget(x.settings.RetryBudget)
+		b = route.NewWindowedRetryBudget(x.settings.RetryBudget)
 		x.retryBudgets[service] = b
 	}
 	return b
 }
 
 // takeRetryBudget takes one retry from the service's budget, and reports whether it allowed it.
-func (x *Router) takeRetryBudget(c *call, kind route.RepeatKind, now time.Time) bool {
+func (x *Router) takeRetryBudget(c *call, kind route.RetryKind, now time.Time) bool {
 	taken := x.retryBudget(c.service).Take(now, kind, x.peers.sharers(kind, now))
 	if !taken {
 		x.metrics.repeatDenied()
@@ -227,7 +227,7 @@
 
 // hasRetryBudget reports whether the budget would allow a failover.
 func (x *Router) hasRetryBudget(c *call, now time.Time) bool {
-	return x.retryBudget(c.service).Allows(now, route.RepeatFailover, x.peers.sharers(route.RepeatFailover, now))
+	return x.retryBudget(c.service).Allows(now, route.RetryFailover, x.peers.sharers(route.RetryFailover, now))
 }
 
 // hasOtherEndpoint reports whether an endpoint of the service other than the given one may be tried.
@@ -239,7 +239,7 @@
 
 // hasRelease reports whether a service has an endpoint of a release that isn't draining.
 func (x *Router) hasRelease(service willowwick.ServiceID, release willowwick.ReleaseID) bool {
-	return x.pool.HasStaying(service, func(endpoint willowwick.Endpoint) bool { return endpoint.Release == release })
+	return x.pool.HasInService(service, func(endpoint willowwick.Endpoint) bool { return endpoint.Release == release })
 }
 
 // setTable puts a configuration in force unless the current one is as new or newer.
--- a/exchange/send.go
+++ b/exchange/send.go
@@ -130,9 +130,9 @@
 		c.router.conns.Suspect(ticket.Endpoint.Address, s.sentAt)
 	}
 	if result.kind == silent {
-		c.router.hints.publish(ticket.HeldUp(clock.Now()))
+		c.router.hints.publish(ticket.TimedOut(clock.Now()))
 	} else {
-		c.router.hints.publish(ticket.Withdrawn(clock.Now()))
+		c.router.hints.publish(ticket.Cancelled(clock.Now()))
 	}
 	ticket.Done(s.outcome)
 	if s.missedEndpoint(result) {
@@ -195,14 +195,14 @@
 	s.sentAt = clock.Now()
 	conn, err := s.router.conns.Open(s.ctx, s.ticket.Endpoint.Address)
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		s.outcome = route.OutcomeUnreached
+		s.outcome = route.OutcomeUnreachable
 		return sendResult{unreached, err}
 	}
 	if err != nil {
 		s.outcome = route.OutcomeFailed
 		return sendResult{notSent, err}
 	}
-	if s.ticket.IsWithheld(clock.Now()) {
+	if s.ticket.EndpointRefusesWork(clock.Now()) {
 		// A notice that arrived after the endpoint was chosen applies to this request too: getting a permit or a
 		// new connection takes time.
 		conn.Release("")
@@ -227,7 +227,7 @@
 	if err := s.receive(); err != nil {
 		return s.unanswered(err)
 	}
-	s.router.hints.publish(s.ticket.Begun(clock.Now()))
+	s.router.hints.publish(s.ticket.AnswerStarted(clock.Now()))
 	return s.handleAnswer()
 }
 
@@ -253,7 +253,7 @@
 	if s.router.isLimited(now, s.ticket.Endpoint) {
 		s.router.metrics.sentToLimited()
 	}
-	isLeaving, inBackoff := s.ticket.Noticed(now)
+	isLeaving, inBackoff := s.ticket.ReportedState(now)
 	if isLeaving {
 		s.router.metrics.sentToLeaving()
 	}
@@ -301,7 +301,7 @@
 		var usual time.Duration
 		usual, lateness = s.router.releases.usual(s.route.Name, s.model)
 		if usual == 0 && s.route.Stream {
-			lateness = route.UnknownPatience
+			lateness = route.DefaultAnswerTimeout
 		}
 		due = s.sentAt.Add(usual)
 	}
@@ -317,7 +317,7 @@
 	if now.Before(overdueAt) {
 		return false
 	}
-	return !s.route.Stream || s.ticket.IsQuiet(now) || now.Sub(s.sentAt) > lostRequestFactor*(overdueAt.Sub(s.sentAt)+quietAfter)
+	return !s.route.Stream || s.ticket.IsSilent(now) || now.Sub(s.sentAt) > lostRequestFactor*(overdueAt.Sub(s.sentAt)+quietAfter)
 }
 
 func (s *send) unanswered(err error) sendResult {
@@ -392,7 +392,7 @@
 	if !c.router.pool.HasAvailable(now, c.service, c.allowedEndpoints()) {
 		return false // with no endpoint available for the large model, this answer is better than a refusal
 	}
-	return c.runs < c.route.MaxRuns && s.hasTimeFor(c.route.Models[len(c.route.Models)-1], now) && s.router.takeRetryBudget(c, route.RepeatEscalation, now)
+	return c.runs < c.route.MaxRuns && s.hasTimeFor(c.route.Models[len(c.route.Models)-1], now) && s.router.takeRetryBudget(c, route.RetryEscalation, now)
 }
 
 // hasTimeFor reports whether an answer of the model, requested now, usually begins before the deadline. If not, the
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -12,153 +12,154 @@
 )
 
 const (
-	// gateTick is how often the queues are looked through for expired requests and free places.
-	gateTick = 20 * time.Millisecond
-	// OverloadRetry is when a request refused for lack of places should come back at the earliest.
-	OverloadRetry = time.Second
-	// noEndpointRetry is when a request that no endpoint serves should come back.
-	noEndpointRetry = 2 * time.Second
-	// shortageRetry is when a request that no endpoint takes now should come back at the earliest.
-	shortageRetry = 300 * time.Millisecond
-	// shortageRetryMost is when it should at the latest: it is likely to come to another box, which may have its turn sooner.
-	shortageRetryMost = 3 * time.Second
-	// waitPart is the part of the time that a request may wait within which endpoints must take requests again for it to do so: at
-	// the end of their rest they take few at first, and others wait, too.
-	waitPart = 2
+	// tickInterval is how often the queues are checked for expired requests and free slots.
+	tickInterval = 20 * time.Millisecond
+	// OverloadRetryDelay is the least time after which a request refused for lack of slots should retry.
+	OverloadRetryDelay = time.Second
+	// noEndpointRetryDelay is the time after which a request that no endpoint serves should retry.
+	noEndpointRetryDelay = 2 * time.Second
+	// minShortageRetryDelay is the least time after which a request refused in a shortage should retry.
+	minShortageRetryDelay = 300 * time.Millisecond
+	// maxShortageRetryDelay is the longest such time: the retry probably reaches another box, which may serve it
+	// sooner.
+	maxShortageRetryDelay = 3 * time.Second
+	// shortageWaitDivisor bounds waiting in a shortage: endpoints must accept requests again within the request's
+	// remaining time divided by it, since at first they accept few and other requests wait as well.
+	shortageWaitDivisor = 2
 )
 
 type (
-	// Gate lets requests to endpoints in fair turns, one queue for each kind of work.
+	// Gate admits requests to endpoints in fair order, with one queue for each kind of work.
 	Gate struct {
 		mu     sync.Mutex
 		queues map[string]*route.Queue
-		taken  map[string]int
+		inUse  map[string]int
 	}
 
-	// Wish is one request's wish for a place.
-	Wish struct {
+	// Request asks for a slot.
+	Request struct {
 		Work     string // the version or service
 		Account  willowwick.AccountID
 		Weight   int
 		Cost     willowwick.Tokens
 		Deadline time.Time
-		// Acquire takes a place if there is one; known is false if nothing serves the work.
-		Acquire func(now time.Time) (place *route.Place, known bool)
-		// Hopeless reports whether no place can come before a time, though some endpoint serves the work; nil if it always may.
-		Hopeless func(now time.Time) (shortage route.Shortage, isHopeless bool)
+		// Acquire acquires a slot if one is free; known is false if no endpoint serves the work.
+		Acquire func(now time.Time) (slot *route.Slot, known bool)
+		// Unavailable returns the current shortage if no slot can become free before it ends; nil if that never happens.
+		Unavailable func(now time.Time) (shortage route.Shortage, isShort bool)
 	}
 
-	// waiting is a wish with what came of it.
-	waiting struct {
-		Wish
-		place  *route.Place
+	// waiter is a request with its result.
+	waiter struct {
+		Request
+		slot   *route.Slot
 		result chan *willowwick.Refusal
 	}
 
-	// Ticket is a place with what is needed to give it back.
+	// Ticket is an acquired slot with what is needed to release it.
 	Ticket struct {
-		*route.Place
-		gate  *Gate
-		work  string
-		cost  willowwick.Tokens
-		taken time.Time
+		*route.Slot
+		gate       *Gate
+		work       string
+		cost       willowwick.Tokens
+		acquiredAt time.Time
 	}
 )
 
-// New returns a gate that nothing waits at.
+// New returns a gate with empty queues.
 func New() *Gate {
-	return &Gate{queues: map[string]*route.Queue{}, taken: map[string]int{}}
+	return &Gate{queues: map[string]*route.Queue{}, inUse: map[string]int{}}
 }
 
-// Enter returns a place, at once or after the request's turn has come.
+// Enter returns a slot, at once or when the request reaches the head of its queue.
 //
-// A request that cannot make its deadline is refused at once.
-func (g *Gate) Enter(ctx context.Context, wish Wish) (*Ticket, *willowwick.Refusal) {
-	w, placed, refusal := g.join(wish)
+// A request that cannot be dispatched before its deadline is refused at once.
+func (g *Gate) Enter(ctx context.Context, request Request) (*Ticket, *willowwick.Refusal) {
+	w, acquired, refusal := g.acquireOrQueue(request)
 	if refusal != nil {
 		return nil, refusal
 	}
-	if !placed {
+	if !acquired {
 		select {
 		case refusal := <-w.result:
 			if refusal != nil {
 				return nil, refusal
 			}
 		case <-ctx.Done():
-			return nil, g.leave(w)
+			return nil, g.cancel(w)
 		}
 	}
-	return &Ticket{Place: w.place, gate: g, work: wish.Work, cost: wish.Cost, taken: clock.Now()}, nil
+	return &Ticket{Slot: w.slot, gate: g, work: request.Work, cost: request.Cost, acquiredAt: clock.Now()}, nil
 }
 
-// join takes a place if there is one, and otherwise a turn in the queue.
-func (g *Gate) join(wish Wish) (w *waiting, placed bool, refusal *willowwick.Refusal) {
+// acquireOrQueue acquires a slot if one is free, and otherwise queues the request.
+func (g *Gate) acquireOrQueue(request Request) (w *waiter, acquired bool, refusal *willowwick.Refusal) {
 	now := clock.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	q := g.queue(wish.Work)
-	w = &waiting{Wish: wish, result: make(chan *willowwick.Refusal, 1)}
+	q := g.queue(request.Work)
+	w = &waiter{Request: request, result: make(chan *willowwick.Refusal, 1)}
 	if q.Len() == 0 {
-		place, known := wish.Acquire(now)
+		slot, known := request.Acquire(now)
 		if !known {
-			return nil, false, willowwick.NotRun(willowwick.CodeNoEndpoint, now.Add(noEndpointRetry), "no endpoint serves %q", wish.Work)
+			return nil, false, willowwick.NotRun(willowwick.CodeNoEndpoint, now.Add(noEndpointRetryDelay), "no endpoint serves %q", request.Work)
 		}
-		if place != nil {
-			g.took(w, place)
+		if slot != nil {
+			g.assign(w, slot)
 			return w, true, nil
 		}
 	}
-	if shortage, isHopeless := wish.isHopeless(now); isHopeless {
-		return nil, false, shortageRefusal(now, shortage, wish.Work)
+	if shortage, mustRefuse := request.mustRefuse(now); mustRefuse {
+		return nil, false, shortageRefusal(now, shortage, request.Work)
 	}
-	retryAt, ok := q.Push(now, &route.Waiter{Account: wish.Account, Weight: wish.Weight, Cost: wish.Cost, Deadline: wish.Deadline, Value: w})
+	retryAt, ok := q.Push(now, &route.Waiter{Account: request.Account, Weight: request.Weight, Cost: request.Cost, Deadline: request.Deadline, Value: w})
 	if !ok {
-		if retryAt.Before(now.Add(OverloadRetry)) {
-			retryAt = now.Add(OverloadRetry)
+		if retryAt.Before(now.Add(OverloadRetryDelay)) {
+			retryAt = now.Add(OverloadRetryDelay)
 		}
 		return nil, false, willowwick.NotRun(willowwick.CodeOverloaded, retryAt, "the turn of this request would come after its deadline")
 	}
 	return w, false, nil
 }
 
-// isHopeless reports whether no place can come in time for the request to wait for it.
-func (w *Wish) isHopeless(now time.Time) (shortage route.Shortage, isHopeless bool) {
-	if w.Hopeless == nil {
+// mustRefuse reports whether no slot can become free in time for the request to wait for it.
+func (w *Request) mustRefuse(now time.Time) (shortage route.Shortage, mustRefuse bool) {
+	if w.Unavailable == nil {
 		return route.Shortage{}, false
 	}
-	if shortage, isHopeless = w.Hopeless(now); !isHopeless {
+	if shortage, mustRefuse = w.Unavailable(now); !mustRefuse {
 		return shortage, false
 	}
-	mayWait := shortage.IsCertain && shortage.Until.Sub(now) < w.Deadline.Sub(now)/waitPart
+	mayWait := shortage.IsCertain && shortage.Until.Sub(now) < w.Deadline.Sub(now)/shortageWaitDivisor
 	return shortage, !mayWait
 }
 
-// shortageRefusal is that of a request that no endpoint takes before a time. Callers that are refused for the same rest come back
-// apart from each other: all at once would be more than endpoints take at its end.
+// shortageRefusal returns the refusal for a request in a shortage. Retries after the same backoff are spread, since
+// all at once would be more than the endpoints accept at its end.
 func shortageRefusal(now time.Time, shortage route.Shortage, work string) *willowwick.Refusal {
 	after := shortage.Until.Sub(now)
 	if shortage.IsCertain {
-		after += time.Duration(rand.Int64N(int64(max(after/2, shortageRetry))))
+		after += time.Duration(rand.Int64N(int64(max(after/2, minShortageRetryDelay))))
 	}
-	until := now.Add(min(max(after, shortageRetry), shortageRetryMost))
+	until := now.Add(min(max(after, minShortageRetryDelay), maxShortageRetryDelay))
 	if shortage.IsCertain {
-		return willowwick.NotRun(willowwick.CodeOverloaded, until, "every endpoint that serves %q has asked for rest", work)
+		return willowwick.NotRun(willowwick.CodeOverloaded, until, "every endpoint that serves %q has asked for a backoff", work)
 	}
-	return willowwick.NotRun(willowwick.CodeRateLimited, until, "every endpoint that serves %q names a limit, and takes no more now", work)
+	return willowwick.NotRun(willowwick.CodeRateLimited, until, "every endpoint that serves %q is rate-limited and accepts no more requests now", work)
 }
 
-// leave takes back a wish whose caller is gone.
-func (g *Gate) leave(w *waiting) *willowwick.Refusal {
+// cancel withdraws a request whose caller has left or whose deadline has passed.
+func (g *Gate) cancel(w *waiter) *willowwick.Refusal {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	q := g.queue(w.Work)
-	if w.place != nil {
-		w.place.Release(clock.Now(), route.OutcomeCancelled)
-		g.gave(w.Work)
+	if w.slot != nil {
+		w.slot.Release(clock.Now(), route.OutcomeCancelled)
+		g.free(w.Work)
 	} else {
 		q.RemoveValue(w.Account, w)
 	}
-	return willowwick.NotRun(willowwick.CodeDeadline, time.Time{}, "the caller went away, or the deadline passed, before a place was free")
+	return willowwick.NotRun(willowwick.CodeDeadline, time.Time{}, "the caller disconnected or the deadline passed before a slot was free")
 }
 
 func (g *Gate) queue(work string) *route.Queue {
@@ -170,18 +171,18 @@
 	return q
 }
 
-func (g *Gate) took(w *waiting, place *route.Place) {
-	w.place = place
-	g.taken[w.Work]++
-	g.queue(w.Work).SetPlaces(g.taken[w.Work])
+func (g *Gate) assign(w *waiter, slot *route.Slot) {
+	w.slot = slot
+	g.inUse[w.Work]++
+	g.queue(w.Work).SetInFlight(g.inUse[w.Work])
 }
 
-func (g *Gate) gave(work string) {
-	g.taken[work]--
-	g.queue(work).SetPlaces(g.taken[work])
+func (g *Gate) free(work string) {
+	g.inUse[work]--
+	g.queue(work).SetInFlight(g.inUse[work])
 }
 
-// dispatch gives free places to the requests whose turn it is.
+// dispatch gives free slots to the requests at the head of the queue.
 func (g *Gate) dispatch(work string, now time.Time) {
 	q := g.queue(work)
 	for {
@@ -189,31 +190,32 @@
 		if head == nil {
 			return
 		}
-		w, ok := head.Value.(*waiting)
+		w, ok := head.Value.(*waiter)
 		if !ok {
 			return
 		}
-		place, known := w.Acquire(now)
-		if place == nil && known {
-			if !w.refuseHopeless(q, now) {
+		slot, known := w.Acquire(now)
+		if slot == nil && known {
+			if !w.refuseInShortage(q, now) {
 				return
 			}
 			continue
 		}
 		q.Pop()
 		if !known {
-			w.result <- willowwick.NotRun(willowwick.CodeNoEndpoint, now.Add(noEndpointRetry), "no endpoint serves %q any more", work)
+			w.result <- willowwick.NotRun(willowwick.CodeNoEndpoint, now.Add(noEndpointRetryDelay), "no endpoint serves %q any more", work)
 			continue
 		}
-		g.took(w, place)
+		g.assign(w, slot)
 		w.result <- nil
 	}
 }
 
-// refuseHopeless refuses a request at the head of its queue for which no place can come, and reports whether it did.
-func (w *waiting) refuseHopeless(q *route.Queue, now time.Time) bool {
-	shortage, isHopeless := w.isHopeless(now)
-	if !isHopeless {
+// refuseInShortage refuses the request at the head of its queue if no slot can become free in time, and reports
+// whether it did.
+func (w *waiter) refuseInShortage(q *route.Queue, now time.Time) bool {
+	shortage, mustRefuse := w.mustRefuse(now)
+	if !mustRefuse {
 		return false
 	}
 	q.Pop()
@@ -221,14 +223,14 @@
 	return true
 }
 
-// tick refuses what has run out of time and looks for free places.
-func (g *Gate) tick(now time.Time) {
+// sweep refuses expired requests and dispatches to free slots.
+func (g *Gate) sweep(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for work, q := range g.queues {
 		for _, expired := range q.Expired(now) {
-			if w, ok := expired.Value.(*waiting); ok {
-				w.result <- willowwick.NotRun(willowwick.CodeDeadline, now.Add(OverloadRetry), "the deadline passed before a place was free")
+			if w, ok := expired.Value.(*waiter); ok {
+				w.result <- willowwick.NotRun(willowwick.CodeDeadline, now.Add(OverloadRetryDelay), "the deadline passed before a slot was free")
 			}
 		}
 		if q.Len() > 0 {
@@ -237,22 +239,22 @@
 	}
 }
 
-// Run keeps the queues moving until the context ends.
+// Run dispatches and expires queued requests until the context ends.
 func (g *Gate) Run(ctx context.Context) {
-	ticker := time.NewTicker(gateTick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			g.tick(now)
+			g.sweep(now)
 		}
 	}
 }
 
-// WaitingNow counts the requests in all queues.
-func (g *Gate) WaitingNow() int {
+// WaitingCount returns the number of requests in all queues.
+func (g *Gate) WaitingCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	total := 0
@@ -262,16 +264,16 @@
 	return total
 }
 
-// Done gives the place back and lets the next request have it.
+// Done releases the slot and dispatches the next request.
 func (t *Ticket) Done(outcome route.Outcome) {
 	now := clock.Now()
 	t.Release(now, outcome)
 	t.gate.mu.Lock()
 	defer t.gate.mu.Unlock()
-	t.gate.gave(t.work)
+	t.gate.free(t.work)
 	q := t.gate.queue(t.work)
 	if outcome == route.OutcomeGood || outcome == route.OutcomeSlow {
-		q.Served(t.cost, now.Sub(t.taken))
+		q.RecordServed(t.cost, now.Sub(t.acquiredAt))
 	}
 	t.gate.dispatch(t.work, now)
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// CostLimit bounds one expression, in the cost units of the expression language.
+	// CostLimit bounds one expression, in CEL cost units.
 	CostLimit = 10_000
 	// MaxRules bounds the rules of one policy.
 	MaxRules = 64
 
-	maxTextLength = 256
+	maxInputTextLength = 256
 )
 
-// Names of the variables that an expression may use.
+// Names of the variables available to expressions.
 const (
 	varAccount      = "account"
 	varClass        = "class"
@@ -33,26 +33,26 @@
 )
 
 type (
-	// Spec is a policy as it is declared.
+	// Spec is a policy as declared.
 	Spec struct {
 		Let   []Binding `json:"let,omitempty" yaml:"let"`
 		Rules []Rule    `json:"rules" yaml:"rules"`
 	}
 
-	// Binding names the value of an expression for the bindings and rules after it.
+	// Binding names the value of an expression for the later bindings and the rules.
 	Binding struct {
 		Name  string `json:"name" yaml:"name"`
 		Value string `json:"value" yaml:"value"`
 	}
 
-	// Rule applies its action to the requests for which its condition holds.
+	// Rule applies its action to the requests that match its condition.
 	Rule struct {
 		Name string `json:"name,omitempty" yaml:"name"`
 		When string `json:"when" yaml:"when"`
 		Then Action `json:"then" yaml:"then"`
 	}
 
-	// Action says what becomes of a request; exactly one of Cascade, Model and Deny is set.
+	// Action is what happens to a request; exactly one of Cascade, Model and Deny is set.
 	Action struct {
 		Cascade willowwick.CascadeID   `json:"cascade,omitempty" yaml:"cascade"`
 		Model   willowwick.ModelID     `json:"model,omitempty" yaml:"model"`
@@ -60,7 +60,7 @@
 		Exclude []willowwick.VersionID `json:"exclude,omitempty" yaml:"exclude"`
 	}
 
-	// Input is what a policy may look at.
+	// Input holds the properties of a request that a policy can use.
 	Input struct {
 		Account      willowwick.AccountID
 		Class        willowwick.Class
@@ -72,14 +72,14 @@
 		SecondsLeft  float64
 	}
 
-	// Decision is the action of the first rule that held.
+	// Decision is the action of the first matching rule.
 	Decision struct {
 		Action
 		Rule    string
 		Matched bool
 	}
 
-	// Problem is a fault in a policy, with the path of its field.
+	// Problem is an error in a policy, with the path of its field.
 	Problem struct {
 		Path    string
 		Message string
@@ -101,7 +101,7 @@
 		program cel.Program
 	}
 
-	inputSizes struct{}
+	sizeEstimator struct{}
 
 	compiler struct {
 		env      *cel.Env
@@ -109,7 +109,7 @@
 	}
 )
 
-// Compile checks a policy and makes it ready to run; it returns every problem found.
+// Compile checks and compiles a policy; it returns every problem found.
 func Compile(spec Spec) (*Program, []Problem) {
 	c := &compiler{}
 	env, err := cel.NewEnv(
@@ -128,20 +128,20 @@
 	c.env = env
 	program := &Program{}
 	if len(spec.Rules) == 0 {
-		c.report("rules", "a policy needs at least one rule")
+		c.addProblem("rules", "a policy needs at least one rule")
 	}
 	if len(spec.Rules) > MaxRules {
-		c.report("rules", "a policy has at most %d rules, this one has %d", MaxRules, len(spec.Rules))
+		c.addProblem("rules", "a policy has at most %d rules, this one has %d", MaxRules, len(spec.Rules))
 	}
 	for i, b := range spec.Let {
-		if compiled, ok := c.binding(fmt.Sprintf("let[%d]", i), b); ok {
+		if compiled, ok := c.compileBinding(fmt.Sprintf("let[%d]", i), b); ok {
 			program.bindings = append(program.bindings, compiled)
 		}
 	}
 	for i, r := range spec.Rules {
 		path := fmt.Sprintf("rules[%d]", i)
-		c.action(path+".then", r.Then)
-		compiled, _, ok := c.expression(path+".when", r.When, cel.BoolType)
+		c.checkAction(path+".then", r.Then)
+		compiled, _, ok := c.compileExpression(path+".when", r.When, cel.BoolType)
 		if ok {
 			program.rules = append(program.rules, compiledRule{rule: r, program: compiled})
 		}
@@ -152,25 +152,25 @@
 	return program, nil
 }
 
-func (c *compiler) report(path, format string, args ...any) {
+func (c *compiler) addProblem(path, format string, args ...any) {
 	c.problems = append(c.problems, Problem{Path: path, Message: fmt.Sprintf(format, args...)})
 }
 
-func (c *compiler) binding(path string, b Binding) (compiledBinding, bool) {
-	program, kind, ok := c.expression(path+".value", b.Value, nil)
+func (c *compiler) compileBinding(path string, b Binding) (compiledBinding, bool) {
+	program, kind, ok := c.compileExpression(path+".value", b.Value, nil)
 	if !ok {
 		return compiledBinding{}, false
 	}
 	env, err := c.env.Extend(cel.Variable(b.Name, kind))
 	if err != nil {
-		c.report(path+".name", "%q cannot be used as a name: %v", b.Name, err)
+		c.addProblem(path+".name", "%q cannot be used as a name: %v", b.Name, err)
 		return compiledBinding{}, false
 	}
 	c.env = env
 	return compiledBinding{name: b.Name, program: program}, true
 }
 
-func (c *compiler) action(path string, a Action) {
+func (c *compiler) checkAction(path string, a Action) {
 	set := 0
 	for _, given := range []bool{a.Cascade != "", a.Model != "", a.Deny != ""} {
 		if given {
@@ -178,51 +178,51 @@
 		}
 	}
 	if set != 1 {
-		c.report(path, "set exactly one of cascade, model and deny")
+		c.addProblem(path, "set exactly one of cascade, model and deny")
 	}
 }
 
-func (c *compiler) expression(path, text string, want *cel.Type) (cel.Program, *cel.Type, bool) {
+func (c *compiler) compileExpression(path, text string, want *cel.Type) (cel.Program, *cel.Type, bool) {
 	ast, issues := c.env.Compile(text)
 	if issues.Err() != nil {
-		c.report(path, "%v", issues.Err())
+		c.addProblem(path, "%v", issues.Err())
 		return nil, nil, false
 	}
 	if want != nil && !ast.OutputType().IsExactType(want) {
-		c.report(path, "must be of type %s, is %s", want, ast.OutputType())
+		c.addProblem(path, "must be of type %s, is %s", want, ast.OutputType())
 		return nil, nil, false
 	}
-	cost, err := c.env.EstimateCost(ast, inputSizes{})
+	cost, err := c.env.EstimateCost(ast, sizeEstimator{})
 	if err != nil {
-		c.report(path, "cost cannot be bounded: %v", err)
+		c.addProblem(path, "cost cannot be bounded: %v", err)
 		return nil, nil, false
 	}
 	if cost.Max > CostLimit {
-		c.report(path, "may cost %d units, the limit is %d", cost.Max, CostLimit)
+		c.addProblem(path, "may cost %d units, the limit is %d", cost.Max, CostLimit)
 		return nil, nil, false
 	}
 	program, err := c.env.Program(ast, cel.CostLimit(CostLimit), cel.EvalOptions(cel.OptOptimize))
 	if err != nil {
-		c.report(path, "%v", err)
+		c.addProblem(path, "%v", err)
 		return nil, nil, false
 	}
 	return program, ast.OutputType(), true
 }
 
-// EstimateSize implements checker.CostEstimator: texts of a request are short.
-func (inputSizes) EstimateSize(element checker.AstNode) *checker.SizeEstimate {
+// EstimateSize implements checker.CostEstimator with the length limit of a request's strings.
+func (sizeEstimator) EstimateSize(element checker.AstNode) *checker.SizeEstimate {
 	if element.Type().Kind() == types.StringKind {
-		return &checker.SizeEstimate{Min: 0, Max: maxTextLength}
+		return &checker.SizeEstimate{Min: 0, Max: maxInputTextLength}
 	}
 	return nil
 }
 
-// EstimateCallCost implements checker.CostEstimator with the language's own costs.
-func (inputSizes) EstimateCallCost(string, string, *checker.AstNode, []checker.AstNode) *checker.CallEstimate {
+// EstimateCallCost implements checker.CostEstimator with the default costs of CEL.
+func (sizeEstimator) EstimateCallCost(string, string, *checker.AstNode, []checker.AstNode) *checker.CallEstimate {
 	return nil
 }
 
-// Evaluate returns the decision of the first rule that holds.
+// Evaluate returns the decision of the first matching rule; it is zero if none matches.
 func (p *Program) Evaluate(in Input) (Decision, error) {
 	vars := map[string]any{
 		varAccount:      string(in.Account),
@@ -235,14 +235,14 @@
 		varSecondsLeft:  in.SecondsLeft,
 	}
 	for _, b := range p.bindings {
-		value, err := run(b.program, vars)
+		value, err := evaluate(b.program, vars)
 		if err != nil {
 			return Decision{}, errors.Wrapf(err, "let %s", b.name)
 		}
 		vars[b.name] = value
 	}
 	for _, r := range p.rules {
-		value, err := run(r.program, vars)
+		value, err := evaluate(r.program, vars)
 		if err != nil {
 			return Decision{}, errors.Wrapf(err, "rule %s", r.rule.Name)
 		}
@@ -253,7 +253,7 @@
 	return Decision{}, nil
 }
 
-func run(program cel.Program, vars map[string]any) (ref.Val, error) {
+func evaluate(program cel.Program, vars map[string]any) (ref.Val, error) {
 	value, _, err := program.Eval(vars)
 	return value, err
 }
--- a/route/hall.go
+++ b/route/hall.go
@@ -7,23 +7,24 @@
 )
 
 const (
-	// otherHallLoad is the load that a request rather joins than leave its hall: bytes between halls cost more
-	// than the wait behind half of what an endpoint does well at once.
-	otherHallLoad = 0.5
-	// slotTime is what one request at an endpoint adds to the wait of the next one, as the batch's tokens get slower.
-	slotTime = 40 * time.Millisecond
-	// readingWeight is how many times the reading of the request itself counts against what it waits for: a prompt that is
-	// read where it is not kept takes its time from all that come after.
-	readingWeight = 4
-	// busySlots is how many requests at once an endpoint does well, however many slots it has: a batch makes each
-	// token slower, and long prompts hold up all of them.
-	busySlots = 16
-	// failingWeight turns the share of failed calls into load.
-	failingWeight = 3.0
+	// remoteHallPenalty is added to the score of endpoints in other halls: traffic between halls costs more than
+	// waiting behind half of an endpoint's effective capacity.
+	remoteHallPenalty = 0.5
+	// delayPerRequest is how much one running request delays the next one, since each token of a larger batch takes
+	// longer.
+	delayPerRequest = 40 * time.Millisecond
+	// prefillWeight multiplies the request's own prefill time: a prompt that is read where it is not cached delays
+	// all later requests there.
+	prefillWeight = 4
+	// maxEffectiveSlots is how many concurrent requests an endpoint serves well, however many slots it has: larger
+	// batches make each token slower, and long prompts hold up all requests of the batch.
+	maxEffectiveSlots = 16
+	// failureWeight converts the failure rate into load.
+	failureWeight = 3.0
 )
 
-// HallFirst takes the least loaded endpoint of its own hall, what it has to read included; other halls come in when their
-// endpoints are less loaded by more than the way there is worth.
+// HallFirst picks the least loaded endpoint of its own hall, counting pending prefills; another hall's endpoint is
+// picked if its load is lower by more than remoteHallPenalty.
 type HallFirst struct {
 	hall   willowwick.HallID
 	random *lockedRandom
@@ -38,9 +39,9 @@
 func (p *HallFirst) Pick(_ time.Time, set willowwick.CandidateSet, _ uint64) int {
 	n := set.Len()
 	if n == 0 {
-		return noneOpen
+		return noCandidate
 	}
-	best, bestScore := noneOpen, 0.0
+	best, bestScore := noCandidate, 0.0
 	start := p.random.intN(n)
 	for i := range n {
 		index := (start + i) % n
@@ -48,20 +49,20 @@
 		if !candidate.Open {
 			continue
 		}
-		if score := p.score(candidate); best == noneOpen || score < bestScore {
+		if score := p.score(candidate); best == noCandidate || score < bestScore {
 			best, bestScore = index, score
 		}
 	}
 	return best
 }
 
-// score is how much work stands before a new request, in shares of what an endpoint does well at once.
+// score returns the load ahead of a new request, as a share of the endpoint's effective capacity; lower is better.
 func (p *HallFirst) score(c willowwick.Candidate) float64 {
 	taken := max(float64(c.Load.Running+c.Load.Waiting+c.Recent), float64(c.InFlight))
-	taken += float64(c.Ahead+readingWeight*c.Reading) / float64(slotTime)
-	score := taken/float64(min(max(c.Load.Slots, 1), busySlots)) + failingWeight*c.Failing
+	taken += float64(c.Ahead+prefillWeight*c.Reading) / float64(delayPerRequest)
+	score := taken/float64(min(max(c.Load.Slots, 1), maxEffectiveSlots)) + failureWeight*c.Failing
 	if c.Hall != p.hall {
-		score += otherHallLoad
+		score += remoteHallPenalty
 	}
 	return score
 }
--- a/route/limits.go
+++ b/route/limits.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	retryShare   = 0.1 // retries allowed for each success
-	retryReserve = 10
-	demandFade   = 0.3
-	shortestWait = time.Millisecond
-	// demandSettle is how long demand must have lasted before it claims a part of the limit: by then all boxes know
-	// of it, since digests of halls are renewed every 5 s and reach the last box some ticks of a second later.
-	demandSettle = 8 * time.Second
+	retryShare      = 0.1 // retries allowed for each success
+	retryReserve    = 10
+	demandSmoothing = 0.3
+	minRetryWait    = time.Millisecond
+	// demandSettleTime is how long demand must last before it claims a part of the limit. By then all boxes know of
+	// it: hall digests are renewed every 5 s and reach the last box a few one-second ticks later.
+	demandSettleTime = 8 * time.Second
 )
 
 type (
@@ -26,13 +26,13 @@
 		at    time.Time
 	}
 
-	// RetryBudget lets a share of the successes be retries, so that a bad endpoint does not double the load.
+	// RetryBudget limits retries to a share of the successes, so that a bad endpoint does not double the load.
 	RetryBudget struct {
 		mu    sync.Mutex
 		level float64
 	}
 
-	// Demand is what one box was asked for, per client account, in tokens a second.
+	// Demand is the load requested of one box, in tokens a second per client account.
 	Demand map[willowwick.AccountID]float64
 
 	// Peer is another box of the fleet as the limiter sees it.
@@ -41,26 +41,25 @@
 		Demand Demand
 	}
 
-	// AccountLimiter holds client accounts to their limits over the whole fleet.
+	// AccountLimiter enforces client accounts' limits over the whole fleet.
 	//
-	// Each box takes a share of the limit. Boxes whose digests are fresh divide
-	// by demand what the others leave; one that is cut off is taken to use the
-	// equal share, which is also what it gives itself. A box claims by the least
-	// demand that it had of late, which the others know of, and leaves them what
-	// they last told. So the shares never add up to more than the limit.
+	// Each box takes a share of each limit. Boxes with fresh digests divide by demand what the others leave; a box
+	// that is cut off is assumed to use the equal share, which is also what it gives itself. A box claims by the
+	// least demand it had during demandSettleTime, which the others know of, and leaves them what they last reported.
+	// The shares therefore never add up to more than the limit.
 	AccountLimiter struct {
-		mu       sync.Mutex
-		buckets  map[willowwick.AccountID]*accountBuckets
-		asked    map[willowwick.AccountID]float64
-		demand   Demand
-		history  []measuredDemand // of the last demandSettle, the oldest first
-		settled  Demand           // the least of the history once it is as long
-		measured time.Time
-		shares   map[willowwick.AccountID]float64
-		equal    float64
+		mu         sync.Mutex
+		buckets    map[willowwick.AccountID]*accountBuckets
+		requested  map[willowwick.AccountID]float64
+		demand     Demand
+		history    []measuredDemand // of the last demandSettleTime, oldest first
+		settled    Demand           // least demand of the history once it spans demandSettleTime
+		measured   time.Time
+		shares     map[willowwick.AccountID]float64
+		equalShare float64
 	}
 
-	// measuredDemand is the demand as it was measured at a time.
+	// measuredDemand is the demand measured at a time.
 	measuredDemand struct {
 		at     time.Time
 		demand Demand
@@ -72,17 +71,17 @@
 	}
 )
 
-// Take takes an amount if the bucket holds it, and otherwise says when it will.
+// Take takes an amount if the bucket holds it, and otherwise returns when it will.
 func (b *Bucket) Take(now time.Time, rate, burst, amount float64) (retryAt time.Time, ok bool) {
 	b.fill(now, rate, burst)
-	// A request larger than the burst may pass when the bucket is full, and leaves a debt.
+	// A request larger than the burst passes when the bucket is full, and leaves a debt.
 	if b.level >= min(amount, burst) {
 		b.level -= amount
 		return time.Time{}, true
 	}
 	missing := min(amount, burst) - b.level
 	wait := time.Duration(missing / rate * float64(time.Second))
-	return now.Add(max(wait, shortestWait)), false
+	return now.Add(max(wait, minRetryWait)), false
 }
 
 func (b *Bucket) fill(now time.Time, rate, burst float64) {
@@ -94,19 +93,19 @@
 	b.at = now
 }
 
-// NewRetryBudget returns a budget with its reserve.
+// NewRetryBudget returns a budget filled to its reserve.
 func NewRetryBudget() *RetryBudget {
 	return &RetryBudget{level: retryReserve}
 }
 
-// Succeeded adds to the budget.
+// Succeeded adds the share of one success to the budget.
 func (r *RetryBudget) Succeeded() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.level = min(retryReserve, r.level+retryShare)
 }
 
-// Take reports whether one more retry is within the budget.
+// Take reports whether one more retry is within the budget, and takes it.
 func (r *RetryBudget) Take() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -117,23 +116,23 @@
 	return true
 }
 
-// NewAccountLimiter returns a limiter that takes itself to be alone.
+// NewAccountLimiter returns a limiter that assumes a fleet of one box.
 func NewAccountLimiter() *AccountLimiter {
 	return &AccountLimiter{
-		buckets: map[willowwick.AccountID]*accountBuckets{},
-		asked:   map[willowwick.AccountID]float64{},
-		demand:  Demand{},
-		settled: Demand{},
-		shares:  map[willowwick.AccountID]float64{},
-		equal:   1,
+		buckets:    map[willowwick.AccountID]*accountBuckets{},
+		requested:  map[willowwick.AccountID]float64{},
+		demand:     Demand{},
+		settled:    Demand{},
+		shares:     map[willowwick.AccountID]float64{},
+		equalShare: 1,
 	}
 }
 
-// Take counts the demand and takes tokens from the account's share of its limit.
+// Take counts the demand and takes tokens from this box's share of the account's limit, or returns when to retry.
 func (l *AccountLimiter) Take(now time.Time, account willowwick.AccountID, limit config.Limit, tokens willowwick.Tokens) (retryAt time.Time, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.asked[account] += float64(tokens)
+	l.requested[account] += float64(tokens)
 	b := l.buckets[account]
 	if b == nil {
 		b = &accountBuckets{}
@@ -141,7 +140,7 @@
 	}
 	share, known := l.shares[account]
 	if !known {
-		share = l.equal
+		share = l.equalShare
 	}
 	if limit.RequestsPerSecond > 0 {
 		rate := limit.RequestsPerSecond * share
@@ -156,7 +155,7 @@
 	return time.Time{}, true
 }
 
-// Refund gives back tokens that an estimate took too many of; a negative amount takes more.
+// Refund returns tokens that an estimate took in excess; a negative amount takes more.
 func (l *AccountLimiter) Refund(account willowwick.AccountID, tokens willowwick.Tokens) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -165,7 +164,7 @@
 	}
 }
 
-// Measure closes a period of demand and returns the smoothed rates.
+// Measure closes a measuring period and returns the smoothed demand.
 func (l *AccountLimiter) Measure(now time.Time) Demand {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -177,35 +176,36 @@
 	if seconds <= 0 {
 		return maps.Clone(l.demand)
 	}
-	for account := range l.asked {
+	for account := range l.requested {
 		if _, known := l.demand[account]; !known {
 			l.demand[account] = 0
 		}
 	}
 	for account, before := range l.demand {
-		// Demand that rises is told at once: until the others know of it, it claims nothing.
-		measured := l.asked[account] / seconds
-		rate := max(measured, before+demandFade*(measured-before))
-		if rate < 1 && l.asked[account] == 0 {
+		// Rising demand is reported at once, but claims nothing until the others know of it.
+		measured := l.requested[account] / seconds
+		rate := max(measured, before+demandSmoothing*(measured-before))
+		if rate < 1 && l.requested[account] == 0 {
 			delete(l.demand, account)
 			continue
 		}
 		l.demand[account] = rate
 	}
-	clear(l.asked)
+	clear(l.requested)
 	l.measured = now
-	l.settle(now)
+	l.updateSettled(now)
 	return maps.Clone(l.demand)
 }
 
-// settle keeps the least demand since the newest measure that is at least demandSettle old; there is none before.
-func (l *AccountLimiter) settle(now time.Time) {
+// updateSettled keeps the least demand since the newest measurement that is at least demandSettleTime old; there is
+// none before.
+func (l *AccountLimiter) updateSettled(now time.Time) {
 	l.history = append(l.history, measuredDemand{at: now, demand: maps.Clone(l.demand)})
-	for len(l.history) > 1 && now.Sub(l.history[1].at) >= demandSettle {
+	for len(l.history) > 1 && now.Sub(l.history[1].at) >= demandSettleTime {
 		l.history = l.history[1:]
 	}
 	clear(l.settled)
-	if now.Sub(l.history[0].at) < demandSettle {
+	if now.Sub(l.history[0].at) < demandSettleTime {
 		return
 	}
 	for account := range l.demand {
@@ -217,13 +217,12 @@
 	}
 }
 
-// Divide sets this box's shares; peers are all other boxes, and connected says
-// whether this box itself still reaches the others.
+// Divide sets this box's shares. Peers are all other boxes; connected reports whether this box itself reaches them.
 func (l *AccountLimiter) Divide(peers []Peer, connected bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	boxes := float64(len(peers) + 1)
-	l.equal = 1 / boxes
+	l.equalShare = 1 / boxes
 	clear(l.shares)
 	if !connected {
 		return
@@ -234,7 +233,7 @@
 			fresh++
 		}
 	}
-	pot := fresh / boxes
+	available := fresh / boxes
 	for account := range l.demand {
 		own := l.settled[account]
 		total := own
@@ -244,11 +243,11 @@
 			}
 		}
 		// Half is divided equally, so that a box that was idle can start at once.
-		even := pot / fresh / 2
-		l.shares[account] = even + pot/2*ratio(own, total, 1/fresh)
+		even := available / fresh / 2
+		l.shares[account] = even + available/2*ratio(own, total, 1/fresh)
 	}
-	// An account without demand here takes only the even half of its share.
-	l.equal = pot / fresh / 2
+	// An account without demand here takes only the equal half of its share.
+	l.equalShare = available / fresh / 2
 }
 
 func ratio(part, whole, otherwise float64) float64 {
--- a/route/pool.go
+++ b/route/pool.go
@@ -13,70 +13,71 @@
 )
 
 const (
-	// ringPoints is the number of points of an endpoint on the ring of consistent hashing.
+	// ringPoints is the number of points of an endpoint on the consistent-hashing ring.
 	ringPoints = 16
-	// startLimit is the limit on own requests at an endpoint that is not known yet.
+	// startLimit is the limit of own requests at an endpoint without history.
 	startLimit = 4
-	// loadFresh is how long a load report counts.
-	loadFresh = 10 * time.Second
+	// loadMaxAge is how long a load report is valid.
+	loadMaxAge = 10 * time.Second
 )
 
 type (
-	// Pool knows the endpoints, their load and their health, and hands out places at them.
+	// Pool tracks the endpoints, their load and their health, and hands out slots at them.
 	Pool struct {
-		mu        sync.Mutex
-		picker    willowwick.Picker
-		options   PoolOptions
-		endpoints map[willowwick.EndpointID]*member
-		byHash    map[uint32]*member
-		rows      map[row]*candidateRow
-		inFlight  int
-		busy      map[*member]bool // endpoints with places taken, those gone from the list among them
-		speeds    map[speedKey]*speed
-		lateness  map[speedKey]*Lateness // of first events against their forecasts
-		evacuated map[willowwick.HallID]bool
-		said      map[willowwick.EndpointID]*said
-		// coldPauses are lengths: between this box's requests to one cold endpoint of a service.
-		coldPauses map[willowwick.ServiceID]time.Duration // setting
-	}
-
-	// PoolOptions set how much a pool gives to endpoints; zero values take the defaults.
+		mu            sync.Mutex
+		picker        willowwick.Picker
+		options       PoolOptions
+		endpoints     map[willowwick.EndpointID]*member
+		byHash        map[uint32]*member
+		candidates    map[workKey]*candidateSet
+		inFlight      int
+		occupied      map[*member]bool // endpoints with slots in use, including unlisted ones
+		speeds        map[speedKey]*prefillSpeed
+		lateness      map[speedKey]*Lateness // of first events against their forecasts
+		evacuated     map[willowwick.HallID]bool
+		reportedState map[willowwick.EndpointID]*reportedState
+		// coldPauses holds the pause between this box's requests to one cold endpoint, by service.
+		coldPauses map[willowwick.ServiceID]time.Duration
+	}
+
+	// PoolOptions bound the work that a pool gives to endpoints; zero values of StartLimit and LoadMaxAge take
+	// defaults.
 	PoolOptions struct {
-		StartLimit float64       // own requests at an endpoint before it is known
-		LoadFresh  time.Duration // setting: how long a load report counts
-		// TrustLast gives work to endpoints under suspicion where there are no others; the caller bounds its tries.
-		TrustLast bool
-		// QueueShare bounds what an endpoint holds beyond its slots, as a share of them; what is more waits for its
-		// fair turn here. 0 leaves it to the limit that adapts.
+		StartLimit float64       // limit of own requests at an endpoint without history
+		LoadMaxAge time.Duration // how long a load report is valid
+		// FallBackToEjected gives work to ejected endpoints if no other is open; the caller bounds its attempts.
+		FallBackToEjected bool
+		// QueueShare bounds the requests queued at an endpoint beyond its slots, as a share of the slots; the rest
+		// waits in the fair queue of this box. If 0, only the adaptive limit bounds them.
 		QueueShare float64
-		// QuietAfter is how long an endpoint with work may say nothing before others are preferred; 0 never.
-		QuietAfter time.Duration // setting
-		// Limits knows what endpoints take from all boxes together; nil if none names a limit.
+		// SilentAfter is how long an endpoint with work may be silent before others are preferred; 0 means forever.
+		SilentAfter time.Duration
+		// Limits tracks the endpoints' rate limits over all boxes; nil if no endpoint declares one.
 		Limits willowwick.RateLimiter
 	}
 
-	// member is an endpoint with what the box knows of it.
+	// member is an endpoint with what this box knows of it.
 	member struct {
-		endpoint     willowwick.Endpoint
-		said         *said
-		load         willowwick.EndpointLoad
-		inFlight     int
-		recent       int
-		failures     int
-		suspectUntil time.Time
-		evacuated    bool // its hall is
-		limit        float64
-		hash         uint64
-		failing      float64
-		failingAt    time.Time
-		heardAt      time.Time // last sign of life, or when it was given work after having none
-		coldNext     time.Time // while it is cold, when this box may send it its next request; zero if not chosen yet
-		trial        bool      // the suspicion has run out, and one request is to show whether it was right
-		reader       reader
+		endpoint          willowwick.Endpoint
+		reportedState     *reportedState
+		load              willowwick.EndpointLoad
+		inFlight          int
+		sentSinceReport   int
+		failures          int
+		ejectedUntil      time.Time
+		evacuated         bool // its hall is evacuated
+		limit             float64
+		hash              uint64
+		lastFailureRate   float64
+		lastFailureRateAt time.Time
+		lastAliveAt       time.Time // when data last arrived, or when it got work after having none
+		nextColdSendAt    time.Time // when this box may send a cold endpoint its next request; zero if not yet chosen
+		isProbing         bool      // the ejection has run out, and one request probes the endpoint
+		prefillQueue      prefillQueue
 	}
 )
 
-// NewPool returns an empty pool that chooses by the picker.
+// NewPool returns an empty pool that selects endpoints by the picker.
 func NewPool(picker willowwick.Picker) *Pool {
 	return NewPoolWith(picker, PoolOptions{})
 }
@@ -86,20 +87,20 @@
 	if options.StartLimit == 0 {
 		options.StartLimit = startLimit
 	}
-	if options.LoadFresh == 0 {
-		options.LoadFresh = loadFresh
+	if options.LoadMaxAge == 0 {
+		options.LoadMaxAge = loadMaxAge
 	}
 	if options.Limits == nil {
 		options.Limits = unlimited{}
 	}
 	return &Pool{
 		picker: picker, options: options,
-		endpoints: map[willowwick.EndpointID]*member{}, rows: map[row]*candidateRow{}, busy: map[*member]bool{},
-		said: map[willowwick.EndpointID]*said{}, speeds: map[speedKey]*speed{}, lateness: map[speedKey]*Lateness{},
+		endpoints: map[willowwick.EndpointID]*member{}, candidates: map[workKey]*candidateSet{}, occupied: map[*member]bool{},
+		reportedState: map[willowwick.EndpointID]*reportedState{}, speeds: map[speedKey]*prefillSpeed{}, lateness: map[speedKey]*Lateness{},
 	}
 }
 
-// Update takes the platform's list; endpoints that are gone get no new work.
+// Update replaces the list of endpoints; endpoints that are no longer listed get no new work.
 func (p *Pool) Update(listing []willowwick.Endpoint) {
 	p.options.Limits.Keep(listing)
 	p.mu.Lock()
@@ -108,29 +109,29 @@
 	byHash := make(map[uint32]*member, len(listing))
 	for _, endpoint := range listing {
 		m := p.endpoints[endpoint.ID]
-		if m == nil || m.endpoint.Address != endpoint.Address || hasStartedAgain(m.endpoint, endpoint) {
+		if m == nil || m.endpoint.Address != endpoint.Address || hasRestarted(m.endpoint, endpoint) {
 			m = &member{limit: p.options.StartLimit, hash: xxhash.Sum64String(string(endpoint.ID))}
 		}
 		if IsColdAgain(m.endpoint.ColdUntil, endpoint.ColdUntil) {
-			m.coldNext = time.Time{}
+			m.nextColdSendAt = time.Time{}
 		}
-		m.endpoint, m.said = endpoint, p.saidBy(endpoint)
+		m.endpoint, m.reportedState = endpoint, p.reportedStateOf(endpoint)
 		m.evacuated = p.evacuated[endpoint.Hall]
 		known[endpoint.ID] = m
 		byHash[uint32(m.hash)] = m
 	}
-	p.forgetSaid(clock.Now(), known)
+	p.expireReportedStates(clock.Now(), known)
 	p.endpoints, p.byHash = known, byHash
 	p.rebuild()
 }
 
-// hasStartedAgain reports whether an entry is of a later life of its endpoint, of which nothing is known yet.
-func hasStartedAgain(old, entry willowwick.Endpoint) bool {
+// hasRestarted reports whether an entry is of another incarnation of its endpoint, of which nothing is known yet.
+func hasRestarted(old, entry willowwick.Endpoint) bool {
 	return old.Incarnation != 0 && old.Incarnation != entry.Incarnation
 }
 
 func (p *Pool) rebuild() {
-	p.rows = map[row]*candidateRow{}
+	p.candidates = map[workKey]*candidateSet{}
 	ids := make([]willowwick.EndpointID, 0, len(p.endpoints))
 	for id := range p.endpoints {
 		ids = append(ids, id)
@@ -139,31 +140,31 @@
 	for _, id := range ids {
 		m := p.endpoints[id]
 		if m.endpoint.Service != "" {
-			p.addTo(row{service: m.endpoint.Service}, m)
+			p.addCandidate(workKey{service: m.endpoint.Service}, m)
 		}
 		for _, version := range m.endpoint.Versions {
-			p.addTo(row{version: version}, m)
+			p.addCandidate(workKey{version: version}, m)
 		}
 	}
-	for _, r := range p.rows {
-		sort.Slice(r.ring, func(i, j int) bool { return r.ring[i].hash < r.ring[j].hash })
+	for _, set := range p.candidates {
+		sort.Slice(set.ring, func(i, j int) bool { return set.ring[i].hash < set.ring[j].hash })
 	}
 }
 
-func (p *Pool) addTo(name row, m *member) {
-	r := p.rows[name]
-	if r == nil {
-		r = &candidateRow{pool: p}
-		p.rows[name] = r
+func (p *Pool) addCandidate(key workKey, m *member) {
+	set := p.candidates[key]
+	if set == nil {
+		set = &candidateSet{pool: p}
+		p.candidates[key] = set
 	}
 	for point := range ringPoints {
 		hash := xxhash.Sum64String(string(m.endpoint.ID) + "#" + strconv.Itoa(point))
-		r.ring = append(r.ring, ringPoint{hash: hash, index: len(r.members)})
+		set.ring = append(set.ring, ringPoint{hash: hash, index: len(set.members)})
 	}
-	r.members = append(r.members, m)
+	set.members = append(set.members, m)
 }
 
-// Report takes a load report; older reports than the one known change nothing.
+// Report applies a load report, unless it is older than the last one.
 func (p *Pool) Report(load willowwick.EndpointLoad) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -172,28 +173,29 @@
 		return
 	}
 	m.load = load
-	m.recent = 0
-	m.said.leaving = m.said.leaving || load.Leaving
+	m.sentSinceReport = 0
+	m.reportedState.leaving = m.reportedState.leaving || load.Leaving
 }
 
-// NoteReading takes what another box has sent to an endpoint.
-func (p *Pool) NoteReading(now time.Time, reading Reading) {
+// ApplyPrefillUpdate applies another box's prefill update to its endpoint.
+func (p *Pool) ApplyPrefillUpdate(now time.Time, update PrefillUpdate) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m := p.byHash[reading.Endpoint]
+	m := p.byHash[update.Endpoint]
 	if m == nil {
 		return
 	}
-	m.reader.note(now, reading)
-	m.reader.keep(now, reading.Parts)
+	m.prefillQueue.applyUpdate(now, update)
+	m.prefillQueue.markCached(now, update.Parts)
 }
 
-// Ahead is how long the endpoint will be reading what it was sent, as forecast; 0 if it is not known.
-func (p *Pool) Ahead(now time.Time, id willowwick.EndpointID) time.Duration {
+// PrefillBacklog returns the forecast time until the endpoint has read all prompts sent to it; 0 if the endpoint is
+// unknown.
+func (p *Pool) PrefillBacklog(now time.Time, id willowwick.EndpointID) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if m := p.endpoints[id]; m != nil {
-		return m.reader.ahead(now)
+		return m.prefillQueue.backlog(now)
 	}
 	return 0
 }
@@ -209,15 +211,15 @@
 	return m.load, true
 }
 
-// Stays reports whether an endpoint is listed and may be given new work.
-func (p *Pool) Stays(id willowwick.EndpointID) bool {
+// IsInService reports whether an endpoint is listed and may be given new work.
+func (p *Pool) IsInService(id willowwick.EndpointID) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	m := p.endpoints[id]
-	return m != nil && m.stays()
+	return m != nil && m.isInService()
 }
 
-// SetEvacuated leaves the endpoints of these halls without new work, and no others; running work goes on.
+// SetEvacuated replaces the set of evacuated halls, whose endpoints get no new work; running work continues.
 func (p *Pool) SetEvacuated(halls []willowwick.HallID) {
 	evacuated := make(map[willowwick.HallID]bool, len(halls))
 	for _, hall := range halls {
@@ -231,155 +233,155 @@
 	}
 }
 
-// Endpoints lists the endpoints of the platform's list; each that is known to be leaving says so, whatever its entry says.
+// Endpoints lists the endpoints; each that is known to be shutting down has Leaving set, whatever its entry says.
 func (p *Pool) Endpoints() []willowwick.Endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := make([]willowwick.Endpoint, 0, len(p.endpoints))
 	for _, m := range p.endpoints {
 		endpoint := m.endpoint
-		endpoint.Leaving = m.said.leaving
+		endpoint.Leaving = m.reportedState.leaving
 		list = append(list, endpoint)
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
 	return list
 }
 
-// InFlight returns the number of places taken.
+// InFlight returns the number of slots in use.
 func (p *Pool) InFlight() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.inFlight
 }
 
-// extra is how many requests beyond its slots the endpoint may hold.
-func (m *member) extra(options PoolOptions) int {
+// queueAllowance returns how many requests beyond its slots the endpoint may hold.
+func (m *member) queueAllowance(options PoolOptions) int {
 	if options.QueueShare == 0 {
 		return int(m.limit)
 	}
 	return int(min(m.limit, options.QueueShare*float64(m.load.Slots)))
 }
 
-// stays reports whether the endpoint may be given new work at all: it is where its entry says and not leaving, and its hall is
-// not evacuated.
-func (m *member) stays() bool {
-	return !m.said.leaving && !m.said.misplaced && !m.evacuated
+// isInService reports whether the endpoint may be given new work at all: it is not shutting down, its own process
+// answers at its address, and its hall is not evacuated.
+func (m *member) isInService() bool {
+	return !m.reportedState.leaving && !m.reportedState.misplaced && !m.evacuated
 }
 
-// isWithheld reports whether the endpoint takes no work now, whatever it has to do: it does not stay, or rests.
-func (m *member) isWithheld(now time.Time) bool {
-	return !m.stays() || m.said.isResting(now)
+// refusesWork reports whether the endpoint accepts no work now, whatever its load: it is out of service or in
+// backoff.
+func (m *member) refusesWork(now time.Time) bool {
+	return !m.isInService() || m.reportedState.isInBackoff(now)
 }
 
-// isDoubtful reports whether the endpoint owes an answer for long, or is on trial after a suspicion.
-func (m *member) isDoubtful(now time.Time, options PoolOptions) bool {
+// isSilentOrProbing reports whether the endpoint has work and is silent, or is being probed after an ejection.
+func (m *member) isSilentOrProbing(now time.Time, options PoolOptions) bool {
 	if m.inFlight == 0 {
 		return false
 	}
-	return m.trial || m.isQuiet(now, options)
+	return m.isProbing || m.isSilent(now, options)
 }
 
-// isQuiet reports whether the endpoint has said nothing for long, and is not reading what it was sent.
-func (m *member) isQuiet(now time.Time, options PoolOptions) bool {
-	heardAt := m.heardAt
-	if until := m.reader.busyUntil(); until.After(heardAt) {
-		heardAt = until
+// isSilent reports whether the endpoint has been silent for longer than SilentAfter while it is not reading a prompt.
+func (m *member) isSilent(now time.Time, options PoolOptions) bool {
+	lastAliveAt := m.lastAliveAt
+	if until := m.prefillQueue.busyUntil(); until.After(lastAliveAt) {
+		lastAliveAt = until
 	}
-	return now.Sub(heardAt) > options.QuietAfter
+	return now.Sub(lastAliveAt) > options.SilentAfter
 }
 
-// AcquireVersion takes a place at a runner that serves the version; known tells
-// whether any runner serves it at all.
-func (p *Pool) AcquireVersion(now time.Time, version willowwick.VersionID, prefix uint64, exclude map[willowwick.EndpointID]bool) (place *Place, known bool) {
-	return p.acquire(now, row{version: version}, Work{}, prefix, exclude, nil)
+// AcquireVersion acquires a slot at a runner that serves the version; slot is nil if none is open, and known reports
+// whether any runner serves the version.
+func (p *Pool) AcquireVersion(now time.Time, version willowwick.VersionID, prefix uint64, exclude map[willowwick.EndpointID]bool) (slot *Slot, known bool) {
+	return p.acquire(now, workKey{version: version}, Work{}, prefix, exclude, nil)
 }
 
-// AcquireService takes a place at an instance of a plain service.
-func (p *Pool) AcquireService(now time.Time, service willowwick.ServiceID, exclude map[willowwick.EndpointID]bool) (place *Place, known bool) {
-	return p.acquire(now, row{service: service}, Work{}, 0, exclude, nil)
+// AcquireService acquires a slot at an instance of a plain service; the results are those of AcquireVersion.
+func (p *Pool) AcquireService(now time.Time, service willowwick.ServiceID, exclude map[willowwick.EndpointID]bool) (slot *Slot, known bool) {
+	return p.acquire(now, workKey{service: service}, Work{}, 0, exclude, nil)
 }
 
-// AcquireAllowed takes a place at one of the service's endpoints that are allowed; known
-// tells whether there is any such endpoint.
+// AcquireAllowed acquires a slot at one of the service's allowed endpoints; known reports whether there is any.
 func (p *Pool) AcquireAllowed(
 	now time.Time, service willowwick.ServiceID, work Work,
 	exclude map[willowwick.EndpointID]bool, allow func(willowwick.Endpoint) bool,
-) (place *Place, known bool) {
-	return p.acquire(now, row{service: service}, work, 0, exclude, allow)
+) (slot *Slot, known bool) {
+	return p.acquire(now, workKey{service: service}, work, 0, exclude, allow)
 }
 
 func (p *Pool) acquire(
-	now time.Time, name row, work Work, prefix uint64,
+	now time.Time, key workKey, work Work, prefix uint64,
 	exclude map[willowwick.EndpointID]bool, allow func(willowwick.Endpoint) bool,
-) (*Place, bool) {
+) (*Slot, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r := p.rows[name]
-	if r == nil {
+	set := p.candidates[key]
+	if set == nil {
 		return nil, false
 	}
-	r.now, r.prompt, r.exclude, r.allow = now, p.readingOf(name.service, work), exclude, allow
-	if len(exclude) > 0 && r.allExcluded() {
-		// Every endpoint failed this request once; a second try beats none.
-		r.exclude = nil
+	set.now, set.estimator, set.exclude, set.allow = now, p.estimatorFor(key.service, work), exclude, allow
+	if len(exclude) > 0 && set.allExcluded() {
+		// Every endpoint has failed this request once; a second attempt is better than none.
+		set.exclude = nil
 	}
-	index := p.picker.Pick(now, r, prefix)
-	if index == noneOpen && p.options.TrustLast {
-		r.trusting = true
-		index = p.picker.Pick(now, r, prefix)
-		r.trusting = false
+	index := p.picker.Pick(now, set, prefix)
+	if index == noCandidate && p.options.FallBackToEjected {
+		set.allowEjected = true
+		index = p.picker.Pick(now, set, prefix)
+		set.allowEjected = false
 	}
-	if index == noneOpen {
-		return nil, r.anyServing()
+	if index == noCandidate {
+		return nil, set.hasInService()
 	}
-	m := r.members[index]
+	m := set.members[index]
 	if m.inFlight == 0 {
-		m.heardAt = now
+		m.lastAliveAt = now
 	}
-	p.noteCold(now, m)
+	p.startColdPause(now, m)
 	permission := p.options.Limits.Use(now, m.endpoint.ID)
 	m.inFlight++
-	m.recent++
-	p.busy[m] = true
+	m.sentSinceReport++
+	p.occupied[m] = true
 	p.inFlight++
-	return &Place{Endpoint: m.endpoint, pool: p, member: m, work: work, prompt: r.prompt, taken: now, permission: permission}, true
+	return &Slot{Endpoint: m.endpoint, pool: p, member: m, work: work, estimator: set.estimator, acquiredAt: now, permission: permission}, true
 }
 
-// readingOf is what the work's prompt asks of any of the service's endpoints.
-func (p *Pool) readingOf(service willowwick.ServiceID, work Work) reading {
+// estimatorFor returns the prefill estimator for work at the endpoints of a service.
+func (p *Pool) estimatorFor(service willowwick.ServiceID, work Work) prefill {
 	if len(work.Prompt) == 0 {
-		return reading{}
+		return prefill{}
 	}
-	return reading{work.Prompt, work.parts(), p.speeds[speedKey{service, work.Model}].perToken()}
+	return prefill{work.Prompt, work.partHashes(), p.speeds[speedKey{service, work.Model}].secondsPerToken()}
 }
 
-// HasOpen reports whether one of the service's endpoints that are allowed may be given work; those that name limits do not
-// count, since a permit may be denied.
+// HasOpen reports whether one of the service's allowed endpoints is open; those with rate limits do not count, since
+// a permit may be denied.
 func (p *Pool) HasOpen(now time.Time, service willowwick.ServiceID, allow func(willowwick.Endpoint) bool) bool {
-	return p.hasMember(service, func(m *member) bool {
-		return p.availability(now, m).ground == mayUse && allow(m.endpoint) && !p.isPaused(now, m) && m.open(now, p.options, false)
+	return p.anyMember(service, func(m *member) bool {
+		return p.availability(now, m).reason == reasonNone && allow(m.endpoint) && !p.isColdPaused(now, m) && m.isOpen(now, p.options, false)
 	})
 }
 
-// hasMember reports whether one of the service's endpoints is as asked.
-func (p *Pool) hasMember(service willowwick.ServiceID, is func(m *member) bool) bool {
+// anyMember reports whether one of the service's endpoints matches; it acquires the lock.
+func (p *Pool) anyMember(service willowwick.ServiceID, matches func(m *member) bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r := p.rows[row{service: service}]
-	return r != nil && slices.ContainsFunc(r.members, is)
+	set := p.candidates[workKey{service: service}]
+	return set != nil && slices.ContainsFunc(set.members, matches)
 }
 
-// HasStaying reports whether one of the service's endpoints that are allowed is not leaving, in a hall that is not evacuated.
-func (p *Pool) HasStaying(service willowwick.ServiceID, allow func(willowwick.Endpoint) bool) bool {
-	return p.hasMember(service, func(m *member) bool { return m.stays() && allow(m.endpoint) })
+// HasInService reports whether one of the service's allowed endpoints is in service.
+func (p *Pool) HasInService(service willowwick.ServiceID, allow func(willowwick.Endpoint) bool) bool {
+	return p.anyMember(service, func(m *member) bool { return m.isInService() && allow(m.endpoint) })
 }
 
-// InFlightWhere counts the places taken at those of the service's endpoints that are counted.
+// InFlightWhere counts the slots in use at the service's endpoints for which counts returns true.
 func (p *Pool) InFlightWhere(service willowwick.ServiceID, counts func(willowwick.Endpoint) bool) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
-	for m := range p.busy {
+	for m := range p.occupied {
 		if m.endpoint.Service == service && counts(m.endpoint) {
 			n += m.inFlight
 		}
@@ -387,25 +389,25 @@
 	return n
 }
 
-// knownLoad is the last report, or only the slots once the report is too old to count.
+// knownLoad returns the last report, or only the slots if the report is too old.
 func (m *member) knownLoad(now time.Time, options PoolOptions) willowwick.EndpointLoad {
-	if now.Sub(m.load.At) < options.LoadFresh {
+	if now.Sub(m.load.At) < options.LoadMaxAge {
 		return m.load
 	}
 	return willowwick.EndpointLoad{Endpoint: m.endpoint.ID, Slots: max(m.load.Slots, m.endpoint.Slots)}
 }
 
-func (m *member) open(now time.Time, options PoolOptions, trusting bool) bool {
-	if m.isWithheld(now) || !trusting && now.Before(m.suspectUntil) {
+func (m *member) isOpen(now time.Time, options PoolOptions, allowEjected bool) bool {
+	if m.refusesWork(now) || !allowEjected && now.Before(m.ejectedUntil) {
 		return false
 	}
-	if !trusting && options.QuietAfter > 0 && m.isDoubtful(now, options) {
+	if !allowEjected && options.SilentAfter > 0 && m.isSilentOrProbing(now, options) {
 		return false
 	}
-	fresh := m.load.Slots > 0 && now.Sub(m.load.At) < options.LoadFresh
+	fresh := m.load.Slots > 0 && now.Sub(m.load.At) < options.LoadMaxAge
 	if fresh {
-		// The report counts everybody's requests; what was sent since is known only of oneself.
-		return m.load.Running+m.load.Waiting+m.recent < m.load.Slots+m.extra(options) && float64(m.inFlight) < max(m.limit, options.StartLimit)
+		// The report counts the requests of all boxes; of those sent since, only this box's own are known.
+		return m.load.Running+m.load.Waiting+m.sentSinceReport < m.load.Slots+m.queueAllowance(options) && float64(m.inFlight) < max(m.limit, options.StartLimit)
 	}
 	return float64(m.inFlight) < m.limit
 }
